--- a/papayapier/policy/crashes.py
+++ b/papayapier/policy/crashes.py
@@ -19,8 +19,8 @@
 from collections.abc import Callable, Collection, Iterable
 from typing import Final, NamedTuple
 
-from papayapier.policy.crash_turns import CrashTurns
 from papayapier.policy.recent_answers import RecentAnswers
+from papayapier.policy.send_windows import CrashTurns
 
 # Two ends may be chance: where a third of the replicas end at once, one request in thirty is at two
 # of them with its own tries. At a third end of the same work, chance is the poorer bet.
--- a/papayapier/policy/place_queue.py
+++ b/papayapier/policy/place_queue.py
@@ -18,7 +18,7 @@
 
 from papayapier.policy.admission import AdmissionQueue, Waiting
 from papayapier.policy.placers import Wanting
-from papayapier.policy.returns import Returns
+from papayapier.policy.retry_times import Returns
 from papayapier.policy.waiting import RETURN_SHARE
 
 ONE_CALL: Final = 1.0
--- a/tests/test_place_queue.py
+++ b/tests/test_place_queue.py
@@ -12,7 +12,7 @@
 from papayapier.policy.place_queue import Asked, Given, PlaceQueue, Refused
 from papayapier.policy.placers import Wanting
 from papayapier.policy.replica_room import ReplicaRoom
-from papayapier.policy.returns import LONGEST_MS, SHORTEST_MS, Returns
+from papayapier.policy.retry_times import LONGEST_MS, SHORTEST_MS, Returns
 
 PART = "lm/0"
 AIM_MS = 300
--- a/tests/test_crash_turns.py
+++ b/tests/test_send_windows.py
@@ -15,8 +15,8 @@
 from papayapier.clock import fake_clock
 from papayapier.dispatch.crash_watch import CrashWatch, Hearers
 from papayapier.dispatch.lost_sends import name_work
-from papayapier.policy.crash_turns import BEGIN_MS, TURN_MS, TURNS_MOST, ms_to_turn
 from papayapier.policy.crashes import ITEM_PAUSE_MS, LOSSES_MOST, CrashBook, Loss
+from papayapier.policy.send_windows import BEGIN_MS, TURN_MS, TURNS_MOST, ms_to_turn
 from papayapier.upstream.api import FailureKind, Replica, Sent
 from tests.dispatch_world import BODY, CHAT, World
 from tests.forward_world import Ended, ForwardWorld, Send
