--- a/papayapier/policy/crashes.py
+++ b/papayapier/policy/crashes.py
@@ -1,73 +1,78 @@
-"""Decide which work is sent no more because the replicas that run it end.
-
-The load this answers: one request ends each replica that begins to run it and comes again, at any
-instance and under another id. Each return costs a replica for the seconds of its start, and with it
-every call that is open there: nine replicas were lost within eleven seconds to one work.
-
-Which of the calls open at a replica has ended it cannot be seen. What can be seen is the work that
-is there each time: work counts a loss for each replica that was lost under it, and a whole answer
-takes one away, so that what is asked often and answered is never held. Work that was answered just
-before its first loss is held later still: open beside work that ends its replicas, it has the same
-losses, and only what went before tells the two apart. Any instance may have answered it, so a
-recent answer counts wherever it was given, for as long as the losses last.
-
-A loss stands until the replica is seen alive: it answers a call sent later, or is still listed when
-its end would long have been noticed. So a connection that was reset, or an answer that was late,
-holds nothing up.
+"""Quarantine requests that crash the replicas that run them.
+
+Motivation: one request ends each replica that starts to run it, and is sent again, through any
+instance and under another id. Each time costs a replica for as long as its restart takes, with
+every call that is open there: one such request ended nine replicas within eleven seconds.
+
+Which of the calls open at a replica ended it cannot be observed. What can be observed is which
+requests were open each time. Requests are identified by a fingerprint of method, host, path and
+body. A fingerprint counts a loss for each replica that was lost while it ran the request, and a
+complete answer takes one loss away, so that a request that is sent often and answered is never
+quarantined. A fingerprint that was answered shortly before its first loss has a higher limit:
+beside a crashing request it collects the same losses, and only the earlier answer tells the two
+apart. Any instance may have answered it, so a recent answer counts wherever it was given, for as
+long as the losses are kept.
+
+A loss is withdrawn if the replica turns out to be alive: it answers a call sent later, or is still
+listed when its end would long have been noticed. So a reset connection or a late answer quarantines
+nothing.
 """
 
 from collections.abc import Callable, Collection, Iterable
 from typing import Final, NamedTuple
 
 from papayapier.policy.recent_answers import RecentAnswers
-from papayapier.policy.send_windows import CrashTurns
+from papayapier.policy.send_windows import SendWindows
 
-# Two ends may be chance: where a third of the replicas end at once, one request in thirty is at two
-# of them with its own tries. At a third end of the same work, chance is the poorer bet.
+# Two losses may be chance: where a third of the replicas end at once, one request in thirty is at
+# two of them, counting its own retries. At a third loss of the same fingerprint, chance is the less
+# likely explanation.
 LOSSES_MOST: Final = 3
-# Work that replicas have answered lately is most likely only there when they end.
-ANSWERED_LOSSES_MOST: Final = 6
+# A request that replicas have answered recently was most likely only open when they ended.
+MAX_LOSSES_ANSWERED: Final = 6
 ANSWERED_LATELY_MS: Final = 60_000
-# An item of a job is not refused but waits, and runs once at a time, so that it may be tried some
-# more times: one that was beside a crashing request thrice is done after all.
-ITEM_LOSSES_MOST: Final = 6
-# Before an item with three losses is tried again, doubled each time: as long as a replica needs to
-# be back, so that a crashing item does not take a second one meanwhile.
+# An item of a job is not refused but waits, and runs once at a time, so that it may be tried more
+# often: an item that was open beside a crashing request three times is completed in the end.
+MAX_ITEM_LOSSES: Final = 6
+# Pause before an item with three losses is retried, doubled with each further loss: as long as a
+# replica needs to restart, so that a crashing item does not end a second one meanwhile.
 ITEM_PAUSE_MS: Final = 4_000
-# Before work with two losses is sent once more: longer than most calls that are open beside it, so
-# that what only was there is answered meanwhile, or is not there the next time.
-APART_MS: Final = 400
-# A peer's answer may be told this long before the losses; kept longer, instances would tell it to
-# each other without end.
+# Pause before a request with two losses is resent: longer than most calls that are open beside it,
+# so that those are answered meanwhile, or are not open beside it the next time.
+SUSPECT_PAUSE_MS: Final = 400
+# A peer's notification of an answer may arrive this long before that of the losses. Kept longer,
+# instances would forward it to each other without end.
 WORD_STANDS_MS: Final = 5_000
-# Bounds the memory that answered works take.
-ANSWERS_MOST: Final = 10_000
-# How long work is held after its last loss. A start with weights to load takes minutes; at most one
-# replica in that time is the price of learning that a repaired model can run it.
-HOLD_MS: Final = 600_000
-# An end is in the list after three missed signs of life, four seconds, and known here a second
-# later; whatever is listed after twice that has not ended.
+# Bounds the memory that answered fingerprints take.
+MAX_ANSWERED: Final = 10_000
+# How long a fingerprint is quarantined after its last loss. A start with weights to load takes
+# minutes, and trying whether a repaired model can run the request costs at most one replica in that
+# time.
+QUARANTINE_MS: Final = 600_000
+# An ended replica leaves the list after three missed heartbeats, four seconds, and instances know a
+# second later. A replica that is listed after twice that time has not ended.
 LISTED_MS: Final = 10_000
 # Calls lost by one end notice it at once where connections are reset, else after the longest
-# silence that they bear, four seconds. What is lost later at the same name is lost by another end:
-# some replicas start again under their name.
-SAME_END_MS: Final = 5_000
-# Whoever waits for the end of a doubt does not come back sooner than this.
-SOONEST_RETURN_MS: Final = 1_000
-# Work that has not come for so long is forgotten.
+# silence that they tolerate, four seconds. A later loss under the same name is another end: some
+# replicas restart under their name.
+SAME_LOSS_MS: Final = 5_000
+# Shortest retry time for a caller whose request has unconfirmed losses.
+MIN_RETRY_MS: Final = 1_000
+# Fingerprints without a new loss for this long are forgotten.
 FORGET_MS: Final = 3_600_000
-# A crash of a replica brings as many works as it has calls, ten or so. A thousand with three losses
-# each take 1.0 MB and 3.6 ms a sweep, measured.
-WORKS_MOST: Final = 1_000
-KEPT_LOSSES: Final = 8
-# What is told to one who has just started: 16 kB, measured.
-SNAPSHOT_MOST: Final = 500
+# A crashed replica adds as many fingerprints as it had calls, ten or so. A thousand with three
+# losses each take 1.0 MB and 3.6 ms a sweep.
+MAX_FINGERPRINTS: Final = 1_000
+MAX_LOSSES_KEPT: Final = 8
+# Size of the snapshot sent to an instance that has just started: 16 kB.
+MAX_SNAPSHOT_LOSSES: Final = 500
 
 
 class Loss(NamedTuple):
-    """Say that a replica was lost under a work, and how long ago.
+    """Report that a replica was lost while it ran a request, and how long ago.
 
-    lately tells that the work had been answered in the minute before its first loss.
+    work is the fingerprint of the request. lately says that the fingerprint had been answered in
+    the minute before its first loss.
     """
 
     work: str
@@ -76,295 +81,318 @@
     lately: bool = False
 
 
-class _Lost:
-    """Hold one loss; sure says that a later sign of life is that of another start."""
+class _LossRecord:
+    """Record one loss; confirmed says that a later heartbeat or answer is from a restart."""
 
-    __slots__ = ("at_ms", "heard_ms", "replica", "sure")
+    __slots__ = ("at_ms", "confirmed", "received_ms", "replica")
 
-    def __init__(self, replica: str, at_ms: int, heard_ms: int) -> None:
+    def __init__(self, replica: str, at_ms: int, received_ms: int) -> None:
         self.replica = replica
         self.at_ms = at_ms
-        self.heard_ms = heard_ms
-        self.sure = False
+        self.received_ms = received_ms
+        self.confirmed = False
 
-    def settled(self, now: int) -> bool:
-        """Tell whether the list alone can no longer take it back."""
-        return self.sure or self.heard_ms + LISTED_MS <= now
+    def is_settled(self, now: int) -> bool:
+        """Tell whether the list of replicas alone can no longer withdraw the loss."""
+        return self.confirmed or self.received_ms + LISTED_MS <= now
 
 
-class _Work:
-    """Hold the losses of one work, and how often it was answered since the first.
+class _FingerprintRecord:
+    """Record the losses of one fingerprint, and its answers since the first loss.
 
-    most is the number of losses from which on it is held.
+    max_losses is the number of losses from which on it is quarantined.
     """
 
-    __slots__ = ("answered", "last_ms", "losses", "most")
+    __slots__ = ("answered", "last_ms", "losses", "max_losses")
 
     def __init__(self, most: int) -> None:
-        self.most = most
-        self.losses: list[_Lost] = []
+        self.max_losses = most
+        self.losses: list[_LossRecord] = []
         self.answered = 0
         self.last_ms = 0
 
-    def count(self) -> int:
+    def net_losses(self) -> int:
         return len(self.losses) - self.answered
 
-    def over(self) -> bool:
-        return self.count() >= self.most
+    def has_max_losses(self) -> bool:
+        return self.net_losses() >= self.max_losses
 
-    def nearly(self) -> bool:
-        """Tell whether one more loss holds it, and nothing speaks for it."""
-        return not self.lately() and self.count() == LOSSES_MOST - 1
+    def is_suspect(self) -> bool:
+        """Tell whether one more loss would quarantine it, and no recent answer clears it."""
+        return not self.is_answered() and self.net_losses() == LOSSES_MOST - 1
 
-    def lately(self) -> bool:
-        return self.most == ANSWERED_LOSSES_MOST
+    def is_answered(self) -> bool:
+        return self.max_losses == MAX_LOSSES_ANSWERED
 
-    def knows(self, replica: str, at_ms: int) -> bool:
+    def has_loss(self, replica: str, at_ms: int) -> bool:
         return any(
-            lost.replica == replica and abs(lost.at_ms - at_ms) < SAME_END_MS
-            for lost in self.losses
+            record.replica == replica and abs(record.at_ms - at_ms) < SAME_LOSS_MS
+            for record in self.losses
         )
 
 
 class CrashBook:
-    """Track the work under which replicas were lost."""
+    """Track the fingerprints of requests during which replicas were lost."""
 
     def __init__(self) -> None:
-        self._works: dict[str, _Work] = {}
-        self._lately = RecentAnswers(ANSWERS_MOST, ANSWERED_LATELY_MS)
-        # What others have answered, as they told.
-        self._told_lately = RecentAnswers(WORKS_MOST, WORD_STANDS_MS)
-        # Works with a loss at a replica that may yet be seen alive.
-        self._unsure: dict[str, set[str]] = {}
+        self._records: dict[str, _FingerprintRecord] = {}
+        self._answered_here = RecentAnswers(MAX_ANSWERED, ANSWERED_LATELY_MS)
+        # Answers that other instances have reported.
+        self._answered_elsewhere = RecentAnswers(MAX_FINGERPRINTS, WORD_STANDS_MS)
+        # Fingerprints with a loss, by the replica that may yet turn out to be alive.
+        self._unconfirmed: dict[str, set[str]] = {}
         self._listed: frozenset[str] = frozenset()
-        self._left: dict[str, None] = {}
-        # Works with as many losses as hold one.
-        self._over: set[str] = set()
-        # When those may be sent that one more loss would hold.
-        self.turns = CrashTurns()
-        # Grows with each change of what is known.
+        self._leaving: dict[str, None] = {}
+        # Fingerprints with enough losses to be quarantined.
+        self._at_limit: set[str] = set()
+        # When suspects, which one more loss would quarantine, may be sent.
+        self.turns = SendWindows()
+        # Incremented with each change of the recorded losses.
         self.changes = 0
 
     def empty(self) -> bool:
-        """Tell whether no work has a loss."""
-        return not self._works
-
-    def knows(self, work: str) -> bool:
-        """Tell whether a work has a loss."""
-        return work in self._works
-
-    def replicas(self, work: str) -> list[str]:
-        """Return the replicas that were lost under a work."""
-        known = self._works.get(work)
-        return [lost.replica for lost in known.losses] if known is not None else []
-
-    def hold_ms(self, work: str, now: int) -> int:
-        """Return for how long a request's work is not sent, in ms; 0 if it may be."""
-        known = self._works.get(work)
-        if known is None or not known.over():
+        """Tell whether no fingerprint has a loss."""
+        return not self._records
+
+    def knows(self, fingerprint: str) -> bool:
+        """Tell whether a fingerprint has a loss."""
+        return fingerprint in self._records
+
+    def replicas(self, fingerprint: str) -> list[str]:
+        """Return the replicas that were lost under a fingerprint."""
+        record = self._records.get(fingerprint)
+        return [loss.replica for loss in record.losses] if record is not None else []
+
+    def hold_ms(self, fingerprint: str, now: int) -> int:
+        """Return for how long a request is quarantined, in ms; 0 if it may be sent."""
+        record = self._records.get(fingerprint)
+        if record is None or not record.has_max_losses():
             return 0
-        return max(0, known.last_ms + HOLD_MS - now)
+        return max(0, record.last_ms + QUARANTINE_MS - now)
 
-    def apart_ms(self, work: str) -> int:
-        """Return the least pause before work that may soon be held, in ms.
+    def apart_ms(self, fingerprint: str) -> int:
+        """Return the shortest pause before a request that may soon be quarantined, in ms.
 
-        Tries of two works that follow each other at once end up at the same replicas, so that the
-        one that ends them cannot be told from the one that is there by chance.
+        Retries of two requests that follow each other at once end up at the same replicas, so that
+        the one that ends them cannot be told from the one that is open there by chance.
         """
-        known = self._works.get(work)
-        if known is None or known.over():
+        record = self._records.get(fingerprint)
+        if record is None or record.has_max_losses():
             return 0
-        return APART_MS if known.count() >= LOSSES_MOST - 1 else 0
+        return SUSPECT_PAUSE_MS if record.net_losses() >= LOSSES_MOST - 1 else 0
 
-    def item_hold_ms(self, work: str, now: int) -> int:
-        """Return for how long an item's work is not sent, in ms; 0 if it may be.
+    def item_hold_ms(self, fingerprint: str, now: int) -> int:
+        """Return for how long an item is not sent, in ms; 0 if it may be.
 
-        One with rivals waits until those that are asked have had their turns.
+        An item with other suspects waits until the online requests among them have had their send
+        windows.
         """
-        known = self._works.get(work)
-        if known is None or (known.count() < LOSSES_MOST and not self.turns.rivals(work)):
+        record = self._records.get(fingerprint)
+        if record is None or (
+            record.net_losses() < LOSSES_MOST and not self.turns.rivals(fingerprint)
+        ):
             return 0
-        pause_ms = HOLD_MS
-        if not self.item_done_for(work):
-            pause_ms = ITEM_PAUSE_MS << max(0, known.count() - LOSSES_MOST)
-        return max(0, known.last_ms + pause_ms - now)
+        pause_ms = QUARANTINE_MS
+        if not self.item_done_for(fingerprint):
+            pause_ms = ITEM_PAUSE_MS << max(0, record.net_losses() - LOSSES_MOST)
+        return max(0, record.last_ms + pause_ms - now)
 
-    def item_done_for(self, work: str) -> bool:
-        """Tell whether an item's work has been tried as often as it may be."""
-        known = self._works.get(work)
-        return known is not None and known.count() >= ITEM_LOSSES_MOST
+    def item_done_for(self, fingerprint: str) -> bool:
+        """Tell whether an item has been tried as often as it may be."""
+        record = self._records.get(fingerprint)
+        return record is not None and record.net_losses() >= MAX_ITEM_LOSSES
 
     def held(self, now: int) -> frozenset[str]:
-        """Return the works that are held."""
-        return frozenset(work for work in self._over if self.hold_ms(work, now))
+        """Return the fingerprints that are quarantined."""
+        return frozenset(
+            fingerprint for fingerprint in self._at_limit if self.hold_ms(fingerprint, now)
+        )
 
-    def return_ms(self, work: str, now: int) -> int:
-        """Return when the caller of held work may come again, in ms.
+    def return_ms(self, fingerprint: str, now: int) -> int:
+        """Return when the caller of a quarantined request may retry, in ms.
 
-        While too few of its replicas are known to have ended that is when it will be known.
+        While too few of its losses are confirmed, that is the time by which they will be.
         """
-        known = self._works[work]
-        unsure = [lost for lost in known.losses if not lost.settled(now)]
-        if known.count() - len(unsure) >= known.most:
-            return self.hold_ms(work, now)
-        return max(SOONEST_RETURN_MS, min(lost.heard_ms for lost in unsure) + LISTED_MS - now)
+        record = self._records[fingerprint]
+        unconfirmed = [loss for loss in record.losses if not loss.is_settled(now)]
+        if record.net_losses() - len(unconfirmed) >= record.max_losses:
+            return self.hold_ms(fingerprint, now)
+        return max(MIN_RETRY_MS, min(loss.received_ms for loss in unconfirmed) + LISTED_MS - now)
 
     def stands(self, loss: Loss) -> bool:
-        """Tell whether a loss has not been taken back."""
+        """Tell whether a loss has not been withdrawn."""
         return loss.replica in self.replicas(loss.work)
 
-    def on_lost(self, work: str, replica: str, now: int) -> bool:
-        """Count a replica lost under a work; return whether it is a new loss.
+    def on_lost(self, fingerprint: str, replica: str, now: int) -> bool:
+        """Count a replica lost under a fingerprint; return whether the loss is new.
 
-        A replica that leaves as planned may cut off what is still open at its end.
+        A replica that leaves as planned may cut off calls that are still open at its end, so that
+        its losses do not count.
         """
-        if replica in self._left:
+        if replica in self._leaving:
             return False
-        return self._add(work, replica, now, now)
+        return self._add(fingerprint, replica, now, now)
 
     def on_told(self, losses: Iterable[Loss], now: int) -> list[Loss]:
-        """Take losses from others; return those not known before."""
+        """Add losses that other instances report; return those not known before."""
         losses = list(losses)
-        self.take_lately({one.work for one in losses if one.lately}, now)
-        return [one for one in losses if self._add(one.work, one.replica, now - one.age_ms, now)]
-
-    def note_answered(self, work: str, now: int) -> None:
-        """Remember that a work was answered, also where it has no loss."""
-        self._lately.note(work, now)
-
-    def answered_lately(self, works: Iterable[str], now: int) -> list[str]:
-        """Return which of some works were answered just before their losses, or lately here."""
-        return [work for work in works if self._was_answered(work, now)]
-
-    def take_lately(self, works: Iterable[str], now: int) -> list[str]:
-        """Take that others have answered works lately; return those with losses that it clears."""
-        cleared = []
-        for work in works:
-            self._told_lately.note(work, now)
-            known = self._works.get(work)
-            if known is not None and not known.lately():
-                known.most = ANSWERED_LOSSES_MOST
-                self._note_change(work)
-                cleared.append(work)
-        return cleared
-
-    def _was_answered(self, work: str, now: int) -> bool:
-        known = self._works.get(work)
-        return known.lately() if known is not None else self._lately.knows(work, now)
-
-    def on_answered(self, work: str) -> bool:
-        """Count an answer to a work; return whether it was known here."""
-        known = self._works.get(work)
-        if known is None:
+        self.take_lately({loss.work for loss in losses if loss.lately}, now)
+        return [
+            loss for loss in losses if self._add(loss.work, loss.replica, now - loss.age_ms, now)
+        ]
+
+    def note_answered(self, fingerprint: str, now: int) -> None:
+        """Record that a fingerprint was answered, also where it has no loss."""
+        self._answered_here.note(fingerprint, now)
+
+    def answered_lately(self, fingerprints: Iterable[str], now: int) -> list[str]:
+        """Return which fingerprints were answered just before their losses, or recently here."""
+        return [fingerprint for fingerprint in fingerprints if self._was_answered(fingerprint, now)]
+
+    def take_lately(self, fingerprints: Iterable[str], now: int) -> list[str]:
+        """Record recent answers of other instances; return fingerprints whose limit this raises."""
+        released = []
+        for fingerprint in fingerprints:
+            self._answered_elsewhere.note(fingerprint, now)
+            record = self._records.get(fingerprint)
+            if record is not None and not record.is_answered():
+                record.max_losses = MAX_LOSSES_ANSWERED
+                self._on_change(fingerprint)
+                released.append(fingerprint)
+        return released
+
+    def _was_answered(self, fingerprint: str, now: int) -> bool:
+        record = self._records.get(fingerprint)
+        return (
+            record.is_answered()
+            if record is not None
+            else self._answered_here.knows(fingerprint, now)
+        )
+
+    def on_answered(self, fingerprint: str) -> bool:
+        """Count an answer to a request; return whether its fingerprint had a loss."""
+        record = self._records.get(fingerprint)
+        if record is None:
             return False
-        known.answered += 1
-        self._note_change(work)
+        record.answered += 1
+        self._on_change(fingerprint)
         return True
 
     def on_alive(self, replica: str, sent_ms: int) -> None:
-        """Take that a replica has answered a call sent at a time."""
-        for work in list(self._unsure.get(replica, ())):
-            self._drop(work, lambda lost: lost.replica == replica and lost.heard_ms <= sent_ms)
+        """Withdraw losses of a replica that has answered a call sent at a given time."""
+        for fingerprint in list(self._unconfirmed.get(replica, ())):
+            self._withdraw(
+                fingerprint, lambda loss: loss.replica == replica and loss.received_ms <= sent_ms
+            )
 
     def on_ended(self, replica: str) -> None:
-        """Take that nobody listens at a replica's address.
+        """Confirm the losses of a replica at whose address nothing listens any more.
 
-        What answers later under its name is another start of it. A replica that only cannot be
-        reached says nothing: taken for ended, what is asked often would be held after a cut.
+        What answers later under its name is a restart. A replica that only cannot be reached
+        confirms nothing: otherwise a frequent request would be quarantined after a network
+        partition.
         """
-        for work in self._unsure.pop(replica, ()):
-            for lost in self._works[work].losses:
-                lost.sure = lost.sure or lost.replica == replica
+        for fingerprint in self._unconfirmed.pop(replica, ()):
+            for loss in self._records[fingerprint].losses:
+                loss.confirmed = loss.confirmed or loss.replica == replica
 
     def on_listed(self, listed: Collection[str], leaving: Collection[str]) -> None:
-        """Take the whole list of replicas, and those of them that leave as planned."""
+        """Replace the list of replicas, and add those that leave as planned."""
         self._listed = frozenset(listed)
         for replica in leaving:
-            self._left[replica] = None
-        while len(self._left) > WORKS_MOST:
-            del self._left[next(iter(self._left))]
+            self._leaving[replica] = None
+        while len(self._leaving) > MAX_FINGERPRINTS:
+            del self._leaving[next(iter(self._leaving))]
 
     def sweep(self, now: int, list_fresh: bool) -> None:
-        """Drop losses at replicas that are listed long after, and what is old."""
+        """Withdraw losses of replicas that are listed long after, and forget old fingerprints."""
 
-        def seen(lost: _Lost) -> bool:
-            return lost.replica in self._listed and lost.settled(now)
+        def is_listed(loss: _LossRecord) -> bool:
+            return loss.replica in self._listed and loss.is_settled(now)
 
-        for work, known in list(self._works.items()):
-            if known.last_ms + FORGET_MS <= now:
-                self._forget(work)
+        for fingerprint, record in list(self._records.items()):
+            if record.last_ms + FORGET_MS <= now:
+                self._forget(fingerprint)
             elif list_fresh:
-                self._drop(work, seen)
+                self._withdraw(fingerprint, is_listed)
 
     def snapshot(self, now: int, only: Collection[str] = ()) -> list[Loss]:
-        """Return the losses of all works, or of some, those with most losses first."""
-        works = [(work, known) for work, known in self._works.items() if not only or work in only]
-        works.sort(key=lambda one: (-one[1].count(), -one[1].last_ms))
+        """Return the losses of all or of some fingerprints, those with most losses first."""
+        records = [
+            (fingerprint, record)
+            for fingerprint, record in self._records.items()
+            if not only or fingerprint in only
+        ]
+        records.sort(key=lambda entry: (-entry[1].net_losses(), -entry[1].last_ms))
         losses = [
-            Loss(work, lost.replica, max(0, now - lost.at_ms), known.lately())
-            for work, known in works
-            for lost in known.losses
+            Loss(fingerprint, loss.replica, max(0, now - loss.at_ms), record.is_answered())
+            for fingerprint, record in records
+            for loss in record.losses
         ]
-        return losses[:SNAPSHOT_MOST]
-
-    def _add(self, work: str, replica: str, at_ms: int, heard_ms: int) -> bool:
-        known = self._works.get(work)
-        if known is None:
-            self._make_room()
-            lately = self._lately.knows(work, at_ms) or self._told_lately.knows(work, at_ms)
-            most = ANSWERED_LOSSES_MOST if lately else LOSSES_MOST
-            known = self._works[work] = _Work(most)
-        if known.knows(replica, at_ms):
+        return losses[:MAX_SNAPSHOT_LOSSES]
+
+    def _add(self, fingerprint: str, replica: str, at_ms: int, received_ms: int) -> bool:
+        record = self._records.get(fingerprint)
+        if record is None:
+            self._evict()
+            answered = self._answered_here.knows(
+                fingerprint, at_ms
+            ) or self._answered_elsewhere.knows(fingerprint, at_ms)
+            max_losses = MAX_LOSSES_ANSWERED if answered else LOSSES_MOST
+            record = self._records[fingerprint] = _FingerprintRecord(max_losses)
+        if record.has_loss(replica, at_ms):
             return False
-        known.last_ms = max(known.last_ms, at_ms)
-        if len(known.losses) >= KEPT_LOSSES:
+        record.last_ms = max(record.last_ms, at_ms)
+        if len(record.losses) >= MAX_LOSSES_KEPT:
             return False
-        known.losses.append(_Lost(replica, at_ms, heard_ms))
-        self._unsure.setdefault(replica, set()).add(work)
-        self._note_change(work)
+        record.losses.append(_LossRecord(replica, at_ms, received_ms))
+        self._unconfirmed.setdefault(replica, set()).add(fingerprint)
+        self._on_change(fingerprint)
         return True
 
-    def _make_room(self) -> None:
-        if len(self._works) < WORKS_MOST:
+    def _evict(self) -> None:
+        if len(self._records) < MAX_FINGERPRINTS:
             return
-        works = self._works
-        self._forget(min(works, key=lambda one: (works[one].count(), works[one].last_ms)))
-
-    def _drop(self, work: str, dropped: Callable[[_Lost], bool]) -> None:
-        """Take back the losses of a work that are not sure and of which something holds."""
-        known = self._works[work]
-        kept = [lost for lost in known.losses if lost.sure or not dropped(lost)]
-        gone = {lost.replica for lost in known.losses} - {lost.replica for lost in kept}
-        known.losses = kept
-        for replica in gone:
-            self._unlink(work, replica)
-        if gone:
-            self._note_change(work)
-
-    def _note_change(self, work: str) -> None:
+        records = self._records
+        self._forget(
+            min(records, key=lambda name: (records[name].net_losses(), records[name].last_ms))
+        )
+
+    def _withdraw(self, fingerprint: str, matches: Callable[[_LossRecord], bool]) -> None:
+        """Withdraw the unconfirmed losses of a fingerprint that match a condition."""
+        record = self._records[fingerprint]
+        remaining = [loss for loss in record.losses if loss.confirmed or not matches(loss)]
+        withdrawn = {loss.replica for loss in record.losses} - {loss.replica for loss in remaining}
+        record.losses = remaining
+        for replica in withdrawn:
+            self._unlink(fingerprint, replica)
+        if withdrawn:
+            self._on_change(fingerprint)
+
+    def _on_change(self, fingerprint: str) -> None:
         self.changes += 1
-        known = self._works[work]
-        if known.over():
-            self._over.add(work)
+        record = self._records[fingerprint]
+        if record.has_max_losses():
+            self._at_limit.add(fingerprint)
         else:
-            self._over.discard(work)
-        if known.nearly():
-            self.turns.join(work, self.replicas(work), known.last_ms)
+            self._at_limit.discard(fingerprint)
+        if record.is_suspect():
+            self.turns.add_suspect(fingerprint, self.replicas(fingerprint), record.last_ms)
         else:
-            self.turns.leave(work)
-        if known.count() <= 0:
-            self._forget(work)
+            self.turns.remove_suspect(fingerprint)
+        if record.net_losses() <= 0:
+            self._forget(fingerprint)
 
-    def _forget(self, work: str) -> None:
+    def _forget(self, fingerprint: str) -> None:
         self.changes += 1
-        self._over.discard(work)
-        self.turns.leave(work)
-        for lost in self._works.pop(work).losses:
-            self._unlink(work, lost.replica)
-
-    def _unlink(self, work: str, replica: str) -> None:
-        works = self._unsure.get(replica)
-        if works is not None:
-            works.discard(work)
-            if not works:
-                del self._unsure[replica]
+        self._at_limit.discard(fingerprint)
+        self.turns.remove_suspect(fingerprint)
+        for loss in self._records.pop(fingerprint).losses:
+            self._unlink(fingerprint, loss.replica)
+
+    def _unlink(self, fingerprint: str, replica: str) -> None:
+        fingerprints = self._unconfirmed.get(replica)
+        if fingerprints is not None:
+            fingerprints.discard(fingerprint)
+            if not fingerprints:
+                del self._unconfirmed[replica]
--- a/papayapier/policy/send_windows.py
+++ b/papayapier/policy/send_windows.py
@@ -1,97 +1,97 @@
-"""Decide when work that one more loss would hold may be sent: one such work at a time.
+"""Decide when requests that one more loss would quarantine may be sent: one at a time.
 
-The load this answers: a common question and a request that ends its replicas are open together at
-each of the few replicas of a service. After two ends both have the same losses, and what is sent
-next tells them apart only if the other is not there: the one is answered, the other ends a third
-replica. Sent together, both are held, and the common question for as long as the other.
+Motivation: a frequent request and a request that ends its replicas are open together at each of the
+few replicas of a service. After two ends both have the same losses, and the next send tells them
+apart only if the other is not open beside it: one is answered, the other ends a third replica. Sent
+together, both are quarantined, and the frequent request for as long as the other.
 
-So works that were lost at the same replicas take turns, in the order of their names and counted
-from their last loss, which every instance knows. Sends begin in the first part of a turn; the rest
-is for what was sent in it to be answered, or to end its replica.
+So fingerprints that share a lost replica (suspects) get send windows one after the other, in the
+order of their names and counted from their last loss, which every instance knows. Requests are sent
+in the first part of a window; in the rest they are answered, or end their replica.
 """
 
 from collections.abc import Collection
 from typing import Final
 
-# Longer than most calls, as they are answered meanwhile.
-TURN_MS: Final = 400
-BEGIN_MS: Final = 200
-# Bounds how long the first turn of a work may be away; works beyond share turns.
-TURNS_MOST: Final = 8
+# Longer than most calls, as they are to be answered within the window.
+WINDOW_MS: Final = 400
+SEND_PERIOD_MS: Final = 200
+# Bounds how long a suspect waits for its first window; further suspects share windows.
+MAX_WINDOWS: Final = 8
 
 
-class _Work:
-    """Hold where and when a work was lost, and when its last turn was taken here."""
+class _Suspect:
+    """Record where and when a fingerprint had losses, and when it was last sent here."""
 
-    __slots__ = ("last_ms", "replicas", "taken_ms")
+    __slots__ = ("last_ms", "replicas", "sent_ms")
 
     def __init__(self) -> None:
         self.replicas: frozenset[str] = frozenset()
         self.last_ms = 0
-        self.taken_ms: int | None = None
+        self.sent_ms: int | None = None
 
     def pause_ms(self, now: int) -> int:
-        """Return how long nothing else is sent here after a turn was taken."""
-        return 0 if self.taken_ms is None else max(0, self.taken_ms + TURN_MS - now)
+        """Return for how long nothing else is sent here after a request was sent in a window."""
+        return 0 if self.sent_ms is None else max(0, self.sent_ms + WINDOW_MS - now)
 
 
-class CrashTurns:
-    """Hold the works that one more loss would hold."""
+class SendWindows:
+    """Track the fingerprints that one more loss would quarantine."""
 
     def __init__(self) -> None:
-        self._works: dict[str, _Work] = {}
-
-    def join(self, work: str, replicas: Collection[str], last_ms: int) -> None:
-        """Take where a work was lost, and when last."""
-        joined = self._works.setdefault(work, _Work())
-        joined.replicas = frozenset(replicas)
-        joined.last_ms = last_ms
-
-    def leave(self, work: str) -> None:
-        """Drop a work that was answered, is held, or forgotten."""
-        self._works.pop(work, None)
-
-    def rivals(self, work: str) -> list[str]:
-        """Return the works that were lost at a replica where this one was lost."""
-        joined = self._works.get(work)
-        if joined is None:
+        self._suspects: dict[str, _Suspect] = {}
+
+    def add_suspect(self, fingerprint: str, replicas: Collection[str], last_ms: int) -> None:
+        """Record the replicas lost under a fingerprint, and the time of its last loss."""
+        suspect = self._suspects.setdefault(fingerprint, _Suspect())
+        suspect.replicas = frozenset(replicas)
+        suspect.last_ms = last_ms
+
+    def remove_suspect(self, fingerprint: str) -> None:
+        """Remove a fingerprint that was answered, is quarantined, or was forgotten."""
+        self._suspects.pop(fingerprint, None)
+
+    def rivals(self, fingerprint: str) -> list[str]:
+        """Return the other suspects: fingerprints that share a lost replica with this one."""
+        suspect = self._suspects.get(fingerprint)
+        if suspect is None:
             return []
         return [
             name
-            for name, other in self._works.items()
-            if name != work and not joined.replicas.isdisjoint(other.replicas)
+            for name, other in self._suspects.items()
+            if name != fingerprint and not suspect.replicas.isdisjoint(other.replicas)
         ]
 
-    def wait_ms(self, work: str, now: int) -> int:
-        """Return when a work may be sent, in ms; 0 for now, or where it has no rivals."""
-        rivals = self.rivals(work)
-        if not rivals:
+    def wait_ms(self, fingerprint: str, now: int) -> int:
+        """Return when a request may be sent, in ms; 0 for now, or without other suspects."""
+        others = self.rivals(fingerprint)
+        if not others:
             return 0
-        last_ms = max(self._works[name].last_ms for name in (work, *rivals))
-        pause_ms = self._works[work].pause_ms(now)
-        return pause_ms + ms_to_turn(work, rivals, now + pause_ms - last_ms)
+        last_ms = max(self._suspects[name].last_ms for name in (fingerprint, *others))
+        pause_ms = self._suspects[fingerprint].pause_ms(now)
+        return pause_ms + ms_to_window(fingerprint, others, now + pause_ms - last_ms)
 
-    def take(self, work: str, now: int) -> bool:
-        """Tell whether a work may be sent now, and take its turn if it has rivals."""
-        if self.wait_ms(work, now):
+    def take(self, fingerprint: str, now: int) -> bool:
+        """Tell whether a request may be sent now, and use its send window if so."""
+        if self.wait_ms(fingerprint, now):
             return False
-        joined = self._works.get(work)
-        if joined is not None:
-            joined.taken_ms = now
+        suspect = self._suspects.get(fingerprint)
+        if suspect is not None:
+            suspect.sent_ms = now
         return True
 
 
-def ms_to_turn(work: str, rivals: Collection[str], since_ms: int) -> int:
-    """Return when a work's turn begins, in ms from now; 0 within it.
+def ms_to_window(fingerprint: str, others: Collection[str], since_ms: int) -> int:
+    """Return when a fingerprint's send window begins, in ms from now; 0 within it.
 
-    since_ms counts from the last loss of any of them; nothing is sent in the first TURN_MS, as what
-    was sent before is still open.
+    since_ms counts from the last loss of any of the suspects. Nothing is sent in the first
+    WINDOW_MS, as requests sent before it are still open.
     """
-    turns = min(len(rivals) + 1, TURNS_MOST)
-    place = sum(other < work for other in rivals) % turns
-    first_ms = TURN_MS * (1 + place)
+    windows = min(len(others) + 1, MAX_WINDOWS)
+    position = sum(other < fingerprint for other in others) % windows
+    first_ms = WINDOW_MS * (1 + position)
     if since_ms < first_ms:
         return first_ms - since_ms
-    cycle_ms = turns * TURN_MS
-    into_ms = (since_ms - first_ms) % cycle_ms
-    return 0 if into_ms < BEGIN_MS else cycle_ms - into_ms
+    cycle_ms = windows * WINDOW_MS
+    offset_ms = (since_ms - first_ms) % cycle_ms
+    return 0 if offset_ms < SEND_PERIOD_MS else cycle_ms - offset_ms
--- a/tests/test_policy_crashes.py
+++ b/tests/test_policy_crashes.py
@@ -4,19 +4,19 @@
 
 from papayapier.policy.crashes import (
     ANSWERED_LATELY_MS,
-    ANSWERED_LOSSES_MOST,
-    ANSWERS_MOST,
-    APART_MS,
     FORGET_MS,
-    HOLD_MS,
-    ITEM_LOSSES_MOST,
     ITEM_PAUSE_MS,
-    KEPT_LOSSES,
     LISTED_MS,
     LOSSES_MOST,
-    SAME_END_MS,
-    SNAPSHOT_MOST,
-    WORKS_MOST,
+    MAX_ANSWERED,
+    MAX_FINGERPRINTS,
+    MAX_ITEM_LOSSES,
+    MAX_LOSSES_ANSWERED,
+    MAX_LOSSES_KEPT,
+    MAX_SNAPSHOT_LOSSES,
+    QUARANTINE_MS,
+    SAME_LOSS_MS,
+    SUSPECT_PAUSE_MS,
     CrashBook,
     Loss,
 )
@@ -33,7 +33,7 @@
 def test_work_is_held_from_the_third_loss_on(count: int) -> None:
     book = CrashBook()
     lose(book, count)
-    assert book.hold_ms("w", START) == (HOLD_MS if count >= LOSSES_MOST else 0)
+    assert book.hold_ms("w", START) == (QUARANTINE_MS if count >= LOSSES_MOST else 0)
     assert book.hold_ms("other", START) == 0
 
 
@@ -41,19 +41,19 @@
 def test_work_that_one_more_loss_would_hold_is_kept_apart(count: int) -> None:
     book = CrashBook()
     lose(book, count)
-    assert book.apart_ms("w") == (APART_MS if count == LOSSES_MOST - 1 else 0)
+    assert book.apart_ms("w") == (SUSPECT_PAUSE_MS if count == LOSSES_MOST - 1 else 0)
     book.on_answered("w")
-    assert book.apart_ms("w") == (APART_MS if count == LOSSES_MOST else 0)
+    assert book.apart_ms("w") == (SUSPECT_PAUSE_MS if count == LOSSES_MOST else 0)
 
 
-@pytest.mark.parametrize("count", range(LOSSES_MOST, KEPT_LOSSES))
+@pytest.mark.parametrize("count", range(LOSSES_MOST, MAX_LOSSES_KEPT))
 def test_work_answered_lately_is_not_held_beside_work_that_ends_replicas(count: int) -> None:
     # Failure: what many ask is refused for minutes, since it was open beside a crashing request.
     book = CrashBook()
     book.note_answered("sound", START - 1)
     lose(book, count, "sound")
     lose(book, count, "crash")
-    expected = {"crash"} if count < ANSWERED_LOSSES_MOST else {"crash", "sound"}
+    expected = {"crash"} if count < MAX_LOSSES_ANSWERED else {"crash", "sound"}
     assert book.held(START) == expected
 
 
@@ -67,7 +67,7 @@
 def test_the_works_answered_lately_are_bounded() -> None:
     book = CrashBook()
     book.note_answered("w", START)
-    for number in range(ANSWERS_MOST):
+    for number in range(MAX_ANSWERED):
         book.note_answered(f"w{number}", START)
     lose(book, LOSSES_MOST)
     assert book.held(START) == {"w"}
@@ -85,7 +85,7 @@
     # Cause: the losses of a work were counted by the engine's name.
     book = CrashBook()
     for number in range(LOSSES_MOST):
-        now = START + number * SAME_END_MS
+        now = START + number * SAME_LOSS_MS
         book.on_lost("w", "r", now)
         book.on_ended("r")
         book.on_alive("r", now + 1)
@@ -152,10 +152,10 @@
 def test_held_work_may_be_tried_once_after_the_hold() -> None:
     book = CrashBook()
     lose(book, LOSSES_MOST)
-    later = START + HOLD_MS
+    later = START + QUARANTINE_MS
     assert not book.hold_ms("w", later)
     book.on_lost("w", "r9", later)
-    assert book.hold_ms("w", later) == HOLD_MS
+    assert book.hold_ms("w", later) == QUARANTINE_MS
     book.sweep(later + FORGET_MS, True)
     assert book.empty()
 
@@ -166,15 +166,15 @@
         (LOSSES_MOST - 1, 0),
         (LOSSES_MOST, ITEM_PAUSE_MS),
         (LOSSES_MOST + 1, 2 * ITEM_PAUSE_MS),
-        (ITEM_LOSSES_MOST - 1, 4 * ITEM_PAUSE_MS),
-        (ITEM_LOSSES_MOST, HOLD_MS),
+        (MAX_ITEM_LOSSES - 1, 4 * ITEM_PAUSE_MS),
+        (MAX_ITEM_LOSSES, QUARANTINE_MS),
     ],
 )
 def test_items_are_tried_some_more_times(count: int, pause_ms: int) -> None:
     book = CrashBook()
     lose(book, count)
     assert book.item_hold_ms("w", START) == pause_ms
-    assert book.item_done_for("w") is (count >= ITEM_LOSSES_MOST)
+    assert book.item_done_for("w") is (count >= MAX_ITEM_LOSSES)
 
 
 def test_what_others_tell_counts_once() -> None:
@@ -184,27 +184,27 @@
     assert len(other.on_told(told, START + 20)) == LOSSES_MOST
     assert other.on_told(told, START + 30) == []
     assert book.on_told([Loss("w", "r0", 0)], START + 40) == []
-    assert other.hold_ms("w", START + 30) == HOLD_MS - 20
+    assert other.hold_ms("w", START + 30) == QUARANTINE_MS - 20
 
 
 def test_what_is_kept_is_bounded() -> None:
     book = CrashBook()
-    lose(book, KEPT_LOSSES + 5, "w")
-    for number in range(2 * WORKS_MOST):
+    lose(book, MAX_LOSSES_KEPT + 5, "w")
+    for number in range(2 * MAX_FINGERPRINTS):
         book.on_lost(f"w{number}", f"r{number}", START + number)
-    assert len(book.replicas("w")) == KEPT_LOSSES
+    assert len(book.replicas("w")) == MAX_LOSSES_KEPT
     told = book.snapshot(START)
-    assert len(told) == SNAPSHOT_MOST
-    assert [loss.work for loss in told[:KEPT_LOSSES]] == ["w"] * KEPT_LOSSES
-    known = sum(book.knows(f"w{number}") for number in range(2 * WORKS_MOST))
-    assert known == WORKS_MOST - 1
+    assert len(told) == MAX_SNAPSHOT_LOSSES
+    assert [loss.work for loss in told[:MAX_LOSSES_KEPT]] == ["w"] * MAX_LOSSES_KEPT
+    known = sum(book.knows(f"w{number}") for number in range(2 * MAX_FINGERPRINTS))
+    assert known == MAX_FINGERPRINTS - 1
 
 
 def test_a_caller_is_told_to_come_when_a_doubt_will_be_over() -> None:
     book = CrashBook()
     lose(book, LOSSES_MOST)
     assert book.return_ms("w", START) == LISTED_MS
-    assert book.return_ms("w", START + LISTED_MS) == HOLD_MS - LISTED_MS
+    assert book.return_ms("w", START + LISTED_MS) == QUARANTINE_MS - LISTED_MS
     for number in range(LOSSES_MOST):
         book.on_ended(f"r{number}")
-    assert book.return_ms("w", START + 1) == HOLD_MS - 1
+    assert book.return_ms("w", START + 1) == QUARANTINE_MS - 1
--- a/tests/test_send_windows.py
+++ b/tests/test_send_windows.py
@@ -16,7 +16,7 @@
 from papayapier.dispatch.crash_watch import CrashWatch, Hearers
 from papayapier.dispatch.lost_sends import name_work
 from papayapier.policy.crashes import ITEM_PAUSE_MS, LOSSES_MOST, CrashBook, Loss
-from papayapier.policy.send_windows import BEGIN_MS, TURN_MS, TURNS_MOST, ms_to_turn
+from papayapier.policy.send_windows import MAX_WINDOWS, SEND_PERIOD_MS, WINDOW_MS, ms_to_window
 from papayapier.upstream.api import FailureKind, Replica, Sent
 from tests.dispatch_world import BODY, CHAT, World
 from tests.forward_world import Ended, ForwardWorld, Send
@@ -38,39 +38,41 @@
 
 def turns_of(works: list[str], at_ms: int) -> list[str]:
     """Return the works whose turn it is."""
-    return [work for work in works if not ms_to_turn(work, {*works} - {work}, at_ms)]
+    return [work for work in works if not ms_to_window(work, {*works} - {work}, at_ms)]
 
 
-@pytest.mark.parametrize("count", range(2, TURNS_MOST + 1))
+@pytest.mark.parametrize("count", range(2, MAX_WINDOWS + 1))
 def test_one_work_at_a_time_has_its_turn(count: int) -> None:
     works = [f"w{number}" for number in range(count)]
     begun = set()
-    for at_ms in range((count + 1) * TURN_MS):
+    for at_ms in range((count + 1) * WINDOW_MS):
         now = turns_of(works, at_ms)
         assert len(now) <= 1
         begun.update(now)
     assert begun == {*works}
 
 
-@pytest.mark.parametrize("count", [2, 3, TURNS_MOST, TURNS_MOST + 1, 100])
+@pytest.mark.parametrize("count", [2, 3, MAX_WINDOWS, MAX_WINDOWS + 1, 100])
 def test_each_work_knows_when_its_turn_comes(count: int) -> None:
     works = [f"w{number}" for number in range(count)]
     for work in works:
         rivals = {*works} - {work}
-        for at_ms in range(0, 3 * TURNS_MOST * TURN_MS, 50):
-            wait_ms = ms_to_turn(work, rivals, at_ms)
-            assert wait_ms <= (TURNS_MOST + 1) * TURN_MS
-            assert not ms_to_turn(work, rivals, at_ms + wait_ms)
+        for at_ms in range(0, 3 * MAX_WINDOWS * WINDOW_MS, 50):
+            wait_ms = ms_to_window(work, rivals, at_ms)
+            assert wait_ms <= (MAX_WINDOWS + 1) * WINDOW_MS
+            assert not ms_to_window(work, rivals, at_ms + wait_ms)
 
 
 def test_what_was_sent_in_a_turn_has_time_to_end_before_the_next() -> None:
     works = ["w0", "w1"]
-    ends = [at for at in range(10 * TURN_MS) if turns_of(works, at) and not turns_of(works, at + 1)]
+    ends = [
+        at for at in range(10 * WINDOW_MS) if turns_of(works, at) and not turns_of(works, at + 1)
+    ]
     begins = [
-        at for at in range(1, 10 * TURN_MS) if turns_of(works, at) and not turns_of(works, at - 1)
+        at for at in range(1, 10 * WINDOW_MS) if turns_of(works, at) and not turns_of(works, at - 1)
     ]
     assert all(
-        min(begin - end for begin in begins if begin > end) >= TURN_MS - BEGIN_MS
+        min(begin - end for begin in begins if begin > end) >= WINDOW_MS - SEND_PERIOD_MS
         for end in ends
         if end < begins[-1]
     )
@@ -96,7 +98,7 @@
 def test_a_turn_is_taken_once() -> None:
     # Failure: all copies that wait for a turn of one instance end a replica each.
     book = lost_twice("w0", "w1")
-    now = START + TURN_MS
+    now = START + WINDOW_MS
     assert [book.turns.take("w0", now), book.turns.take("w0", now)] == [True, False]
     assert book.turns.take("w0", now + book.turns.wait_ms("w0", now))
 
@@ -131,7 +133,7 @@
     world.crashes.on_told(losses_of(name_work("POST", "lm", CHAT, BODY), "rival"), ())
     world.ask()
     assert not world.sends
-    world.advance(3 * TURN_MS)
+    world.advance(3 * WINDOW_MS)
     assert len(world.sends) == 1
 
 
@@ -144,7 +146,7 @@
     while not world.sends:
         world.time.advance(STEP_MS)
         waited_ms += STEP_MS
-    assert TURN_MS <= waited_ms <= 2 * TURN_MS or waited_ms == due_ms // 2
+    assert WINDOW_MS <= waited_ms <= 2 * WINDOW_MS or waited_ms == due_ms // 2
 
 
 class Fleet:
