--- a/papayapier/policy/place_queue.py
+++ b/papayapier/policy/place_queue.py
@@ -1,14 +1,15 @@
 """Decide which call gets a replica next, where one instance places the calls of all.
 
-The load this answers: a team sends five times its usual while a part of the replicas is gone, so
-that for seconds more is asked than they can run. Callers that compete for too little room are in
-one queue, kept by the only one that knows the room: a replica gets nothing that it cannot run at
-once, and who goes first is decided here and not by the order of arrival at some replica.
-
-The order is that of AdmissionQueue: ranks by weight, callers of a rank alike, a caller's own by
-what is left of the objective, and behind them those that can no longer be in time. An ask is
-refused at once where it would be late and its caller can come back, or where it would not even be
-answered within its time; else it waits for its turn.
+Motivation: a team sends five times its typical load while some of the replicas are lost, so that
+for seconds there are more calls than the replicas can run. All callers that compete for too few
+slots are in one queue, at the only instance that knows which slots are free: a replica gets no call
+that it cannot run at once, and the order is decided here instead of by the order of arrival at a
+replica.
+
+The order is that of AdmissionQueue: ranks by weight, the callers of a rank equally, a caller's own
+calls by the time left of the objective, and behind them those that can no longer meet it. A request
+is refused at once if it would be late and its caller can still retry in time, or if it would not
+even be answered within its timeout; otherwise it waits.
 """
 
 from collections.abc import Callable, Iterator
@@ -22,12 +23,12 @@
 from papayapier.policy.waiting import RETURN_SHARE
 
 ONE_CALL: Final = 1.0
-# Asks that want none of the replicas with room are passed over in one look, up to so many.
-PASSED_OVER_MOST: Final = 8
+# In one pass, up to so many requests are skipped that want none of the free replicas.
+MAX_PASSED_OVER: Final = 8
 
 
 class Asked(NamedTuple):
-    """Hold one ask for a replica of a part; shunned ones are not wanted."""
+    """Describe one request for a replica of a partition; shunned replicas are excluded."""
 
     ticket: int
     part: str
@@ -38,7 +39,7 @@
 
 
 class Given(NamedTuple):
-    """Tell which replica an ask gets."""
+    """Say which replica a request gets."""
 
     asked: Asked
     replica: str
@@ -46,7 +47,7 @@
 
 
 class Refused(NamedTuple):
-    """Tell that an ask gets none, and when its caller should come again."""
+    """Say that a request gets no replica, and when its caller should retry."""
 
     asked: Asked
     after_ms: int
@@ -54,101 +55,101 @@
 
 
 Decided = Given | Refused
-# Returns the replicas of a part that are in use.
-InUse = Callable[[str, int], frozenset[str]]
+# Returns the replicas of a partition that are in use.
+UsedReplicas = Callable[[str, int], frozenset[str]]
 # Tells whether a replica takes another call now.
 Takes = Callable[[str, int], bool]
-# Chooses one of some replicas for an ask, or returns None if it wants none of them.
+# Chooses one of some replicas for a request, or returns None if it wants none of them.
 Choose = Callable[[Asked, frozenset[str], int], str | None]
 
 
 class PlaceQueue:
-    """Hold the asks that wait for a replica.
+    """Queue the placement requests that wait for a replica.
 
-    Whoever owns it counts each call that is given out before the next look at the room.
+    The owner of the queue counts each placed call before the queue next checks for free capacity.
     """
 
-    def __init__(self, most: int, in_use: InUse, takes: Takes, choose: Choose) -> None:
-        self._queue = AdmissionQueue(most)
+    def __init__(self, max_queued: int, in_use: UsedReplicas, takes: Takes, choose: Choose) -> None:
+        self._queue = AdmissionQueue(max_queued)
         self._in_use = in_use
         self._takes = takes
         self._choose = choose
-        self._asked: dict[int, Asked] = {}
-        self._returns: dict[str, Returns] = {}
-
-    def offer(self, asked: Asked, now: int) -> Refused | None:
-        """Take an ask, or refuse it at once; decided() tells what becomes of those taken."""
-        waiting = _waiting(asked, now)
-        offered = self._queue.offer(waiting, now)
-        if isinstance(offered, Err):
-            return self._refused(asked, offered.err_value.retry_after_ms, 0, now)
-        self._asked[asked.ticket] = asked
+        self._requests: dict[int, Asked] = {}
+        self._retry_times: dict[str, Returns] = {}
+
+    def offer(self, request: Asked, now: int) -> Refused | None:
+        """Queue a request, or refuse it at once; decided() returns the outcome of queued ones."""
+        entry = _queue_entry(request, now)
+        result = self._queue.offer(entry, now)
+        if isinstance(result, Err):
+            return self._refuse(request, result.err_value.retry_after_ms, 0, now)
+        self._requests[request.ticket] = request
         return None
 
     def decided(self, now: int) -> Iterator[Decided]:
-        """Decide whatever can be decided now, one ask after the other."""
-        yield from self._given(now)
-        for waiting in self._queue.expired(now):
-            after_ms = self._queue.retry_after_ms(waiting, now)
-            asked = self._asked.pop(waiting.ticket)
-            yield self._refused(asked, after_ms, now - waiting.enqueued_ms, now)
+        """Yield the outcome of each request that can be decided now, one after the other."""
+        yield from self._place(now)
+        for entry in self._queue.expired(now):
+            after_ms = self._queue.retry_after_ms(entry, now)
+            request = self._requests.pop(entry.ticket)
+            yield self._refuse(request, after_ms, now - entry.enqueued_ms, now)
 
     def leave(self, ticket: int) -> bool:
-        """Take out an ask that nobody waits for; False says that it was not waiting."""
-        self._asked.pop(ticket, None)
+        """Remove a request that nobody waits for; return whether it was queued."""
+        self._requests.pop(ticket, None)
         return self._queue.leave(ticket)
 
     def waiting(self, part: str) -> int:
-        """Return how many asks for a part wait."""
+        """Return how many requests for a partition are queued."""
         return self._queue.waiting(part)
 
     def depth(self) -> int:
-        """Return how many asks wait."""
-        return len(self._asked)
+        """Return how many requests are queued."""
+        return len(self._requests)
 
     def held(self, ticket: int) -> bool:
-        """Tell whether an ask waits."""
-        return ticket in self._asked
+        """Tell whether a request is queued."""
+        return ticket in self._requests
 
-    def _given(self, now: int) -> Iterator[Given]:
+    def _place(self, now: int) -> Iterator[Given]:
         passed_over: list[Waiting] = []
-        with_room: dict[str, set[str]] = {}
+        free_by_part: dict[str, set[str]] = {}
 
-        def room(part: str) -> set[str]:
-            if part not in with_room:
-                in_use = self._in_use(part, now)
-                with_room[part] = {one for one in in_use if self._takes(one, now)}
-            return with_room[part]
+        def free_replicas(part: str) -> set[str]:
+            if part not in free_by_part:
+                used = self._in_use(part, now)
+                free_by_part[part] = {free for free in used if self._takes(free, now)}
+            return free_by_part[part]
 
-        while self._asked and len(passed_over) < PASSED_OVER_MOST:
-            waiting = self._queue.take(now, lambda part: bool(room(part)))
-            if waiting is None:
+        while self._requests and len(passed_over) < MAX_PASSED_OVER:
+            entry = self._queue.take(now, lambda part: bool(free_replicas(part)))
+            if entry is None:
                 break
-            asked = self._asked[waiting.ticket]
-            replica = self._choose(asked, frozenset(room(asked.part)), now)
+            request = self._requests[entry.ticket]
+            replica = self._choose(request, frozenset(free_replicas(request.part)), now)
             if replica is None:
-                passed_over.append(waiting)
+                passed_over.append(entry)
                 continue
-            del self._asked[waiting.ticket]
-            yield Given(asked, replica, now - waiting.enqueued_ms)
+            del self._requests[entry.ticket]
+            yield Given(request, replica, now - entry.enqueued_ms)
             if not self._takes(replica, now):
-                room(asked.part).discard(replica)
-        for waiting in passed_over:
-            self._queue.put_back(waiting)
+                free_replicas(request.part).discard(replica)
+        for entry in passed_over:
+            self._queue.put_back(entry)
 
-    def _refused(self, asked: Asked, backlog_ms: int, waited_ms: int, now: int) -> Refused:
-        returns = self._returns.setdefault(asked.part, Returns())
-        rate = self._queue.rate_per_ms(asked.part, now)
-        longest_ms = int(asked.wanting.left_ms * RETURN_SHARE)
-        return Refused(asked, returns.after_ms(backlog_ms, rate, longest_ms, now), waited_ms)
+    def _refuse(self, request: Asked, backlog_ms: int, waited_ms: int, now: int) -> Refused:
+        retry_times = self._retry_times.setdefault(request.part, Returns())
+        rate = self._queue.rate_per_ms(request.part, now)
+        longest_ms = int(request.wanting.left_ms * RETURN_SHARE)
+        return Refused(request, retry_times.after_ms(backlog_ms, rate, longest_ms, now), waited_ms)
 
 
-def _waiting(asked: Asked, now: int) -> Waiting:
-    wanting = asked.wanting
+def _queue_entry(request: Asked, now: int) -> Waiting:
+    wanting = request.wanting
     return Waiting(
-        ticket=asked.ticket,
+        ticket=request.ticket,
         caller=wanting.caller,
-        upstream=asked.part,
+        upstream=request.part,
         profile="",
         rank=wanting.rank,
         due_ms=now + wanting.aim_ms,
--- a/papayapier/policy/placers.py
+++ b/papayapier/policy/placers.py
@@ -1,13 +1,13 @@
 """Decide which hub places the online calls of an upstream, in a large fleet.
 
-The load this answers: 58 instances send to 30 replicas, and traffic doubles within a tenth of a
-second. What each has heard of the others' calls is some 200 ms old, in which two calls begin at
-each replica. By that, some replicas get calls that they cannot run while others are free: played
-without batch, one call in ten finds all slots of its replica taken. One instance that places
-all calls knows each of them at once, and none does.
-
-A placer takes a bounded number of replicas, so that its work does not grow with the fleet; with
-more, an upstream has several parts, and a call goes to any of them.
+Motivation: 58 instances send to 30 replicas, and traffic doubles within a tenth of a second. What
+each instance knows of the others' calls is some 200 ms old, in which time two calls begin at each
+replica. So some replicas get calls that they cannot run while others are idle: simulated without
+batch, one call in ten finds all slots of its replica taken. One instance that places all calls
+knows of each at once, so that none does.
+
+A placer is responsible for a bounded number of replicas, so that its work does not grow with the
+fleet; an upstream with more has several partitions, and a call goes to any of them.
 """
 
 from collections.abc import Sequence
@@ -17,17 +17,18 @@
 from papayapier.policy.rendezvous import score
 from papayapier.upstream.api import Replica
 
-# At the largest size asked for, 65,000 calls a second over 7,100 replicas, a part of 64 gets 600
-# a second; placing one takes about 0.1 ms.
+# At the largest supported size, 65,000 calls a second over 7,100 replicas, a partition of 64 gets
+# 600 calls a second; placing one takes about 0.1 ms.
 PART_REPLICAS: Final = 64
 PART_KEY: Final = "part"
 
 
 class Wanting(NamedTuple):
-    """Say for whom a place is asked; times in ms from now.
+    """Describe the call that a replica is requested for; times are in ms from now.
 
-    aim_ms is left until an answer loses worth, left_ms until it is no longer wanted. Until
-    return_ms a refusal lets the caller come back in time; 0 says that it may not come back.
+    aim_ms is the time left to meet the latency objective, left_ms the time left until the answer is
+    no longer wanted. Until return_ms a refused caller can still retry in time; 0 says that it may
+    not retry.
     """
 
     caller: str
@@ -38,9 +39,9 @@
 
 
 class Placed(NamedTuple):
-    """Tell the replica that was chosen, or why the call gets none; neither leaves it open.
+    """Return the replica that was chosen, or the refusal; neither means undecided.
 
-    has_room says that the replica had a free place.
+    has_room says that the replica had a free slot.
     """
 
     replica: str = ""
@@ -52,9 +53,10 @@
 
 
 class Parts(NamedTuple):
-    """Hold the parts of all upstreams.
+    """Map replicas to the partitions of all upstreams.
 
-    key_of names the part of a replica, keys those of an upstream, members the replicas of a part.
+    key_of holds the partition key of each replica, keys the partition keys of each upstream,
+    members the replicas of each partition.
     """
 
     key_of: dict[str, str]
@@ -63,7 +65,7 @@
 
 
 def make_parts(replicas: Sequence[Replica]) -> Parts:
-    """Deal the replicas of each upstream out to its parts."""
+    """Divide the replicas of each upstream into its partitions."""
     by_upstream: dict[str, list[Replica]] = {}
     for replica in replicas:
         by_upstream.setdefault(replica.upstream, []).append(replica)
@@ -82,10 +84,10 @@
 
 
 def upstream_of(key: str) -> str:
-    """Return the upstream of a part."""
+    """Return the upstream of a partition."""
     return key.rpartition("/")[0]
 
 
 def placer_of(key: str, hubs: Sequence[str]) -> str | None:
-    """Return the hub that places the calls of a part."""
+    """Return the hub that places the calls of a partition."""
     return max(hubs, key=lambda hub: score(key, hub), default=None)
--- a/papayapier/policy/recent_answers.py
+++ b/papayapier/policy/recent_answers.py
@@ -1,24 +1,24 @@
-"""Remember which works were answered lately, for a bounded number of them."""
+"""Remember which requests were answered recently, for a bounded number of fingerprints."""
 
 
 class RecentAnswers:
-    """Hold when each work was last answered, the latest last."""
+    """Keep the time of each fingerprint's last answer, the latest last."""
 
-    __slots__ = ("_at_ms", "_lasts_ms", "_most")
+    __slots__ = ("_at_ms", "_expiry_ms", "_max_entries")
 
-    def __init__(self, most: int, lasts_ms: int) -> None:
-        self._most = most
-        self._lasts_ms = lasts_ms
+    def __init__(self, max_entries: int, expiry_ms: int) -> None:
+        self._max_entries = max_entries
+        self._expiry_ms = expiry_ms
         self._at_ms: dict[str, int] = {}
 
-    def note(self, work: str, now: int) -> None:
-        """Take that a work was answered."""
-        self._at_ms.pop(work, None)
-        self._at_ms[work] = now
-        if len(self._at_ms) > self._most:
+    def note(self, fingerprint: str, now: int) -> None:
+        """Record that a request was answered."""
+        self._at_ms.pop(fingerprint, None)
+        self._at_ms[fingerprint] = now
+        if len(self._at_ms) > self._max_entries:
             del self._at_ms[next(iter(self._at_ms))]
 
-    def knows(self, work: str, now: int) -> bool:
-        """Tell whether a work was answered lately."""
-        at_ms = self._at_ms.get(work)
-        return at_ms is not None and now - at_ms <= self._lasts_ms
+    def knows(self, fingerprint: str, now: int) -> bool:
+        """Tell whether a request was answered recently."""
+        at_ms = self._at_ms.get(fingerprint)
+        return at_ms is not None and now - at_ms <= self._expiry_ms
--- a/papayapier/policy/retries.py
+++ b/papayapier/policy/retries.py
@@ -1,9 +1,9 @@
-"""Decide whether a failed call is sent again, and what its caller is told if not.
+"""Decide whether a failed call is retried, and what its caller is told if not.
 
-A non-idempotent call is sent again only when the replica cannot have seen it. Retries are
-bounded by a share of the requests, because an upstream that fails under load would else get
-a multiple of it (a retry storm) and never recover. The calls that a dead replica took with it
-are no storm: they are as many as it has slots, and other replicas have room. They have a bound of
+A non-idempotent call is retried only when the replica cannot have received it. Retries are limited
+to a share of the requests, because an upstream that fails under load would otherwise get a multiple
+of it (a retry storm) and never recover. The calls that were open at a crashed replica cause no
+storm: there are as many as it has slots, and other replicas have capacity. They have a limit of
 their own, as long as most replicas of the upstream have lost nothing.
 """
 
@@ -22,12 +22,12 @@
 BACKOFF_MS: Final = 10
 MAX_BACKOFF_MS: Final = 500
 BUSY_STATUSES: Final = frozenset({429, 503})
-# How calls end that a dead replica takes with it, or that are sent before its death is noticed.
-LOST_KINDS: Final = frozenset({FailureKind.CONNECT, FailureKind.SILENT, FailureKind.CUT})
+# How calls fail that were open at a crashed replica, or sent before its crash was noticed.
+REPLICA_LOST_KINDS: Final = frozenset({FailureKind.CONNECT, FailureKind.SILENT, FailureKind.CUT})
 
 
 class Retry(NamedTuple):
-    """Send again after a delay; exclude says to use another replica if there is one."""
+    """Retry after a delay; exclude says to use another replica if there is one."""
 
     after_ms: int
     fresh_connection: bool
@@ -35,13 +35,13 @@
 
 
 class GiveUp(NamedTuple):
-    """Answer the caller with a refusal."""
+    """Send the caller a refusal."""
 
     refusal: Refusal
 
 
 class FailedAt(NamedTuple):
-    """Name where a call failed: how many calls the replica runs at once, and its siblings too."""
+    """Describe where a call failed: the replica, its slots and the upstream's replica count."""
 
     replica: str
     slots: int
@@ -52,14 +52,14 @@
 
 
 def failed_at(book: LoadBook, replica: Replica) -> FailedAt:
-    """Return what the budget needs to know of a replica."""
+    """Return what the retry budget needs to know of a replica."""
     return FailedAt(replica.id, book.slots(replica.id), len(book.replicas(replica.upstream)))
 
 
 class _Window:
-    """Count requests and retries of the last buckets; each slot holds (bucket, count).
+    """Count requests and retries of the last buckets; each element holds (bucket, count).
 
-    lost holds the retries of calls that a replica took with it, by replica.
+    lost counts the retries of calls that were open at a crashed replica, by replica.
     """
 
     __slots__ = ("_requests", "_retries", "lost")
@@ -78,8 +78,8 @@
     def add_lost(self, replica: str, bucket: int) -> None:
         _add(self.lost.setdefault(replica, [(-1, 0)] * BUCKETS), bucket)
 
-    def lost_by(self, bucket: int) -> dict[str, int]:
-        """Return the retries of lost calls by replica, and forget who has none left."""
+    def lost_by_replica(self, bucket: int) -> dict[str, int]:
+        """Return the retries of lost calls by replica, and drop the replicas without any."""
         counts = {replica: _recent(slots, bucket) for replica, slots in self.lost.items()}
         self.lost = {replica: slots for replica, slots in self.lost.items() if counts[replica]}
         return {replica: count for replica, count in counts.items() if count}
@@ -92,10 +92,10 @@
 
 
 class RetryBudget:
-    """Bound retries per upstream to a share of its requests, with a small floor.
+    """Limit retries per upstream to a share of its requests, with a small floor.
 
-    The floor lets an upstream with little traffic repeat at all; it is per window, so a
-    retry storm of one instance never gets above it when requests stop coming.
+    The floor lets an upstream with little traffic retry at all. It is per window, so that the
+    retries of one instance never exceed it when no more requests arrive.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         self._windows: dict[str, _Window] = {}
 
     def on_request(self, upstream: str, now: int) -> None:
-        """Count a request that earns its share of a retry."""
+        """Count a request, which adds its share of a retry to the budget."""
         self._window(upstream).add_request(now // self._bucket_ms)
 
     def spend(self, upstream: str, now: int) -> bool:
@@ -123,18 +123,18 @@
         window.add_retry(bucket)
         return True
 
-    def spend_lost(self, upstream: str, at: FailedAt, now: int) -> bool:
-        """Take a retry of a call that a dead replica took with it, as many as it has slots.
+    def spend_for_lost_replica(self, upstream: str, at: FailedAt, now: int) -> bool:
+        """Take a retry of a call that was open at a crashed replica, up to as many as it has slots.
 
         When more than half of the replicas lose calls within the window, the upstream itself fails,
-        and only its shared budget is left. Without the bound of its own, six calls on one of two
-        engines left the sixth without a retry, while the other engine had seven slots free.
+        and only its shared budget is left. Without this separate limit, six calls on one of two
+        engines left the sixth without a retry, while the other engine had seven free slots.
         """
         bucket = now // self._bucket_ms
         window = self._window(upstream)
-        lost = window.lost_by(bucket)
-        losers = len(lost.keys() | {at.replica})
-        if lost.get(at.replica, 0) < at.slots and losers <= max(1, at.replicas // 2):
+        lost = window.lost_by_replica(bucket)
+        replicas_with_losses = len(lost.keys() | {at.replica})
+        if lost.get(at.replica, 0) < at.slots and replicas_with_losses <= max(1, at.replicas // 2):
             window.add_lost(at.replica, bucket)
             return True
         return self.spend(upstream, now)
@@ -156,10 +156,11 @@
     earlier: Sent = Sent.MAYBE,
     at: FailedAt = NOWHERE,
 ) -> Retry | GiveUp:
-    """Decide about a failed attempt.
+    """Decide whether to retry after a failed attempt.
 
-    attempts_made counts it in. earlier is Sent.NO only if no attempt before it can have run;
-    a caller that does not know must leave it, or a refusal would say "not run" falsely.
+    attempts_made includes the failed attempt. earlier is Sent.NO only if no attempt before it can
+    have run; a caller that does not know must leave the default, or a refusal would wrongly say
+    "not run".
     """
     maybe_ran = failure.sent is Sent.MAYBE or (attempts_made > 1 and earlier is Sent.MAYBE)
     outcome = Outcome.UNKNOWN if maybe_ran else Outcome.NOT_RUN
@@ -173,8 +174,10 @@
         return GiveUp(refusal)
     if attempts_made >= rule.attempts or now + after_ms >= due_ms:
         return GiveUp(refusal)
-    lost = at is not NOWHERE and failure.kind in LOST_KINDS
-    if not (budget.spend_lost(upstream, at, now) if lost else budget.spend(upstream, now)):
+    lost = at is not NOWHERE and failure.kind in REPLICA_LOST_KINDS
+    if not (
+        budget.spend_for_lost_replica(upstream, at, now) if lost else budget.spend(upstream, now)
+    ):
         return GiveUp(refusal)
     return Retry(
         after_ms, fresh_connection=True, exclude=not _only_connection(failure, attempts_made)
@@ -184,8 +187,8 @@
 def _only_connection(failure: Failure, attempts_made: int) -> bool:
     """Tell whether the connection is more likely at fault than the replica.
 
-    Something between the two ends may have lost track of a kept connection while the
-    replica is well: new connections work. When a new one is silent too, it is the replica.
+    A middlebox may have lost track of a kept-alive connection while the replica is healthy, in
+    which case new connections work. When a new connection is silent too, it is the replica.
     """
     if attempts_made > 1:
         return False
@@ -197,8 +200,8 @@
 def _backoff(failure: Failure, attempts_made: int, rand: random.Random) -> int:
     if attempts_made <= 1 and failure.status not in BUSY_STATUSES:
         return 0
-    top = min(BACKOFF_MS << min(attempts_made, 10), MAX_BACKOFF_MS)
-    return rand.randint(top // 2, top)
+    longest_ms = min(BACKOFF_MS << min(attempts_made, 10), MAX_BACKOFF_MS)
+    return rand.randint(longest_ms // 2, longest_ms)
 
 
 def _kind(failure: Failure, maybe_ran: bool, idempotent: bool) -> ErrorKind:
@@ -210,10 +213,10 @@
 
 
 def _add(slots: list[tuple[int, int]], bucket: int) -> None:
-    place = bucket % BUCKETS
-    held, count = slots[place]
-    slots[place] = (bucket, count + 1 if held == bucket else 1)
+    index = bucket % BUCKETS
+    recorded, count = slots[index]
+    slots[index] = (bucket, count + 1 if recorded == bucket else 1)
 
 
 def _recent(slots: list[tuple[int, int]], bucket: int) -> int:
-    return sum(count for held, count in slots if bucket - BUCKETS < held <= bucket)
+    return sum(count for recorded, count in slots if bucket - BUCKETS < recorded <= bucket)
--- a/papayapier/policy/witnesses.py
+++ b/papayapier/policy/witnesses.py
@@ -1,26 +1,30 @@
-"""Tell a peer that is dead from one that only this instance cannot hear.
+"""Tell a peer that is down from one that only this instance cannot reach.
 
-Instances that share work take over what a silent one has. Where two of them are cut from each
-other and still reach everybody else, each would take over all of the other's work: items run
-twice, and both fill the slots that one should leave to online calls. What a third instance says
-tells the two cases apart: its heartbeats name the peers that it does not hear.
+Instances that share work take over that of an unreachable peer. Where two of them are partitioned
+from each other and still reach all others, each would take over all of the other's work: items run
+twice, and both fill the slots that one of them should leave to online calls. Reports of third
+instances tell the two cases apart: their heartbeats name the peers that they cannot reach.
 """
 
 from collections.abc import Collection
 
 
 class Witnesses:
-    """Keep whom each peer does not hear, from its last heartbeat."""
+    """Keep the peers that each peer cannot reach, from its last heartbeat."""
 
     def __init__(self) -> None:
-        self._unheard: dict[str, frozenset[str]] = {}
+        self._unreachable: dict[str, frozenset[str]] = {}
 
-    def on_told(self, peer_id: str, unheard: Collection[str]) -> None:
-        """Take whom a peer does not hear."""
-        self._unheard[peer_id] = frozenset(unheard)
+    def on_told(self, peer_id: str, unreachable: Collection[str]) -> None:
+        """Record which peers a peer cannot reach."""
+        self._unreachable[peer_id] = frozenset(unreachable)
 
     def heard(self, peer_id: str, live: Collection[str]) -> bool:
-        """Tell whether most of the live others hear a peer; nobody to ask says no."""
-        asked = [self._unheard[one] for one in live if one in self._unheard and one != peer_id]
-        hearing = sum(peer_id not in unheard for unheard in asked)
-        return 2 * hearing > len(asked)
+        """Tell whether most of the other live instances reach a peer; False without any reports."""
+        reports = [
+            self._unreachable[other]
+            for other in live
+            if other in self._unreachable and other != peer_id
+        ]
+        reaching = sum(peer_id not in unreachable for unreachable in reports)
+        return 2 * reaching > len(reports)
--- a/tests/test_place_queue.py
+++ b/tests/test_place_queue.py
@@ -12,7 +12,7 @@
 from papayapier.policy.place_queue import Asked, Given, PlaceQueue, Refused
 from papayapier.policy.placers import Wanting
 from papayapier.policy.replica_room import ReplicaRoom
-from papayapier.policy.retry_times import LONGEST_MS, SHORTEST_MS, Returns
+from papayapier.policy.retry_times import LONGEST_MS, MIN_MS, Returns
 
 PART = "lm/0"
 AIM_MS = 300
@@ -139,7 +139,7 @@
     first, again = wanting("a"), wanting("a", again=True)
     refused = fleet.ask(100, 1_000, first)
     assert isinstance(refused[0], Refused)
-    assert SHORTEST_MS <= refused[0].after_ms <= LONGEST_MS
+    assert MIN_MS <= refused[0].after_ms <= LONGEST_MS
     assert refused[0].waited_ms == 0
     assert fleet.ask(101, 1_000, again) == []
     assert fleet.queue.held(101)
@@ -209,7 +209,7 @@
                 assert waited <= LEFT_MS
                 self.running.append(one.replica)
             else:
-                assert one.after_ms >= SHORTEST_MS
+                assert one.after_ms >= MIN_MS
 
     @rule(caller=st.sampled_from("abc"), rank=st.integers(0, 3), again=st.booleans())
     def ask(self, caller: str, rank: int, again: bool) -> None:
