--- a/papayapier/policy/admission.py
+++ b/papayapier/policy/admission.py
@@ -34,8 +34,8 @@
 ADMIT_TOLERANCE: Final = 0.7
 REVIEW_TOLERANCE: Final = 1.5
 URGENT_RANK: Final = RANKS["urgent"]
-URGENT_ROOM_FACTOR: Final = 2
-UPSTREAM_ROOM_FACTOR: Final = 3
+URGENT_FREE_FACTOR: Final = 2
+UPSTREAM_FREE_FACTOR: Final = 3
 
 
 class AdmissionQueue:
@@ -63,7 +63,7 @@
         if queue is not None and self._too_late(entry, queue, now):
             if entry.may_return(now) or entry.give_up_ms <= entry.due_ms:
                 return Err(self._would_be_late(entry, now))
-            entry = entry.made_late()
+            entry = entry.as_late()
             if self._too_late(entry, queue, now):
                 return Err(self._would_be_late(entry, now))
         self._add(entry)
@@ -158,14 +158,14 @@
         if now >= entry.due_ms:
             return not_run(ErrorKind.DEADLINE, "the due time has passed")
         free = self._max_queued - len(self._entries)
-        allowed = free * URGENT_ROOM_FACTOR if entry.rank == URGENT_RANK else free
+        allowed = free * URGENT_FREE_FACTOR if entry.rank == URGENT_RANK else free
         if free <= 0 or self.queued_by(entry.caller) >= max(1, allowed):
             kind = ErrorKind.CALLER_LIMIT if free > 0 else ErrorKind.OVERLOADED
             return not_run(kind, "the queue is full", self.retry_after_ms(entry, now))
         queue = self._queues.get(entry.upstream)
         if queue is None:
             return None
-        if len(queue) >= max(1, allowed * UPSTREAM_ROOM_FACTOR):
+        if len(queue) >= max(1, allowed * UPSTREAM_FREE_FACTOR):
             reason = f"the queue for {entry.upstream} is full"
             return not_run(ErrorKind.OVERLOADED, reason, self.retry_after_ms(entry, now))
         return None
@@ -217,7 +217,7 @@
         if entry.late or entry.may_return(now) or entry.give_up_ms <= entry.due_ms:
             self._late[entry.ticket] = entry
         else:
-            self._add(entry.made_late())
+            self._add(entry.as_late())
 
     def _forget(self, entry: Waiting) -> None:
         del self._entries[entry.ticket]
--- a/papayapier/policy/allowances.py
+++ b/papayapier/policy/allowances.py
@@ -1,25 +1,26 @@
 """Decide, for all instances together, whether a request lies within its team's allowance.
 
-The load this answers: a team's requests come to any of a thousand instances, unevenly, and may
-grow by ten within a tenth of a second; together no more than the rate and the burst may be sent in
-any window, also while instances are cut off from each other, are lost or start again.
-
-Rendezvous hashing gives each team one instance that grants, and a second one in reserve. The first
-grants from a bucket of the team's rate and burst. What may go beyond it (the overrun and slack that
-the operator allows) is never the first's to give: the reserve has most of it, for the seconds in
-which the first is silent and not yet missed.
-
-What keeps the sum within the bound, whatever anybody believes:
-
-- An instance gives only the part of a rate that its view of the granting instances is of all that
-  are listed. Sides that are cut off from each other so have the whole between them.
-- Whoever becomes first asks the one after itself, which was first before, for what is left; that
-  one gives nothing more but its reserve. Where it does not answer, the bucket begins almost empty.
-- Where the one before is gone, it may still grant for those that hear it, until it has noticed
-  that it is cut off; for that long the new first gives from its reserve only.
-
-Who was refused lay beyond the allowance. Coming again, it gets what those leave that ask for the
-first time: else each return that is granted has one refused that lies inside.
+Motivation: a team's requests arrive at any of a thousand instances, unevenly, and may grow tenfold
+within a tenth of a second. In any window no more than the rate and the burst may be sent in total,
+also while instances are partitioned from each other, are lost or restart.
+
+Rendezvous hashing gives each team one instance that grants (the first), and a second one in
+reserve. The first grants from a bucket of the team's rate and burst. What may exceed it (the
+overrun and slack that the operator allows) is never granted by the first: most of it belongs to the
+reserve, for the seconds in which the first is unreachable and not yet detected as lost.
+
+The sum stays within the bound for any views that instances have of each other:
+
+- An instance grants only the share of a rate that the granting instances in its view are of all
+  that are listed. So the sides of a network partition grant no more than the whole together.
+- An instance that becomes first requests the tokens that are left from the one after itself, which
+  was first before; from then on that one grants only from its reserve. If it does not reply, the
+  bucket starts almost empty.
+- Where the previous first is no longer in view, it may still grant to instances that reach it,
+  until it notices that it is cut off; for that long the new first grants only from its reserve.
+
+A refused request lay beyond the allowance. Its retry gets what first attempts leave: otherwise each
+granted retry would cause the refusal of a request that lies within the allowance.
 """
 
 from collections.abc import Collection, Sequence
@@ -32,30 +33,31 @@
 KEY: Final = "allowance"
 FIRST: Final = 0
 RESERVE: Final = 1
-# Parts of what may go beyond the rate and the burst in a window. Requests are sent up to a fifth of
-# a second after their grant, which takes the rest of the overrun.
-RESERVE_OF_OVERRUN: Final = 0.6
-RESERVE_OF_SLACK: Final = 0.6
-START_OF_SLACK: Final = 0.2
-# Part of the reserve that is there when a process starts, since nothing is known of before.
-RESERVE_AT_START: Final = 0.25
-# Views of who is lost differ by at most about this: a tick, and a heartbeat of a hub.
+# Shares of what may exceed the rate and the burst in a window. Requests are sent up to a fifth of a
+# second after their grant, which uses the rest of the overrun.
+RESERVE_SHARE_OF_OVERRUN: Final = 0.6
+RESERVE_SHARE_OF_SLACK: Final = 0.6
+START_SHARE_OF_SLACK: Final = 0.2
+# Share of the reserve that is available when a process starts, since earlier grants are unknown.
+RESERVE_SHARE_AT_START: Final = 0.25
+# Views of which instances are lost differ by about this time at most: a tick, and a heartbeat of a
+# hub.
 SETTLE_MS: Final = 1_000
-# For how long an instance that was given a team, and is not seen here yet, is taken to be there.
-GIVEN_MS: Final = 5_000
-# A team that comes back later than this has nothing left from before that could matter.
+# How long an instance that took over a team, and is not in view here yet, is assumed to be live.
+HANDED_OVER_MS: Final = 5_000
+# A team without requests for this long has no state left that could matter.
 FORGET_MS: Final = 60_000
-LONGEST_RETURN_MS: Final = 1_500
-# What a return leaves to first requests: those of so long at the team's rate.
-LEFT_TO_FIRST_MS: Final = 50
-# A return that comes sooner cannot be told from a first request (policy/waiting.py).
-SHORTEST_RETURN_MS: Final = 250
-# Returns of requests that no bucket can date.
-RESERVE_RETURN_MS: Final = 300
+MAX_RETRY_AFTER_MS: Final = 1_500
+# A retry leaves this much of the team's rate to first attempts: their requests of so many ms.
+FIRST_REQUEST_MARGIN_MS: Final = 50
+# A retry that arrives sooner cannot be told from a first attempt (policy/waiting.py).
+MIN_RETRY_AFTER_MS: Final = 250
+# Retry time of requests that the reserve refuses, where no bucket can predict it.
+RESERVE_RETRY_AFTER_MS: Final = 300
 
 
 class Bound(NamedTuple):
-    """Hold what the operator allows beyond rate and burst in any window."""
+    """Hold how much the operator allows beyond rate and burst in any window."""
 
     window_ms: int
     overrun: float
@@ -63,27 +65,27 @@
 
 
 class Limit(NamedTuple):
-    """Hold a team's allowance, requests a second and requests on top."""
+    """Hold a team's allowance: requests a second, and the burst in requests."""
 
     rate_per_s: float
     burst: float
 
 
 class Said(Enum):
-    """Say what becomes of an ask."""
+    """Name the outcomes of a request for a grant."""
 
     GRANTED = "granted"
     OVER = "over"
     # This instance cannot grant it; another may.
     NOT_HERE = "not_here"
-    # What is left is to be asked for first, at the instance that is named.
+    # The tokens that are left are to be requested first, from the instance that is named.
     TAKE_OVER = "take_over"
 
 
 class Answer(NamedTuple):
-    """Answer an ask; after_ms is when to come again.
+    """Reply to a request for a grant; after_ms is when to retry.
 
-    ask names whom to take over from, or who grants in this one's place.
+    ask names the instance to take over from, or the one that grants in this instance's place.
     """
 
     said: Said
@@ -92,20 +94,20 @@
 
 
 class Left(NamedTuple):
-    """Say what the one after the first has left; was_first that it has granted as the first."""
+    """Report the tokens that the second instance has left; was_first: it granted as the first."""
 
     was_first: bool
     tokens: float
 
 
 class View(NamedTuple):
-    """Hold who grants, as one instance sees it, and how many are listed in all."""
+    """Hold the granting instances in one instance's view, and how many are listed in total."""
 
     granting: tuple[str, ...]
     listed: int
 
     def part(self) -> float:
-        """Return the part of all that is seen."""
+        """Return the share of the listed instances that is in view."""
         return min(1.0, len(self.granting) / self.listed) if self.listed else 0.0
 
 
@@ -113,12 +115,14 @@
 
 
 def granters(team: str, granting: Collection[str]) -> list[str]:
-    """Return who grants a team's requests, the first one first."""
-    return sorted(granting, key=lambda one: (score(f"{KEY}/{team}", one), one), reverse=True)
+    """Return the instances that grant a team's requests, the first one first."""
+    return sorted(
+        granting, key=lambda instance: (score(f"{KEY}/{team}", instance), instance), reverse=True
+    )
 
 
 class _Bucket:
-    """Hold tokens that fill at a rate up to a size."""
+    """Hold tokens that are added at a rate up to a size."""
 
     __slots__ = ("at_ms", "tokens")
 
@@ -131,67 +135,68 @@
         self.tokens = min(size, self.tokens + earned)
         self.at_ms = now
 
-    def take(self, least: float = 1.0) -> bool:
-        if self.tokens < least:
+    def take(self, min_tokens: float = 1.0) -> bool:
+        if self.tokens < min_tokens:
             return False
         self.tokens -= 1
         return True
 
 
 class _Team:
-    """Hold what one team has left here.
+    """Hold the grant state of one team.
 
-    at_start says that the reserve has not been used since this process started. order is who grants
-    by the view numbered seen. given names whom the first place was given to
-    that is not seen here yet, until given_ms. next_ms is the return of who was refused last.
+    at_start says that the reserve has not been used since this process started. ranking holds the
+    granting instances by the view numbered view_number. handed_to names the instance that took over
+    as first and is not in view here yet, until handed_until_ms. last_retry_ms is the last retry
+    time that was given to a refused request.
     """
 
     __slots__ = (
-        "asked_ms",
         "at_start",
         "bucket",
-        "given",
-        "given_ms",
-        "next_ms",
-        "order",
+        "handed_to",
+        "handed_until_ms",
+        "last_retry_ms",
+        "ranking",
+        "requested_ms",
         "reserve",
-        "seen",
         "settled_ms",
+        "view_number",
     )
 
     def __init__(self, now: int) -> None:
-        self.asked_ms = now
+        self.requested_ms = now
         self.at_start = False
         self.bucket: _Bucket | None = None
         self.reserve = _Bucket(0.0, now)
-        self.order: Sequence[str] = ()
-        self.given = ""
-        self.given_ms = now
-        self.next_ms = 0.0
-        self.seen = -1
+        self.ranking: Sequence[str] = ()
+        self.handed_to = ""
+        self.handed_until_ms = now
+        self.last_retry_ms = 0.0
+        self.view_number = -1
         self.settled_ms = 0
 
 
 class Grants:
-    """Grant the requests of the teams that hashing gives to this instance."""
+    """Grant the requests of the teams that hashing assigns to this instance."""
 
     def __init__(self, me: str, bound: Bound, now: int) -> None:
         self._me = me
         self._bound = bound
         self._teams: dict[str, _Team] = {}
         self._view = NOBODY
-        self._before = NOBODY
-        self._number = 0
-        self._born_ms = now
+        self._previous_view = NOBODY
+        self._view_number = 0
+        self._started_ms = now
         self._changed_ms = now
         self._swept_ms = now
 
     def on_view(self, view: View, now: int) -> bool:
-        """Take who grants now; True says that it is news."""
+        """Set the granting instances; return whether they changed."""
         if view == self._view:
             return False
-        self._before, self._view = self._view, view
-        self._number += 1
+        self._previous_view, self._view = self._view, view
+        self._view_number += 1
         self._changed_ms = now
         return True
 
@@ -200,50 +205,57 @@
         return self._view
 
     def ask(self, name: str, limit: Limit, now: int, returned: bool = False) -> Answer:
-        """Decide on one request of a team; returned says that it was refused before."""
+        """Decide on one request of a team; returned says that it is a retry."""
         team = self._team(name, now)
-        part = self._view.part()
-        place = self._place(team.order)
-        first = team.order[FIRST] if team.order else ""
-        if place > RESERVE:
+        share = self._view.part()
+        rank = self._rank(team.ranking)
+        first = team.ranking[FIRST] if team.ranking else ""
+        if rank > RESERVE:
             return Answer(Said.NOT_HERE, ask=first)
-        if place == RESERVE or now < team.settled_ms or (team.given and now < team.given_ms):
-            self._fill_reserve(team, limit, part, now)
-            said = Said.GRANTED if team.reserve.take() else Said.NOT_HERE
-            return Answer(said, RESERVE_RETURN_MS, team.given or first)
+        if (
+            rank == RESERVE
+            or now < team.settled_ms
+            or (team.handed_to and now < team.handed_until_ms)
+        ):
+            self._fill_reserve(team, limit, share, now)
+            outcome = Said.GRANTED if team.reserve.take() else Said.NOT_HERE
+            return Answer(outcome, RESERVE_RETRY_AFTER_MS, team.handed_to or first)
         if team.bucket is None:
-            if len(team.order) > 1:
-                return Answer(Said.TAKE_OVER, ask=team.order[RESERVE])
-            self._begin(team, None, limit, now)
+            if len(team.ranking) > 1:
+                return Answer(Said.TAKE_OVER, ask=team.ranking[RESERVE])
+            self._start_bucket(team, None, limit, now)
         assert team.bucket is not None
-        team.bucket.fill(limit.rate_per_s * part, max(1.0, limit.burst * part), now)
-        least = 1 + LEFT_TO_FIRST_MS * limit.rate_per_s * part / MS_PER_S if returned else 1.0
-        if team.bucket.take(min(least, max(1.0, limit.burst * part))):
+        team.bucket.fill(limit.rate_per_s * share, max(1.0, limit.burst * share), now)
+        min_tokens = (
+            1 + FIRST_REQUEST_MARGIN_MS * limit.rate_per_s * share / MS_PER_S if returned else 1.0
+        )
+        if team.bucket.take(min(min_tokens, max(1.0, limit.burst * share))):
             return Answer(Said.GRANTED)
-        return Answer(Said.OVER, self._return_ms(team, limit.rate_per_s * part, now))
+        return Answer(Said.OVER, self._retry_after_ms(team, limit.rate_per_s * share, now))
 
     def took_over(self, name: str, left: Left | None, limit: Limit, now: int) -> bool:
-        """Take what the one after this has left; None says that it did not answer.
+        """Start with the tokens left at the second instance; None says that it did not reply.
 
-        False says that this instance grants already.
+        Return False if this instance grants already.
         """
         team = self._team(name, now)
         if team.bucket is not None:
             return False
-        self._begin(team, left, limit, now)
+        self._start_bucket(team, left, limit, now)
         return True
 
-    def give_up(self, name: str, to: str, limit: Limit, now: int) -> Left:
-        """Give what is left of a team to an instance that is before this one."""
+    def give_up(self, name: str, successor: str, limit: Limit, now: int) -> Left:
+        """Hand over the remaining tokens of a team to an instance that ranks before this one."""
         team = self._team(name, now)
-        if to not in self._view.granting:
-            # Until it is seen here, those that do not see it either still come here.
-            team.given, team.given_ms = to, now + GIVEN_MS
+        if successor not in self._view.granting:
+            # Until it is in view here, instances that do not see it either still send requests
+            # here.
+            team.handed_to, team.handed_until_ms = successor, now + HANDED_OVER_MS
         bucket, team.bucket = team.bucket, None
         if bucket is None:
             return Left(False, 0.0)
-        part = self._view.part()
-        bucket.fill(limit.rate_per_s * part, max(1.0, limit.burst * part), now)
+        share = self._view.part()
+        bucket.fill(limit.rate_per_s * share, max(1.0, limit.burst * share), now)
         return Left(True, bucket.tokens)
 
     def _team(self, name: str, now: int) -> _Team:
@@ -251,66 +263,73 @@
         team = self._teams.get(name)
         if team is None:
             team = self._teams[name] = _Team(now)
-            # It has filled for as long as nobody else can have had it.
+            # The reserve has filled for as long as no other instance can have had it.
             team.reserve.at_ms = self._changed_ms
-            team.at_start = now - self._born_ms < self._bound.window_ms
-        team.asked_ms = now
-        if team.seen != self._number:
-            self._follow_view(team, name)
+            team.at_start = now - self._started_ms < self._bound.window_ms
+        team.requested_ms = now
+        if team.view_number != self._view_number:
+            self._apply_view(team, name)
         return team
 
-    def _place(self, order: Sequence[str]) -> int:
-        return order.index(self._me) if self._me in order else len(order) + RESERVE
+    def _rank(self, ranked: Sequence[str]) -> int:
+        return ranked.index(self._me) if self._me in ranked else len(ranked) + RESERVE
 
     def _sweep(self, now: int) -> None:
         if now - self._swept_ms < FORGET_MS:
             return
         self._swept_ms = now
-        for name in [one for one, team in self._teams.items() if now - team.asked_ms > FORGET_MS]:
+        for name in [
+            known for known, team in self._teams.items() if now - team.requested_ms > FORGET_MS
+        ]:
             del self._teams[name]
 
-    def _follow_view(self, team: _Team, name: str) -> None:
-        """Begin anew where the view shows another first, this instance or not."""
-        before = team.order if team.seen >= 0 else granters(name, self._before.granting)
-        team.order = granters(name, self._view.granting)
-        team.seen = self._number
-        if team.given in self._view.granting:
-            team.given = ""
-        if self._place(before) != RESERVE or self._place(team.order) > RESERVE:
-            # Another had the reserve until now.
+    def _apply_view(self, team: _Team, name: str) -> None:
+        """Reset the state of a team where the view changes its first or its reserve."""
+        previous = (
+            team.ranking if team.view_number >= 0 else granters(name, self._previous_view.granting)
+        )
+        team.ranking = granters(name, self._view.granting)
+        team.view_number = self._view_number
+        if team.handed_to in self._view.granting:
+            team.handed_to = ""
+        if self._rank(previous) != RESERVE or self._rank(team.ranking) > RESERVE:
+            # Another instance had the reserve until now.
             team.reserve = _Bucket(0.0, self._changed_ms)
-        if self._place(team.order) != FIRST:
+        if self._rank(team.ranking) != FIRST:
             team.bucket = None
-        elif before and before[0] not in (self._me, *self._view.granting):
+        elif previous and previous[0] not in (self._me, *self._view.granting):
             team.settled_ms = self._changed_ms + SETTLE_MS
 
-    def _begin(self, team: _Team, left: Left | None, limit: Limit, now: int) -> None:
-        start = min(START_OF_SLACK * self._bound.slack, limit.burst)
+    def _start_bucket(self, team: _Team, left: Left | None, limit: Limit, now: int) -> None:
+        start = min(START_SHARE_OF_SLACK * self._bound.slack, limit.burst)
         if left is not None and left.was_first:
             start = left.tokens
         elif left is not None:
-            # Nobody has granted as the first since the view is as it is.
-            part = self._view.part()
-            start += (now - self._changed_ms) * limit.rate_per_s * part / MS_PER_S
+            # No instance has granted as the first since the present view began.
+            share = self._view.part()
+            start += (now - self._changed_ms) * limit.rate_per_s * share / MS_PER_S
         team.bucket = _Bucket(start, now)
 
-    def _fill_reserve(self, team: _Team, limit: Limit, part: float, now: int) -> None:
-        """Fill the reserve, half of which is there at once and half comes within a window."""
+    def _fill_reserve(self, team: _Team, limit: Limit, share: float, now: int) -> None:
+        """Fill the reserve: half is available at once and half is added within a window."""
         bound = self._bound
         window_s = bound.window_ms / MS_PER_S
-        over = bound.overrun * (RESERVE_OF_OVERRUN * limit.rate_per_s * window_s + limit.burst)
-        whole = (over + RESERVE_OF_SLACK * bound.slack) * part
+        excess = bound.overrun * (
+            RESERVE_SHARE_OF_OVERRUN * limit.rate_per_s * window_s + limit.burst
+        )
+        capacity = (excess + RESERVE_SHARE_OF_SLACK * bound.slack) * share
         if team.at_start:
             team.at_start = False
-            team.reserve.tokens += RESERVE_AT_START * whole
-        team.reserve.fill(whole / 2 / window_s, whole / 2, now)
+            team.reserve.tokens += RESERVE_SHARE_AT_START * capacity
+        team.reserve.fill(capacity / 2 / window_s, capacity / 2, now)
 
-    def _return_ms(self, team: _Team, rate_per_s: float, now: int) -> int:
-        """Return when there will be a token for who is refused now, after those refused before."""
+    def _retry_after_ms(self, team: _Team, rate_per_s: float, now: int) -> int:
+        """Return when there will be a token for this refused request, after earlier ones."""
         if rate_per_s <= 0:
-            return LONGEST_RETURN_MS
-        team.next_ms = max(team.next_ms, now) + MS_PER_S / rate_per_s
-        if team.next_ms - now > LONGEST_RETURN_MS:
-            # More return than there will be tokens for; the rest is spread over the same time.
-            team.next_ms = now + MS_PER_S / rate_per_s
-        return max(SHORTEST_RETURN_MS, min(LONGEST_RETURN_MS, round(team.next_ms - now)))
+            return MAX_RETRY_AFTER_MS
+        team.last_retry_ms = max(team.last_retry_ms, now) + MS_PER_S / rate_per_s
+        if team.last_retry_ms - now > MAX_RETRY_AFTER_MS:
+            # More requests retry than there will be tokens for; the rest are spread over the same
+            # time.
+            team.last_retry_ms = now + MS_PER_S / rate_per_s
+        return max(MIN_RETRY_AFTER_MS, min(MAX_RETRY_AFTER_MS, round(team.last_retry_ms - now)))
--- a/papayapier/policy/fair_queue.py
+++ b/papayapier/policy/fair_queue.py
@@ -22,7 +22,7 @@
 RANKS: Final[dict[Urgency, int]] = {"urgent": 0, "normal": 1, "batch": 2}
 # Parts of the ranks; each one beyond them has half of the one before.
 WEIGHTS: Final = (8.0, 2.0, 1.0)
-KEPT_TAGS: Final = 256
+MAX_IDLE_TAGS: Final = 256
 
 
 class Waiting(NamedTuple):
@@ -49,7 +49,7 @@
         """Tell whether refusing it now still lets its caller come back in time."""
         return self.return_by_ms is None or now < self.return_by_ms
 
-    def made_late(self) -> "Waiting":
+    def as_late(self) -> "Waiting":
         """Return it as one that is due when its caller gives up."""
         return self._replace(due_ms=self.give_up_ms, late=True)
 
@@ -129,7 +129,7 @@
 
     def _keep_tag(self, name: str, tag: float) -> None:
         self.tags[name] = tag
-        if len(self.tags) > KEPT_TAGS:
+        if len(self.tags) > MAX_IDLE_TAGS:
             self.tags = {key: kept for key, kept in self.tags.items() if kept > self.now}
 
 
--- a/papayapier/policy/first_byte.py
+++ b/papayapier/policy/first_byte.py
@@ -16,8 +16,8 @@
 FLOOR_MS: Final = 1_000
 # A call that was given a free place begins at once. One that is silent for this part of the
 # objective can still be in time elsewhere.
-PLACED_SHARE: Final = 0.55
-LEAST_FLOOR_MS: Final = 100
+PLACED_LIMIT_SHARE: Final = 0.55
+MIN_PLACED_LIMIT_MS: Final = 100
 SMOOTHING: Final = 1 / 8
 DEVIATION_SMOOTHING: Final = 1 / 4
 DEVIATIONS: Final = 4
@@ -77,5 +77,5 @@
         row = self._rows.get(upstream)
         if limit_ms == NO_LIMIT or row is None or not objective_ms:
             return limit_ms
-        floor_ms = max(LEAST_FLOOR_MS, objective_ms * PLACED_SHARE)
+        floor_ms = max(MIN_PLACED_LIMIT_MS, objective_ms * PLACED_LIMIT_SHARE)
         return min(limit_ms, round(max(floor_ms, row.smoothed + row.deviation)))
--- a/papayapier/policy/job_keeping.py
+++ b/papayapier/policy/job_keeping.py
@@ -12,12 +12,12 @@
 from papayapier.policy.rendezvous import score
 
 # One more than needed, so that the slowest of the requested disks need not be waited for.
-SPARE_HOLDERS: Final = 1
+EXTRA_HOLDERS: Final = 1
 # Half of the time in which the acceptance has its full value is left to the store; the disks get
 # the other half, and reply in a few ms when healthy.
 STORE_SHARE: Final = 0.5
 # Used where a route states no objective.
-DEFAULT_PATIENCE_MS: Final = 200
+DEFAULT_STORE_WAIT_MS: Final = 200
 
 
 class Copies(NamedTuple):
@@ -40,11 +40,11 @@
     store is back.
     """
     ranked = sorted(keepers, key=lambda instance: (instance not in able, -score(job_id, instance)))
-    return ranked[: copies + SPARE_HOLDERS] if len(ranked) >= copies else ()
+    return ranked[: copies + EXTRA_HOLDERS] if len(ranked) >= copies else ()
 
 
 def patience_ms(objective_ms: int, store_away: bool) -> int:
     """Return how long only the store is tried, in ms."""
     if store_away:
         return 0
-    return int(objective_ms * STORE_SHARE) if objective_ms else DEFAULT_PATIENCE_MS
+    return int(objective_ms * STORE_SHARE) if objective_ms else DEFAULT_STORE_WAIT_MS
--- a/papayapier/policy/orphans.py
+++ b/papayapier/policy/orphans.py
@@ -1,13 +1,14 @@
-"""Find accepted jobs that nobody runs, and decide who takes them.
+"""Find accepted jobs that no instance runs, and decide which instance takes them over.
 
-Who owns a job follows from who lives, and views of that may differ for longer than any message
-takes: each of two takes the other for the owner, and the job is run by neither. So whoever would be
-next in line for a job asks its owner whether it runs it, then each of those before itself, and
-takes it when each has said no or nothing twice. Nothing rests on who is right about whom: a job
-that two run costs runs, and results stay right.
+A job's owner follows from the set of live instances, and instances' views of that may differ for
+longer than any message takes: each of two instances takes the other for the owner, and neither runs
+the job. So the instance that would be next to own a job asks its owner whether it runs it, then
+each instance that precedes it in the ranking, and takes the job over when each has denied it or not
+replied twice. No decision depends on whose view is right: a job that two instances run wastes runs,
+and its results stay correct.
 
-The first three in line look, each later than the one before: two owners may be lost at once, and
-the real first may take several dead ones for better placed than itself.
+The first three instances in the ranking check, each later than the one before: two owners may be
+lost at once, and the real first may rank several dead instances before itself.
 """
 
 from collections.abc import Callable, Collection, Mapping, Sequence
@@ -15,31 +16,31 @@
 
 from papayapier.policy.rendezvous import score
 
-# A job's first run is begun well within this where its owner knows of it.
-FIRST_LOOK_MS: Final = 2_000
-# Between looks at a job that its owner runs: an owner is missed by heartbeats long before.
-NEXT_LOOK_MS: Final = 6_000
-AGAIN_MS: Final = 500
-LOOKERS: Final = 3
-DENIALS: Final = 2
+# An owner that knows of a job starts its first run well within this time.
+FIRST_CHECK_MS: Final = 2_000
+# Between checks of a job that its owner runs; missed heartbeats reveal a lost owner long before.
+CHECK_INTERVAL_MS: Final = 6_000
+RETRY_MS: Final = 500
+MAX_WATCHERS: Final = 3
+MIN_DENIALS: Final = 2
 
 
-class _Look:
-    """Hold whom to ask for a job, its owner first, when next, and how often that one said no."""
+class _Check:
+    """Record whom to ask about a job, its owner first, the next time, and the denials so far."""
 
-    __slots__ = ("at_ms", "denials", "line", "owner")
+    __slots__ = ("candidates", "denials", "next_ms", "owner")
 
-    def __init__(self, line: Sequence[str], at_ms: int) -> None:
-        self.owner = line[0]
-        self.line = list(line)
-        self.at_ms = at_ms
+    def __init__(self, candidates: Sequence[str], next_ms: int) -> None:
+        self.owner = candidates[0]
+        self.candidates = list(candidates)
+        self.next_ms = next_ms
         self.denials = 0
 
 
 class Answered(NamedTuple):
-    """Hold what an owner says of the jobs that it was asked for.
+    """Hold an owner's reply about the jobs that it was asked about.
 
-    over are those of which every result is stored.
+    over are the jobs of which every result is stored.
     """
 
     runs: frozenset[str]
@@ -47,110 +48,120 @@
 
 
 class OrphanWatch:
-    """Watch the open jobs that others own."""
+    """Watch the open jobs that other instances own."""
 
     def __init__(self, me: str) -> None:
         self._me = me
-        self._looks: dict[str, _Look] = {}
-        # Jobs that others look after, with the owner and line by which they do.
-        self._left: dict[str, tuple[str, Sequence[str]]] = {}
-        self._over: set[str] = set()
-        self._taken: set[str] = set()
+        self._checks: dict[str, _Check] = {}
+        # Jobs that others check, with the owner and candidates for which that holds.
+        self._watched_by_others: dict[str, tuple[str, Sequence[str]]] = {}
+        self._finished: set[str] = set()
+        self._taken_over: set[str] = set()
 
     def taken(self, job_id: str) -> bool:
         """Tell whether this instance runs a job because its owner does not."""
-        return job_id in self._taken
+        return job_id in self._taken_over
 
     def asks(
-        self, open_jobs: Mapping[str, str], line: Callable[[str], Sequence[str]], now: int
+        self, open_jobs: Mapping[str, str], candidates: Callable[[str], Sequence[str]], now: int
     ) -> dict[str, list[str]]:
-        """Return which jobs to ask whom for now.
+        """Return the jobs to check now, by the instance to ask.
 
-        open_jobs gives each job's owner, line who may own a job.
+        open_jobs maps each job to its owner; candidates returns the instances that may own a job.
         """
         self._forget(open_jobs)
-        asked: dict[str, list[str]] = {}
+        requests: dict[str, list[str]] = {}
         for job_id, owner in open_jobs.items():
-            if owner == self._me or job_id in self._over:
+            if owner == self._me or job_id in self._finished:
                 continue
-            look = self._looks.get(job_id)
-            if look is None or look.owner != owner:
-                look = self._begin(job_id, owner, line(job_id), now)
-                if look is None:
+            check = self._checks.get(job_id)
+            if check is None or check.owner != owner:
+                check = self._start_checks(job_id, owner, candidates(job_id), now)
+                if check is None:
                     continue
-            if now >= look.at_ms:
-                look.at_ms = now + NEXT_LOOK_MS
-                asked.setdefault(look.line[0], []).append(job_id)
-        return asked
-
-    def _begin(self, job_id: str, owner: str, line: Sequence[str], now: int) -> _Look | None:
-        """Begin to look after a job, unless enough others come first."""
-        left = self._left.get(job_id)
-        if left is not None and left[0] == owner and left[1] is line:
+            if now >= check.next_ms:
+                check.next_ms = now + CHECK_INTERVAL_MS
+                requests.setdefault(check.candidates[0], []).append(job_id)
+        return requests
+
+    def _start_checks(
+        self, job_id: str, owner: str, candidates: Sequence[str], now: int
+    ) -> _Check | None:
+        """Start to check a job, unless enough other instances precede this one."""
+        watched = self._watched_by_others.get(job_id)
+        if watched is not None and watched[0] == owner and watched[1] is candidates:
             return None
-        ahead = self._ahead(job_id, owner, line)
-        if len(ahead) >= LOOKERS and job_id not in self._taken:
-            self._left[job_id] = (owner, line)
+        preferred = self._preferred(job_id, owner, candidates)
+        if len(preferred) >= MAX_WATCHERS and job_id not in self._taken_over:
+            self._watched_by_others[job_id] = (owner, candidates)
             return None
-        self._left.pop(job_id, None)
-        look = _Look([owner, *ahead], now + FIRST_LOOK_MS * (1 + len(ahead)))
-        self._looks[job_id] = look
-        return look
-
-    def on_answer(self, asked: Collection[str], answer: Answered, now: int) -> frozenset[str]:
-        """Take an answer; return the jobs that this instance takes from now on."""
-        self._over.update(answer.over.intersection(asked))
-        denied = [one for one in asked if one not in answer.runs and one not in answer.over]
-        for job_id in answer.runs.intersection(asked):
-            self._taken.discard(job_id)
-            if job_id in self._looks:
-                self._looks[job_id].denials = 0
+        self._watched_by_others.pop(job_id, None)
+        check = _Check([owner, *preferred], now + FIRST_CHECK_MS * (1 + len(preferred)))
+        self._checks[job_id] = check
+        return check
+
+    def on_answer(self, requested: Collection[str], answer: Answered, now: int) -> frozenset[str]:
+        """Handle a reply; return the jobs that this instance takes over."""
+        self._finished.update(answer.over.intersection(requested))
+        denied = [
+            known for known in requested if known not in answer.runs and known not in answer.over
+        ]
+        for job_id in answer.runs.intersection(requested):
+            self._taken_over.discard(job_id)
+            if job_id in self._checks:
+                self._checks[job_id].denials = 0
         return self._denied(denied, now)
 
     def take(self, job_id: str, owner: str, now: int) -> None:
-        """Take a job that its owner leaves to this instance."""
-        self._looks[job_id] = _Look([owner], now + NEXT_LOOK_MS)
-        self._taken.add(job_id)
+        """Take over a job that its owner leaves to this instance."""
+        self._checks[job_id] = _Check([owner], now + CHECK_INTERVAL_MS)
+        self._taken_over.add(job_id)
 
     def give_back(self, job_id: str, now: int) -> None:
-        """Leave a job that was taken to its owner, which is told with the next look."""
-        self._taken.discard(job_id)
-        if job_id in self._looks:
-            self._looks[job_id].at_ms = now
+        """Return a job to its owner, which is notified with the next check."""
+        self._taken_over.discard(job_id)
+        if job_id in self._checks:
+            self._checks[job_id].next_ms = now
 
-    def on_silence(self, asked: Collection[str], now: int) -> frozenset[str]:
-        """Take that no answer came; return the jobs that this instance takes from now on."""
-        return self._denied(asked, now)
+    def on_silence(self, requested: Collection[str], now: int) -> frozenset[str]:
+        """Handle a missing reply; return the jobs that this instance takes over."""
+        return self._denied(requested, now)
 
     def _denied(self, job_ids: Collection[str], now: int) -> frozenset[str]:
-        taken = set()
+        taken_over = set()
         for job_id in job_ids:
-            look = self._looks.get(job_id)
-            if look is None or job_id in self._taken:
+            check = self._checks.get(job_id)
+            if check is None or job_id in self._taken_over:
                 continue
-            look.at_ms = now + AGAIN_MS
-            look.denials += 1
-            if look.denials < DENIALS:
+            check.next_ms = now + RETRY_MS
+            check.denials += 1
+            if check.denials < MIN_DENIALS:
                 continue
-            look.denials = 0
-            look.line.append(look.line.pop(0))
-            if look.line[0] == look.owner:
-                # Nobody before this instance runs it.
-                look.at_ms = now + NEXT_LOOK_MS
-                taken.add(job_id)
-        self._taken |= taken
-        return frozenset(taken)
-
-    def _ahead(self, job_id: str, owner: str, line: Sequence[str]) -> list[str]:
-        """Return those before this instance in line for a job, its owner left out."""
-        mine = score(job_id, self._me)
-        ranked = [(score(job_id, one), one) for one in line if one not in (owner, self._me)]
-        return [one for rank, one in sorted(ranked, reverse=True) if rank > mine]
+            check.denials = 0
+            check.candidates.append(check.candidates.pop(0))
+            if check.candidates[0] == check.owner:
+                # No instance that precedes this one runs it.
+                check.next_ms = now + CHECK_INTERVAL_MS
+                taken_over.add(job_id)
+        self._taken_over |= taken_over
+        return frozenset(taken_over)
+
+    def _preferred(self, job_id: str, owner: str, candidates: Sequence[str]) -> list[str]:
+        """Return the instances that precede this one for a job, except its owner."""
+        own_score = score(job_id, self._me)
+        ranked = [
+            (score(job_id, candidate), candidate)
+            for candidate in candidates
+            if candidate not in (owner, self._me)
+        ]
+        return [
+            candidate for weight, candidate in sorted(ranked, reverse=True) if weight > own_score
+        ]
 
     def _forget(self, open_jobs: Mapping[str, str]) -> None:
-        for job_id in [one for one in self._looks if one not in open_jobs]:
-            del self._looks[job_id]
-        for job_id in [one for one in self._left if one not in open_jobs]:
-            del self._left[job_id]
-        self._over.intersection_update(open_jobs)
-        self._taken.intersection_update(open_jobs)
+        for job_id in [known for known in self._checks if known not in open_jobs]:
+            del self._checks[job_id]
+        for job_id in [known for known in self._watched_by_others if known not in open_jobs]:
+            del self._watched_by_others[job_id]
+        self._finished.intersection_update(open_jobs)
+        self._taken_over.intersection_update(open_jobs)
--- a/papayapier/policy/outliers.py
+++ b/papayapier/policy/outliers.py
@@ -23,7 +23,7 @@
 FAILURES_IN_A_ROW: Final = 4
 FIRST_EJECTION_MS: Final = 2_000
 MAX_EJECTION_MS: Final = 60_000
-FORGIVE_MS: Final = 30_000
+FORGIVE_EJECTION_MS: Final = 30_000
 GOOD_PROBES: Final = 3
 PROBE_TIMEOUT_MS: Final = 10_000
 SLOW_FACTOR: Final = 4.0
@@ -41,7 +41,7 @@
     def eject(self) -> None:
         """Take it out of use."""
 
-    def serve_out(self) -> None:
+    def end_ejection(self) -> None:
         """Take that the time of the ejection is over."""
 
     def recover(self) -> None:
@@ -64,9 +64,9 @@
 _ejected.upon(Health.eject).loop().returns(None)
 _returning.upon(Health.eject).to(_ejected).returns(None)
 
-_healthy.upon(Health.serve_out).loop().returns(None)
-_ejected.upon(Health.serve_out).to(_returning).returns(None)
-_returning.upon(Health.serve_out).loop().returns(None)
+_healthy.upon(Health.end_ejection).loop().returns(None)
+_ejected.upon(Health.end_ejection).to(_returning).returns(None)
+_returning.upon(Health.end_ejection).loop().returns(None)
 
 _healthy.upon(Health.recover).loop().returns(None)
 _ejected.upon(Health.recover).loop().returns(None)
@@ -169,7 +169,7 @@
         if row.state == "ejected":
             if now < row.until_ms:
                 return True
-            row.machine.serve_out()
+            row.machine.end_ejection()
             row.state = row.machine.name()
         return row.probe_ms is not None and now < row.probe_ms + PROBE_TIMEOUT_MS
 
@@ -202,7 +202,7 @@
         row.healthy_ms = now
 
     def _eject(self, row: _Row, now: int) -> None:
-        forgiven = (now - row.healthy_ms) // FORGIVE_MS if row.state == "healthy" else 0
+        forgiven = (now - row.healthy_ms) // FORGIVE_EJECTION_MS if row.state == "healthy" else 0
         row.ejections = max(0, row.ejections - forgiven)
         row.until_ms = now + min(FIRST_EJECTION_MS << row.ejections, MAX_EJECTION_MS)
         row.ejections = min(row.ejections + 1, MAX_EJECTION_MS.bit_length())
--- a/papayapier/policy/pace.py
+++ b/papayapier/policy/pace.py
@@ -16,7 +16,7 @@
 WEIGHT: Final = 0.1
 
 
-class Pace:
+class StepTimes:
     """Hold the smoothed step time of one replica per band of running calls."""
 
     __slots__ = ("_count", "_points", "_running", "_step")
@@ -46,7 +46,7 @@
         slope = (high.step_ms - low.step_ms) / (high.running - low.running)
         return max(0.0, low.step_ms + slope * (running - low.running))
 
-    def most_running(self, step_ms: float) -> float:
+    def max_running(self, step_ms: float) -> float:
         """Return the number of running calls at which the step time reaches a bound."""
         low, high = self._segment(lambda point: point.step_ms <= step_ms)
         rise = high.step_ms - low.step_ms
--- a/papayapier/policy/place_queue.py
+++ b/papayapier/policy/place_queue.py
@@ -20,7 +20,7 @@
 from papayapier.policy.admission import AdmissionQueue, Waiting
 from papayapier.policy.placers import Wanting
 from papayapier.policy.retry_times import Returns
-from papayapier.policy.waiting import RETURN_SHARE
+from papayapier.policy.waiting import RETRY_AFTER_SHARE
 
 ONE_CALL: Final = 1.0
 # In one pass, up to so many requests are skipped that want none of the free replicas.
@@ -140,7 +140,7 @@
     def _refuse(self, request: Asked, backlog_ms: int, waited_ms: int, now: int) -> Refused:
         retry_times = self._retry_times.setdefault(request.part, Returns())
         rate = self._queue.rate_per_ms(request.part, now)
-        longest_ms = int(request.wanting.left_ms * RETURN_SHARE)
+        longest_ms = int(request.wanting.left_ms * RETRY_AFTER_SHARE)
         return Refused(request, retry_times.after_ms(backlog_ms, rate, longest_ms, now), waited_ms)
 
 
--- a/papayapier/policy/retry_times.py
+++ b/papayapier/policy/retry_times.py
@@ -7,10 +7,10 @@
 
 from typing import Final
 
-from papayapier.policy.waiting import LONGEST_RETURN_MS
+from papayapier.policy.waiting import MAX_RETRY_AFTER_MS
 
 MIN_MS: Final = 200
-LONGEST_MS: Final = LONGEST_RETURN_MS
+LONGEST_MS: Final = MAX_RETRY_AFTER_MS
 # Time between retries while no rate is known.
 SPACING_MS: Final = 2.0
 
--- a/papayapier/policy/routing.py
+++ b/papayapier/policy/routing.py
@@ -29,19 +29,19 @@
 from papayapier.upstream.api import Replica
 
 DRAWS: Final = 5
-OTHERS_SHARE: Final = 0.5
+OTHERS_WEIGHT: Final = 0.5
 BATCH_WEIGHT: Final = 0.5
 FULL_FACTOR: Final = 1.15
-NEAR_BONUS_CALLS: Final = 0.5
+OTHER_DATA_CENTRE_CALLS: Final = 0.5
 # Where all instances hear each other within some 50 ms, what peers have told is nearly as good
 # as what an instance knows itself: few calls start meanwhile, so that no herd forms.
-TOLD_SHARE: Final = 0.9
-TOLD_BATCH_SHARE: Final = 0.4
+REPORTED_WEIGHT: Final = 0.9
+REPORTED_BATCH_WEIGHT: Final = 0.4
 # Up to here all replicas are compared where what is known is fresh. Where many instances know the
 # same totals some 200 ms late, they would all choose the same few replicas; the better of two
 # random ones is the choice that old knowledge harms least.
-COMPARED_WHEN_FRESH: Final = 64
-DRAWS_WHEN_TOLD: Final = 2
+MAX_COMPARED: Final = 64
+DRAWS_WHEN_REPORTED: Final = 2
 AFFINITY_FACTOR: Final = 1.25
 AFFINITY_SLACK_CALLS: Final = 1.0
 AFFINITY_TRIES: Final = 2
@@ -77,10 +77,10 @@
         cached = _cached(book, outliers, usable, req, now)
         if cached is not None:
             return cached
-    if req.fresh and len(usable) <= COMPARED_WHEN_FRESH:
+    if req.fresh and len(usable) <= MAX_COMPARED:
         drawn = usable
     else:
-        drawn = _drawn(book, usable, rand, now, DRAWS_WHEN_TOLD if req.told else DRAWS)
+        drawn = _drawn(book, usable, rand, now, DRAWS_WHEN_REPORTED if req.told else DRAWS)
     costs = [(_cost(book, outliers, one, req, now), rand.random(), one.id) for one in drawn]
     _, _, chosen = min(costs)
     return chosen
@@ -180,14 +180,14 @@
 ) -> float:
     own = book.own(replica.id)
     if req.told:
-        calls = own.online + TOLD_SHARE * (book.online_at(replica.id) - own.online)
-        calls += TOLD_BATCH_SHARE * book.batch_at(replica.id)
+        calls = own.online + REPORTED_WEIGHT * (book.online_at(replica.id) - own.online)
+        calls += REPORTED_BATCH_WEIGHT * book.batch_at(replica.id)
         calls += outliers.penalty(replica.id, now)
         return calls / book.slots(replica.id)
     others = max(0.0, book.estimate(replica.id, now) - own.online - own.batch)
-    calls = own.online + OTHERS_SHARE * others / book.sharers(replica.id)
+    calls = own.online + OTHERS_WEIGHT * others / book.sharers(replica.id)
     calls += own.batch if req.batch else BATCH_WEIGHT * own.batch
     if replica.data_centre != req.data_centre:
-        calls += NEAR_BONUS_CALLS
+        calls += OTHER_DATA_CENTRE_CALLS
     calls += outliers.penalty(replica.id, now)
     return calls / book.slots(replica.id)
--- a/papayapier/policy/service_rate.py
+++ b/papayapier/policy/service_rate.py
@@ -12,8 +12,8 @@
 
 HALF_LIFE_MS: Final = 2_000.0
 SEED_MS: Final = 200.0
-SILENT_STARTS: Final = 3.0
-SILENT_GRACE_MS: Final = 500
+STALLED_STARTS: Final = 3.0
+STALL_GRACE_MS: Final = 500
 RESEED_AFTER_MS: Final = 5_000
 DURATION_WEIGHT: Final = 0.02
 DEVIATIONS: Final = 3.0
@@ -105,8 +105,8 @@
             return None
         if span == 0.0:
             return None
-        silent_ms = max(1, now - self._last_taken - SILENT_GRACE_MS)
-        return min(self._cost / span, SILENT_STARTS / silent_ms)
+        silent_ms = max(1, now - self._last_taken - STALL_GRACE_MS)
+        return min(self._cost / span, STALLED_STARTS / silent_ms)
 
     def duration_ms(self, profile: str) -> float:
         """Return how long a request of a profile may well run; 0 when not known.
--- a/papayapier/policy/shared_blame.py
+++ b/papayapier/policy/shared_blame.py
@@ -1,76 +1,84 @@
-"""Decide which replicas get no calls for a while, by what all instances tell of failed ones.
+"""Decide which replicas get no calls for a while, from the failures that all instances report.
 
-The load this answers: nine of 45 replicas go dark at once. Each of 59 instances would have to
-lose some calls at each of them before it leaves them alone, and a dark replica that gives its
-calls up looks idle, so that it draws ever more; so does one that resets each connection, or one
-that is gone and still listed here. Whoever places the calls of all hears of a few failures from
-several instances and stops at once; then single calls find out whether it is back.
+Motivation: nine of 45 replicas become unreachable at once. Each of 59 instances would have to lose
+some calls at each of them before it avoids them, and a replica whose calls time out looks idle, so
+that it attracts ever more calls; so does one that resets each connection, or that has ended and is
+still listed. A hub that places all calls receives a few failures from several instances and stops
+at once; then single calls find out whether the replica is back.
 """
 
 from typing import Final
 
-# A connection may fail by itself, and so may an instance's network.
-FAILURES: Final = 3
-TELLERS: Final = 2
-WITHIN_MS: Final = 1_000
-FIRST_MS: Final = 1_000
+# A connection may fail by chance, and so may an instance's network.
+MIN_FAILURES: Final = 3
+MIN_REPORTERS: Final = 2
+FAILURE_WINDOW_MS: Final = 1_000
+FIRST_AVOIDED_MS: Final = 1_000
 LONGEST_MS: Final = 8_000
-# After that time single calls try the replica, until it has failed none for as long.
-TRIAL_EVERY_MS: Final = 250
-TRIAL_MS: Final = 1_500
-# Avoided again within this, it is avoided for twice as long.
-REMEMBERED_MS: Final = 10_000
+# After the time without calls, single calls try the replica until it has failed none for
+# TRIAL_PERIOD_MS.
+TRIAL_INTERVAL_MS: Final = 250
+TRIAL_PERIOD_MS: Final = 1_500
+# A replica that is avoided again within this time is avoided for twice as long.
+REPEAT_WINDOW_MS: Final = 10_000
 
 
-class _Row:
-    """Hold the failures told of one replica; until_ms is the end of the time without calls."""
+class _Failures:
+    """Hold the reported failures of one replica; until_ms is the end of the time without calls."""
 
-    __slots__ = ("avoided_ms", "failures", "given_ms", "times", "until_ms")
+    __slots__ = ("avoided_ms", "failures", "repeats", "sent_ms", "until_ms")
 
     def __init__(self) -> None:
         self.failures: list[tuple[int, str]] = []
         self.until_ms = 0
         self.avoided_ms = 0
-        self.given_ms = 0
-        self.times = 0
+        self.sent_ms = 0
+        self.repeats = 0
 
 
 class SharedBlame:
-    """Track the failures that instances tell of."""
+    """Track the failures that instances report."""
 
     def __init__(self) -> None:
-        self._rows: dict[str, _Row] = {}
+        self._rows: dict[str, _Failures] = {}
 
-    def on_failed(self, replica_id: str, teller: str, now: int) -> bool:
-        """Take that a call has failed; True says that the replica is avoided from now on."""
-        row = self._rows.setdefault(replica_id, _Row())
-        row.failures = [one for one in row.failures if one[0] > now - WITHIN_MS]
-        row.failures.append((now, teller))
-        before = bool(row.until_ms)
-        on_trial = before and row.until_ms <= now < row.until_ms + TRIAL_MS
-        enough = len(row.failures) >= FAILURES and len({one[1] for one in row.failures}) >= TELLERS
-        if now < row.until_ms or not (on_trial or enough):
+    def on_failed(self, replica_id: str, reporter: str, now: int) -> bool:
+        """Record a failed call; return whether the replica is avoided from now on."""
+        state = self._rows.setdefault(replica_id, _Failures())
+        state.failures = [
+            failure for failure in state.failures if failure[0] > now - FAILURE_WINDOW_MS
+        ]
+        state.failures.append((now, reporter))
+        avoided_before = bool(state.until_ms)
+        on_trial = avoided_before and state.until_ms <= now < state.until_ms + TRIAL_PERIOD_MS
+        enough = (
+            len(state.failures) >= MIN_FAILURES
+            and len({failure[1] for failure in state.failures}) >= MIN_REPORTERS
+        )
+        if now < state.until_ms or not (on_trial or enough):
             return False
-        again = before and now < row.avoided_ms + REMEMBERED_MS
-        row.times = row.times + 1 if again else 0
-        row.avoided_ms = now
-        row.until_ms = now + min(LONGEST_MS, FIRST_MS << min(row.times, LONGEST_MS.bit_length()))
-        row.failures = []
+        is_repeat = avoided_before and now < state.avoided_ms + REPEAT_WINDOW_MS
+        state.repeats = state.repeats + 1 if is_repeat else 0
+        state.avoided_ms = now
+        state.until_ms = now + min(
+            LONGEST_MS, FIRST_AVOIDED_MS << min(state.repeats, LONGEST_MS.bit_length())
+        )
+        state.failures = []
         return True
 
     def on_given(self, replica_id: str, now: int) -> None:
-        """Count a call given to a replica."""
-        row = self._rows.get(replica_id)
-        if row is not None:
-            row.given_ms = now
+        """Count a call that was sent to a replica."""
+        state = self._rows.get(replica_id)
+        if state is not None:
+            state.sent_ms = now
 
     def on_listed(self, listed: frozenset[str]) -> None:
-        """Forget the replicas that are gone."""
-        self._rows = {key: row for key, row in self._rows.items() if key in listed}
+        """Forget the replicas that are no longer listed."""
+        self._rows = {key: state for key, state in self._rows.items() if key in listed}
 
     def avoided(self, replica_id: str, now: int) -> bool:
         """Tell whether a replica gets no call now."""
-        row = self._rows.get(replica_id)
-        if row is None or not row.until_ms or now >= row.until_ms + TRIAL_MS:
+        state = self._rows.get(replica_id)
+        if state is None or not state.until_ms or now >= state.until_ms + TRIAL_PERIOD_MS:
             return False
-        return now < row.until_ms or now < row.given_ms + TRIAL_EVERY_MS
+        return now < state.until_ms or now < state.sent_ms + TRIAL_INTERVAL_MS
--- a/papayapier/policy/slot_shares.py
+++ b/papayapier/policy/slot_shares.py
@@ -20,7 +20,7 @@
 from papayapier.policy.rendezvous import score
 
 LEAVE_OUT_AFTER_MS: Final = 1_500
-TOLD_WITHIN_MS: Final = 1_500
+BATCH_REPORT_MS: Final = 1_500
 REVIEW_MS: Final = 100
 
 
@@ -47,7 +47,7 @@
         if book.batch_open_ms(now) < LEAVE_OUT_AFTER_MS:
             self._share_among(self._live)
             return
-        busy = book.batch_peers(now, TOLD_WITHIN_MS)
+        busy = book.batch_peers(now, BATCH_REPORT_MS)
         self._share_among(tuple(n for n in self._live if n == self._own or n in busy))
 
     def live(self) -> int:
--- a/papayapier/policy/waiting.py
+++ b/papayapier/policy/waiting.py
@@ -17,9 +17,9 @@
 DEFAULT_WAIT_MS: Final = 100
 # By the platform's rules callers honour a retry time up to a third of the time that they have left;
 # they shorten later ones to that.
-RETURN_SHARE: Final = 1 / 3
-MIN_RETURN_MS: Final = 100
-LONGEST_RETURN_MS: Final = 1_500
+RETRY_AFTER_SHARE: Final = 1 / 3
+MIN_RETRY_AFTER_MS: Final = 100
+MAX_RETRY_AFTER_MS: Final = 1_500
 # The first attempt of a caller has the timeout of the route left, or more.
 FIRST_TIME_SLACK_MS: Final = 20
 # A first event takes this share of the objective at most, whatever was measured under load.
@@ -44,7 +44,9 @@
 
 def retry_after_ms(expected_ms: int, left_ms: int, rand: random.Random) -> int:
     """Return when a refused caller should retry, in ms; left_ms 0 is unknown."""
-    longest = min(LONGEST_RETURN_MS, int(left_ms * RETURN_SHARE)) if left_ms > 0 else expected_ms
-    longest = max(MIN_RETURN_MS, longest)
-    shortest = min(max(MIN_RETURN_MS, expected_ms), longest)
+    longest = (
+        min(MAX_RETRY_AFTER_MS, int(left_ms * RETRY_AFTER_SHARE)) if left_ms > 0 else expected_ms
+    )
+    longest = max(MIN_RETRY_AFTER_MS, longest)
+    shortest = min(max(MIN_RETRY_AFTER_MS, expected_ms), longest)
     return rand.randint(shortest, longest)
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -16,7 +16,7 @@
 from papayapier.entry.unread import REVIEW_MS, UnreadWatch
 from papayapier.listen import listen_resource
 from papayapier.metrics import make_metrics
-from papayapier.policy.held_bytes import BODY_COPIES, UNBOUNDED, HeldBytes, Unread
+from papayapier.policy.held_bytes import COPIES_PER_BODY, UNBOUNDED, HeldBytes, Unread
 from tests.log_catcher import LogCatcher
 from tests.raw_client import RawClient, connect, post
 
@@ -50,7 +50,7 @@
 def test_bodies_count_until_they_end() -> None:
     held = HeldBytes(100)
     held.on_body(30)
-    assert held.held() == 30 * BODY_COPIES
+    assert held.held() == 30 * COPIES_PER_BODY
     assert not held.takes(30)
     held.on_body(-30)
     assert held.takes(50)
--- a/tests/test_policy_batch.py
+++ b/tests/test_policy_batch.py
@@ -4,9 +4,9 @@
 from hypothesis import strategies as st
 
 from papayapier.config.profiles import BatchRule, Isolation
-from papayapier.policy.batch_share import POINTS, BatchShare
+from papayapier.policy.batch_share import ISOLATION_SETTINGS, BatchShare
 from papayapier.policy.loads import LoadBook, ReplicaUse
-from papayapier.policy.pace import Pace
+from papayapier.policy.pace import StepTimes
 from papayapier.upstream.api import Load, Replica
 
 REPLICA = Replica("r0", "model", "127.0.0.1", 1, "dc1")
@@ -57,7 +57,7 @@
         for _ in range(calls):
             book.on_sent("r0", False, 90_000)
         total += share.limit("r0", book, 90_000)
-    assert total <= SLOTS - POINTS[isolation].spare_slots
+    assert total <= SLOTS - ISOLATION_SETTINGS[isolation].spare_slots
 
 
 def test_every_instance_has_a_share_and_unused_shares_go_round() -> None:
@@ -67,7 +67,7 @@
         share, book = make(name, names, "throughput")
         report(share, book, 1, 0)
         limits.append(settle(share, book, 50_000, 60_000))
-    assert sum(limits) == SLOTS - POINTS["throughput"].spare_slots
+    assert sum(limits) == SLOTS - ISOLATION_SETTINGS["throughput"].spare_slots
     assert max(limits) - min(limits) <= 1
 
 
@@ -170,7 +170,7 @@
     for _ in range(28):
         book.on_done("r0", False, 2_000)
     assert share.limit("r0", book, 2_010) <= 4
-    spare = POINTS["throughput"].spare_slots
+    spare = ISOLATION_SETTINGS["throughput"].spare_slots
     assert settle(share, book, 2_020, 6_000) == SLOTS - spare
 
 
@@ -181,20 +181,20 @@
     book.on_sent("r0", False, 1_000)
     bounded = settle(share, book, 1_000, 3_000)
     step_ms = 5.0 + 0.06 * (bounded + 1)
-    assert step_ms <= POINTS["tail"].step_factor * 5.06
+    assert step_ms <= ISOLATION_SETTINGS["tail"].step_factor * 5.06
     assert bounded >= 10
     book.on_done("r0", False, 3_000)
     assert settle(share, book, 28_000, 30_000) > bounded
 
 
 def test_pace_keeps_what_it_learnt_of_an_idle_replica() -> None:
-    pace = Pace()
+    pace = StepTimes()
     for running in (1, 10, 20):
         pace.observe(running, SLOTS, 5.0 + 0.06 * running)
     for _ in range(10_000):
         pace.observe(30, SLOTS, 6.8)
     assert abs(pace.step_ms(1) - 5.06) < 0.01
-    assert abs(pace.most_running(6.2) - 20) < 0.1
+    assert abs(pace.max_running(6.2) - 20) < 0.1
 
 
 def test_pace_is_learnt_from_online_calls_when_reports_have_no_step_time() -> None:
--- a/tests/test_policy_batch_order.py
+++ b/tests/test_policy_batch_order.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from papayapier.policy.batch_order import LISTING_MS, RunTimes, Standing, standing, victims
+from papayapier.policy.batch_order import PUBLISH_MS, RunTimes, Standing, standing, victims
 
 DUE_MS = 18_000
 EVENTS = 140
@@ -61,7 +61,7 @@
             if one.events >= one.size:
                 running.remove(one)
                 times.on_done(one.size, one.ran_ms)
-                in_time += now + LISTING_MS <= one.due_ms
+                in_time += now + PUBLISH_MS <= one.due_ms
         waiting += running
         waiting.sort(key=lambda one: (rank(times, one, now), one.number))
         running, waiting = waiting[:slots], waiting[slots:]
@@ -92,7 +92,7 @@
 def test_nothing_is_late_before_its_time_while_nothing_is_known() -> None:
     times = RunTimes()
     times.on_done(0, 5)
-    assert not standing(times, 0, DUE_MS, DUE_MS - LISTING_MS).late
+    assert not standing(times, 0, DUE_MS, DUE_MS - PUBLISH_MS).late
 
 
 def test_late_runs_give_way_first_then_those_with_most_time() -> None:
--- a/tests/test_policy_handing.py
+++ b/tests/test_policy_handing.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from papayapier.policy.handing import HANDED_MS, OFFERED_TO, HandedJobs, Offers
+from papayapier.policy.handing import HANDOVER_EXPIRY_MS, PEERS_PER_ROUND, HandedJobs, Offers
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 4, 30, 200])
@@ -11,9 +11,9 @@
     able = [f"k{number:03}" for number in range(count)]
     offers = Offers("k000")
     asked: list[str] = []
-    for _ in range(-(-(count - 1) // OFFERED_TO)):
+    for _ in range(-(-(count - 1) // PEERS_PER_ROUND)):
         found = offers.next(able)
-        assert len(found) <= OFFERED_TO
+        assert len(found) <= PEERS_PER_ROUND
         asked += found
     assert set(asked) == set(able) - {"k000"}
 
@@ -27,12 +27,12 @@
     handed.on_taken("job", "a", 0)
     handed.on_taken("job", "b", 0)
     assert handed.holder("job") == "a"
-    assert not handed.expire(["a"], HANDED_MS - 1)
+    assert not handed.expire(["a"], HANDOVER_EXPIRY_MS - 1)
     handed.on_given_back("job", "b")
     assert handed.holder("job") == "a"
     assert handed.expire(["b"], 1)
     handed.on_taken("job", "b", 1)
-    assert handed.expire(["b"], 1 + HANDED_MS)
+    assert handed.expire(["b"], 1 + HANDOVER_EXPIRY_MS)
     handed.on_taken("job", "b", 0)
     handed.on_given_back("job", "b")
     assert handed.holder("job") is None
--- a/tests/test_policy_orphans.py
+++ b/tests/test_policy_orphans.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from papayapier.policy.orphans import LOOKERS, NEXT_LOOK_MS, Answered, OrphanWatch
+from papayapier.policy.orphans import CHECK_INTERVAL_MS, MAX_WATCHERS, Answered, OrphanWatch
 from papayapier.policy.ownership import owner
 from papayapier.policy.rendezvous import score
 
@@ -55,7 +55,9 @@
     fleet.run(60_000)
     assert all(fleet.runners(job) == [owner(job, KEEPERS)] for job in JOBS)
     # Each job is looked after by three, each six seconds.
-    assert fleet.asked <= 10 * min(LOOKERS * len(JOBS), len(KEEPERS) * (len(KEEPERS) - 1)) + 132
+    assert (
+        fleet.asked <= 10 * min(MAX_WATCHERS * len(JOBS), len(KEEPERS) * (len(KEEPERS) - 1)) + 132
+    )
 
 
 @pytest.mark.parametrize("dead", [1, 2])
@@ -118,7 +120,7 @@
     watch = OrphanWatch("a")
     watch.take("job", "b", 0)
     assert watch.taken("job")
-    assert look_until_due(watch, 0) == NEXT_LOOK_MS
-    watch.give_back("job", NEXT_LOOK_MS)
+    assert look_until_due(watch, 0) == CHECK_INTERVAL_MS
+    watch.give_back("job", CHECK_INTERVAL_MS)
     assert not watch.taken("job")
-    assert look_until_due(watch, NEXT_LOOK_MS) == NEXT_LOOK_MS
+    assert look_until_due(watch, CHECK_INTERVAL_MS) == CHECK_INTERVAL_MS
--- a/tests/test_shared_blame.py
+++ b/tests/test_shared_blame.py
@@ -2,22 +2,22 @@
 
 import pytest
 
-from papayapier.policy.first_byte import FLOOR_MS, LEAST_FLOOR_MS, FirstByteTimes
+from papayapier.policy.first_byte import FLOOR_MS, MIN_PLACED_LIMIT_MS, FirstByteTimes
 from papayapier.policy.shared_blame import (
-    FAILURES,
-    FIRST_MS,
+    FAILURE_WINDOW_MS,
+    FIRST_AVOIDED_MS,
     LONGEST_MS,
-    TRIAL_EVERY_MS,
-    TRIAL_MS,
-    WITHIN_MS,
+    MIN_FAILURES,
+    TRIAL_INTERVAL_MS,
+    TRIAL_PERIOD_MS,
     SharedBlame,
 )
 
 
 def blamed(at: int = 0) -> SharedBlame:
     blame = SharedBlame()
-    told = [blame.on_failed("r1", f"entry-{n}", at) for n in range(FAILURES)]
-    assert told == [False] * (FAILURES - 1) + [True]
+    told = [blame.on_failed("r1", f"entry-{n}", at) for n in range(MIN_FAILURES)]
+    assert told == [False] * (MIN_FAILURES - 1) + [True]
     return blame
 
 
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize(
     ("tellers", "gap_ms"),
-    [(["e1"] * 6, 10), (["e1", "e2"] * 3, WITHIN_MS), (["e1", "e2"], 0)],
+    [(["e1"] * 6, 10), (["e1", "e2"] * 3, FAILURE_WINDOW_MS), (["e1", "e2"], 0)],
 )
 def test_one_instance_or_a_failure_now_and_then_are_not(tellers: list[str], gap_ms: int) -> None:
     # Failure: an instance whose own network is cut takes a replica out of use for all.
@@ -43,18 +43,18 @@
 def test_single_calls_try_it_again() -> None:
     # Failure: a replica that is back gets nothing, or one that is not draws all calls at once.
     blame = blamed()
-    blame.on_given("r1", FIRST_MS - 1)
-    assert blame.avoided("r1", FIRST_MS - 1)
-    assert blame.avoided("r1", FIRST_MS)
-    assert not blame.avoided("r1", FIRST_MS + TRIAL_EVERY_MS)
-    blame.on_given("r1", FIRST_MS + TRIAL_EVERY_MS)
-    assert blame.avoided("r1", FIRST_MS + TRIAL_EVERY_MS + 1)
-    assert not blame.avoided("r1", FIRST_MS + TRIAL_MS)
+    blame.on_given("r1", FIRST_AVOIDED_MS - 1)
+    assert blame.avoided("r1", FIRST_AVOIDED_MS - 1)
+    assert blame.avoided("r1", FIRST_AVOIDED_MS)
+    assert not blame.avoided("r1", FIRST_AVOIDED_MS + TRIAL_INTERVAL_MS)
+    blame.on_given("r1", FIRST_AVOIDED_MS + TRIAL_INTERVAL_MS)
+    assert blame.avoided("r1", FIRST_AVOIDED_MS + TRIAL_INTERVAL_MS + 1)
+    assert not blame.avoided("r1", FIRST_AVOIDED_MS + TRIAL_PERIOD_MS)
 
 
 def test_a_failed_trial_is_enough_and_costs_more_time_each() -> None:
     blame = blamed()
-    until, now = FIRST_MS, FIRST_MS
+    until, now = FIRST_AVOIDED_MS, FIRST_AVOIDED_MS
     for _ in range(6):
         now = until + 1
         assert not blame.avoided("r1", now)
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    ("objective_ms", "floor_ms"), [(300, 165), (0, FLOOR_MS), (50, LEAST_FLOOR_MS)]
+    ("objective_ms", "floor_ms"), [(300, 165), (0, FLOOR_MS), (50, MIN_PLACED_LIMIT_MS)]
 )
 def test_a_placed_call_is_given_up_while_another_can_be_in_time(
     objective_ms: int, floor_ms: int
