--- a/papayapier/policy/__init__.py
+++ b/papayapier/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decide, without I/O: state, event and time in, decisions out."""
+"""Make decisions without I/O, as functions of state, event and time."""
--- a/papayapier/policy/admission.py
+++ b/papayapier/policy/admission.py
@@ -1,19 +1,19 @@
-"""Queue online requests, start them in a fair order, and refuse early what would be late.
-
-Each upstream has a queue of its own (fair_queue.py), so that one whose replicas are full or
-gone holds up nobody else. A request is refused the moment its estimated wait and run would
-pass its due time, both when it comes and later, if the upstream has become slower meanwhile:
-a caller that hears at once can go elsewhere or retry, while one that is held until its due
-time has lost that time and has taken queue room for nothing. Under overload that is also what
-keeps the goodput up, because no replica works on answers that come too late.
-
-An answer may still be wanted after it is due. Such a request is refused while its caller can
-come back in time, and from then on stands behind all that can be in time: the next refusal
-may be its last word.
-
-The queue's room is shared by a threshold that moves: nobody may hold more than is still free.
-One caller alone can fill half, two a third each, and a new one always finds room. An upstream
-may have three times the free room waiting, which is three quarters of the queue when alone.
+"""Queue online requests, start them in a fair order, and refuse early those that would be late.
+
+Each upstream has its own queue (fair_queue.py), so that an upstream whose replicas are full or lost
+delays no other. A request is refused as soon as its estimated wait and run would exceed its due
+time, both on arrival and later, if the upstream has become slower meanwhile: a caller that is
+refused at once can go elsewhere or retry, while one that is queued until its due time has lost that
+time and has taken a place in the queue for nothing. Under overload this also keeps the goodput up,
+because no replica works on answers that arrive too late.
+
+An answer may still be wanted after it is due. Such a request is refused while its caller can retry
+in time, and from then on ranks behind all that can be in time, as the next refusal may be final.
+
+The queue's capacity is shared by a dynamic threshold: no caller may queue more requests than there
+are free places. One caller alone can fill half, two a third each, and a new one always finds a
+place. An upstream may queue three times the free places, which is three quarters of the queue when
+alone.
 """
 
 from collections.abc import Callable
@@ -39,39 +39,39 @@
 
 
 class AdmissionQueue:
-    """Hold the queued online requests of this instance."""
+    """Queue the online requests of this instance."""
 
     def __init__(self, max_queued: int) -> None:
         self._max_queued = max_queued
         self._entries: dict[int, Waiting] = {}
-        self._late: dict[int, Waiting] = {}
+        self._expired: dict[int, Waiting] = {}
         self._queues: dict[str, FairQueue] = {}
-        # Those that nobody waits in, which know who was served lately.
-        self._idle: dict[str, FairQueue] = {}
+        # Empty queues, which remember which callers were served recently.
+        self._idle_queues: dict[str, FairQueue] = {}
         self._rates: dict[str, ServiceRate] = {}
         self._by_caller: dict[str, int] = {}
-        self._reviewed_ms = 0
-        self._now = 0
+        self._last_review_ms = 0
+        self._now_ms = 0
 
     def offer(self, entry: Waiting, now: int) -> Result[None, Refusal]:
         """Queue a request, or refuse it at once."""
-        self._now = now
-        refusal = self._full(entry, now)
+        self._now_ms = now
+        refusal = self._refuse_if_full(entry, now)
         if refusal is not None:
             return Err(refusal)
         queue = self._queues.get(entry.upstream)
-        if queue is not None and self._too_late(entry, queue, now):
+        if queue is not None and self._would_be_late(entry, queue, now):
             if entry.may_return(now) or entry.give_up_ms <= entry.due_ms:
-                return Err(self._would_be_late(entry, now))
+                return Err(self._late_refusal(entry, now))
             entry = entry.as_late()
-            if self._too_late(entry, queue, now):
-                return Err(self._would_be_late(entry, now))
+            if self._would_be_late(entry, queue, now):
+                return Err(self._late_refusal(entry, now))
         self._add(entry)
         return Ok(None)
 
     def take(self, now: int, can_start: Callable[[str], bool]) -> Waiting | None:
-        """Return the next request to start, or None; can_start answers for an upstream."""
-        self._now = now
+        """Return the next request to start, or None; can_start checks an upstream."""
+        self._now_ms = now
         for upstream in list(self._queues):
             if not can_start(upstream):
                 self._rate(upstream).on_backlog(now)
@@ -82,12 +82,12 @@
         return None
 
     def put_back(self, entry: Waiting) -> None:
-        """Queue a request again that was taken and could not be started."""
+        """Queue a request again that was taken but could not be started."""
         self._add(entry)
 
     def leave(self, ticket: int) -> bool:
-        """Take a request out; False means that it was no longer queued."""
-        if self._late.pop(ticket, None) is not None:
+        """Remove a request; return whether it was still queued."""
+        if self._expired.pop(ticket, None) is not None:
             return True
         entry = self._entries.get(ticket)
         if entry is None:
@@ -97,18 +97,18 @@
         return True
 
     def expired(self, now: int) -> list[Waiting]:
-        """Take out and return the requests that will not be answered in time."""
-        self._now = now
-        if now >= self._reviewed_ms + max(REVIEW_MS, REVIEW_MS_PER_ENTRY * self.depth()):
-            self._reviewed_ms = now
+        """Remove and return the requests that will not be answered in time."""
+        self._now_ms = now
+        if now >= self._last_review_ms + max(REVIEW_MS, REVIEW_MS_PER_ENTRY * self.depth()):
+            self._last_review_ms = now
             for upstream in list(self._queues):
                 self._review(upstream, now)
-        late = list(self._late.values())
-        self._late.clear()
+        late = list(self._expired.values())
+        self._expired.clear()
         return late
 
     def retry_after_ms(self, entry: Waiting, now: int) -> int:
-        """Return after what time a request like this is likely to be in time."""
+        """Return after what time a request like this one is likely to be in time."""
         rate = self._rate(entry.upstream).per_ms(now)
         queue = self._queues.get(entry.upstream)
         if rate is None or queue is None:
@@ -120,7 +120,7 @@
         return int(min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, over)))
 
     def rate_per_ms(self, upstream: str, now: int) -> float | None:
-        """Return how many requests of an upstream start per ms, or None when not known."""
+        """Return how many requests of an upstream start per ms, or None if unknown."""
         return self._rate(upstream).per_ms(now)
 
     def waiting(self, upstream: str) -> int:
@@ -130,7 +130,7 @@
 
     def depth(self) -> int:
         """Return how many requests are queued."""
-        return len(self._entries) + len(self._late)
+        return len(self._entries) + len(self._expired)
 
     def queued_by(self, caller: str) -> int:
         """Return how many requests of a caller are queued."""
@@ -143,18 +143,18 @@
     def on_ended(
         self, upstream: str, cost: float, started_ms: int, now: int, profile: str = ""
     ) -> None:
-        """Count the end of a request; only with its profile is its duration learnt."""
+        """Count the end of a request; its duration is learnt only if its profile is given."""
         self._rate(upstream).on_ended(cost, profile, float(now - started_ms))
 
     def _add(self, entry: Waiting) -> None:
         self._entries[entry.ticket] = entry
         self._by_caller[entry.caller] = self._by_caller.get(entry.caller, 0) + 1
         if entry.upstream not in self._queues:
-            idle = self._idle.pop(entry.upstream, None)
+            idle = self._idle_queues.pop(entry.upstream, None)
             self._queues[entry.upstream] = FairQueue() if idle is None else idle
         self._queues[entry.upstream].add(entry)
 
-    def _full(self, entry: Waiting, now: int) -> Refusal | None:
+    def _refuse_if_full(self, entry: Waiting, now: int) -> Refusal | None:
         if now >= entry.due_ms:
             return not_run(ErrorKind.DEADLINE, "the due time has passed")
         free = self._max_queued - len(self._entries)
@@ -170,28 +170,28 @@
             return not_run(ErrorKind.OVERLOADED, reason, self.retry_after_ms(entry, now))
         return None
 
-    def _would_be_late(self, entry: Waiting, now: int) -> Refusal:
+    def _late_refusal(self, entry: Waiting, now: int) -> Refusal:
         reason = "the estimated wait would pass the due time"
         return not_run(ErrorKind.OVERLOADED, reason, self.retry_after_ms(entry, now))
 
-    def _too_late(self, entry: Waiting, queue: FairQueue, now: int) -> bool:
+    def _would_be_late(self, entry: Waiting, queue: FairQueue, now: int) -> bool:
         rate = self._rate(entry.upstream)
         needed = rate.duration_ms(entry.profile)
         ahead = queue.cost_ahead(entry)
-        return _late(entry, ahead, rate.per_ms(now), needed, ADMIT_TOLERANCE, now)
+        return _is_late(entry, ahead, rate.per_ms(now), needed, ADMIT_TOLERANCE, now)
 
     def _take_from(self, upstream: str, now: int) -> Waiting | None:
         rate = self._rate(upstream)
         while upstream in self._queues:
             entry = self._queues[upstream].take()
             self._forget(entry)
-            # A request that was just offered is started without looking at the usual
-            # duration. Else a duration learnt while the upstream was slow would refuse
-            # everything, nothing would run, and the wrong duration would stand forever.
+            # A request that was just offered is started without regard to the typical duration.
+            # Otherwise a duration learnt while the upstream was slow would refuse all requests,
+            # nothing would run, and the wrong duration would never be corrected.
             waited = now > entry.enqueued_ms
             needed = rate.duration_ms(entry.profile) if waited else 0.0
             if now + needed >= entry.due_ms:
-                self._past_due(entry, now)
+                self._on_past_due(entry, now)
                 continue
             rate.on_taken(entry.cost, now)
             if upstream in self._queues:
@@ -200,22 +200,22 @@
         return None
 
     def _review(self, upstream: str, now: int) -> None:
-        """Give up the requests that the upstream's present rate would make late."""
+        """Expire the requests that would be late at the upstream's present rate."""
         rate = self._rate(upstream)
         per_ms = rate.per_ms(now)
         late = []
         for entry, ahead in self._queues[upstream].costs_ahead():
             needed = rate.duration_ms(entry.profile)
-            if _late(entry, ahead, per_ms, needed, REVIEW_TOLERANCE, now):
+            if _is_late(entry, ahead, per_ms, needed, REVIEW_TOLERANCE, now):
                 late.append(entry)
         for entry in late:
             self.leave(entry.ticket)
-            self._past_due(entry, now)
+            self._on_past_due(entry, now)
 
-    def _past_due(self, entry: Waiting, now: int) -> None:
-        """Queue a request behind those that can be in time, or have it refused."""
+    def _on_past_due(self, entry: Waiting, now: int) -> None:
+        """Queue a request behind those that can be in time, or expire it."""
         if entry.late or entry.may_return(now) or entry.give_up_ms <= entry.due_ms:
-            self._late[entry.ticket] = entry
+            self._expired[entry.ticket] = entry
         else:
             self._add(entry.as_late())
 
@@ -225,14 +225,14 @@
         if left:
             self._by_caller[entry.caller] = left
         if not len(self._queues[entry.upstream]):
-            self._idle[entry.upstream] = self._queues.pop(entry.upstream)
-            self._rate(entry.upstream).on_empty(self._now)
+            self._idle_queues[entry.upstream] = self._queues.pop(entry.upstream)
+            self._rate(entry.upstream).on_empty(self._now_ms)
 
     def _rate(self, upstream: str) -> ServiceRate:
         return self._rates.setdefault(upstream, ServiceRate())
 
 
-def _late(
+def _is_late(
     entry: Waiting,
     ahead: float,
     per_ms: float | None,
@@ -240,7 +240,7 @@
     tolerance: float,
     now: int,
 ) -> bool:
-    """Tell whether a request would be late; a higher tolerance gives it more of a chance."""
+    """Tell whether a request would be late; a higher tolerance is more optimistic."""
     left = entry.due_ms - now
     if needed_ms >= left:
         return True
--- a/papayapier/policy/deadlines.py
+++ b/papayapier/policy/deadlines.py
@@ -1,4 +1,4 @@
-"""Order batch jobs by due time and by what remains of them."""
+"""Order batch jobs by due time and by the items that remain."""
 
 from collections.abc import Sequence
 from typing import Final, NamedTuple
@@ -7,7 +7,7 @@
 
 
 class JobLoad(NamedTuple):
-    """Describe what is left of a job; rate is its items per ms so far, 0 when unknown."""
+    """Describe what is left of a job; rate is its items per ms so far, 0 if unknown."""
 
     job_id: str
     caller: str
@@ -18,7 +18,7 @@
 
 
 def order(jobs: Sequence[JobLoad], now_wall: int) -> list[str]:
-    """Return the jobs' ids, the one to be served first in front."""
+    """Return the jobs' ids, the one to serve first in front."""
     left = [job for job in jobs if job.items_left > 0]
     return [job.job_id for job in sorted(left, key=lambda job: (_slack(job, now_wall), job.job_id))]
 
--- a/papayapier/policy/drain.py
+++ b/papayapier/policy/drain.py
@@ -1,8 +1,8 @@
-"""Decide the steps of a planned stop of this instance.
+"""Decide the stages of a planned stop of this instance.
 
-The balancer goes on sending for some time after the instance is marked leaving. An instance
-that stops accepting at once would refuse those requests, so it serves until that time is
-over, then refuses new ones, and ends when nothing is in flight.
+The load balancer keeps sending for some time after the instance is marked leaving. An instance that
+stops accepting at once would refuse those requests, so it serves until that time is over, then
+refuses new ones, and stops when nothing is in flight.
 """
 
 from typing import NamedTuple, Protocol
@@ -11,26 +11,26 @@
 
 
 class DrainPlan(NamedTuple):
-    """Set the pace of a planned stop; times are in ms."""
+    """Set the timing of a planned stop, in ms."""
 
     balancer_lag_ms: int
     limit_ms: int
 
 
-class Stages(Protocol):
-    """Describe the inputs of the stages of a stop."""
+class StopStages(Protocol):
+    """Describe the inputs of the state machine of a stop."""
 
     def leave(self) -> None:
-        """Take the order to stop."""
+        """Handle the order to stop."""
 
-    def balancer_passed(self) -> None:
-        """Take that the balancer no longer sends here."""
+    def on_balancer_lag_over(self) -> None:
+        """Handle that the load balancer no longer sends here."""
 
-    def emptied(self) -> None:
-        """Take that nothing is in flight."""
+    def on_idle(self) -> None:
+        """Handle that nothing is in flight."""
 
     def abandon(self) -> None:
-        """Take that the stop cannot wait any longer."""
+        """Handle that the stop cannot wait any longer."""
 
     def name(self) -> str:
         """Return the stage."""
@@ -40,38 +40,38 @@
     __slots__ = ()
 
 
-_builder = TypeMachineBuilder(Stages, _Core)
+_builder = TypeMachineBuilder(StopStages, _Core)
 _serving = _builder.state("serving")
 _leaving = _builder.state("leaving")
 _draining = _builder.state("draining")
 _stopped = _builder.state("stopped")
 
-_serving.upon(Stages.leave).to(_leaving).returns(None)
-_leaving.upon(Stages.leave).loop().returns(None)
-_draining.upon(Stages.leave).loop().returns(None)
-_stopped.upon(Stages.leave).loop().returns(None)
+_serving.upon(StopStages.leave).to(_leaving).returns(None)
+_leaving.upon(StopStages.leave).loop().returns(None)
+_draining.upon(StopStages.leave).loop().returns(None)
+_stopped.upon(StopStages.leave).loop().returns(None)
 
-_serving.upon(Stages.balancer_passed).loop().returns(None)
-_leaving.upon(Stages.balancer_passed).to(_draining).returns(None)
-_draining.upon(Stages.balancer_passed).loop().returns(None)
-_stopped.upon(Stages.balancer_passed).loop().returns(None)
+_serving.upon(StopStages.on_balancer_lag_over).loop().returns(None)
+_leaving.upon(StopStages.on_balancer_lag_over).to(_draining).returns(None)
+_draining.upon(StopStages.on_balancer_lag_over).loop().returns(None)
+_stopped.upon(StopStages.on_balancer_lag_over).loop().returns(None)
 
-_serving.upon(Stages.emptied).loop().returns(None)
-_leaving.upon(Stages.emptied).loop().returns(None)
-_draining.upon(Stages.emptied).to(_stopped).returns(None)
-_stopped.upon(Stages.emptied).loop().returns(None)
+_serving.upon(StopStages.on_idle).loop().returns(None)
+_leaving.upon(StopStages.on_idle).loop().returns(None)
+_draining.upon(StopStages.on_idle).to(_stopped).returns(None)
+_stopped.upon(StopStages.on_idle).loop().returns(None)
 
-_serving.upon(Stages.abandon).to(_stopped).returns(None)
-_leaving.upon(Stages.abandon).to(_stopped).returns(None)
-_draining.upon(Stages.abandon).to(_stopped).returns(None)
-_stopped.upon(Stages.abandon).loop().returns(None)
+_serving.upon(StopStages.abandon).to(_stopped).returns(None)
+_leaving.upon(StopStages.abandon).to(_stopped).returns(None)
+_draining.upon(StopStages.abandon).to(_stopped).returns(None)
+_stopped.upon(StopStages.abandon).loop().returns(None)
 
-_serving.upon(Stages.name).loop().returns("serving")
-_leaving.upon(Stages.name).loop().returns("leaving")
-_draining.upon(Stages.name).loop().returns("draining")
-_stopped.upon(Stages.name).loop().returns("stopped")
+_serving.upon(StopStages.name).loop().returns("serving")
+_leaving.upon(StopStages.name).loop().returns("leaving")
+_draining.upon(StopStages.name).loop().returns("draining")
+_stopped.upon(StopStages.name).loop().returns("stopped")
 
-_make_stages = _builder.build()
+_build_stages = _builder.build()
 
 
 class Drain:
@@ -79,23 +79,26 @@
 
     def __init__(self, plan: DrainPlan) -> None:
         self._plan = plan
-        self._stages = _make_stages(_Core())
+        self._stages = _build_stages(_Core())
         self._began = 0
 
     def leave(self, now: int) -> None:
-        """Begin the stop; later orders change nothing."""
+        """Begin the stop; later orders have no effect."""
         if self.state() == "serving":
             self._began = now
         self._stages.leave()
 
     def tick(self, now: int, in_flight: int) -> str:
-        """Take the time and what is left (queued, running, streaming); return the state."""
+        """Advance the stop; return the state.
+
+        in_flight counts what is left: queued, running and streaming calls.
+        """
         if self.state() == "serving":
             return "serving"
         if now >= self._began + self._plan.balancer_lag_ms:
-            self._stages.balancer_passed()
+            self._stages.on_balancer_lag_over()
         if in_flight == 0:
-            self._stages.emptied()
+            self._stages.on_idle()
         if now >= self._began + self._plan.limit_ms:
             self._stages.abandon()
         return self.state()
@@ -109,5 +112,5 @@
         return self._stages.name()
 
     def accepts(self) -> bool:
-        """Tell whether new requests are still taken."""
+        """Tell whether new requests are still accepted."""
         return self.state() in ("serving", "leaving")
--- a/papayapier/policy/fair_queue.py
+++ b/papayapier/policy/fair_queue.py
@@ -1,14 +1,14 @@
 """Order the queued requests of one upstream fairly.
 
-Start-time fair queueing, twice: between ranks by weight, and inside a rank between callers.
-Each has a tag, the virtual time at which its next request may start; the lowest tag is served
-and moves on by cost / weight. Someone who comes back after being idle starts at the
-present virtual time and not in the past, so idling earns no burst, and keeps the tag of its
-last request, so asking one request at a time gives no advantage. A weight, unlike a strict
-order, cannot starve anybody. A caller's own requests go in the order of their due times.
-
-Those that can no longer be in time stand behind all that can: served first, they would make
-one more late for each of them.
+Start-time fair queueing, on two levels: between ranks by weight, and within a rank between callers.
+Each has a tag, the virtual time at which its next request may start; the lowest tag is served and
+advances by cost / weight. A caller that returns after being idle starts at the present virtual time
+instead of in the past, so that idling earns no burst, and keeps the tag of its last request, so
+that sending one request at a time gives no advantage. A weight, unlike strict priority, cannot
+starve anybody. A caller's own requests are ordered by due time.
+
+Requests that can no longer be in time rank behind all that can: served first, each of them would
+make one more late.
 """
 
 import heapq
@@ -20,17 +20,17 @@
 from papayapier.config.profiles import Urgency
 
 RANKS: Final[dict[Urgency, int]] = {"urgent": 0, "normal": 1, "batch": 2}
-# Parts of the ranks; each one beyond them has half of the one before.
+# Weights of the ranks; each further rank has half the weight of the one before.
 WEIGHTS: Final = (8.0, 2.0, 1.0)
 MAX_IDLE_TAGS: Final = 256
 
 
 class Waiting(NamedTuple):
-    """Describe one queued request; all times but cost are ms on the monotonic clock.
+    """Describe one queued request; all times are ms on the monotonic clock.
 
-    rank 0 is the most urgent. Until give_up_ms an answer is still wanted though due_ms has
-    passed; 0 says that it is not. Until return_by_ms a refusal lets its caller come back in
-    time; None says that it always does. late says that it can no longer be in time.
+    rank 0 is the most urgent. Until give_up_ms an answer is still wanted although due_ms has
+    passed; 0 says that it is not. Until return_by_ms a refused caller can retry in time; None says
+    that it always can. late says that the request can no longer be in time.
     """
 
     ticket: int
@@ -46,42 +46,42 @@
     late: bool = False
 
     def may_return(self, now: int) -> bool:
-        """Tell whether refusing it now still lets its caller come back in time."""
+        """Tell whether its caller, if refused now, can still retry in time."""
         return self.return_by_ms is None or now < self.return_by_ms
 
     def as_late(self) -> "Waiting":
-        """Return it as one that is due when its caller gives up."""
+        """Return a copy marked late that is due when its caller gives up."""
         return self._replace(due_ms=self.give_up_ms, late=True)
 
 
 def weight_of(rank: int) -> float:
-    """Return the part of a rank in what is served, against those of the others."""
+    """Return the weight of a rank relative to the others."""
     if rank < len(WEIGHTS):
         return WEIGHTS[max(0, rank)]
     return float(WEIGHTS[-1] / 2 ** (rank - len(WEIGHTS) + 1))
 
 
 class _Caller:
-    """Hold one caller's requests of one rank; serial tells its place in the heap."""
+    """Hold one caller's requests of one rank; serial identifies its entry in the heap."""
 
-    __slots__ = ("cost", "order", "serial", "tag")
+    __slots__ = ("cost", "serial", "sorted_requests", "tag")
 
     def __init__(self, tag: float, serial: int) -> None:
-        self.order: list[tuple[int, int]] = []
+        self.sorted_requests: list[tuple[int, int]] = []
         self.cost = 0.0
         self.tag = tag
         self.serial = serial
 
 
-class _Class:
+class _RankQueue:
     """Hold the requests of one rank."""
 
-    __slots__ = ("callers", "cost", "heap", "now", "serial", "tag", "tags", "weight")
+    __slots__ = ("callers", "cost", "heap", "serial", "tag", "tags", "virtual_time", "weight")
 
     def __init__(self, weight: float) -> None:
         self.weight = weight
         self.tag = 0.0
-        self.now = 0.0
+        self.virtual_time = 0.0
         self.cost = 0.0
         self.serial = 0
         self.callers: dict[str, _Caller] = {}
@@ -91,38 +91,40 @@
     def add(self, entry: Waiting) -> None:
         caller = self.callers.get(entry.caller)
         if caller is None:
-            caller = self._enter(entry.caller)
-        insort(caller.order, (entry.due_ms, entry.ticket))
+            caller = self._add_caller(entry.caller)
+        insort(caller.sorted_requests, (entry.due_ms, entry.ticket))
         caller.cost += entry.cost
         self.cost += entry.cost
 
     def remove(self, entry: Waiting) -> None:
         caller = self.callers[entry.caller]
-        del caller.order[bisect_left(caller.order, (entry.due_ms, entry.ticket))]
+        del caller.sorted_requests[
+            bisect_left(caller.sorted_requests, (entry.due_ms, entry.ticket))
+        ]
         caller.cost -= entry.cost
         self.cost -= entry.cost
-        if not caller.order:
+        if not caller.sorted_requests:
             del self.callers[entry.caller]
             self._keep_tag(entry.caller, caller.tag)
 
     def next_caller(self) -> str:
-        """Return the caller to serve, with its entry taken off the heap."""
+        """Return the caller to serve, with its entry removed from the heap."""
         while True:
             tag, serial, name = heapq.heappop(self.heap)
             caller = self.callers.get(name)
             if caller is not None and caller.serial == serial:
-                self.now = max(self.now, tag)
+                self.virtual_time = max(self.virtual_time, tag)
                 return name
 
     def served(self, name: str, cost: float) -> None:
-        """Move a caller on after its request; call before the request is removed."""
+        """Advance a caller's tag after its request; call before the request is removed."""
         caller = self.callers[name]
         caller.tag += cost
         heapq.heappush(self.heap, (caller.tag, caller.serial, name))
 
-    def _enter(self, name: str) -> _Caller:
+    def _add_caller(self, name: str) -> _Caller:
         self.serial += 1
-        caller = _Caller(max(self.now, self.tags.pop(name, 0.0)), self.serial)
+        caller = _Caller(max(self.virtual_time, self.tags.pop(name, 0.0)), self.serial)
         self.callers[name] = caller
         heapq.heappush(self.heap, (caller.tag, caller.serial, name))
         return caller
@@ -130,118 +132,123 @@
     def _keep_tag(self, name: str, tag: float) -> None:
         self.tags[name] = tag
         if len(self.tags) > MAX_IDLE_TAGS:
-            self.tags = {key: kept for key, kept in self.tags.items() if kept > self.now}
+            self.tags = {
+                key: tag_kept for key, tag_kept in self.tags.items() if tag_kept > self.virtual_time
+            }
 
 
-class _Line:
+class _WeightedRanks:
     """Hold the requests that can be in time, or those that cannot."""
 
     def __init__(self) -> None:
         self._entries: dict[int, Waiting] = {}
-        self._classes: dict[int, _Class] = {}
-        self._now = 0.0
+        self._rank_queues: dict[int, _RankQueue] = {}
+        self._virtual_time = 0.0
         self.cost = 0.0
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def add(self, entry: Waiting) -> None:
-        group = self._class(entry.rank)
-        if not group.callers:
-            group.tag = max(group.tag, self._now)
-        group.add(entry)
+        rank_queue = self._rank_queue(entry.rank)
+        if not rank_queue.callers:
+            rank_queue.tag = max(rank_queue.tag, self._virtual_time)
+        rank_queue.add(entry)
         self.cost += entry.cost
         self._entries[entry.ticket] = entry
 
     def remove(self, entry: Waiting) -> None:
         del self._entries[entry.ticket]
         self.cost -= entry.cost
-        self._classes[entry.rank].remove(entry)
+        self._rank_queues[entry.rank].remove(entry)
 
     def take(self) -> Waiting:
-        group = min((g for g in self._classes.values() if g.callers), key=lambda g: g.tag)
-        self._now = max(self._now, group.tag)
-        name = group.next_caller()
-        entry = self._entries[group.callers[name].order[0][1]]
-        group.tag += entry.cost / group.weight
-        group.served(name, entry.cost)
+        rank_queue = min(
+            (queue for queue in self._rank_queues.values() if queue.callers),
+            key=lambda queue: queue.tag,
+        )
+        self._virtual_time = max(self._virtual_time, rank_queue.tag)
+        name = rank_queue.next_caller()
+        entry = self._entries[rank_queue.callers[name].sorted_requests[0][1]]
+        rank_queue.tag += entry.cost / rank_queue.weight
+        rank_queue.served(name, entry.cost)
         self.remove(entry)
         return entry
 
     def cost_ahead(self, entry: Waiting) -> float:
-        group = self._class(entry.rank)
-        caller = group.callers.get(entry.caller)
+        rank_queue = self._rank_queue(entry.rank)
+        caller = rank_queue.callers.get(entry.caller)
         own = entry.cost + (self._due_before(caller, entry) if caller else 0.0)
-        others = sum([one.cost if one.cost < own else own for one in group.callers.values()])
+        others = sum([one.cost if one.cost < own else own for one in rank_queue.callers.values()])
         if caller is not None:
             others -= min(caller.cost, own)
         ahead = own - entry.cost + others
-        return ahead + self._other_classes(group, ahead + entry.cost)
+        return ahead + self._cost_of_other_ranks(rank_queue, ahead + entry.cost)
 
     def costs_ahead(self) -> Iterator[tuple[Waiting, float]]:
-        for group in self._classes.values():
-            callers = sorted(caller.cost for caller in group.callers.values())
+        for rank_queue in self._rank_queues.values():
+            callers = sorted(caller.cost for caller in rank_queue.callers.values())
             sums = [0.0, *accumulate(callers)]
-            for caller in group.callers.values():
+            for caller in rank_queue.callers.values():
                 before = 0.0
-                for _, ticket in caller.order:
+                for _, ticket in caller.sorted_requests:
                     entry = self._entries[ticket]
                     own = before + entry.cost
                     smaller = bisect_right(callers, own)
                     others = sums[smaller] + own * (len(callers) - smaller) - own
                     ahead = before + max(0.0, others)
-                    yield entry, ahead + self._other_classes(group, ahead + entry.cost)
+                    yield entry, ahead + self._cost_of_other_ranks(rank_queue, ahead + entry.cost)
                     before = own
 
-    def _class(self, rank: int) -> _Class:
-        group = self._classes.get(rank)
-        if group is None:
-            group = self._classes[rank] = _Class(weight_of(rank))
-        return group
+    def _rank_queue(self, rank: int) -> _RankQueue:
+        rank_queue = self._rank_queues.get(rank)
+        if rank_queue is None:
+            rank_queue = self._rank_queues[rank] = _RankQueue(weight_of(rank))
+        return rank_queue
 
     def _due_before(self, caller: _Caller, entry: Waiting) -> float:
-        place = bisect_left(caller.order, (entry.due_ms, entry.ticket))
-        return caller.cost * place / len(caller.order)
+        index = bisect_left(caller.sorted_requests, (entry.due_ms, entry.ticket))
+        return caller.cost * index / len(caller.sorted_requests)
 
-    def _other_classes(self, group: _Class, ahead: float) -> float:
-        """Return what other ranks are served while a class is served that much."""
-        others = (other for other in self._classes.values() if other is not group)
-        return sum(min(other.cost, ahead * other.weight / group.weight) for other in others)
+    def _cost_of_other_ranks(self, rank_queue: _RankQueue, ahead: float) -> float:
+        """Return the cost that other ranks are served while a rank is served a given cost."""
+        others = (other for other in self._rank_queues.values() if other is not rank_queue)
+        return sum(min(other.cost, ahead * other.weight / rank_queue.weight) for other in others)
 
 
 class FairQueue:
     """Hold the queued requests of one upstream."""
 
     def __init__(self) -> None:
-        self._in_time = _Line()
-        self._late = _Line()
+        self._in_time = _WeightedRanks()
+        self._late = _WeightedRanks()
 
     def __len__(self) -> int:
         return len(self._in_time) + len(self._late)
 
     def add(self, entry: Waiting) -> None:
         """Queue a request."""
-        self._line(entry).add(entry)
+        self._queue_of(entry).add(entry)
 
     def remove(self, entry: Waiting) -> None:
-        """Take a request out wherever it stands."""
-        self._line(entry).remove(entry)
+        """Remove a request wherever it is queued."""
+        self._queue_of(entry).remove(entry)
 
     def take(self) -> Waiting:
-        """Take out the request that is to be served next; there must be one."""
-        line = self._in_time if len(self._in_time) else self._late
-        return line.take()
+        """Remove and return the request to serve next; there must be one."""
+        queue = self._in_time if len(self._in_time) else self._late
+        return queue.take()
 
     def cost_ahead(self, entry: Waiting) -> float:
         """Return the cost that would be served before a request that is not yet queued."""
         before = self._in_time.cost if entry.late else 0.0
-        return before + self._line(entry).cost_ahead(entry)
+        return before + self._queue_of(entry).cost_ahead(entry)
 
     def costs_ahead(self) -> Iterator[tuple[Waiting, float]]:
-        """Return each queued request with the cost that is served before it."""
+        """Yield each queued request with the cost that is served before it."""
         yield from self._in_time.costs_ahead()
         for entry, ahead in self._late.costs_ahead():
             yield entry, self._in_time.cost + ahead
 
-    def _line(self, entry: Waiting) -> _Line:
+    def _queue_of(self, entry: Waiting) -> _WeightedRanks:
         return self._late if entry.late else self._in_time
--- a/papayapier/policy/first_byte.py
+++ b/papayapier/policy/first_byte.py
@@ -1,21 +1,21 @@
 """Decide how long a request waits for the first byte of its answer before it is tried elsewhere.
 
-A replica that hangs takes requests and says nothing. Seen as requests that wait for all of
-their due time and are then refused, although other replicas are idle: the fixed first-byte
-timer must suit the slowest answer there is, and is often longer than the due time.
-
-The wait is therefore learnt per upstream the way TCP learns its retransmission timeout (RFC
-6298): the smoothed time to the first byte plus four times its mean deviation, with a floor.
-Waits that ran out are observed as well, so that an upstream which has become slow as a whole
-raises the limit, and is not flooded by repeats of requests that were under way. In any case
-a request leaves enough of its time for the attempts that it still has.
+A replica that hangs accepts requests and sends nothing. Requests then wait for all of their due
+time and are refused, although other replicas are idle: a fixed first-byte timeout must suit the
+slowest answer there is, and is often longer than the due time.
+
+The wait is therefore learnt per upstream the way TCP learns its retransmission timeout (RFC 6298):
+the smoothed time to the first byte plus four times its mean deviation, with a floor. Waits that
+timed out are observed as well, so that an upstream which has become slow as a whole raises the
+limit, and is not flooded with retries of requests that were in progress. In any case a request
+keeps enough of its time for its remaining attempts.
 """
 
 from typing import Final
 
 FLOOR_MS: Final = 1_000
-# A call that was given a free place begins at once. One that is silent for this part of the
-# objective can still be in time elsewhere.
+# A call that was given a free slot begins at once. If it has received nothing for this share of the
+# objective, it can still be in time elsewhere.
 PLACED_LIMIT_SHARE: Final = 0.55
 MIN_PLACED_LIMIT_MS: Final = 100
 SMOOTHING: Final = 1 / 8
@@ -24,8 +24,8 @@
 NO_LIMIT: Final = 0
 
 
-class _Row:
-    """Hold the smoothed time of one upstream, in milliseconds."""
+class _SmoothedTime:
+    """Hold the smoothed time of one upstream and its mean deviation, in milliseconds."""
 
     __slots__ = ("deviation", "smoothed")
 
@@ -38,20 +38,20 @@
     """Track the time to the first byte of each upstream's answers."""
 
     def __init__(self) -> None:
-        self._rows: dict[str, _Row] = {}
+        self._rows: dict[str, _SmoothedTime] = {}
 
     def observe(self, upstream: str, waited_ms: float) -> None:
-        """Take how long a request waited, for its first byte or in vain."""
+        """Record how long a request waited, for its first byte or until it timed out."""
         row = self._rows.get(upstream)
         if row is None:
-            self._rows[upstream] = _Row(waited_ms)
+            self._rows[upstream] = _SmoothedTime(waited_ms)
             return
         error = abs(waited_ms - row.smoothed)
         row.deviation += DEVIATION_SMOOTHING * (error - row.deviation)
         row.smoothed += SMOOTHING * (waited_ms - row.smoothed)
 
     def usual_ms(self, upstream: str) -> float:
-        """Return how long requests have waited lately, or 0 when not known."""
+        """Return the smoothed time to the first byte, or 0 if unknown."""
         row = self._rows.get(upstream)
         return 0.0 if row is None else row.smoothed
 
@@ -69,9 +69,9 @@
     def placed_limit_ms(
         self, upstream: str, left_ms: int, attempts_left: int, objective_ms: int
     ) -> int:
-        """Return how long an attempt may wait that was given a free place.
+        """Return how long an attempt may wait that was given a free slot.
 
-        What others wait for is a place; what is left varies little.
+        Other attempts wait for a slot; without that wait the time varies little.
         """
         limit_ms = self.limit_ms(upstream, left_ms, attempts_left)
         row = self._rows.get(upstream)
--- a/papayapier/policy/outliers.py
+++ b/papayapier/policy/outliers.py
@@ -1,14 +1,14 @@
 """Take replicas out of use that fail or are far slower than their siblings.
 
-A replica is ejected after some failures in a row, or when its time to the first token is far
-above the median of its siblings. The time of an ejection doubles with each one and is
-forgiven with time in good health. When it is over, the replica gets one call at a time until
-a few have gone well: if it is still broken, that costs one call and not a burst of them.
-
-Never more than a minority of an upstream's replicas is ejected: when most of them look bad,
-the cause is more likely on our side or in the load, and the rest could not carry it. Where
-the bound forbids an ejection (two replicas, for instance) a replica that fails still gets a
-penalty in routing; else it would look idle, because failing is quick, and draw all calls.
+A replica is ejected after several consecutive failures, or when its time to the first token is far
+above the median of its siblings. The duration of an ejection doubles with each one and decays with
+time in good health. When it is over, the replica gets one call at a time until a few have
+succeeded: if it is still broken, that costs one call instead of a burst of them.
+
+Never more than a minority of an upstream's replicas is ejected: when most of them look bad, the
+cause is more likely on this side or in the load, and the rest could not carry it. Where the bound
+forbids an ejection (two replicas, for instance) a replica that fails still gets a penalty in
+routing; otherwise it would look idle, because calls fail quickly, and attract all calls.
 """
 
 import math
@@ -36,16 +36,16 @@
 
 
 class Health(Protocol):
-    """Describe the inputs of a replica's state of health."""
+    """Describe the inputs of a replica's health state machine."""
 
     def eject(self) -> None:
-        """Take it out of use."""
+        """Take the replica out of use."""
 
     def end_ejection(self) -> None:
-        """Take that the time of the ejection is over."""
+        """Handle that the time of the ejection is over."""
 
     def recover(self) -> None:
-        """Take that enough probes went well."""
+        """Handle that enough probes succeeded."""
 
     def name(self) -> str:
         """Return the state."""
@@ -79,10 +79,11 @@
 _make_health = _builder.build()
 
 
-class _Row:
-    """Hold what is known of one replica; state repeats the machine's, which is slow to ask."""
+class _ReplicaHealth:
+    """Hold what is known of one replica; state caches the machine's, which is slow to query."""
 
     __slots__ = (
+        "ejected_until_ms",
         "ejections",
         "failed_ms",
         "failures",
@@ -93,7 +94,6 @@
         "probe_ms",
         "samples",
         "state",
-        "until_ms",
     )
 
     def __init__(self) -> None:
@@ -102,7 +102,7 @@
         self.failures = 0
         self.failed_ms = 0
         self.ejections = 0
-        self.until_ms = 0
+        self.ejected_until_ms = 0
         self.healthy_ms = 0
         self.probe_ms: int | None = None
         self.good_probes = 0
@@ -111,19 +111,19 @@
 
 
 class Outliers:
-    """Track the ends of calls and say which replicas are ejected."""
+    """Track the results of calls and decide which replicas are ejected."""
 
     def __init__(self) -> None:
-        self._rows: dict[str, _Row] = {}
+        self._rows: dict[str, _ReplicaHealth] = {}
         self._siblings: dict[str, list[str]] = {}
 
     def on_listed(self, replicas: Sequence[Replica]) -> None:
-        """Take the instance list's replicas."""
+        """Replace the list of replicas."""
         upstreams: dict[str, list[str]] = {}
         for replica in replicas:
             upstreams.setdefault(replica.upstream, []).append(replica.id)
         self._siblings = {r.id: upstreams[r.upstream] for r in replicas}
-        self._rows = {r.id: self._rows.get(r.id) or _Row() for r in replicas}
+        self._rows = {r.id: self._rows.get(r.id) or _ReplicaHealth() for r in replicas}
 
     def on_start(self, replica_id: str, now: int) -> None:
         """Count a call that was sent, which may be the probe of a returning replica."""
@@ -132,7 +132,7 @@
             row.probe_ms = now
 
     def on_end(self, replica_id: str, ok: bool, first_token_ms: float | None, now: int) -> None:
-        """Take the end of a call; not ok means that the replica failed it."""
+        """Record the end of a call; not ok means that the replica failed it."""
         row = self._rows.get(replica_id)
         if row is None or row.state == "ejected":
             return
@@ -145,7 +145,7 @@
             weight = max(LATENCY_WEIGHT, 1 / (row.samples + 1))
             row.first_token_ms += weight * (first_token_ms - row.first_token_ms)
             row.samples += 1
-        if self._slow(replica_id, row) and self._may_eject(replica_id):
+        if self._is_slow(replica_id, row) and self._may_eject(replica_id):
             self._eject(row, now)
         elif row.state == "returning":
             self._on_good_probe(row, now)
@@ -156,18 +156,18 @@
         return row is None or row.state == "healthy"
 
     def on_dropped(self, replica_id: str) -> None:
-        """Take that a call ended without a verdict, as when it was cancelled from our side."""
+        """Record that a call ended without a result, as when it was cancelled on this side."""
         row = self._rows.get(replica_id)
         if row is not None:
             row.probe_ms = None
 
     def ejected(self, replica_id: str, now: int) -> bool:
-        """Tell whether a replica is out of use, or has as many probes as it may have."""
+        """Tell whether a replica is ejected, or has a probe in progress."""
         row = self._rows.get(replica_id)
         if row is None or row.state == "healthy":
             return False
         if row.state == "ejected":
-            if now < row.until_ms:
+            if now < row.ejected_until_ms:
                 return True
             row.machine.end_ejection()
             row.state = row.machine.name()
@@ -179,21 +179,21 @@
         return row is not None and row.state != "healthy"
 
     def penalty(self, replica_id: str, now: int) -> float:
-        """Return by how many calls a replica that has failed lately should look busier."""
+        """Return by how many calls a replica that failed recently should look busier."""
         row = self._rows.get(replica_id)
         if row is None or row.failures == 0:
             return 0.0
         age = max(0, now - row.failed_ms)
         return PENALTY_CALLS * row.failures * math.pow(0.5, age / PENALTY_HALF_LIFE_MS)
 
-    def _on_failure(self, replica_id: str, row: _Row, now: int) -> None:
+    def _on_failure(self, replica_id: str, row: _ReplicaHealth, now: int) -> None:
         row.failures = min(row.failures + 1, FAILURES_IN_A_ROW)
         row.failed_ms = now
         too_many = row.failures >= FAILURES_IN_A_ROW and self._may_eject(replica_id)
         if row.state == "returning" or too_many:
             self._eject(row, now)
 
-    def _on_good_probe(self, row: _Row, now: int) -> None:
+    def _on_good_probe(self, row: _ReplicaHealth, now: int) -> None:
         row.good_probes += 1
         if row.good_probes < GOOD_PROBES:
             return
@@ -201,10 +201,10 @@
         row.state = row.machine.name()
         row.healthy_ms = now
 
-    def _eject(self, row: _Row, now: int) -> None:
+    def _eject(self, row: _ReplicaHealth, now: int) -> None:
         forgiven = (now - row.healthy_ms) // FORGIVE_EJECTION_MS if row.state == "healthy" else 0
         row.ejections = max(0, row.ejections - forgiven)
-        row.until_ms = now + min(FIRST_EJECTION_MS << row.ejections, MAX_EJECTION_MS)
+        row.ejected_until_ms = now + min(FIRST_EJECTION_MS << row.ejections, MAX_EJECTION_MS)
         row.ejections = min(row.ejections + 1, MAX_EJECTION_MS.bit_length())
         row.failures = 0
         row.samples = 0
@@ -214,14 +214,14 @@
         row.state = row.machine.name()
 
     def _may_eject(self, replica_id: str) -> bool:
-        """Tell whether the replicas out of use, this one included, stay a minority."""
+        """Tell whether the replicas not in use, this one included, stay a minority."""
         if self._rows[replica_id].state != "healthy":
             return True
         siblings = self._siblings[replica_id]
-        out = sum(1 for sibling in siblings if self._rows[sibling].state != "healthy")
-        return 2 * (out + 1) < len(siblings)
+        unavailable = sum(1 for sibling in siblings if self._rows[sibling].state != "healthy")
+        return 2 * (unavailable + 1) < len(siblings)
 
-    def _slow(self, replica_id: str, row: _Row) -> bool:
+    def _is_slow(self, replica_id: str, row: _ReplicaHealth) -> bool:
         needed = 1 if row.state == "returning" else SLOW_SAMPLES
         if row.samples < needed or row.first_token_ms < SLOW_FLOOR_MS:
             return False
--- a/papayapier/policy/pace.py
+++ b/papayapier/policy/pace.py
@@ -1,11 +1,11 @@
-"""Learn how a replica's time per token grows with the calls that run on it.
+"""Learn how a replica's time per token grows with the number of calls that run on it.
 
-Every load report pairs a number of running calls with the time of a step. The smoothed time
-is kept per band of running calls, so what was learned about an idle replica is not forgotten
-while batch work keeps it full, which is what happens to a plain best-so-far or a fit that
-forgets. Between bands the time is interpolated, beyond them it is extended as a line, and it
-never falls with more calls. A replica that becomes slower as a whole shows first in the
-bands in use: batch is then cut, the lower bands are visited, and the table is right again.
+Every load report pairs a number of running calls with the time of a step. The smoothed time is kept
+per band of running calls, so that what was learnt about an idle replica is not forgotten while
+batch work keeps it full, as a plain best-so-far or a fit with decay would. Between bands the time
+is interpolated linearly, beyond them extrapolated, and it never decreases with more calls. A
+replica that becomes slower as a whole shows first in the bands in use: batch is then cut, the lower
+bands are visited, and the table is correct again.
 """
 
 import math
@@ -28,7 +28,7 @@
         self._points: list[_Point] = []
 
     def observe(self, running: int, slots: int, step_ms: float) -> None:
-        """Take a step time and the calls that were running."""
+        """Record a step time and the calls that were running."""
         band = min(BANDS, running * BANDS // max(1, slots))
         self._count[band] += 1
         weight = max(WEIGHT, 1 / self._count[band])
@@ -37,7 +37,7 @@
         self._points = self._rising_points()
 
     def known(self) -> bool:
-        """Tell whether enough was observed to predict."""
+        """Tell whether there are enough observations for a prediction."""
         return len(self._points) >= 2
 
     def step_ms(self, running: float) -> float:
@@ -55,7 +55,7 @@
         return low.running + (step_ms - low.step_ms) * (high.running - low.running) / rise
 
     def _segment(self, before: Callable[["_Point"], bool]) -> tuple["_Point", "_Point"]:
-        """Return the two points around a place, or the two at the end beyond which it lies."""
+        """Return the two points around a position, or the nearest two beyond either end."""
         last = len(self._points) - 1
         high = min(max(1, sum(1 for point in self._points if before(point))), last)
         return self._points[high - 1], self._points[high]
--- a/papayapier/policy/routing.py
+++ b/papayapier/policy/routing.py
@@ -1,22 +1,22 @@
 """Choose the replica for one call.
 
-Load reports are some hundred milliseconds old. Instances that all go by the same old report
-send to the same replica until the next report comes (a herd), even if each corrects the
-report by its own sends and even if each looks at only two replicas. What an instance knows
-without any lag is the calls that it has open itself, and as the balancer spreads callers
-evenly, those are a fair sample of everybody's. So a replica's cost is our own open calls,
-plus the others' lagging load at a weight small enough that all instances together move by
-no more than the others' load is worth: OTHERS_SHARE divided by the number of instances that
-use the replica. The weight must not be zero, or a replica loaded by somebody else, or
-slowed, is noticed too late. The replica with the lowest cost of a few drawn at random wins.
-misc/policy_sim/routing_run.py compares these ways.
-
-A call with a prompt prefix first tries the replica that rendezvous hashing gives the
-prefix, where the engine has it cached, as long as that replica's cost stays within a bound
-of the average: a popular prefix must not overload its replica. With a looser bound the
-caches are hit a little more and the first token comes far later (affinity_run.py). Where peers
-tell of their calls, the bound is one call above the least loaded replica: what a short prompt
-saves there is a few milliseconds, and a call too many at one replica waits a tenth of a second.
+Load reports are some hundred milliseconds old. Instances that all rely on the same old report send
+to the same replica until the next report arrives (herd behaviour), even if each corrects the report
+by its own sends and even if each considers only two replicas. What an instance knows without any
+lag is the calls that it has open itself, and as the balancer spreads callers evenly, those are a
+fair sample of all calls. So a replica's cost is the instance's own open calls, plus the others'
+lagging load at a weight small enough that all instances together shift by no more calls than the
+others' load amounts to: OTHERS_WEIGHT divided by the number of instances that use the replica. The
+weight must not be zero, or a replica that is loaded by others, or slowed, is noticed too late. The
+replica with the lowest cost of a few sampled at random wins. misc/policy_sim/routing_run.py
+compares the alternatives.
+
+A call with a prompt prefix first tries the replica that rendezvous hashing gives the prefix, where
+the engine has it cached, as long as that replica's cost stays within a bound of the average: a
+popular prefix must not overload its replica. With a looser bound the cache hit rate is a little
+higher and the first token arrives far later (affinity_run.py). Where peers report their calls, the
+bound is one call above the least loaded replica: what a short prompt saves there is a few
+milliseconds, and one call too many at a replica waits a tenth of a second.
 """
 
 import random
@@ -33,13 +33,13 @@
 BATCH_WEIGHT: Final = 0.5
 FULL_FACTOR: Final = 1.15
 OTHER_DATA_CENTRE_CALLS: Final = 0.5
-# Where all instances hear each other within some 50 ms, what peers have told is nearly as good
-# as what an instance knows itself: few calls start meanwhile, so that no herd forms.
+# Where all instances receive each other's heartbeats within some 50 ms, what peers have reported is
+# nearly as good as what an instance knows itself: few calls start meanwhile, so that no herd forms.
 REPORTED_WEIGHT: Final = 0.9
 REPORTED_BATCH_WEIGHT: Final = 0.4
-# Up to here all replicas are compared where what is known is fresh. Where many instances know the
-# same totals some 200 ms late, they would all choose the same few replicas; the better of two
-# random ones is the choice that old knowledge harms least.
+# Up to this many replicas are all compared where the information is fresh. Where many instances
+# know the same totals some 200 ms late, they would all choose the same few replicas; the better of
+# two random ones is the choice that suffers least from old information.
 MAX_COMPARED: Final = 64
 DRAWS_WHEN_REPORTED: Final = 2
 AFFINITY_FACTOR: Final = 1.25
@@ -50,8 +50,8 @@
 class RouteRequest(NamedTuple):
     """Describe what routing needs to know of a call.
 
-    told counts the calls that peers have told of; see TOLD_SHARE. fresh says that they have told
-    of them within some 50 ms. within names the only replicas to choose from, if there are any.
+    told includes the calls that peers have reported; see REPORTED_WEIGHT. fresh says that they were
+    reported within some 50 ms. within names the only replicas to choose from, unless empty.
     """
 
     upstream: str
@@ -74,14 +74,16 @@
         return None
     usable = _without_probes(outliers, usable, req)
     if req.prefix and len(usable) > 1:
-        cached = _cached(book, outliers, usable, req, now)
-        if cached is not None:
-            return cached
+        cached_replica = _replica_with_prefix(book, outliers, usable, req, now)
+        if cached_replica is not None:
+            return cached_replica
     if req.fresh and len(usable) <= MAX_COMPARED:
-        drawn = usable
+        sampled = usable
     else:
-        drawn = _drawn(book, usable, rand, now, DRAWS_WHEN_REPORTED if req.told else DRAWS)
-    costs = [(_cost(book, outliers, one, req, now), rand.random(), one.id) for one in drawn]
+        sampled = _sampled(book, usable, rand, now, DRAWS_WHEN_REPORTED if req.told else DRAWS)
+    costs = [
+        (_cost(book, outliers, replica, req, now), rand.random(), replica.id) for replica in sampled
+    ]
     _, _, chosen = min(costs)
     return chosen
 
@@ -89,7 +91,7 @@
 def pick_replica(
     book: LoadBook, outliers: Outliers, req: RouteRequest, rand: random.Random, now: int
 ) -> Replica | None:
-    """Return the replica for a call; when all have failed it, the least bad may have recovered."""
+    """Return the replica for a call; one that failed it may have recovered if all have."""
     chosen = choose(book, outliers, req, rand, now)
     if chosen is None and req.exclude:
         chosen = choose(book, outliers, req._replace(exclude=frozenset()), rand, now)
@@ -101,10 +103,10 @@
 def free_calls(book: LoadBook, outliers: Outliers, upstream: str, now: int) -> float:
     """Return how many more online calls the replicas of an upstream could run at once.
 
-    Engines queue in order of arrival and know no priorities: a call that waits in an engine
-    can no longer be overtaken by an urgent one, so it waits in the admission queue instead.
-    Batch streams do not count, since they give way. A few calls more than there are slots
-    keep a replica busy until the next report.
+    Engines queue in order of arrival and know no priorities: a call that waits in an engine can no
+    longer be overtaken by an urgent one, so it waits in the admission queue instead. Batch streams
+    do not count, since they yield. A few calls more than there are slots keep a replica busy until
+    the next report.
     """
     candidates = _candidates(book, outliers, upstream, frozenset(), now)
     return sum(max(0.0, _free(book, replica, now)) for replica in candidates)
@@ -121,32 +123,32 @@
     """Return the replicas in use; if all are ejected, trying one is better than refusing."""
     usable = book.usable(upstream, now)
     if within:
-        usable = [one for one in usable if one.id in within]
-    usable = [one for one in usable if one.id not in exclude]
-    return [one for one in usable if not outliers.ejected(one.id, now)] or usable
+        usable = [replica for replica in usable if replica.id in within]
+    usable = [replica for replica in usable if replica.id not in exclude]
+    return [replica for replica in usable if not outliers.ejected(replica.id, now)] or usable
 
 
 def _without_probes(
     outliers: Outliers, usable: Sequence[Replica], req: RouteRequest
 ) -> Sequence[Replica]:
-    """Leave out returning replicas for a call that could not be repeated after a failure."""
+    """Exclude returning replicas for a call that could not be retried after a failure."""
     if req.idempotent:
         return usable
     return [replica for replica in usable if not outliers.returning(replica.id)] or usable
 
 
-def _drawn(
+def _sampled(
     book: LoadBook, usable: Sequence[Replica], rand: random.Random, now: int, draws: int
 ) -> Sequence[Replica]:
     """Return the replicas to compare: a few at random, full ones only if all are full."""
-    drawn = usable if len(usable) <= draws else rand.sample(usable, draws)
-    fitting = [replica for replica in drawn if not _full(book, replica, now)]
-    if not fitting and len(drawn) < len(usable):
+    sampled = usable if len(usable) <= draws else rand.sample(usable, draws)
+    fitting = [replica for replica in sampled if not _full(book, replica, now)]
+    if not fitting and len(sampled) < len(usable):
         fitting = [replica for replica in usable if not _full(book, replica, now)]
-    return fitting or drawn
+    return fitting or sampled
 
 
-def _cached(
+def _replica_with_prefix(
     book: LoadBook,
     outliers: Outliers,
     usable: Sequence[Replica],
