--- a/papayapier/policy/batch_share.py
+++ b/papayapier/policy/batch_share.py
@@ -15,8 +15,8 @@
    resumed for every single online call.
 3. Step budget. The slots that are divided are bounded so that the replica's time per token stays
    within a factor of that with its online calls alone. Both are predicted from its load reports
-   (pace.py). Where no online call was observed for some time, the bound is off, as no online call
-   suffers; the first online call restores it.
+   (step_times.py). Where no online call was observed for some time, the bound is off, as no online
+   call suffers; the first online call restores it.
 
 The isolation mode sets the parameters: "tail" and "throughput" use all three mechanisms; "static"
 is a fixed cap, and "none" has no bound but the slots. Both are kept as baselines.
@@ -28,8 +28,8 @@
 
 from papayapier.config.profiles import BatchRule, Isolation
 from papayapier.policy.loads import LoadBook
-from papayapier.policy.pace import StepTimes
 from papayapier.policy.slot_shares import SlotShares
+from papayapier.policy.step_times import StepTimes
 from papayapier.upstream.api import Load
 
 SPARE_SLOTS_FOR_IDLE: Final = 3
@@ -71,7 +71,6 @@
         "cap_updated_ms",
         "cut",
         "cut_ms",
-        "pace",
         "peak",
         "peak_ms",
         "ramp",
@@ -79,10 +78,11 @@
         "running",
         "slots",
         "step_report_ms",
+        "step_times",
     )
 
     def __init__(self) -> None:
-        self.pace = StepTimes()
+        self.step_times = StepTimes()
         self.cap = 0
         self.cut = 0
         self.cut_ms = 0
@@ -132,7 +132,7 @@
         """
         row = self._row(replica_id)
         if token_gap_ms and row.running >= 1 and now >= row.step_report_ms + STEPS_STALE_MS:
-            row.pace.observe(round(row.running), row.slots, token_gap_ms)
+            row.step_times.observe(round(row.running), row.slots, token_gap_ms)
         self._online_ms[self._upstreams.get(replica_id, "")] = now
 
     def on_report(self, replica_id: str, load: Load) -> None:
@@ -140,7 +140,7 @@
         row = self._row(replica_id)
         self._cut(row, load)
         if load.step_ms > 0 and load.running > 0:
-            row.pace.observe(load.running, load.slots, load.step_ms)
+            row.step_times.observe(load.running, load.slots, load.step_ms)
             row.step_report_ms = load.at_ms
 
     def room(self, replica_id: str, book: LoadBook, now: int) -> int:
@@ -169,7 +169,7 @@
             self._online_ms[upstream] = now
         if now >= row.cap_updated_ms + REFRESH_MS:
             quiet = now >= self._online_ms.get(upstream, -settings.quiet_ms) + settings.quiet_ms
-            row.cap = _cap(row.pace, settings, online, slots, quiet)
+            row.cap = _cap(row.step_times, settings, online, slots, quiet)
             row.cap_updated_ms = now
         reserve = _reserve(row, settings, book.own(replica_id).online, now)
         cap = row.cap - self._spare_for_idle()
@@ -254,12 +254,14 @@
     return max(online, round(faded))
 
 
-def _cap(pace: StepTimes, settings: IsolationSettings, online: int, slots: int, quiet: bool) -> int:
+def _cap(
+    step_times: StepTimes, settings: IsolationSettings, online: int, slots: int, quiet: bool
+) -> int:
     """Return the slots of a replica that online calls and batch streams may use together."""
     max_slots = slots - settings.spare_slots
     if quiet:
         return max_slots
-    if not pace.known():
+    if not step_times.known():
         return int(min(max_slots, slots * LEARNING_SHARE))
-    bound = settings.step_factor * pace.step_ms(max(1, online))
-    return int(max(0.0, min(max_slots, pace.max_running(bound))))
+    bound = settings.step_factor * step_times.step_ms(max(1, online))
+    return int(max(0.0, min(max_slots, step_times.max_running(bound))))
--- a/papayapier/policy/crashes.py
+++ b/papayapier/policy/crashes.py
@@ -42,7 +42,7 @@
 SUSPECT_PAUSE_MS: Final = 400
 # A peer's notification of an answer may arrive this long before that of the losses. Kept longer,
 # instances would forward it to each other without end.
-WORD_STANDS_MS: Final = 5_000
+ANSWER_REPORT_MS: Final = 5_000
 # Bounds the memory that answered fingerprints take.
 MAX_ANSWERED: Final = 10_000
 # How long a fingerprint is quarantined after its last loss. A start with weights to load takes
@@ -51,7 +51,7 @@
 QUARANTINE_MS: Final = 600_000
 # An ended replica leaves the list after three missed heartbeats, four seconds, and instances know a
 # second later. A replica that is listed after twice that time has not ended.
-LISTED_MS: Final = 10_000
+LISTED_ALIVE_MS: Final = 10_000
 # Calls lost by one end notice it at once where connections are reset, else after the longest
 # silence that they tolerate, four seconds. A later loss under the same name is another end: some
 # replicas restart under their name.
@@ -94,7 +94,7 @@
 
     def is_settled(self, now: int) -> bool:
         """Tell whether the list of replicas alone can no longer withdraw the loss."""
-        return self.confirmed or self.received_ms + LISTED_MS <= now
+        return self.confirmed or self.received_ms + LISTED_ALIVE_MS <= now
 
 
 class _FingerprintRecord:
@@ -138,7 +138,7 @@
         self._records: dict[str, _FingerprintRecord] = {}
         self._answered_here = RecentAnswers(MAX_ANSWERED, ANSWERED_LATELY_MS)
         # Answers that other instances have reported.
-        self._answered_elsewhere = RecentAnswers(MAX_FINGERPRINTS, WORD_STANDS_MS)
+        self._answered_elsewhere = RecentAnswers(MAX_FINGERPRINTS, ANSWER_REPORT_MS)
         # Fingerprints with a loss, by the replica that may yet turn out to be alive.
         self._unconfirmed: dict[str, set[str]] = {}
         self._listed: frozenset[str] = frozenset()
@@ -217,7 +217,9 @@
         unconfirmed = [loss for loss in record.losses if not loss.is_settled(now)]
         if record.net_losses() - len(unconfirmed) >= record.max_losses:
             return self.hold_ms(fingerprint, now)
-        return max(MIN_RETRY_MS, min(loss.received_ms for loss in unconfirmed) + LISTED_MS - now)
+        return max(
+            MIN_RETRY_MS, min(loss.received_ms for loss in unconfirmed) + LISTED_ALIVE_MS - now
+        )
 
     def stands(self, loss: Loss) -> bool:
         """Tell whether a loss has not been withdrawn."""
--- a/papayapier/policy/loads.py
+++ b/papayapier/policy/loads.py
@@ -20,7 +20,7 @@
 ASSUMED_SLOTS: Final = 8
 # A peer's report that arrives this long after a call was placed for it includes the call: the reply
 # takes some 2 ms to the peer, and the report as long back.
-PLACED_SEEN_MS: Final = 15
+PLACED_REPORTED_MS: Final = 15
 NO_SLOTS: Final[Mapping[str, int]] = {}
 
 
@@ -152,7 +152,7 @@
 
     def on_peer_uses(self, peer: str, uses: Sequence[ReplicaUse], now: int) -> None:
         """Replace the open calls of a peer; it has none at a replica that is not named."""
-        self._remove_placed(peer, now - PLACED_SEEN_MS)
+        self._remove_placed(peer, now - PLACED_REPORTED_MS)
         reported_ms, named_before = self._peer_reports.get(peer, (now, frozenset()))
         named = frozenset(use.replica for use in uses)
         if any(use.batch for use in uses):
@@ -275,12 +275,12 @@
             ReplicaUse(replica_id, row.online, row.batch) if row else ReplicaUse(replica_id, 0, 0)
         )
 
-    def sharers(self, replica_id: str) -> int:
+    def instance_count(self, replica_id: str) -> int:
         """Return how many instances are known to use a replica, this one included."""
         row = self._rows.get(replica_id)
         return 1 + len(row.peers) if row else 1
 
-    def step_count(self, replica_id: str) -> int:
+    def change_count(self, replica_id: str) -> int:
         """Return how many changes are kept to correct a replica's report."""
         row = self._rows.get(replica_id)
         return len(row.changes) if row else 0
--- a/papayapier/policy/place_queue.py
+++ b/papayapier/policy/place_queue.py
@@ -19,7 +19,7 @@
 
 from papayapier.policy.admission import AdmissionQueue, Waiting
 from papayapier.policy.placers import Wanting
-from papayapier.policy.retry_times import Returns
+from papayapier.policy.retry_times import RetryTimes
 from papayapier.policy.waiting import RETRY_AFTER_SHARE
 
 ONE_CALL: Final = 1.0
@@ -75,7 +75,7 @@
         self._takes = takes
         self._choose = choose
         self._requests: dict[int, Asked] = {}
-        self._retry_times: dict[str, Returns] = {}
+        self._retry_times: dict[str, RetryTimes] = {}
 
     def offer(self, request: Asked, now: int) -> Refused | None:
         """Queue a request, or refuse it at once; decided() returns the outcome of queued ones."""
@@ -138,7 +138,7 @@
             self._queue.put_back(entry)
 
     def _refuse(self, request: Asked, backlog_ms: int, waited_ms: int, now: int) -> Refused:
-        retry_times = self._retry_times.setdefault(request.part, Returns())
+        retry_times = self._retry_times.setdefault(request.part, RetryTimes())
         rate = self._queue.rate_per_ms(request.part, now)
         longest_ms = int(request.wanting.left_ms * RETRY_AFTER_SHARE)
         return Refused(request, retry_times.after_ms(backlog_ms, rate, longest_ms, now), waited_ms)
--- a/papayapier/policy/placers.py
+++ b/papayapier/policy/placers.py
@@ -19,8 +19,8 @@
 
 # At the largest supported size, 65,000 calls a second over 7,100 replicas, a partition of 64 gets
 # 600 calls a second; placing one takes about 0.1 ms.
-PART_REPLICAS: Final = 64
-PART_KEY: Final = "part"
+PARTITION_REPLICAS: Final = 64
+PARTITION_KEY: Final = "part"
 
 
 class Wanting(NamedTuple):
@@ -71,9 +71,9 @@
         by_upstream.setdefault(replica.upstream, []).append(replica)
     key_of: dict[str, str] = {}
     for upstream, listed in by_upstream.items():
-        count = -(-len(listed) // PART_REPLICAS)
+        count = -(-len(listed) // PARTITION_REPLICAS)
         for replica in listed:
-            key_of[replica.id] = f"{upstream}/{score(PART_KEY, replica.id) % count}"
+            key_of[replica.id] = f"{upstream}/{score(PARTITION_KEY, replica.id) % count}"
     members: dict[str, set[str]] = {}
     for replica_id, key in key_of.items():
         members.setdefault(key, set()).add(replica_id)
--- a/papayapier/policy/retry_times.py
+++ b/papayapier/policy/retry_times.py
@@ -10,12 +10,12 @@
 from papayapier.policy.waiting import MAX_RETRY_AFTER_MS
 
 MIN_MS: Final = 200
-LONGEST_MS: Final = MAX_RETRY_AFTER_MS
+MAX_MS: Final = MAX_RETRY_AFTER_MS
 # Time between retries while no rate is known.
 SPACING_MS: Final = 2.0
 
 
-class Returns:
+class RetryTimes:
     """Track the last retry time given out for one queue."""
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         backlog_ms is when the present backlog will have been worked off, longest_ms the longest
         wait that the caller accepts.
         """
-        latest = now + max(MIN_MS, min(LONGEST_MS, longest_ms))
+        latest = now + max(MIN_MS, min(MAX_MS, longest_ms))
         earliest = min(latest, now + max(MIN_MS, backlog_ms))
         spacing = 1 / per_ms if per_ms else SPACING_MS
         retry_ms = max(float(earliest), self._last_ms + spacing)
--- a/papayapier/policy/routing.py
+++ b/papayapier/policy/routing.py
@@ -187,7 +187,7 @@
         calls += outliers.penalty(replica.id, now)
         return calls / book.slots(replica.id)
     others = max(0.0, book.estimate(replica.id, now) - own.online - own.batch)
-    calls = own.online + OTHERS_WEIGHT * others / book.sharers(replica.id)
+    calls = own.online + OTHERS_WEIGHT * others / book.instance_count(replica.id)
     calls += own.batch if req.batch else BATCH_WEIGHT * own.batch
     if replica.data_centre != req.data_centre:
         calls += OTHER_DATA_CENTRE_CALLS
--- a/papayapier/policy/shared_blame.py
+++ b/papayapier/policy/shared_blame.py
@@ -14,7 +14,7 @@
 MIN_REPORTERS: Final = 2
 FAILURE_WINDOW_MS: Final = 1_000
 FIRST_AVOIDED_MS: Final = 1_000
-LONGEST_MS: Final = 8_000
+MAX_AVOIDED_MS: Final = 8_000
 # After the time without calls, single calls try the replica until it has failed none for
 # TRIAL_PERIOD_MS.
 TRIAL_INTERVAL_MS: Final = 250
@@ -61,7 +61,7 @@
         state.repeats = state.repeats + 1 if is_repeat else 0
         state.avoided_ms = now
         state.until_ms = now + min(
-            LONGEST_MS, FIRST_AVOIDED_MS << min(state.repeats, LONGEST_MS.bit_length())
+            MAX_AVOIDED_MS, FIRST_AVOIDED_MS << min(state.repeats, MAX_AVOIDED_MS.bit_length())
         )
         state.failures = []
         return True
--- a/tests/test_place_queue.py
+++ b/tests/test_place_queue.py
@@ -12,7 +12,7 @@
 from papayapier.policy.place_queue import Asked, Given, PlaceQueue, Refused
 from papayapier.policy.placers import Wanting
 from papayapier.policy.replica_room import ReplicaRoom
-from papayapier.policy.retry_times import LONGEST_MS, MIN_MS, Returns
+from papayapier.policy.retry_times import MAX_MS, MIN_MS, RetryTimes
 
 PART = "lm/0"
 AIM_MS = 300
@@ -139,7 +139,7 @@
     first, again = wanting("a"), wanting("a", again=True)
     refused = fleet.ask(100, 1_000, first)
     assert isinstance(refused[0], Refused)
-    assert MIN_MS <= refused[0].after_ms <= LONGEST_MS
+    assert MIN_MS <= refused[0].after_ms <= MAX_MS
     assert refused[0].waited_ms == 0
     assert fleet.ask(101, 1_000, again) == []
     assert fleet.queue.held(101)
@@ -171,10 +171,10 @@
 
 def test_returns_are_spread() -> None:
     # Failure: hundreds that are refused together come back as one new jump.
-    returns = Returns()
+    returns = RetryTimes()
     moments = [returns.after_ms(300, 0.2, 1_600, 0) for _ in range(200)]
     assert min(moments) >= 300
-    assert max(moments) <= LONGEST_MS
+    assert max(moments) <= MAX_MS
     assert max(Counter(one // 50 for one in moments).values()) <= 20
 
 
--- a/tests/test_policy_batch.py
+++ b/tests/test_policy_batch.py
@@ -6,7 +6,7 @@
 from papayapier.config.profiles import BatchRule, Isolation
 from papayapier.policy.batch_share import ISOLATION_SETTINGS, BatchShare
 from papayapier.policy.loads import LoadBook, ReplicaUse
-from papayapier.policy.pace import StepTimes
+from papayapier.policy.step_times import StepTimes
 from papayapier.upstream.api import Load, Replica
 
 REPLICA = Replica("r0", "model", "127.0.0.1", 1, "dc1")
--- a/tests/test_policy_crashes.py
+++ b/tests/test_policy_crashes.py
@@ -6,7 +6,7 @@
     ANSWERED_LATELY_MS,
     FORGET_MS,
     ITEM_PAUSE_MS,
-    LISTED_MS,
+    LISTED_ALIVE_MS,
     LOSSES_MOST,
     MAX_ANSWERED,
     MAX_FINGERPRINTS,
@@ -124,11 +124,11 @@
 @pytest.mark.parametrize(
     ("listed", "fresh", "after_ms", "held"),
     [
-        (["r0"], True, LISTED_MS, False),
-        (["r0"], True, LISTED_MS - 1, True),
+        (["r0"], True, LISTED_ALIVE_MS, False),
+        (["r0"], True, LISTED_ALIVE_MS - 1, True),
         # The store is away: what it last listed may be gone.
-        (["r0"], False, LISTED_MS, True),
-        (["other"], True, LISTED_MS, True),
+        (["r0"], False, LISTED_ALIVE_MS, True),
+        (["other"], True, LISTED_ALIVE_MS, True),
     ],
 )
 def test_what_is_listed_long_after_was_not_lost(
@@ -203,8 +203,8 @@
 def test_a_caller_is_told_to_come_when_a_doubt_will_be_over() -> None:
     book = CrashBook()
     lose(book, LOSSES_MOST)
-    assert book.return_ms("w", START) == LISTED_MS
-    assert book.return_ms("w", START + LISTED_MS) == QUARANTINE_MS - LISTED_MS
+    assert book.return_ms("w", START) == LISTED_ALIVE_MS
+    assert book.return_ms("w", START + LISTED_ALIVE_MS) == QUARANTINE_MS - LISTED_ALIVE_MS
     for number in range(LOSSES_MOST):
         book.on_ended(f"r{number}")
     assert book.return_ms("w", START + 1) == QUARANTINE_MS - 1
--- a/tests/test_policy_placers.py
+++ b/tests/test_policy_placers.py
@@ -6,9 +6,9 @@
 from functools import partial
 from typing import NamedTuple
 
-from papayapier.policy.loads import PLACED_SEEN_MS, LoadBook, ReplicaUse
+from papayapier.policy.loads import PLACED_REPORTED_MS, LoadBook, ReplicaUse
 from papayapier.policy.outliers import Outliers
-from papayapier.policy.placers import PART_REPLICAS, make_parts, placer_of
+from papayapier.policy.placers import PARTITION_REPLICAS, make_parts, placer_of
 from papayapier.policy.routing import RouteRequest, choose
 from papayapier.upstream.api import Replica
 
@@ -163,9 +163,9 @@
     book = new_book()
     book.on_placed("a", "i-1", NOW)
     assert book.online_at("i-1") == 1
-    book.on_peer_uses("a", [], NOW + PLACED_SEEN_MS - 1)
+    book.on_peer_uses("a", [], NOW + PLACED_REPORTED_MS - 1)
     assert book.online_at("i-1") == 1
-    book.on_peer_uses("a", [ReplicaUse("i-1", 1, 0)], NOW + PLACED_SEEN_MS)
+    book.on_peer_uses("a", [ReplicaUse("i-1", 1, 0)], NOW + PLACED_REPORTED_MS)
     assert book.online_at("i-1") == 1
 
 
@@ -177,13 +177,13 @@
 
 
 def test_parts_are_bounded_and_keep_to_one_upstream() -> None:
-    many = [Replica(f"m-{n}", "lm", "h", 1, "dc") for n in range(10 * PART_REPLICAS)]
+    many = [Replica(f"m-{n}", "lm", "h", 1, "dc") for n in range(10 * PARTITION_REPLICAS)]
     few = [Replica(f"f-{n}", "app", "h", 1, "dc") for n in range(3)]
     parts = make_parts([*many, *few])
     assert parts.keys["app"] == ["app/0"]
     assert parts.members["app/0"] == {one.id for one in few}
     assert len(parts.keys["lm"]) == 10
-    assert max(len(parts.members[key]) for key in parts.keys["lm"]) < 2 * PART_REPLICAS
+    assert max(len(parts.members[key]) for key in parts.keys["lm"]) < 2 * PARTITION_REPLICAS
 
 
 def test_everybody_names_the_same_placer() -> None:
--- a/tests/test_policy_routing.py
+++ b/tests/test_policy_routing.py
@@ -167,7 +167,7 @@
     for now in range(0, 60_000, 10):
         book.on_sent("r0", False, now)
         book.on_done("r0", False, now)
-    assert book.step_count("r0") <= 1_000
+    assert book.change_count("r0") <= 1_000
     assert book.estimate("r0", 60_000) == 0
 
 
--- a/tests/test_shared_blame.py
+++ b/tests/test_shared_blame.py
@@ -6,7 +6,7 @@
 from papayapier.policy.shared_blame import (
     FAILURE_WINDOW_MS,
     FIRST_AVOIDED_MS,
-    LONGEST_MS,
+    MAX_AVOIDED_MS,
     MIN_FAILURES,
     TRIAL_INTERVAL_MS,
     TRIAL_PERIOD_MS,
@@ -60,9 +60,9 @@
         assert not blame.avoided("r1", now)
         assert blame.on_failed("r1", "entry-9", now)
         lasts = next(ms for ms in range(0, 20_000, 10) if not blame.avoided("r1", now + ms))
-        assert lasts <= LONGEST_MS
+        assert lasts <= MAX_AVOIDED_MS
         until = now + lasts
-    assert lasts == LONGEST_MS
+    assert lasts == MAX_AVOIDED_MS
 
 
 def test_those_that_are_gone_are_forgotten() -> None:
