--- a/tests/test_policy_allowances.py
+++ b/tests/test_policy_allowances.py
@@ -1,7 +1,7 @@
-"""Test that what a team may send holds over the whole fleet, and that no less is refused.
+"""Test that a team's allowance holds over the whole fleet, and that no more is refused than needed.
 
 The bound is the stated one: in any 5 s at most (rate x 5 + burst) x 1.1 + 20, over all instances,
-in or out of touch.
+whether partitioned or not.
 """
 
 import os
@@ -26,109 +26,122 @@
 TEAMS = [f"team-{n}" for n in range(8)]
 
 
-def hot(times: float) -> dict[str, tuple[Limit, float]]:
-    """Return demand at so many times the allowance, for small teams and large ones."""
+def demand_at(times: float) -> dict[str, tuple[Limit, float]]:
+    """Return demand at a multiple of the allowance, for small and large teams."""
     limits = {team: SMALL if n % 2 else LARGE for n, team in enumerate(TEAMS)}
     return {team: (limit, limit.rate_per_s * times) for team, limit in limits.items()}
 
 
-def within(fleet: Fleet, demand: dict[str, tuple[Limit, float]]) -> None:
+def assert_within_bound(fleet: Fleet, demand: dict[str, tuple[Limit, float]]) -> None:
     for team, (limit, _) in demand.items():
         assert fleet.highest.get(team, 0) <= most(limit), (team, fleet.highest)
 
 
 @pytest.mark.parametrize(("keepers", "entries"), SIZES)
-def test_nothing_inside_is_refused(keepers: int, entries: int) -> None:
+def test_requests_within_allowance_are_granted(keepers: int, entries: int) -> None:
+    """Guard against refusing requests that lie within the allowance."""
     fleet = Fleet(keepers, entries)
     fleet.run(10_000, {})
-    fleet.run(20_000, hot(0.6))
-    fleet.run(20_000, hot(2))
+    fleet.run(20_000, demand_at(0.6))
+    fleet.run(20_000, demand_at(2))
     assert fleet.inside_refused <= fleet.inside / 1_000
 
 
 @pytest.mark.parametrize(("keepers", "entries"), SIZES)
 @pytest.mark.parametrize("spread", [True, False])
-def test_a_jump_by_nine(keepers: int, entries: int, spread: bool) -> None:
+def test_ninefold_jump_stays_within_bound(keepers: int, entries: int, spread: bool) -> None:
+    """Guard against exceeding the bound, or wasting allowance, when load jumps ninefold."""
     fleet = Fleet(keepers, entries)
-    fleet.run(10_000, hot(0.3))
-    fleet.run(12_000, hot(2.7), spread)
-    within(fleet, hot(1))
-    # What is granted is all that the bucket holds, and no less.
-    for team, (limit, _) in hot(1).items():
+    fleet.run(10_000, demand_at(0.3))
+    fleet.run(12_000, demand_at(2.7), spread)
+    assert_within_bound(fleet, demand_at(1))
+    # All tokens that the bucket holds must be granted.
+    for team, (limit, _) in demand_at(1).items():
         assert len(fleet.granted[team]) >= 0.97 * limit.rate_per_s * 5 - 1
 
 
-def test_keepers_lost_in_series() -> None:
+def test_keepers_lost_in_series_stay_within_bound() -> None:
+    """Guard against full buckets at each successor of a lost keeper."""
     fleet = Fleet(12, 61)
-    fleet.run(10_000, hot(0.3))
+    fleet.run(10_000, demand_at(0.3))
     for number in range(5):
         fleet.lose(f"keeper-{number}")
-        fleet.run(2_700, hot(2))
-    within(fleet, hot(1))
+        fleet.run(2_700, demand_at(2))
+    assert_within_bound(fleet, demand_at(1))
 
 
-def test_all_start_again_at_once() -> None:
-    # Symptom: a burst beyond the bound after a kill of all. Cause: full buckets at a start.
+def test_simultaneous_restart_stays_within_bound() -> None:
+    """Guard against a burst beyond the bound from buckets that are full at a restart."""
     fleet = Fleet(12, 61)
-    fleet.run(10_000, hot(0.3))
+    fleet.run(10_000, demand_at(0.3))
     for _ in range(4):
-        fleet.run(2_000, hot(3))
+        fleet.run(2_000, demand_at(3))
         fleet.restart_all()
-    fleet.run(4_000, hot(3))
-    within(fleet, hot(1))
+    fleet.run(4_000, demand_at(3))
+    assert_within_bound(fleet, demand_at(1))
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_third_cut_off_and_joined(seed: int) -> None:
-    # Symptom: each side grants the whole. Cause: the lost are replaced, whoever still hears them.
+def test_partition_of_a_third_stays_within_bound(seed: int) -> None:
+    """Guard against each side of a partition granting the whole allowance.
+
+    Each side replaces the instances that it has lost, although others still reach them.
+    """
     fleet = Fleet(12, 61, seed)
-    fleet.run(10_000, hot(0.5))
-    apart = {one for n, one in enumerate([*fleet.keepers, *fleet.entries]) if n % 3 == 0}
-    fleet.cut(apart)
-    fleet.run(12_000, hot(3))
+    fleet.run(10_000, demand_at(0.5))
+    minority = {name for n, name in enumerate([*fleet.keepers, *fleet.entries]) if n % 3 == 0}
+    fleet.cut(minority)
+    fleet.run(12_000, demand_at(3))
     fleet.join()
-    fleet.run(8_000, hot(3))
-    within(fleet, hot(1))
+    fleet.run(8_000, demand_at(3))
+    assert_within_bound(fleet, demand_at(1))
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_any_third_cut_off(seed: int) -> None:
-    # Symptom: 1.01 of the bound in 6 of 60 draws. Events: the new first on one side grants while
-    # the old one on the other has not yet missed it. Cause: it granted as the first at once.
+def test_any_partition_stays_within_bound(seed: int) -> None:
+    """Guard against two instances that grant as first before the old one is detected as cut off.
+
+    The new first on one side granted at once while the old one on the other side still did: 1.01 of
+    the bound in 6 of 60 draws.
+    """
     fleet = Fleet(12, 61, seed)
-    fleet.run(10_000, hot(0.5))
+    fleet.run(10_000, demand_at(0.5))
     names = [*fleet.keepers, *fleet.entries]
     fleet.cut(set(fleet.rand.sample(names, len(names) * 35 // 100)))
-    fleet.run(8_000, hot(2.5))
+    fleet.run(8_000, demand_at(2.5))
     fleet.join()
-    fleet.run(6_000, hot(2.5))
-    within(fleet, hot(1))
+    fleet.run(6_000, demand_at(2.5))
+    assert_within_bound(fleet, demand_at(1))
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_keepers_are_replaced_and_come_back(seed: int) -> None:
+def test_replaced_and_restarted_keepers_stay_within_bound(seed: int) -> None:
+    """Guard against grants beyond the bound while keepers are replaced or restart."""
     fleet = Fleet(12, 61, seed)
-    fleet.run(10_000, hot(0.5))
+    fleet.run(10_000, demand_at(0.5))
     for number in range(4):
         fleet.lose(f"keeper-{number}")
-        fleet.run(1_000, hot(3))
+        fleet.run(1_000, demand_at(3))
         fleet.start(f"new-{number}" if number % 2 else f"keeper-{number}")
-        fleet.run(1_500, hot(3))
-    fleet.run(5_000, hot(3))
-    within(fleet, hot(1))
+        fleet.run(1_500, demand_at(3))
+    fleet.run(5_000, demand_at(3))
+    assert_within_bound(fleet, demand_at(1))
 
 
-def test_a_lost_keeper_costs_its_teams_little() -> None:
+def test_lost_keeper_refuses_few_requests() -> None:
+    """Guard against refusing many requests within the allowance after a keeper is lost."""
     fleet = Fleet(12, 61)
-    fleet.run(10_000, hot(0.33))
+    fleet.run(10_000, demand_at(0.33))
     fleet.inside = 0
     fleet.lose("keeper-3")
-    fleet.run(6_000, hot(0.33))
-    # Of the seconds until the loss is settled, the teams of one keeper in twelve.
+    fleet.run(6_000, demand_at(0.33))
+    # For the seconds until the loss is settled, only the teams of one keeper in twelve are
+    # affected.
     assert fleet.inside_refused <= fleet.inside / 10
 
 
-def test_a_lowered_rate_binds_at_once() -> None:
+def test_lowered_rate_applies_at_once() -> None:
+    """Guard against tokens of an earlier, higher rate."""
     low = Limit(10, 10)
     fleet = Fleet(12, 61)
     fleet.run(10_000, {"team": (LARGE, 60)})
@@ -138,39 +151,44 @@
     assert fleet.highest["team"] <= most(low)
 
 
-def test_who_is_not_listed_grants_nothing() -> None:
+def test_unlisted_instance_grants_nothing() -> None:
+    """Guard against grants by an instance that is not among the granting ones."""
     grants = Grants("a", BOUND, 0)
     assert grants.ask("team", SMALL, 1_000).said is Said.NOT_HERE
     grants.on_view(View(("b", "c"), 2), 1_000)
     assert grants.ask("team", SMALL, 2_000).said is Said.NOT_HERE
 
 
-def test_returns_are_true_and_spread() -> None:
-    # One who comes back when it was told finds a token, unless others took it unasked.
+def test_retry_times_are_accurate_and_spread() -> None:
+    """Guard against retries that find no token, and against retry times that coincide.
+
+    A caller that retries at the stated time finds a token, unless others retried earlier than
+    stated.
+    """
     grants = Grants("a", Bound(5_000, 0.1, 20), 0)
     grants.on_view(View(("a",), 1), 0)
     now = 10_000
     while grants.ask("team", SMALL, now).said is Said.GRANTED:
         pass
-    returns = sorted(grants.ask("team", SMALL, now).after_ms for _ in range(6))
-    assert len(set(returns)) == len(returns)
-    assert returns[0] >= 1_000 / SMALL.rate_per_s
-    for after_ms in returns:
+    retry_times = sorted(grants.ask("team", SMALL, now).after_ms for _ in range(6))
+    assert len(set(retry_times)) == len(retry_times)
+    assert retry_times[0] >= 1_000 / SMALL.rate_per_s
+    for after_ms in retry_times:
         assert grants.ask("team", SMALL, now + after_ms + 200).said is Said.GRANTED
 
 
 class AllowanceMachine(RuleBasedStateMachine):
-    """Lose, start, cut and join instances in any order under demand far beyond the allowance."""
+    """Lose, start, partition and join instances in any order, far beyond the allowance."""
 
     @initialize(size=st.sampled_from([(3, 3), (5, 10), (12, 61), (60, 240)]), seed=st.integers(0))
     def begin(self, size: tuple[int, int], seed: int) -> None:
         self.fleet = Fleet(*size, seed)
-        self.fleet.run(2_000, hot(0.4))
+        self.fleet.run(2_000, demand_at(0.4))
         self.started = 0
 
     @rule(ms=st.integers(50, 4_000), times=st.floats(0.1, 4), spread=st.booleans())
     def play(self, ms: int, times: float, spread: bool) -> None:
-        self.fleet.run(ms, hot(times), spread)
+        self.fleet.run(ms, demand_at(times), spread)
 
     @rule(pick=st.integers(0, 59))
     def lose(self, pick: int) -> None:
@@ -180,17 +198,17 @@
 
     @rule(pick=st.integers(0, 59), new=st.booleans())
     def start(self, pick: int, new: bool) -> None:
-        gone = sorted(self.fleet.listed - set(self.fleet.grants))
+        stopped = sorted(self.fleet.listed - set(self.fleet.grants))
         self.started += 1
-        if gone and not new:
-            self.fleet.start(gone[pick % len(gone)])
+        if stopped and not new:
+            self.fleet.start(stopped[pick % len(stopped)])
         else:
             self.fleet.start(f"new-{self.started}")
 
     @rule(third=st.integers(0, 2))
     def cut(self, third: int) -> None:
         names = [*self.fleet.keepers, *self.fleet.entries]
-        self.fleet.cut({one for n, one in enumerate(names) if n % 3 == third})
+        self.fleet.cut({name for n, name in enumerate(names) if n % 3 == third})
 
     @rule()
     def join(self) -> None:
@@ -203,10 +221,11 @@
     @invariant()
     def holds(self) -> None:
         if hasattr(self, "fleet"):
-            within(self.fleet, hot(1))
+            assert_within_bound(self.fleet, demand_at(1))
 
 
-def test_any_order_of_events_keeps_the_bound() -> None:
+def test_any_order_of_events_stays_within_bound() -> None:
+    """Guard against grants beyond the bound after any sequence of losses, starts and partitions."""
     thorough = bool(os.environ.get("PAPAYAPIER_THOROUGH"))
     run_state_machine_as_test(
         AllowanceMachine,
@@ -221,52 +240,57 @@
     )
 
 
-def play_returns(told_apart: bool) -> tuple[int, int, int]:
-    """Ask for five seconds at three times a limit; each caller comes back once, when it is told.
+def simulate_retries(marked: bool) -> tuple[int, int, int]:
+    """Send requests for five seconds at three times a limit, with one retry when stated.
 
-    Returns how many of those inside the limit there were, by the order in which they first came,
-    how many of these were refused, and how many were granted in all.
+    Return the number of first attempts within the limit, in order of arrival, how many of these
+    were refused, and the number granted in total.
     """
     limit = Limit(150, 150)
     grants = Grants("me", BOUND, 0)
     grants.on_view(View(("me",), 1), 0)
     grants.ask("hot", limit, 0)
     rand = random.Random(4)
-    tokens, inside, refused, granted = limit.burst, set[int](), set[int](), 0
-    back: dict[int, list[int]] = {}
+    tokens, within_limit, refused, granted = limit.burst, set[int](), set[int](), 0
+    retries_at: dict[int, list[int]] = {}
     number = 0
     for now in range(2_000, 11_000):
         tokens = min(limit.burst, tokens + limit.rate_per_s / 1_000)
-        coming = back.pop(now, [])
+        retries = retries_at.pop(now, [])
         first = [number + n + 1 for n in range(rand.random() < 0.45 and now < 7_000)]
         number += len(first)
-        for one in first:
+        for request in first:
             if tokens >= 1:
                 tokens -= 1
-                inside.add(one)
-        for one in [*first, *coming]:
-            said = grants.ask("hot", limit, now, told_apart and one in coming)
-            if said.said is Said.GRANTED:
+                within_limit.add(request)
+        for request in [*first, *retries]:
+            outcome = grants.ask("hot", limit, now, marked and request in retries)
+            if outcome.said is Said.GRANTED:
                 granted += 1
-            elif one in first:
-                back.setdefault(now + said.after_ms + rand.randrange(3, 12), []).append(one)
+            elif request in first:
+                retries_at.setdefault(now + outcome.after_ms + rand.randrange(3, 12), []).append(
+                    request
+                )
             else:
-                refused.add(one)
-    return len(inside), len(inside & refused), granted
+                refused.add(request)
+    return len(within_limit), len(within_limit & refused), granted
 
 
-def test_a_return_takes_nothing_from_first_requests() -> None:
-    # Before: tokens go to whoever asks next; each return that finds one has a first request
-    # refused that lies inside, and is refused again when it comes back.
-    inside, refused, granted_before = play_returns(told_apart=False)
+def test_retries_take_nothing_from_first_attempts() -> None:
+    """Guard against granted retries that cause the refusal of first attempts within the limit.
+
+    Where tokens go to the next request of any kind, such a first attempt is refused again on its
+    retry.
+    """
+    inside, refused, granted_before = simulate_retries(marked=False)
     assert refused > inside / 20
-    inside, refused, granted = play_returns(told_apart=True)
+    inside, refused, granted = simulate_retries(marked=True)
     assert refused <= inside / 100
     assert granted >= 0.95 * granted_before
 
 
-def test_returns_get_what_is_left() -> None:
-    # Failure: a team below its limit has its returns refused.
+def test_retries_get_the_remaining_tokens() -> None:
+    """Guard against refusing retries of a team below its limit."""
     limit = Limit(5, 5)
     grants = Grants("me", BOUND, 0)
     grants.on_view(View(("me",), 1), 0)
--- a/tests/test_policy_batch.py
+++ b/tests/test_policy_batch.py
@@ -1,4 +1,4 @@
-"""Test how batch work is bounded on a replica."""
+"""Test the limits of batch streams on a replica."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -24,9 +24,9 @@
     return share, book
 
 
-def settle(share: BatchShare, book: LoadBook, begin: int, end: int) -> int:
-    """Ask for the limit as often as the running program does, and return the last one."""
-    for now in range(begin, end, 20):
+def settle(share: BatchShare, book: LoadBook, start: int, end: int) -> int:
+    """Query the limit as often as the running program does, and return the last one."""
+    for now in range(start, end, 20):
         share.limit("r0", book, now)
     return share.limit("r0", book, end)
 
@@ -44,9 +44,10 @@
     isolation=st.sampled_from(["tail", "throughput"]),
     running=st.lists(st.integers(1, 32), max_size=8),
 )
-def test_the_shares_of_all_instances_stay_inside_the_replicas_limit(
+def test_shares_of_all_instances_stay_within_replica_limit(
     count: int, online: list[int], isolation: Isolation, running: list[int]
 ) -> None:
+    """Guard against batch limits that together exceed the replica's slots."""
     names = [f"i{i}" for i in range(count)]
     total = 0
     for name, calls in zip(names, online, strict=False):
@@ -60,7 +61,8 @@
     assert total <= SLOTS - ISOLATION_SETTINGS[isolation].spare_slots
 
 
-def test_every_instance_has_a_share_and_unused_shares_go_round() -> None:
+def test_every_instance_has_an_even_share() -> None:
+    """Guard against instances without a share, and slots that nobody may use."""
     names = [f"i{i}" for i in range(6)]
     limits = []
     for name in names:
@@ -71,10 +73,12 @@
     assert max(limits) - min(limits) <= 1
 
 
-def test_an_online_call_takes_the_place_of_a_batch_stream_at_once() -> None:
-    # Symptom: an online call waits behind batch for a slot, or for the next heartbeat.
-    # Sequence: batch fills this instance's share; the instance sends online calls.
-    # Cause: batch gave way only when a report or a peer told of the load.
+def test_online_call_replaces_batch_stream_at_once() -> None:
+    """Guard against an online call that waits behind batch for a slot or for the next heartbeat.
+
+    Batch fills this instance's share, then the instance sends online calls. Batch must yield
+    without waiting for a load report or a peer.
+    """
     share, book = make("i0", ["i0", "i1"], "throughput")
     report(share, book, 1, 0)
     settle(share, book, 50_000, 60_000)
@@ -86,11 +90,12 @@
         assert share.to_yield("r0", book, 60_001) >= calls
 
 
-def test_shares_shrink_when_another_instance_outgrows_its_own() -> None:
-    # Symptom: online calls of one instance wait for slots that batch of the others holds.
-    # Sequence: the balancer sends nearly all callers to one instance, which yields all its
-    # batch streams and goes on sending; the others keep theirs.
-    # Cause: each instance looked only at its own online calls.
+def test_shares_shrink_when_an_instance_exceeds_its_own() -> None:
+    """Guard against online calls of one instance that wait for slots held by batch of the others.
+
+    The balancer sends nearly all callers to one instance, which yields all its batch streams and
+    continues to send. The others must consider online calls besides their own.
+    """
     names = [f"i{i}" for i in range(4)]
     limits = []
     for name in names[1:]:
@@ -102,10 +107,12 @@
     assert sum(limits) + 26 <= SLOTS
 
 
-def test_a_job_on_one_instance_gets_the_slots_that_the_others_leave() -> None:
-    # Symptom: a small job runs at a sixth of the idle capacity.
-    # Sequence: only one of six instances has batch work; then another one begins.
-    # Cause: the others' shares stayed empty.
+def test_job_on_one_instance_gets_unused_slots() -> None:
+    """Guard against a small job that runs at a sixth of the idle capacity.
+
+    Only one of six instances has batch work, then another one begins. The shares of the others must
+    not stay unused.
+    """
     names = [f"i{i}" for i in range(6)]
     share, book = make("i0", names, "throughput")
     report(share, book, 1, 0)
@@ -118,10 +125,12 @@
     assert share.limit("r0", book, 10_200) <= 15
 
 
-def test_instances_that_begin_at_once_do_not_take_each_others_slots() -> None:
-    # Symptom: after a burst that took all slots, replicas are overfilled with batch streams.
-    # Sequence: no instance has a batch call; all start in the same moment.
-    # Cause: each took the others for idle, because none had told of a batch call yet.
+def test_simultaneous_starts_do_not_overfill() -> None:
+    """Guard against overfilled replicas after a burst that took all slots.
+
+    No instance has a batch call, then all start at the same moment. None may take the others for
+    idle before they can have reported a batch call.
+    """
     names = [f"i{i}" for i in range(6)]
     total = 0
     for name in names:
@@ -132,7 +141,8 @@
     assert total <= SLOTS
 
 
-def test_calls_that_wait_for_a_slot_take_batch_streams_away() -> None:
+def test_calls_waiting_for_a_slot_reduce_batch() -> None:
+    """Guard against batch streams that stay while calls wait for a slot."""
     share, book = make("i0", ["i0", "i1"], "throughput")
     report(share, book, 1, 0)
     before = settle(share, book, 50_000, 60_000)
@@ -142,12 +152,13 @@
     assert settle(share, book, 60_400, 61_000) == before - 2
 
 
-def test_a_long_flood_does_not_bar_batch_for_long_afterwards() -> None:
-    # Symptom: with isolation, batch gets 15 % of the idle capacity instead of 77 %.
-    # Sequence: calls wait in the engine for 18 s, as without isolation; one report a second
-    # sees them; then isolation is turned on.
-    # Cause: each report added to the cut without a bound, and each later one took back only
-    # one stream, so that with rare reports the way back took longer than the flood.
+def test_batch_resumes_soon_after_long_overload() -> None:
+    """Guard against batch at 15 % of the idle capacity in place of 77 % after an overload.
+
+    Calls wait in the engine for 18 s, as without isolation, with one report a second; then
+    isolation is turned on. If each report adds to the cut without a bound and each later one
+    regains only one stream, regaining takes longer than the overload did.
+    """
     share, book = make("a", ["a", "b"])
     for now in range(1_000, 19_000, 1_000):
         share.on_report("r0", Load(SLOTS, 40, SLOTS, 7.0, now))
@@ -158,10 +169,12 @@
     assert settle(share, book, 26_000, 28_000) > SLOTS // 4
 
 
-def test_room_returns_gradually_after_a_burst() -> None:
-    # Symptom: the first-token p99 after a burst is worse than in it.
-    # Sequence: the burst ends; all instances resume their batch streams in one step.
-    # Cause: the engine computes all their prompts before the next token of anyone.
+def test_limit_rises_gradually_after_a_burst() -> None:
+    """Guard against a first-token p99 after a burst that is worse than in it.
+
+    The burst ends, and all instances resume their batch streams in one step; the engine computes
+    all their prompts before the next token of any call.
+    """
     share, book = make("i0", ["i0"], "throughput")
     report(share, book, 1, 0)
     for _ in range(28):
@@ -174,7 +187,8 @@
     assert settle(share, book, 2_020, 6_000) == SLOTS - spare
 
 
-def test_step_bound_protects_online_calls_and_goes_when_there_are_none() -> None:
+def test_step_bound_applies_only_with_online_calls() -> None:
+    """Guard against batch that slows online calls, and against a bound without online calls."""
     share, book = make("i0", ["i0"], "tail")
     for step, running in enumerate((2, 8, 16, 24, 30)):
         report(share, book, running, step * 100)
@@ -187,17 +201,19 @@
     assert settle(share, book, 28_000, 30_000) > bounded
 
 
-def test_pace_keeps_what_it_learnt_of_an_idle_replica() -> None:
-    pace = StepTimes()
+def test_step_times_remember_idle_replica() -> None:
+    """Guard against forgetting the step time at low load while the replica is full."""
+    step_times = StepTimes()
     for running in (1, 10, 20):
-        pace.observe(running, SLOTS, 5.0 + 0.06 * running)
+        step_times.observe(running, SLOTS, 5.0 + 0.06 * running)
     for _ in range(10_000):
-        pace.observe(30, SLOTS, 6.8)
-    assert abs(pace.step_ms(1) - 5.06) < 0.01
-    assert abs(pace.max_running(6.2) - 20) < 0.1
+        step_times.observe(30, SLOTS, 6.8)
+    assert abs(step_times.step_ms(1) - 5.06) < 0.01
+    assert abs(step_times.max_running(6.2) - 20) < 0.1
 
 
-def test_pace_is_learnt_from_online_calls_when_reports_have_no_step_time() -> None:
+def test_step_times_are_learnt_from_online_calls() -> None:
+    """Guard against unknown step times where load reports carry none."""
     share, book = make("i0", ["i0"], "tail")
     now = 0
     for running in (4, 10, 18, 26):
--- a/tests/test_policy_first_byte.py
+++ b/tests/test_policy_first_byte.py
@@ -10,26 +10,31 @@
     return times
 
 
-def test_attempts_share_the_time_that_is_left() -> None:
+def test_attempts_share_the_remaining_time() -> None:
+    """Guard against one attempt using up the time of all."""
     times = FirstByteTimes()
     assert times.limit_ms("lm", 9_000, 3) == 3_000
     assert times.limit_ms("lm", 6_000, 2) == 3_000
     assert times.limit_ms("lm", 3_000, 1) == NO_LIMIT
 
 
-def test_quick_upstream_is_given_up_at_the_floor() -> None:
+def test_fast_upstream_times_out_at_the_floor() -> None:
+    """Guard against long waits for a hung replica of a fast upstream."""
     assert learnt(*[30.0] * 20).limit_ms("lm", 60_000, 3) == FLOOR_MS
 
 
-def test_slow_upstream_is_given_its_time() -> None:
+def test_slow_upstream_gets_enough_time() -> None:
+    """Guard against timeouts of healthy but slow answers."""
     times = learnt(*[4_000.0, 6_000.0] * 20)
     assert 6_000 < times.limit_ms("lm", 60_000, 3) < 20_000
 
 
-def test_waits_in_vain_raise_the_limit() -> None:
-    # Symptom: when an upstream slows down as a whole, its load grows until nothing ends.
-    # Sequence: every attempt runs into the learnt limit and is repeated elsewhere.
-    # Cause: only answers were observed, so the limit stayed where it was.
+def test_timeouts_raise_the_limit() -> None:
+    """Guard against growing load on an upstream that slows down as a whole.
+
+    Every attempt exceeds the learnt limit and is retried elsewhere; if only answers were observed,
+    the limit would never rise.
+    """
     times = learnt(*[30.0] * 20)
     before = times.limit_ms("lm", 60_000, 3)
     for _ in range(10):
--- a/tests/test_policy_handing.py
+++ b/tests/test_policy_handing.py
@@ -1,4 +1,4 @@
-"""Test to whom stalled jobs are offered, and who has them then."""
+"""Test which instances are offered stalled jobs, and which then run them."""
 
 import pytest
 
@@ -6,33 +6,35 @@
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 4, 30, 200])
-def test_everybody_able_is_asked_in_turn(count: int) -> None:
-    # Failure: a job never starts, since those that may start its items are never asked.
+def test_every_able_instance_gets_an_offer(count: int) -> None:
+    """Guard against a job that never starts because able instances get no offer."""
     able = [f"k{number:03}" for number in range(count)]
     offers = Offers("k000")
-    asked: list[str] = []
+    offered: list[str] = []
     for _ in range(-(-(count - 1) // PEERS_PER_ROUND)):
         found = offers.next(able)
         assert len(found) <= PEERS_PER_ROUND
-        asked += found
-    assert set(asked) == set(able) - {"k000"}
+        offered += found
+    assert set(offered) == set(able) - {"k000"}
 
 
-def test_one_that_is_not_able_asks_those_that_are() -> None:
+def test_unable_owner_offers_to_able_instances() -> None:
+    """Guard against an owner that offers nothing because it is not able itself."""
     assert set(Offers("z").next(["a", "b"])) == {"a", "b"}
 
 
-def test_what_is_handed_on_comes_back() -> None:
-    handed = HandedJobs()
-    handed.on_taken("job", "a", 0)
-    handed.on_taken("job", "b", 0)
-    assert handed.holder("job") == "a"
-    assert not handed.expire(["a"], HANDOVER_EXPIRY_MS - 1)
-    handed.on_given_back("job", "b")
-    assert handed.holder("job") == "a"
-    assert handed.expire(["b"], 1)
-    handed.on_taken("job", "b", 1)
-    assert handed.expire(["b"], 1 + HANDOVER_EXPIRY_MS)
-    handed.on_taken("job", "b", 0)
-    handed.on_given_back("job", "b")
-    assert handed.holder("job") is None
+def test_handover_ends_when_returned_or_expired() -> None:
+    """Guard against a job that stays handed over to an instance that does not run it."""
+    handovers = HandedJobs()
+    handovers.on_taken("job", "a", 0)
+    handovers.on_taken("job", "b", 0)
+    assert handovers.holder("job") == "a"
+    assert not handovers.expire(["a"], HANDOVER_EXPIRY_MS - 1)
+    handovers.on_given_back("job", "b")
+    assert handovers.holder("job") == "a"
+    assert handovers.expire(["b"], 1)
+    handovers.on_taken("job", "b", 1)
+    assert handovers.expire(["b"], 1 + HANDOVER_EXPIRY_MS)
+    handovers.on_taken("job", "b", 0)
+    handovers.on_given_back("job", "b")
+    assert handovers.holder("job") is None
--- a/tests/test_policy_job_owners.py
+++ b/tests/test_policy_job_owners.py
@@ -16,19 +16,19 @@
 
 
 def jobs_never_started(keepers: list[str], replicas: list[str]) -> list[str]:
-    """Return the jobs that fall to a keeper which may start items at no replica."""
+    """Return the jobs owned by a keeper that may start items at no replica."""
     able = able_to_own(keepers, replicas)
     owners = {f"job-{n}": owner(f"job-{n}", able) for n in range(JOBS)}
-    may_start = {one for replica in replicas for one in sharers_of(replica, keepers)}
-    return [job_id for job_id, one in owners.items() if one not in may_start]
+    able_to_start = {keeper for replica in replicas for keeper in sharers_of(replica, keepers)}
+    return [job_id for job_id, keeper in owners.items() if keeper not in able_to_start]
 
 
 @pytest.mark.parametrize(
     ("keepers", "replicas"),
     [(30, 47), (30, 32), (30, 24), (30, 5), (13, 15), (12, 5), (8, 5), (7, 5), (200, 1), (1, 1)],
 )
-def test_a_job_falls_to_a_keeper_that_can_start_its_items(keepers: int, replicas: int) -> None:
-    # Failure: a job falls to a keeper that shares no replica of its service, and never starts.
+def test_owner_can_start_items(keepers: int, replicas: int) -> None:
+    """Guard against a job that never starts as its owner shares no replica of the upstream."""
     rand = random.Random(7)
     for _ in range(FLEETS):
         running = sorted(names(rand, "keeper", keepers))
@@ -37,25 +37,25 @@
 
 @settings(deadline=None)
 @given(st.integers(0, 2**32), st.integers(1, 40), st.integers(1, 60))
-def test_no_job_is_left_while_replicas_and_keepers_go(
+def test_no_job_is_stranded_while_replicas_and_keepers_depart(
     seed: int, keepers: int, replicas: int
 ) -> None:
-    # Failure: replicas go one after the other, and an owner that shares none of the rest keeps
-    # its jobs.
+    """Guard against an owner that keeps its jobs but shares none of the remaining replicas."""
     rand = random.Random(seed)
     running, listed = sorted(names(rand, "keeper", keepers)), names(rand, "i", replicas)
     while running and listed:
         assert jobs_never_started(running, listed) == []
-        going = rand.choice([running, listed])
-        going.remove(rand.choice(going))
+        shrinking = rand.choice([running, listed])
+        shrinking.remove(rand.choice(shrinking))
 
 
-def test_everybody_may_own_jobs_while_no_replica_is_known() -> None:
+def test_all_may_own_jobs_without_replicas() -> None:
+    """Guard against jobs without an owner while no replica is listed."""
     assert able_to_own(["a", "b"], []) == ("a", "b")
 
 
-def test_a_replica_that_goes_moves_few_jobs() -> None:
-    # With many replicas all may own jobs whichever of them goes.
+def test_departed_replica_moves_no_owner_in_large_fleet() -> None:
+    """Guard against moving jobs in a large fleet whenever a replica departs."""
     rand = random.Random(7)
     running, listed = sorted(names(rand, "keeper", 30)), names(rand, "i", 300)
     assert able_to_own(running, listed) == able_to_own(running, listed[1:]) == tuple(running)
--- a/tests/test_policy_orphans.py
+++ b/tests/test_policy_orphans.py
@@ -1,7 +1,7 @@
-"""Test that a job which nobody runs is taken by one of those next in line, and by no more.
+"""Test that a job that no instance runs is taken over by one of the next candidates, and no more.
 
-Symptom: accepted jobs are left lying. Cause: keepers whose views of who lives differ each take
-another for the owner.
+Accepted jobs were never run where keepers' views of the live instances differ, as each took another
+for the owner.
 """
 
 import random
@@ -19,13 +19,13 @@
 
 
 class Fleet:
-    """Hold keepers with views of their own; dead ones answer nothing."""
+    """Simulate keepers with views of their own; dead ones reply nothing."""
 
     def __init__(self, views: dict[str, list[str]]) -> None:
         self.views = views
-        self.watches = {one: OrphanWatch(one) for one in views}
+        self.watches = {keeper: OrphanWatch(keeper) for keeper in views}
         self.now = 0
-        self.asked = 0
+        self.checks_sent = 0
 
     def runs(self, name: str, job: str) -> bool:
         return owner(job, self.views[name]) == name or self.watches[name].taken(job)
@@ -35,44 +35,50 @@
             self.now += TICK_MS
             for name, watch in self.watches.items():
                 owners = {job: owner(job, self.views[name]) for job in JOBS}
-                for asked, jobs in watch.asks(owners, partial(self.line, name), self.now).items():
-                    self.asked += 1
-                    if asked in self.views:
-                        runs = frozenset(job for job in jobs if self.runs(asked, job))
+                for recipient, jobs in watch.asks(
+                    owners, partial(self.candidates, name), self.now
+                ).items():
+                    self.checks_sent += 1
+                    if recipient in self.views:
+                        runs = frozenset(job for job in jobs if self.runs(recipient, job))
                         watch.on_answer(jobs, Answered(runs, frozenset()), self.now)
                     else:
                         watch.on_silence(jobs, self.now)
 
-    def line(self, name: str, _job: str) -> list[str]:
+    def candidates(self, name: str, _job: str) -> list[str]:
         return self.views[name]
 
     def runners(self, job: str) -> list[str]:
         return [name for name in self.views if self.runs(name, job)]
 
 
-def test_agreeing_keepers_take_nothing() -> None:
+def test_agreeing_keepers_take_nothing_over() -> None:
+    """Guard against needless takeovers, and against more checks than planned."""
     fleet = Fleet(dict.fromkeys(KEEPERS, KEEPERS))
     fleet.run(60_000)
     assert all(fleet.runners(job) == [owner(job, KEEPERS)] for job in JOBS)
-    # Each job is looked after by three, each six seconds.
+    # Each job is checked by three instances, every six seconds.
     assert (
-        fleet.asked <= 10 * min(MAX_WATCHERS * len(JOBS), len(KEEPERS) * (len(KEEPERS) - 1)) + 132
+        fleet.checks_sent
+        <= 10 * min(MAX_WATCHERS * len(JOBS), len(KEEPERS) * (len(KEEPERS) - 1)) + 132
     )
 
 
 @pytest.mark.parametrize("dead", [1, 2])
-def test_a_dead_keeper_that_some_take_for_live(dead: int) -> None:
-    gone, rest = KEEPERS[:dead], KEEPERS[dead:]
-    for believers in range(1, len(rest) + 1):
-        views = {n: (KEEPERS if i < believers else rest) for i, n in enumerate(rest)}
+def test_jobs_of_dead_keeper_are_taken_over(dead: int) -> None:
+    """Guard against orphaned jobs while some keepers take a dead one for live."""
+    dead_keepers, live_keepers = KEEPERS[:dead], KEEPERS[dead:]
+    for misled in range(1, len(live_keepers) + 1):
+        views = {n: (KEEPERS if i < misled else live_keepers) for i, n in enumerate(live_keepers)}
         fleet = Fleet(views)
         fleet.run(12_000)
         for job in JOBS:
             runners = fleet.runners(job)
-            assert 1 <= len(runners) <= 1 + dead, (gone, believers, job)
+            assert 1 <= len(runners) <= 1 + dead, (dead_keepers, misled, job)
 
 
-def test_any_views_leave_no_job() -> None:
+def test_any_views_leave_no_orphaned_job() -> None:
+    """Guard against orphaned jobs for any differing views."""
     rand = random.Random(7)
     for _ in range(40):
         live = KEEPERS[2:]
@@ -80,12 +86,13 @@
         fleet = Fleet(views)
         fleet.run(12_000)
         for job in JOBS:
-            first = max(live, key=lambda one: score(job, one))
-            dead_before = sum(score(job, k) > score(job, first) for k in KEEPERS[:2])
-            assert fleet.runners(job), (views, job, dead_before)
+            best = max(live, key=lambda keeper: score(job, keeper))
+            better_dead = sum(score(job, k) > score(job, best) for k in KEEPERS[:2])
+            assert fleet.runners(job), (views, job, better_dead)
 
 
-def test_a_job_is_given_back_once_its_owner_runs_it() -> None:
+def test_job_is_returned_once_its_owner_runs_it() -> None:
+    """Guard against running a job twice for good."""
     watch = OrphanWatch("a")
     owners = {"job": "b"}
     now = 0
@@ -100,27 +107,29 @@
     assert not watch.taken("job")
 
 
-def test_a_job_that_is_over_is_asked_for_once() -> None:
+def test_finished_job_is_checked_once() -> None:
+    """Guard against endless checks of a finished job, and its takeover."""
     watch = OrphanWatch("a")
-    asked = 0
+    checks_sent = 0
     for now in range(0, 60_000, TICK_MS):
         if watch.asks({"job": "b"}, lambda _job: ["a", "b"], now):
-            asked += 1
+            checks_sent += 1
             watch.on_answer(["job"], Answered(frozenset(), frozenset(["job"])), now)
-    assert (asked, watch.taken("job")) == (1, False)
+    assert (checks_sent, watch.taken("job")) == (1, False)
 
 
-def look_until_due(watch: OrphanWatch, now: int) -> int:
+def run_until_next_check(watch: OrphanWatch, now: int) -> int:
     while not watch.asks({"job": "b"}, lambda _job: ["a", "b"], now):
         now += TICK_MS
     return now
 
 
-def test_a_job_that_stalls_here_too_goes_back() -> None:
+def test_job_that_stalls_here_too_is_returned() -> None:
+    """Guard against keeping a job that stalls at this instance, too."""
     watch = OrphanWatch("a")
     watch.take("job", "b", 0)
     assert watch.taken("job")
-    assert look_until_due(watch, 0) == CHECK_INTERVAL_MS
+    assert run_until_next_check(watch, 0) == CHECK_INTERVAL_MS
     watch.give_back("job", CHECK_INTERVAL_MS)
     assert not watch.taken("job")
-    assert look_until_due(watch, CHECK_INTERVAL_MS) == CHECK_INTERVAL_MS
+    assert run_until_next_check(watch, CHECK_INTERVAL_MS) == CHECK_INTERVAL_MS
--- a/tests/test_policy_outliers.py
+++ b/tests/test_policy_outliers.py
@@ -1,4 +1,4 @@
-"""Test which replicas are taken out of use, and how they come back."""
+"""Test which replicas are ejected, and how they return to use."""
 
 import random
 
@@ -36,9 +36,10 @@
         max_size=200,
     ),
 )
-def test_never_more_than_a_minority_is_out(
+def test_never_more_than_a_minority_is_ejected(
     count: int, ends: list[tuple[int, bool, float, int]]
 ) -> None:
+    """Guard against ejecting replicas that the rest could not replace."""
     outliers = make(count)
     now = 0
     for index, ok, first_token_ms, passed in ends:
@@ -48,25 +49,28 @@
         assert out == 0 or 2 * out < count
 
 
-def test_a_failing_replica_is_out_longer_each_time() -> None:
+def test_failing_replica_is_ejected_longer_each_time() -> None:
+    """Guard against probing a broken replica as often as at first."""
     outliers = make(5)
     now = 0
     spans = []
     for _ in range(3):
         fail(outliers, "r0", 4, now)
         assert outliers.ejected("r0", now)
-        begin = now
+        start = now
         while outliers.ejected("r0", now):
             now += 100
-        spans.append(now - begin)
+        spans.append(now - start)
         outliers.on_start("r0", now)
     assert spans == [FIRST_EJECTION_MS, 2 * FIRST_EJECTION_MS, 4 * FIRST_EJECTION_MS]
 
 
-def test_a_returning_replica_gets_one_call_at_a_time() -> None:
-    # Symptom: each time an ejected replica is tried again, a burst of calls is lost.
-    # Sequence: a replica is down; its ejection ends; many calls are routed in the same ms.
-    # Cause: the end of the ejection put it back in full use.
+def test_returning_replica_gets_one_call_at_a_time() -> None:
+    """Guard against losing a burst of calls each time an ejected replica is tried again.
+
+    A replica is down; its ejection ends; many calls are routed in the same millisecond. The end of
+    the ejection must not return it to full use.
+    """
     outliers, book = make(5), LoadBook()
     book.on_listed(replicas(5), ())
     fail(outliers, "r0", 4, 0)
@@ -89,7 +93,8 @@
     assert not outliers.returning("r0")
 
 
-def test_a_lost_probe_does_not_keep_a_replica_out_forever() -> None:
+def test_lost_probe_does_not_eject_forever() -> None:
+    """Guard against a replica that gets no call because a probe never ended."""
     outliers = make(5)
     fail(outliers, "r0", 4, 0)
     now = FIRST_EJECTION_MS
@@ -102,7 +107,8 @@
     assert not outliers.ejected("r0", now + 60_000)
 
 
-def test_a_replica_ten_times_slower_than_its_siblings_is_ejected() -> None:
+def test_replica_ten_times_slower_is_ejected() -> None:
+    """Guard against a replica in use that is far slower than its siblings."""
     outliers = make(5)
     for step in range(20):
         for index in range(5):
@@ -116,7 +122,8 @@
     ]
 
 
-def test_slowness_of_all_replicas_ejects_none() -> None:
+def test_general_slowness_ejects_none() -> None:
+    """Guard against ejections when the whole upstream slows down."""
     outliers = make(5)
     for step in range(20):
         for index in range(5):
@@ -124,10 +131,12 @@
     assert not any(outliers.ejected(f"r{index}", 20) for index in range(5))
 
 
-def test_of_two_replicas_the_one_that_fails_at_once_does_not_draw_the_calls() -> None:
-    # Symptom: with two replicas, one down, nearly every call goes to the one that is down.
-    # Sequence: it refuses connections in no time, so it never has a call open.
-    # Cause: routing goes by open calls, and neither replica may be ejected.
+def test_fast_failing_replica_of_two_attracts_few_calls() -> None:
+    """Guard against sending nearly all calls to the one of two replicas that is down.
+
+    It refuses connections at once, so that it never has a call open; routing goes by open calls,
+    and neither replica may be ejected.
+    """
     outliers, book, rand = make(2), LoadBook(), random.Random(1)
     book.on_listed(replicas(2), ())
     sent = {"r0": 0, "r1": 0}
@@ -147,7 +156,8 @@
     assert sent["r0"] <= 0.05 * sent["r1"]
 
 
-def test_a_call_that_cannot_be_repeated_is_no_probe() -> None:
+def test_non_idempotent_call_is_no_probe() -> None:
+    """Guard against losing a call that cannot be retried to a replica that may be broken."""
     outliers, book = make(3), LoadBook()
     book.on_listed(replicas(3), ())
     fail(outliers, "r0", 4, 0)
--- a/tests/test_policy_placers.py
+++ b/tests/test_policy_placers.py
@@ -1,4 +1,4 @@
-"""Play the online load of a large fleet, and check how many calls find their replica full."""
+"""Simulate the online load of a large fleet, and check how many calls find their replica full."""
 
 import heapq
 import random
@@ -17,9 +17,9 @@
 SLOTS = 7
 RUN_MS = 460
 TOTALS_MS = 200
-EARLY_MS = 20
-WAY_MS = 5
-# Calls a second, for 2.4 of each 6 s 1.91 times the mean and 0.39 times otherwise.
+REPORT_DELAY_MS = 20
+TRANSFER_MS = 5
+# Calls a second: for 2.4 s of each 6 s 1.91 times the mean, and 0.39 times otherwise.
 MEAN_PER_S = 155
 PROMPTS = 40
 NOW = 0
@@ -45,26 +45,26 @@
 
 def new_book() -> LoadBook:
     book = LoadBook()
-    book.on_listed(REPLICAS, (), {one.id: SLOTS for one in REPLICAS})
+    book.on_listed(REPLICAS, (), {replica.id: SLOTS for replica in REPLICAS})
     return book
 
 
 class Fleet:
-    """Count the calls open at each replica, by instance, and let time pass."""
+    """Count the calls open at each replica, by instance, and run timers as time passes."""
 
     def __init__(self) -> None:
         self.open: dict[int, dict[str, int]] = {n: {} for n in range(INSTANCES)}
-        self.total = dict.fromkeys((one.id for one in REPLICAS), 0)
-        self._coming: list[tuple[int, int, Callable[[int], None]]] = []
-        self._order = 0
+        self.total = dict.fromkeys((replica.id for replica in REPLICAS), 0)
+        self._timers: list[tuple[int, int, Callable[[int], None]]] = []
+        self._next_number = 0
 
     def at(self, when: int, call: Callable[[int], None]) -> None:
-        self._order += 1
-        heapq.heappush(self._coming, (when, self._order, call))
+        self._next_number += 1
+        heapq.heappush(self._timers, (when, self._next_number, call))
 
     def advance(self, now: int) -> None:
-        while self._coming and self._coming[0][0] <= now:
-            when, _, call = heapq.heappop(self._coming)
+        while self._timers and self._timers[0][0] <= now:
+            when, _, call = heapq.heappop(self._timers)
             call(when)
 
     def count(self, instance: int, replica: str, change: int) -> None:
@@ -76,61 +76,61 @@
         return [ReplicaUse(key, count, 0) for key, count in self.open[instance].items() if count]
 
 
-class Way(NamedTuple):
-    """Choose a replica for a call; changed is told when an instance's calls have changed."""
+class Strategy(NamedTuple):
+    """Choose a replica for a call; changed is called when an instance's open calls have changed."""
 
     pick: Callable[[Call], str]
     changed: Callable[[int, int], None] = lambda _instance, _now: None
 
 
-def play(make: Callable[[Fleet, random.Random], Way]) -> float:
+def simulate(make: Callable[[Fleet, random.Random], Strategy]) -> float:
     """Return the share of calls that find all slots of their replica taken."""
     rand = random.Random(4)
     fleet = Fleet()
-    way = make(fleet, rand)
+    strategy = make(fleet, rand)
     full = 0
     load = calls(24, rand)
 
     def end(call: Call, replica: str, now: int) -> None:
         fleet.count(call.instance, replica, -1)
-        way.changed(call.instance, now)
+        strategy.changed(call.instance, now)
 
     for call in load:
         fleet.advance(call.at)
-        replica = way.pick(call)
+        replica = strategy.pick(call)
         full += fleet.total[replica] >= SLOTS
         fleet.count(call.instance, replica, 1)
-        way.changed(call.instance, call.at)
+        strategy.changed(call.instance, call.at)
         fleet.at(call.at + RUN_MS, partial(end, call, replica))
     return full / len(load)
 
 
-def by_old_totals(fleet: Fleet, rand: random.Random) -> Way:
+def choose_by_old_totals(fleet: Fleet, rand: random.Random) -> Strategy:
     """Let each instance choose by totals that are up to 200 ms old."""
-    told: dict[str, int] = {}
-    told_at = -TOTALS_MS
+    totals: dict[str, int] = {}
+    totals_at = -TOTALS_MS
     outliers = Outliers()
 
     def pick(call: Call) -> str:
-        nonlocal told, told_at
-        if call.at - told_at >= TOTALS_MS:
-            told, told_at = dict(fleet.total), call.at
+        nonlocal totals, totals_at
+        if call.at - totals_at >= TOTALS_MS:
+            totals, totals_at = dict(fleet.total), call.at
         book = new_book()
         for replica, count in fleet.open[call.instance].items():
             for _ in range(count):
                 book.on_sent(replica, False, call.at)
-        book.on_totals("hub", [ReplicaUse(key, count, 0) for key, count in told.items()])
+        book.on_totals("hub", [ReplicaUse(key, count, 0) for key, count in totals.items()])
         chosen = choose(
             book, outliers, RouteRequest("lm", call.prompt, "dc", told=True), rand, call.at
         )
         assert chosen is not None
         return chosen
 
-    return Way(pick)
+    return Strategy(pick)
 
 
-def by_placer(fleet: Fleet, rand: random.Random) -> Way:
-    """Let one instance choose, which hears of each call some 25 ms late."""
+def choose_by_placer(fleet: Fleet, rand: random.Random) -> Strategy:
+    """Let one instance choose, which learns of each call some 25 ms late."""
     book = new_book()
     outliers = Outliers()
     req = RouteRequest("lm", "", "dc", told=True, fresh=True)
@@ -143,23 +143,29 @@
 
     def send(instance: int, now: int) -> None:
         uses = fleet.uses(instance)
-        fleet.at(now + WAY_MS, lambda then: book.on_peer_uses(str(instance), uses, then))
+        fleet.at(now + TRANSFER_MS, lambda then: book.on_peer_uses(str(instance), uses, then))
 
-    return Way(pick, lambda instance, now: fleet.at(now + EARLY_MS, partial(send, instance)))
+    return Strategy(
+        pick, lambda instance, now: fleet.at(now + REPORT_DELAY_MS, partial(send, instance))
+    )
 
 
 def test_few_calls_find_their_replica_full() -> None:
-    # Load: 58 instances, 30 replicas of 7 slots, jumps to 1.9 times the mean, two thirds of all
-    # slots taken in them, some prompts frequent. Before, by totals that are 200 ms old: one call in
-    # ten finds all slots taken, and one in six where the replica that has a prompt cached was
-    # taken up to a quarter above the mean load. After, by one that places all calls: none.
-    before = play(by_old_totals)
-    after = play(by_placer)
+    """Guard against calls that wait at a full replica while others have free slots.
+
+    58 instances send to 30 replicas of 7 slots; load jumps to 1.9 times the mean, which takes two
+    thirds of all slots, and some prompts are frequent. With totals that are 200 ms old one call in
+    ten finds all slots taken, and one in six if the replica that has a prompt cached is used up to
+    a quarter above the mean load. With one placer for all calls none does.
+    """
+    before = simulate(choose_by_old_totals)
+    after = simulate(choose_by_placer)
     assert before > 0.08, before
     assert after == 0.0, after
 
 
-def test_a_placed_call_counts_until_its_peer_tells_of_it() -> None:
+def test_placed_call_counts_until_its_peer_reports_it() -> None:
+    """Guard against counting a placed call twice or not at all."""
     book = new_book()
     book.on_placed("a", "i-1", NOW)
     assert book.online_at("i-1") == 1
@@ -169,29 +175,35 @@
     assert book.online_at("i-1") == 1
 
 
-def test_a_call_placed_for_a_peer_that_is_lost_is_forgotten() -> None:
+def test_call_placed_for_a_lost_peer_is_forgotten() -> None:
+    """Guard against calls of a lost peer that occupy slots for ever."""
     book = new_book()
     book.on_placed("a", "i-1", NOW)
     book.on_peer_gone("a")
     assert book.online_at("i-1") == 0
 
 
-def test_parts_are_bounded_and_keep_to_one_upstream() -> None:
+def test_partitions_are_bounded_and_of_one_upstream() -> None:
+    """Guard against partitions that are too large or mix upstreams."""
     many = [Replica(f"m-{n}", "lm", "h", 1, "dc") for n in range(10 * PARTITION_REPLICAS)]
     few = [Replica(f"f-{n}", "app", "h", 1, "dc") for n in range(3)]
-    parts = make_parts([*many, *few])
-    assert parts.keys["app"] == ["app/0"]
-    assert parts.members["app/0"] == {one.id for one in few}
-    assert len(parts.keys["lm"]) == 10
-    assert max(len(parts.members[key]) for key in parts.keys["lm"]) < 2 * PARTITION_REPLICAS
+    partitions = make_parts([*many, *few])
+    assert partitions.keys["app"] == ["app/0"]
+    assert partitions.members["app/0"] == {replica.id for replica in few}
+    assert len(partitions.keys["lm"]) == 10
+    assert (
+        max(len(partitions.members[key]) for key in partitions.keys["lm"]) < 2 * PARTITION_REPLICAS
+    )
 
 
-def test_everybody_names_the_same_placer() -> None:
+def test_all_instances_agree_on_the_placer() -> None:
+    """Guard against two placers of one partition."""
     assert placer_of("lm/0", []) is None
     assert placer_of("lm/0", ["a", "b", "c"]) == placer_of("lm/0", ["c", "a", "b"])
 
 
-def test_only_the_replicas_of_a_part_are_chosen() -> None:
+def test_only_replicas_of_a_partition_are_chosen() -> None:
+    """Guard against a placer that uses replicas of another partition."""
     within = frozenset({"i-3"})
     req = RouteRequest("lm", "", "dc", told=True, fresh=True, within=within)
     assert choose(new_book(), Outliers(), req, random.Random(1), NOW) == "i-3"
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -1,4 +1,4 @@
-"""Test which failed calls are sent again, and what their callers are told."""
+"""Test which failed calls are retried, and what their callers are told."""
 
 import random
 
@@ -31,9 +31,10 @@
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=200)
 @given(failures=st.lists(FAILURES, min_size=1, max_size=8), idempotent=st.booleans())
-def test_what_may_have_run_is_neither_repeated_nor_called_not_run(
+def test_calls_that_may_have_run_are_not_repeated(
     failures: list[Failure], idempotent: bool
 ) -> None:
+    """Guard against running a non-idempotent call twice, and against a false "not run"."""
     budget, rand = RetryBudget(), random.Random(1)
     now = 0
     earlier = Sent.NO
@@ -55,15 +56,16 @@
 @given(
     steps=st.lists(st.tuples(st.integers(0, 800), st.integers(0, 60), st.integers(0, 60))),
 )
-def test_retries_stay_inside_the_budget(steps: list[tuple[int, int, int]]) -> None:
+def test_retries_stay_within_the_budget(steps: list[tuple[int, int, int]]) -> None:
+    """Guard against retries beyond the share of the requests."""
     budget = RetryBudget()
     now = 0
     requests: list[int] = []
     retries: list[int] = []
-    for passed, asked, failed in steps:
+    for passed, requested, failed in steps:
         now += passed
-        requests.extend([now] * asked)
-        for _ in range(asked):
+        requests.extend([now] * requested)
+        for _ in range(requested):
             budget.on_request("model", now)
         retries.extend(now for _ in range(failed) if budget.spend("model", now))
         since = now - RETRY_WINDOW_MS
@@ -72,10 +74,12 @@
         assert spent <= max(RETRY_FLOOR, RETRY_SHARE * recent)
 
 
-def test_an_upstream_that_fails_everything_gets_a_tenth_more_and_not_thrice() -> None:
-    # Symptom: an upstream that fails under load gets a multiple of the load and stays down.
-    # Sequence: 1,000 requests in a second all fail; each may be sent three times.
-    # Cause: every request retried by its own rule alone.
+def test_failing_upstream_gets_a_tenth_more_load() -> None:
+    """Guard against a retry storm that keeps an overloaded upstream down.
+
+    1,000 requests in a second all fail, and each may be sent three times. Retries must be limited
+    over all requests, not by each request's own rule alone.
+    """
     budget, rand = RetryBudget(), random.Random(1)
     failure = Failure(FailureKind.STATUS, Sent.MAYBE, "busy", 503)
     sends = 0
@@ -89,10 +93,12 @@
     assert sends <= 1_101
 
 
-def test_a_silent_connection_is_replaced_before_the_replica_is_avoided() -> None:
-    # Symptom: a healthy replica is avoided because something dropped a kept connection.
-    # Sequence: a call on a kept connection gets no byte; new connections would work.
-    # Cause: the silence was held against the replica at once.
+def test_silent_connection_is_replaced_first() -> None:
+    """Guard against avoiding a healthy replica because something dropped a kept-alive connection.
+
+    A call on a kept-alive connection gets no byte, but new connections would work; the replica may
+    be at fault only when a new one is silent, too.
+    """
     budget, rand = RetryBudget(), random.Random(1)
     silent = Failure(FailureKind.SILENT, Sent.MAYBE, "no byte")
     first = decide(silent, True, 1, RULE, 60_000, 0, budget, "model", rand)
@@ -101,16 +107,18 @@
     assert isinstance(second, Retry) and second.exclude
 
 
-def test_a_caller_that_does_not_tell_of_earlier_sends_gets_unknown() -> None:
+def test_unreported_earlier_attempts_mean_unknown() -> None:
+    """Guard against a false "not run" where it is not stated what earlier attempts did."""
     budget, rand = RetryBudget(), random.Random(1)
     unsent = Failure(FailureKind.CONNECT, Sent.NO, "refused")
     last = decide(unsent, True, 3, RULE, 60_000, 0, budget, "model", rand)
     assert isinstance(last, GiveUp) and last.refusal.outcome is Outcome.UNKNOWN
-    told = decide(unsent, True, 3, RULE, 60_000, 0, budget, "model", rand, Sent.NO)
-    assert isinstance(told, GiveUp) and told.refusal.outcome is Outcome.NOT_RUN
+    reported = decide(unsent, True, 3, RULE, 60_000, 0, budget, "model", rand, Sent.NO)
+    assert isinstance(reported, GiveUp) and reported.refusal.outcome is Outcome.NOT_RUN
 
 
 def test_no_retry_is_planned_past_the_due_time() -> None:
+    """Guard against a retry that would start after the due time."""
     budget, rand = RetryBudget(), random.Random(1)
     busy = Failure(FailureKind.STATUS, Sent.NO, "busy", 503)
     decision = decide(busy, True, 1, RULE, 1_005, 1_000, budget, "model", rand, Sent.NO)
@@ -126,24 +134,29 @@
         decide(cut, True, 1, RULE, 60_000, now, budget, "model", rand, Sent.NO, at)
         for _ in range(calls)
     ]
-    return sum(1 for one in decisions if isinstance(one, Retry))
+    return sum(1 for decision in decisions if isinstance(decision, Retry))
+
 
+def test_every_call_of_a_crashed_replica_is_retried() -> None:
+    """Guard against refusing calls of a crashed replica while others have free slots.
 
-def test_every_call_of_one_dead_replica_is_sent_again() -> None:
-    # Symptom: "7 whole, 2 refused of 9" although the second engine had seven slots free.
-    # Sequence: nine calls, seven of them on one engine; it crashes and all seven are cut.
-    # Cause: the budget against storms allowed five retries in all.
+    Of nine calls seven are on one engine, which crashes. With only the budget against storms, which
+    allows five retries in total, two calls were refused although the second engine had seven free
+    slots.
+    """
     budget = RetryBudget()
     for _ in range(9):
         budget.on_request("model", 0)
     assert _retries(budget, 7, FailedAt("e1", 8, 2)) == 7
 
 
-def test_a_replica_takes_no_more_calls_with_it_than_it_has_slots_and_the_floor() -> None:
+def test_retries_of_a_crashed_replica_are_bounded() -> None:
+    """Guard against more retries than the replica's slots and the floor."""
     assert _retries(RetryBudget(), 40, FailedAt("e1", 8, 9)) == 8 + RETRY_FLOOR
 
 
-def test_when_most_replicas_lose_calls_only_the_shared_budget_is_left() -> None:
+def test_failing_upstream_has_only_the_shared_budget() -> None:
+    """Guard against a retry storm when most replicas of an upstream fail."""
     budget = RetryBudget()
     assert _retries(budget, 8, FailedAt("e1", 8, 3)) == 8
     assert _retries(budget, 20, FailedAt("e2", 8, 3)) == RETRY_FLOOR
@@ -151,7 +164,8 @@
     assert _retries(budget, 8, FailedAt("e2", 8, 3), later) == 8
 
 
-def test_a_status_is_no_loss_of_a_replica() -> None:
+def test_status_is_no_lost_replica() -> None:
+    """Guard against counting error responses as calls of a crashed replica."""
     budget, rand = RetryBudget(), random.Random(1)
     broken = Failure(FailureKind.STATUS, Sent.MAYBE, "failed", 500)
     at = FailedAt("e1", 8, 9)
@@ -159,4 +173,4 @@
         decide(broken, True, 1, RULE, 60_000, 0, budget, "model", rand, Sent.NO, at)
         for _ in range(20)
     ]
-    assert sum(1 for one in decisions if isinstance(one, Retry)) == RETRY_FLOOR
+    assert sum(1 for decision in decisions if isinstance(decision, Retry)) == RETRY_FLOOR
--- a/tests/test_policy_routing.py
+++ b/tests/test_policy_routing.py
@@ -1,4 +1,4 @@
-"""Test where calls are sent."""
+"""Test which replicas calls are sent to."""
 
 import random
 from collections import Counter
@@ -23,7 +23,7 @@
     return book, outliers
 
 
-def spread(book: LoadBook, outliers: Outliers, req: RouteRequest, count: int) -> Counter[str]:
+def route_many(book: LoadBook, outliers: Outliers, req: RouteRequest, count: int) -> Counter[str]:
     rand = random.Random(1)
     sent: Counter[str] = Counter()
     for _ in range(count):
@@ -34,34 +34,39 @@
     return sent
 
 
-def test_an_old_report_of_an_idle_replica_draws_no_herd() -> None:
-    # Symptom: every 100 ms another replica is flooded.
-    # Sequence: a report shows one replica idle; calls come before the next report.
-    # Cause: all of them went to the replica with the lowest report.
+def test_old_report_of_idle_replica_attracts_no_herd() -> None:
+    """Guard against overloading another replica after each load report.
+
+    A report shows one replica idle, and many calls arrive before the next report. They must not all
+    go to the replica with the lowest report.
+    """
     book, outliers = make(5)
     for index in range(5):
         book.on_report(f"r{index}", Load(0 if index == 0 else 16, 0, SLOTS, 6.0, 1_000))
-    sent = spread(book, outliers, RouteRequest("model", "", ""), 50)
+    sent = route_many(book, outliers, RouteRequest("model", "", ""), 50)
     assert sent["r0"] <= 20
     assert min(sent[f"r{index}"] for index in range(5)) >= 6
 
 
-def test_a_replica_that_others_load_gets_less() -> None:
+def test_replica_loaded_by_others_gets_fewer_calls() -> None:
+    """Guard against ignoring the load that other instances cause."""
     book, outliers = make(5)
     for index in range(5):
         book.on_report(f"r{index}", Load(30 if index == 0 else 2, 0, SLOTS, 6.0, 1_000))
-    sent = spread(book, outliers, RouteRequest("model", "", ""), 50)
+    sent = route_many(book, outliers, RouteRequest("model", "", ""), 50)
     assert sent["r0"] <= 3
 
 
-def test_a_leaving_replica_gets_nothing() -> None:
+def test_leaving_replica_gets_no_calls() -> None:
+    """Guard against calls to a replica that is about to stop."""
     book, outliers = make(4)
     book.on_listed(replicas(4), {"r1", "r2"})
-    sent = spread(book, outliers, RouteRequest("model", "p", ""), 100)
+    sent = route_many(book, outliers, RouteRequest("model", "p", ""), 100)
     assert sent.keys() == {"r0", "r3"}
 
 
-def test_a_retry_avoids_the_excluded_even_if_the_rest_is_ejected() -> None:
+def test_retry_avoids_excluded_replicas() -> None:
+    """Guard against a retry at a replica that failed the call, also if the rest is ejected."""
     book, outliers = make(3)
     for _ in range(4):
         outliers.on_end("r0", False, None, 1_000)
@@ -71,21 +76,24 @@
     assert choose(book, outliers, everything, random.Random(1), 1_000) is None
 
 
-def test_a_prefix_keeps_its_replica_until_that_is_loaded() -> None:
+def test_prefix_keeps_its_replica_until_that_is_loaded() -> None:
+    """Guard against cache misses, and against overload by a frequent prefix."""
     book, outliers = make(6)
     req = RouteRequest("model", "you are a gate clerk", "")
-    home = choose(book, outliers, req, random.Random(1), 1_000)
-    assert home is not None
-    assert {choose(book, outliers, req, random.Random(i), 1_000) for i in range(20)} == {home}
-    sent = spread(book, outliers, req, 120)
-    assert sent[home] <= 60
+    preferred = choose(book, outliers, req, random.Random(1), 1_000)
+    assert preferred is not None
+    assert {choose(book, outliers, req, random.Random(i), 1_000) for i in range(20)} == {preferred}
+    sent = route_many(book, outliers, req, 120)
+    assert sent[preferred] <= 60
     assert len(sent) >= 4
 
 
-def test_no_room_once_the_unseen_sends_of_all_instances_fill_the_slots() -> None:
-    # Symptom: at overload the engines' own queues grow, and urgent calls wait in them.
-    # Sequence: reports show 8 free slots; four instances send 8 calls each before the next.
-    # Cause: each instance took all the free slots for itself.
+def test_no_capacity_once_unreported_calls_fill_the_slots() -> None:
+    """Guard against growing queues in the engines, where urgent calls cannot overtake.
+
+    Reports show 8 free slots, and four instances send 8 calls each before the next report. No
+    instance may use all the free slots alone.
+    """
     book, outliers = make(1)
     for peer in ("a", "b", "c"):
         book.on_peer_uses(peer, [ReplicaUse("r0", 6, 0)], 900)
@@ -99,7 +107,8 @@
     assert free_calls(book, outliers, "model", 1_001) > 0
 
 
-def test_batch_calls_take_no_room_from_online_calls() -> None:
+def test_batch_calls_take_no_capacity_from_online_calls() -> None:
+    """Guard against queueing online calls behind batch streams, which would yield."""
     book, outliers = make(1)
     for _ in range(SLOTS):
         book.on_sent("r0", True, 900)
@@ -107,7 +116,8 @@
     assert free_calls(book, outliers, "model", 1_200) >= SLOTS
 
 
-def test_subsets_are_bounded_and_load_all_replicas_alike() -> None:
+def test_subsets_are_bounded_and_even() -> None:
+    """Guard against too many connections, uneven load, and subsets that change with the fleet."""
     ids = [f"r{i}" for i in range(300)]
     instances = [f"i{i}" for i in range(60)]
     load = dict.fromkeys(ids, 0.0)
@@ -124,13 +134,15 @@
         assert len(set(subset(ids, fewer, name, 20)) ^ set(before[name])) <= 4
 
 
-def test_a_small_upstream_is_seen_whole_by_everyone() -> None:
+def test_small_upstream_is_used_by_all() -> None:
+    """Guard against subsets of an upstream that is small enough for all."""
     ids = ["r0", "r1", "r2"]
     instances = [f"i{i}" for i in range(30)]
     assert all(set(subset(ids, instances, name, 20)) == set(ids) for name in instances)
 
 
-def test_a_peers_change_counts_only_as_far_as_it_is_newer_than_the_report() -> None:
+def test_peer_change_counts_as_far_as_newer_than_report() -> None:
+    """Guard against counting a peer's calls twice that the load report includes."""
     book, _ = make(1)
     book.on_peer_uses("a", [ReplicaUse("r0", 4, 0)], 500)
     book.on_report("r0", Load(4, 0, SLOTS, 6.0, 950))
@@ -140,7 +152,8 @@
     assert book.estimate("r0", 1_250) == 14
 
 
-def test_a_gone_peer_leaves_no_calls_behind() -> None:
+def test_departed_peer_leaves_no_calls() -> None:
+    """Guard against calls of a departed peer that count for ever."""
     book, _ = make(1)
     book.on_peer_uses("a", [ReplicaUse("r0", 3, 2)], 500)
     assert (book.online_at("r0"), book.batch_at("r0")) == (3, 2)
@@ -149,11 +162,12 @@
     assert book.batch_peers(500, 1_000) == frozenset()
 
 
-def test_the_load_of_a_streams_beginning_does_not_replace_a_newer_report() -> None:
-    # Symptom: a full replica is taken for idle whenever a long stream ends on it.
-    # Sequence: the answer's headers, sent at its beginning, carry the load of then; reports
-    # come meanwhile; the answer is handed over at its end.
-    # Cause: the load was taken as new at the end of the answer.
+def test_load_at_stream_start_does_not_replace_newer_report() -> None:
+    """Guard against taking a full replica for idle whenever a long stream ends on it.
+
+    The response headers, sent at the start of the stream, carry the load of that time; newer
+    reports arrive before the response is processed at the stream's end.
+    """
     book, _ = make(1)
     at_beginning = Load(1, 0, SLOTS, 0.0, 1_000, lagging=False)
     book.on_report("r0", Load(30, 0, SLOTS, 6.8, 5_000))
@@ -161,7 +175,8 @@
     assert book.estimate("r0", 5_000) == 30
 
 
-def test_steps_do_not_pile_up_while_reports_fail() -> None:
+def test_changes_do_not_pile_up_while_reports_fail() -> None:
+    """Guard against unbounded memory while a replica cannot be polled."""
     book, _ = make(1)
     book.on_report("r0", Load(0, 0, SLOTS, 5.0, 0))
     for now in range(0, 60_000, 10):
@@ -171,14 +186,15 @@
     assert book.estimate("r0", 60_000) == 0
 
 
-def test_a_cached_prompt_is_worth_one_call_and_not_a_queue() -> None:
-    # Symptom: streams wait 300 ms and more at some replicas while others run half as many.
-    # Events: calls with frequent prompts come; others have filled the replicas preferred for them.
-    # Cause: the replica that has a prompt cached was taken up to a quarter above the mean load,
-    # which is above its slots as soon as the fleet is busy.
+def test_cached_prompt_outweighs_one_call_only() -> None:
+    """Guard against streams that wait 300 ms at some replicas while others run half as many.
+
+    Calls with frequent prompts arrive, and others have filled the replicas that have them cached. A
+    bound of a quarter above the mean load exceeds their slots as soon as the fleet is busy.
+    """
     book = LoadBook()
-    four = [Replica(f"r{n}", "lm", "h", n, "dc") for n in range(4)]
-    book.on_listed(four, (), {one.id: 7 for one in four})
+    replicas_of_lm = [Replica(f"r{n}", "lm", "h", n, "dc") for n in range(4)]
+    book.on_listed(replicas_of_lm, (), {replica.id: 7 for replica in replicas_of_lm})
     uses = [ReplicaUse("r0", 8, 0), *(ReplicaUse(f"r{n}", 6, 0) for n in range(1, 4))]
     book.on_peer_uses("peer", uses, 1)
     rand = random.Random(1)
--- a/tests/test_policy_witnesses.py
+++ b/tests/test_policy_witnesses.py
@@ -1,4 +1,4 @@
-"""Test who counts as alive where some instances cannot hear each other."""
+"""Test which instances count as alive where some cannot reach each other."""
 
 import pytest
 
@@ -7,15 +7,15 @@
 ENTRIES = ["e1", "e2", "e3"]
 
 
-def told(*unheard: tuple[str, ...]) -> Witnesses:
-    witnesses = Witnesses()
-    for entry, names in zip(ENTRIES, unheard, strict=True):
-        witnesses.on_told(entry, names)
-    return witnesses
+def reports_of(*unreachable: tuple[str, ...]) -> Witnesses:
+    reports = Witnesses()
+    for entry, names in zip(ENTRIES, unreachable, strict=True):
+        reports.on_told(entry, names)
+    return reports
 
 
 @pytest.mark.parametrize(
-    ("unheard", "heard"),
+    ("unreachable", "reachable"),
     [
         (((), (), ()), True),
         ((("k2",), (), ()), True),
@@ -24,19 +24,23 @@
         ((("k3",), ("k3",), ("k3",)), True),
     ],
 )
-def test_a_keeper_that_entries_hear_is_alive(
-    unheard: tuple[tuple[str, ...], ...], heard: bool
+def test_keeper_that_entries_reach_is_alive(
+    unreachable: tuple[tuple[str, ...], ...], reachable: bool
 ) -> None:
-    # Symptom: two keepers run the same jobs and fill all slots, and online streams wait.
-    # Events: the two are cut from each other, and both reach the entries.
-    # Cause: silence towards one instance was taken for death.
-    assert told(*unheard).heard("k2", ENTRIES) is heard
+    """Guard against two keepers that run the same jobs, fill all slots and delay online streams.
 
+    The two are partitioned from each other, and both reach the entries. A keeper that a single
+    other instance cannot reach must not be taken for dead.
+    """
+    assert reports_of(*unreachable).heard("k2", ENTRIES) is reachable
 
-def test_only_live_witnesses_count() -> None:
-    assert told(("k2",), ("k2",), ()).heard("k2", ["e3"])
 
+def test_only_reports_of_live_instances_count() -> None:
+    """Guard against decisions by reports of instances that are not live."""
+    assert reports_of(("k2",), ("k2",), ()).heard("k2", ["e3"])
 
-def test_without_witnesses_silence_is_death() -> None:
+
+def test_unreachable_peer_without_reports_is_dead() -> None:
+    """Guard against taking a peer for alive that nobody is known to reach."""
     assert not Witnesses().heard("k2", ENTRIES)
-    assert not told((), (), ()).heard("k2", [])
+    assert not reports_of((), (), ()).heard("k2", [])
