--- a/papayapier/policy/allowances.py
+++ b/papayapier/policy/allowances.py
@@ -30,7 +30,7 @@
 from papayapier.clock import MS_PER_S
 from papayapier.policy.rendezvous import score
 
-KEY: Final = "allowance"
+HASH_KEY: Final = "allowance"
 FIRST: Final = 0
 RESERVE: Final = 1
 # Shares of what may exceed the rate and the burst in a window. Requests are sent up to a fifth of a
@@ -111,13 +111,15 @@
         return min(1.0, len(self.granting) / self.listed) if self.listed else 0.0
 
 
-NOBODY: Final = View((), 0)
+EMPTY_VIEW: Final = View((), 0)
 
 
 def granters(team: str, granting: Collection[str]) -> list[str]:
     """Return the instances that grant a team's requests, the first one first."""
     return sorted(
-        granting, key=lambda instance: (score(f"{KEY}/{team}", instance), instance), reverse=True
+        granting,
+        key=lambda instance: (score(f"{HASH_KEY}/{team}", instance), instance),
+        reverse=True,
     )
 
 
@@ -184,8 +186,8 @@
         self._me = me
         self._bound = bound
         self._teams: dict[str, _Team] = {}
-        self._view = NOBODY
-        self._previous_view = NOBODY
+        self._view = EMPTY_VIEW
+        self._previous_view = EMPTY_VIEW
         self._view_number = 0
         self._started_ms = now
         self._changed_ms = now
--- a/papayapier/policy/fair_queue.py
+++ b/papayapier/policy/fair_queue.py
@@ -29,7 +29,7 @@
     """Describe one queued request; all times are ms on the monotonic clock.
 
     rank 0 is the most urgent. Until give_up_ms an answer is still wanted although due_ms has
-    passed; 0 says that it is not. Until return_by_ms a refused caller can retry in time; None says
+    passed; 0 says that it is not. Until retry_by_ms a refused caller can retry in time; None says
     that it always can. late says that the request can no longer be in time.
     """
 
@@ -42,12 +42,12 @@
     cost: float
     enqueued_ms: int
     give_up_ms: int = 0
-    return_by_ms: int | None = None
+    retry_by_ms: int | None = None
     late: bool = False
 
     def may_return(self, now: int) -> bool:
         """Tell whether its caller, if refused now, can still retry in time."""
-        return self.return_by_ms is None or now < self.return_by_ms
+        return self.retry_by_ms is None or now < self.retry_by_ms
 
     def as_late(self) -> "Waiting":
         """Return a copy marked late that is due when its caller gives up."""
--- a/papayapier/policy/loads.py
+++ b/papayapier/policy/loads.py
@@ -260,7 +260,7 @@
         row = self._rows.get(replica_id)
         return max(row.batch + row.peer_batch, row.total_batch) if row else 0
 
-    def used(self) -> list[str]:
+    def used_replicas(self) -> list[str]:
         """Return the replicas at which any instance is known to have calls open."""
         return [
             replica_id
--- a/papayapier/policy/place_queue.py
+++ b/papayapier/policy/place_queue.py
@@ -46,7 +46,7 @@
     waited_ms: int
 
 
-class Refused(NamedTuple):
+class PlacementRefused(NamedTuple):
     """Say that a request gets no replica, and when its caller should retry."""
 
     asked: Asked
@@ -54,13 +54,13 @@
     waited_ms: int
 
 
-Decided = Given | Refused
+Decided = Given | PlacementRefused
 # Returns the replicas of a partition that are in use.
 UsedReplicas = Callable[[str, int], frozenset[str]]
 # Tells whether a replica takes another call now.
-Takes = Callable[[str, int], bool]
+HasCapacity = Callable[[str, int], bool]
 # Chooses one of some replicas for a request, or returns None if it wants none of them.
-Choose = Callable[[Asked, frozenset[str], int], str | None]
+ChooseReplica = Callable[[Asked, frozenset[str], int], str | None]
 
 
 class PlaceQueue:
@@ -69,7 +69,9 @@
     The owner of the queue counts each placed call before the queue next checks for free capacity.
     """
 
-    def __init__(self, max_queued: int, in_use: UsedReplicas, takes: Takes, choose: Choose) -> None:
+    def __init__(
+        self, max_queued: int, in_use: UsedReplicas, takes: HasCapacity, choose: ChooseReplica
+    ) -> None:
         self._queue = AdmissionQueue(max_queued)
         self._in_use = in_use
         self._takes = takes
@@ -77,7 +79,7 @@
         self._requests: dict[int, Asked] = {}
         self._retry_times: dict[str, RetryTimes] = {}
 
-    def offer(self, request: Asked, now: int) -> Refused | None:
+    def offer(self, request: Asked, now: int) -> PlacementRefused | None:
         """Queue a request, or refuse it at once; decided() returns the outcome of queued ones."""
         entry = _queue_entry(request, now)
         result = self._queue.offer(entry, now)
@@ -137,11 +139,15 @@
         for entry in passed_over:
             self._queue.put_back(entry)
 
-    def _refuse(self, request: Asked, backlog_ms: int, waited_ms: int, now: int) -> Refused:
+    def _refuse(
+        self, request: Asked, backlog_ms: int, waited_ms: int, now: int
+    ) -> PlacementRefused:
         retry_times = self._retry_times.setdefault(request.part, RetryTimes())
         rate = self._queue.rate_per_ms(request.part, now)
         longest_ms = int(request.wanting.left_ms * RETRY_AFTER_SHARE)
-        return Refused(request, retry_times.after_ms(backlog_ms, rate, longest_ms, now), waited_ms)
+        return PlacementRefused(
+            request, retry_times.after_ms(backlog_ms, rate, longest_ms, now), waited_ms
+        )
 
 
 def _queue_entry(request: Asked, now: int) -> Waiting:
@@ -156,5 +162,5 @@
         cost=ONE_CALL,
         enqueued_ms=now,
         give_up_ms=now + wanting.left_ms,
-        return_by_ms=now + wanting.return_ms,
+        retry_by_ms=now + wanting.return_ms,
     )
--- a/papayapier/policy/totals.py
+++ b/papayapier/policy/totals.py
@@ -59,6 +59,6 @@
     hubs = hubs if own_id in hubs else [*hubs, own_id]
     return tuple(
         ReplicaUse(replica_id, book.online_at(replica_id), book.batch_at(replica_id))
-        for replica_id in book.used()
+        for replica_id in book.used_replicas()
         if max(hubs, key=lambda hub: score(replica_id, hub)) == own_id
     )
--- a/tests/test_place_queue.py
+++ b/tests/test_place_queue.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from papayapier.policy.place_queue import Asked, Given, PlaceQueue, Refused
+from papayapier.policy.place_queue import Asked, Given, PlacementRefused, PlaceQueue
 from papayapier.policy.placers import Wanting
 from papayapier.policy.replica_room import ReplicaRoom
 from papayapier.policy.retry_times import MAX_MS, MIN_MS, RetryTimes
@@ -48,7 +48,7 @@
         free = within - request.shunned
         return min(free, key=lambda replica: (self.open[replica], replica)) if free else None
 
-    def decided(self, now: int) -> list[Given | Refused]:
+    def decided(self, now: int) -> list[Given | PlacementRefused]:
         """Return the outcomes that can be decided now, and count the placed calls."""
         results = []
         for result in self.queue.decided(now):
@@ -57,12 +57,12 @@
             results.append(result)
         return results
 
-    def ask(self, ticket: int, now: int, want: Wanting) -> list[Given | Refused]:
+    def ask(self, ticket: int, now: int, want: Wanting) -> list[Given | PlacementRefused]:
         refused = self.queue.offer(asked(ticket, want), now)
         return [refused] if refused is not None else self.decided(now)
 
 
-def assigned_tickets(results: list[Given | Refused]) -> list[int]:
+def assigned_tickets(results: list[Given | PlacementRefused]) -> list[int]:
     return [result.asked.ticket for result in results if isinstance(result, Given)]
 
 
@@ -124,7 +124,7 @@
     fleet.open["r0"] = 1
     fleet.ask(1, 0, wanting(is_retry=True))
     outcomes = [outcome for now in range(0, LEFT_MS + 400, 100) for outcome in fleet.decided(now)]
-    assert [type(outcome) for outcome in outcomes] == [Refused]
+    assert [type(outcome) for outcome in outcomes] == [PlacementRefused]
 
 
 def test_request_is_refused_while_a_retry_can_be_in_time() -> None:
@@ -139,7 +139,7 @@
         fleet.decided(now)
     first, retry = wanting("a"), wanting("a", is_retry=True)
     refused = fleet.ask(100, 1_000, first)
-    assert isinstance(refused[0], Refused)
+    assert isinstance(refused[0], PlacementRefused)
     assert MIN_MS <= refused[0].after_ms <= MAX_MS
     assert refused[0].waited_ms == 0
     assert fleet.ask(101, 1_000, retry) == []
@@ -203,7 +203,7 @@
         self.queued: dict[int, int] = {}
         self.running: list[str] = []
 
-    def take(self, results: list[Given | Refused]) -> None:
+    def take(self, results: list[Given | PlacementRefused]) -> None:
         for result in results:
             waited = self.now - self.queued.pop(result.asked.ticket)
             if isinstance(result, Given):
@@ -296,7 +296,7 @@
         in_time = "in_time" if asked_ms == began else "returned"
         results_by_group[group]["late" if now - asked_ms > AIM_MS - 30 else in_time] += 1
 
-    def take(results: list[Given | Refused], now: int) -> None:
+    def take(results: list[Given | PlacementRefused], now: int) -> None:
         for result in results:
             team = result.asked.wanting.caller
             began, asked_ms = began_of.pop(result.asked.ticket)
