--- a/tests/test_send_windows.py
+++ b/tests/test_send_windows.py
@@ -224,7 +224,7 @@
         ended_replica = send.replica
         replacement = Replica(f"n{self.lost}", "lm", "h", 100 + self.lost, "dc")
         self._list(
-            lambda replicas: [replica for replica in replicas if replica.id != ended_replica.id]
+            lambda replicas: [listed for listed in replicas if listed.id != ended_replica.id]
         )
         self.time.clock.call_later(
             self._back_ms, lambda: self._list(lambda old: [*old, replacement])
