--- a/papayapier/jobs/commits.py
+++ b/papayapier/jobs/commits.py
@@ -1,9 +1,10 @@
-"""Write results as groups, each created once by whoever has read all groups before it.
+"""Write results in groups, each created once by an instance that has read all earlier groups.
 
-Two instances may run the same job, because one took the other for dead. Both create group N;
-one fails, reads what the other wrote, drops the items that it lists, and goes on with N + 1.
-A create whose answer was lost is read back by its write id. So an item is listed once and
-keeps its position, whatever is lost, late or done twice.
+Two instances may run the same job if one of them wrongly considers the other dead. Both try to
+create group N; the loser reads the group of the winner, drops the items that it lists, and
+continues with N + 1. A create whose response was lost is read back and recognized by its write id.
+Hence every item is listed once and keeps its position, even if writes are lost, delayed or
+repeated.
 """
 
 import random
@@ -17,22 +18,22 @@
 from papayapier.jobs.groups import read_groups
 from papayapier.jobs.news import GroupsTold
 from papayapier.jobs.records import ItemResult, ResultGroup, encode, group_key
-from papayapier.jobs.work import Item, JobWork
+from papayapier.jobs.work import ItemState, OwnedJob
 from papayapier.store.api import Store, StoreError
 from papayapier.store.writes import Settling, create_settled
 
 WRITE_ID_BITS: Final = 64
-# Items that end together are written together: one call in place of several, while a quarter
-# of a second later is nothing to a job that is due in many.
-GATHER_MS: Final = 250
+# Items that finish within this time are written with one call. The delay is small against the
+# many seconds in which a job is due.
+BATCHING_MS: Final = 250
 SETTLE_MS: Final = 2_000
-PAUSE_MS: Final = 200
-# The store takes values of 1 MiB at most, and what is stored is escaped once more.
-GROUP_BYTES: Final = 600_000
+RETRY_MS: Final = 200
+# The store accepts values of up to 1 MiB, and escaping makes the stored value larger than its text.
+MAX_GROUP_BYTES: Final = 600_000
 
 
 class Written(NamedTuple):
-    """Hold a group that was created here; when the write began, no group after it existed."""
+    """Describe a group that this instance created; no later group existed at began_ms."""
 
     number: int
     group: ResultGroup
@@ -40,88 +41,90 @@
 
 
 class CommitDeps(NamedTuple):
-    """Group what commits work with; taken_over is told of items that others have listed,
-    written of each group that may have been created here, with the group where it surely was. news
-    counts writes under way.
+    """Group the dependencies of commits.
+
+    on_listed_elsewhere receives items that other instances have listed. on_written is called for
+    each group that this instance may have created, with the group if the create is confirmed.
+    notifications tracks the writes in progress.
     """
 
     clock: Clock
     rand: random.Random
     store: Store
-    taken_over: Callable[[list[Item]], None]
-    written: Callable[[JobWork, Written | None], None]
-    news: GroupsTold
+    on_listed_elsewhere: Callable[[list[ItemState]], None]
+    on_written: Callable[[OwnedJob, Written | None], None]
+    notifications: GroupsTold
 
 
-async def load_groups(deps: CommitDeps, work: JobWork) -> Result[None, StoreError]:
-    """Read the groups that are stored and not yet known."""
+async def load_groups(deps: CommitDeps, job: OwnedJob) -> Result[None, StoreError]:
+    """Read the stored groups that are not yet known here."""
     while True:
-        known = work.groups
-        read = await read_groups(deps.store, work.job_id, known)
+        known = job.groups
+        read = await read_groups(deps.store, job.job_id, known)
         if isinstance(read, Err):
             return read
         if not read.ok_value:
             return Ok(None)
         for number, group in enumerate(read.ok_value, known):
-            if number == work.groups:
-                deps.taken_over(work.take_group(number, group))
+            if number == job.groups:
+                deps.on_listed_elsewhere(job.apply_group(number, group))
 
 
-async def commit(deps: CommitDeps, work: JobWork) -> None:
-    """Write everything that is finished, however long the store is away."""
-    if work.committing:
+async def commit(deps: CommitDeps, job: OwnedJob) -> None:
+    """Write all finished items, retrying for as long as the store is unavailable."""
+    if job.committing:
         return
-    work.committing = True
+    job.committing = True
     try:
-        await deps.clock.sleep(GATHER_MS)
-        while work.unwritten:
-            if not await _write_group(deps, work):
-                await deps.clock.sleep(PAUSE_MS * deps.rand.uniform(0.5, 1.5))
+        await deps.clock.sleep(BATCHING_MS)
+        while job.unwritten:
+            if not await _write_group(deps, job):
+                await deps.clock.sleep(RETRY_MS * deps.rand.uniform(0.5, 1.5))
     finally:
-        work.committing = False
-        deps.news.end(work.job_id)
+        job.committing = False
+        deps.notifications.end(job.job_id)
 
 
-async def _write_group(deps: CommitDeps, work: JobWork) -> bool:
-    """Try to create the next group; False asks for a pause before the next try."""
-    number = work.groups
-    group = _gather(deps, work)
+async def _write_group(deps: CommitDeps, job: OwnedJob) -> bool:
+    """Try to create the next group; return False if the next attempt must be delayed."""
+    number = job.groups
+    group = _gather(deps, job)
     settling = Settling(deps.store, deps.clock, deps.rand)
     began_ms = deps.clock.now()
     due_ms = began_ms + SETTLE_MS
-    deps.news.begin(work.job_id, began_ms)
-    done = await create_settled(settling, group_key(work.job_id, number), encode(group), due_ms)
-    if isinstance(done, Ok):
-        work.take_group(number, group)
+    deps.notifications.begin(job.job_id, began_ms)
+    created = await create_settled(settling, group_key(job.job_id, number), encode(group), due_ms)
+    if isinstance(created, Ok):
+        job.apply_group(number, group)
         events.emit(
             events.ITEMS_LISTED,
-            job=work.job_id,
+            job=job.job_id,
             group=number,
-            items=[one.id for one in group.results],
+            items=[result.id for result in group.results],
         )
-        _tell(deps, work, Written(number, group, began_ms))
+        _notify(deps, job, Written(number, group, began_ms))
         return True
-    if done.err_value in (StoreError.CONFLICT, StoreError.LOST):
-        known = isinstance(await load_groups(deps, work), Ok) and work.groups > number
+    if created.err_value in (StoreError.CONFLICT, StoreError.LOST):
+        known = isinstance(await load_groups(deps, job), Ok) and job.groups > number
         if known:
-            # It may be the group of an earlier try of this very write.
-            _tell(deps, work, None)
+            # The group may stem from an earlier attempt of this same write.
+            _notify(deps, job, None)
         return known
-    events.emit(events.COMMIT_DELAYED, job=work.job_id, reason=done.err_value.value)
+    events.emit(events.COMMIT_DELAYED, job=job.job_id, reason=created.err_value.value)
     return False
 
 
-def _tell(deps: CommitDeps, work: JobWork, written: Written | None) -> None:
-    deps.news.end(work.job_id)
-    deps.written(work, written)
+def _notify(deps: CommitDeps, job: OwnedJob, written: Written | None) -> None:
+    deps.notifications.end(job.job_id)
+    deps.on_written(job, written)
 
 
-def _gather(deps: CommitDeps, work: JobWork) -> ResultGroup:
+def _gather(deps: CommitDeps, job: OwnedJob) -> ResultGroup:
     results: list[ItemResult] = []
     size = 0
-    for result in work.unwritten.values():
+    for result in job.unwritten.values():
         size += len(result.text)
-        if results and size > GROUP_BYTES:
+        if results and size > MAX_GROUP_BYTES:
             break
         results.append(result)
     return ResultGroup(f"{deps.rand.getrandbits(WRITE_ID_BITS):016x}", tuple(results))
--- a/papayapier/jobs/desk.py
+++ b/papayapier/jobs/desk.py
@@ -1,7 +1,8 @@
-"""Accept, show and end batch jobs for callers, at any instance.
+"""Accept, read and end batch jobs for callers, on any instance.
 
-Nothing here is told that cannot be known: a job whose record's write got no answer is neither
-accepted nor refused, and a job that is not known here is missing only if the store says so.
+Replies state only what is known: if the write of a job's record got no response, the job is
+reported neither as accepted nor as refused, and a job unknown to this instance is reported as not
+found only if the store confirms it.
 """
 
 import random
@@ -17,7 +18,7 @@
 from papayapier.config.teams import may_use
 from papayapier.errors import ErrorKind, Refusal, not_run, unknown
 from papayapier.jobs.commits import Written
-from papayapier.jobs.groups import read_groups, read_whole
+from papayapier.jobs.groups import read_groups, read_with_items
 from papayapier.jobs.news import GroupsHeard
 from papayapier.jobs.records import (
     ItemResult,
@@ -36,34 +37,36 @@
 from papayapier.store.writes import Settling, create_settled, update_settled
 
 WRITE_ID_BITS: Final = 64
-# A look at the store that found no new group stands for this long: a position that one instance
-# has shown must be shown by all a second later, and an answer takes its time to the caller.
-# Callers read twice a second; with 400 ms each of these reads was a look, with this every other.
-LOOK_STANDS_MS: Final = 700
-END_TRIES: Final = 8
-# Views of jobs kept in memory, and the text that they may hold together.
-VIEWS_MAX: Final = 2_000
-TEXT_MAX_BYTES: Final = 40_000_000
+# How long a read of the store that found no new group remains valid. A position shown by one
+# instance must be shown by all instances one second later, and the response takes some of that time
+# to reach the caller. Callers read twice a second: with 400 ms each of these reads would read the
+# store, with this value every second one does.
+READ_VALID_MS: Final = 700
+MAX_END_ATTEMPTS: Final = 8
+# Bounds for the views of jobs kept in memory, and for the total text that they hold.
+MAX_VIEWS: Final = 2_000
+MAX_TEXT_BYTES: Final = 40_000_000
 RETRY_MS: Final = 300
-# The store has not said what became of a call.
-NOT_REACHED: Final = frozenset({StoreError.UNAVAILABLE, StoreError.LOST, StoreError.LIMITED})
+# Errors that leave open whether a call took effect in the store.
+UNCERTAIN_ERRORS: Final = frozenset({StoreError.UNAVAILABLE, StoreError.LOST, StoreError.LIMITED})
 
 
 class Page(NamedTuple):
-    """Hold the results of a job from one position on."""
+    """Hold the number of a job's items, and its results from the requested position on."""
 
     total: int
     results: list[ItemResult]
 
 
 class DeskDeps(NamedTuple):
-    """Group what the desk works with; heard judges for how long a look at the store stands.
-
-    keep puts a job on keepers' disks. store_away tells whether the store is known not to answer.
-    settled tells that what is not in the store is nowhere: after an absence, keepers bring what
-    they have accepted meanwhile. elsewhere reads results, from a position on and with a wait,
-    for a team, through another instance; None says that they are to be read here. known returns a
-    job's record where this instance follows the store's.
+    """Group the dependencies of JobDesk.
+
+    heard decides for how long a read of the store remains valid. keep replicates a job to keepers'
+    disks. store_away returns whether the store is known to be unavailable. settled returns whether
+    a job that is not in the store exists nowhere; after an outage this is false until keepers have
+    created the jobs that they accepted meanwhile. elsewhere reads results through another instance,
+    given a job, a position, a wait time and a team; None means that they must be read here. known
+    returns a job's record if this instance follows the job records in the store.
     """
 
     clock: Clock
@@ -78,32 +81,40 @@
 
 
 class _View:
-    """Hold what has been read of one job."""
-
-    __slots__ = ("groups", "looked_ms", "record", "results", "text_bytes", "told", "waiting")
+    """Cache the record and the results of one job."""
+
+    __slots__ = (
+        "groups",
+        "notified_groups",
+        "read_ms",
+        "record",
+        "results",
+        "text_bytes",
+        "waiting",
+    )
 
     def __init__(self, record: JobRecord) -> None:
         self.record = record
-        self.looked_ms = -LOOK_STANDS_MS
-        self.told = 0
+        self.read_ms = -READ_VALID_MS
+        self.notified_groups = 0
         self.waiting: list[Deferred[None]] = []
         self.results: list[ItemResult] = []
         self.groups = 0
         self.text_bytes = 0
 
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         return len(self.results) >= self.record.total
 
-    def tell(self, groups: int) -> None:
-        """Take how many groups there are, and wake who waits for one."""
-        self.told = max(self.told, groups)
+    def notify(self, groups: int) -> None:
+        """Record the number of groups that exist, and wake the readers that wait for one."""
+        self.notified_groups = max(self.notified_groups, groups)
         waiting, self.waiting = self.waiting, []
-        for one in waiting:
-            one.callback(None)
+        for waiter in waiting:
+            waiter.callback(None)
 
 
 class JobDesk:
-    """Serve the callers' calls on batch jobs."""
+    """Serve callers' requests on batch jobs."""
 
     def __init__(self, deps: DeskDeps) -> None:
         self._deps = deps
@@ -120,9 +131,9 @@
         objective_ms: int = 0,
         team: str = "",
     ) -> Result[None, Refusal]:
-        """Accept a job once; every repeat by the same team is accepted again.
+        """Accept a job once; a resubmission by the same team is confirmed again.
 
-        objective_ms is the time in which an acceptance has its full worth.
+        objective_ms is the latency objective of an acceptance.
         """
         write_id = f"{self._deps.rand.getrandbits(WRITE_ID_BITS):016x}"
         wall = int(self._deps.clock.wall())
@@ -139,12 +150,12 @@
         creating = Pending(self._deps.clock, work)
         copies = NOT_ASKED
         if not record.parts:
-            copies = await self._keep_unless_created(job_id, value, creating, objective_ms)
+            copies = await self._replicate_unless_created(job_id, value, creating, objective_ms)
         if not copies.enough:
             created = await creating.end()
             if isinstance(created, Err):
-                return await self._not_created(job_id, team, created.err_value, copies)
-        self._keep(job_id, _View(record._replace(items=items)))
+                return await self._create_refusal(job_id, team, created.err_value, copies)
+        self._cache(job_id, _View(record._replace(items=items)))
         events.emit(
             events.JOB_ACCEPTED,
             job=job_id,
@@ -155,19 +166,19 @@
         )
         return Ok(None)
 
-    async def _keep_unless_created(
+    async def _replicate_unless_created(
         self,
         job_id: str,
         value: bytes,
         creating: Pending[Result[int, StoreError]],
         objective_ms: int,
     ) -> Copies:
-        """Put a job on disks if the store does not answer for it soon."""
+        """Replicate a job to keepers' disks if the store does not respond in time."""
         wait_ms = patience_ms(objective_ms, self._deps.store_away())
         created = await creating.within(wait_ms)
-        # What the store has said stands; only where it has said nothing are disks asked.
+        # A definite reply of the store decides; keepers are only requested without one.
         if created is not None and (
-            isinstance(created, Ok) or created.err_value not in NOT_REACHED
+            isinstance(created, Ok) or created.err_value not in UNCERTAIN_ERRORS
         ):
             return NOT_ASKED
         copies = await self._deps.keep(job_id, value)
@@ -177,18 +188,18 @@
     async def results(
         self, job_id: str, after: int, wait_ms: int, team: str = ""
     ) -> Result[Page, Refusal]:
-        """Return the results from a position on; wait for one if there is none."""
+        """Return the results from a position on; wait up to wait_ms if there are none."""
         due_ms = self._deps.clock.now() + wait_ms
         page = await self._deps.elsewhere(job_id, after, wait_ms, team)
         if page is not None:
             return Ok(page)
-        view = await self._view(job_id, team)
-        if isinstance(view, Err):
-            return view
-        one = view.ok_value
-        while len(one.results) <= after and not one.complete():
-            if one.told > one.groups or not self._look_stands(one):
-                more = await self._read_groups(job_id, one)
+        found = await self._view(job_id, team)
+        if isinstance(found, Err):
+            return found
+        view = found.ok_value
+        while len(view.results) <= after and not view.is_complete():
+            if view.notified_groups > view.groups or not self._is_read_valid(view):
+                more = await self._read_groups(job_id, view)
                 if isinstance(more, Err):
                     return more
                 if more.ok_value:
@@ -196,38 +207,38 @@
             left_ms = due_ms - self._deps.clock.now()
             if left_ms <= 0:
                 break
-            await self._told_or(one, left_ms)
-        return Ok(Page(one.record.total, one.results[after:]))
+            await self._wait_for_group(view, left_ms)
+        return Ok(Page(view.record.total, view.results[after:]))
 
     def on_groups(self, job_id: str, groups: int) -> None:
-        """Take from a peer that a job has so many groups; who waits for one need not look."""
+        """Handle a peer's notification of a job's number of groups, and wake waiting readers."""
         view = self._views.get(job_id)
         if view is not None and groups > view.groups:
-            view.tell(groups)
+            view.notify(groups)
 
     def on_written(self, job_id: str, written: Written) -> None:
-        """Take a group that this instance has written; it shows that all before are known."""
+        """Handle a group written by this instance, which had read all earlier groups."""
         view = self._views.get(job_id)
         if view is None or written.number != view.groups:
             self.on_groups(job_id, written.number + 1)
             return
-        self._take(view, written.group)
-        view.looked_ms = max(view.looked_ms, written.began_ms)
-        view.tell(view.groups)
+        self._add_group(view, written.group)
+        view.read_ms = max(view.read_ms, written.began_ms)
+        view.notify(view.groups)
 
-    def _look_stands(self, view: _View) -> bool:
+    def _is_read_valid(self, view: _View) -> bool:
         now = self._deps.clock.now()
-        if now < view.looked_ms + LOOK_STANDS_MS:
+        if now < view.read_ms + READ_VALID_MS:
             return True
-        return self._deps.heard.stands(view.looked_ms, now)
+        return self._deps.heard.stands(view.read_ms, now)
 
-    async def _told_or(self, view: _View, wait_ms: int) -> None:
-        """Wait until a peer tells of a new group, or for the time given."""
-        told: Deferred[None] = Deferred()
-        view.waiting.append(told)
-        timer = self._deps.clock.call_later(wait_ms, lambda: _end_wait(view, told))
+    async def _wait_for_group(self, view: _View, wait_ms: int) -> None:
+        """Wait until a peer notifies of a new group, or until wait_ms have passed."""
+        notified: Deferred[None] = Deferred()
+        view.waiting.append(notified)
+        timer = self._deps.clock.call_later(wait_ms, lambda: _stop_waiting(view, notified))
         try:
-            await told
+            await notified
         finally:
             if timer.active():
                 timer.cancel()
@@ -243,29 +254,29 @@
         return Err(not_run(ErrorKind.NOT_FOUND, f"job {job_id} has no item {item_id}"))
 
     async def end(self, job_id: str, due_ms: int, team: str = "") -> Result[None, Refusal]:
-        """End a job; what is listed stays listed."""
+        """End a job; results that are already listed remain."""
         settling = Settling(self._deps.store, self._deps.clock, self._deps.rand)
-        for _ in range(END_TRIES):
+        for _ in range(MAX_END_ATTEMPTS):
             found = await self._deps.store.get(job_key(job_id))
             if isinstance(found, Err):
-                return Err(self._not_found(job_id, found.err_value))
+                return Err(self._not_found_refusal(job_id, found.err_value))
             record = read_record(found.ok_value.value)
             if isinstance(record, Err):
                 return Err(unknown(ErrorKind.INTERNAL, record.err_value))
             if not may_use(record.ok_value.team, team):
-                return Err(_not_read(job_id, StoreError.NOT_FOUND))
+                return Err(_read_refusal(job_id, StoreError.NOT_FOUND))
             if record.ok_value.ended:
                 return Ok(None)
             ended = encode(record.ok_value._replace(ended=True))
-            done = await update_settled(
+            updated = await update_settled(
                 settling, job_key(job_id), ended, found.ok_value.version, due_ms
             )
-            if isinstance(done, Ok):
+            if isinstance(updated, Ok):
                 events.emit(events.JOB_CANCELLED, job=job_id)
                 return Ok(None)
-            if done.err_value is not StoreError.CONFLICT:
-                return Err(_not_written(job_id, done.err_value))
-        return Err(_not_written(job_id, StoreError.LIMITED))
+            if updated.err_value is not StoreError.CONFLICT:
+                return Err(_write_refusal(job_id, updated.err_value))
+        return Err(_write_refusal(job_id, StoreError.LIMITED))
 
     async def _store_parts(
         self, job_id: str, parts: list[tuple[JobItem, ...]], due_ms: int
@@ -273,122 +284,129 @@
         settling = Settling(self._deps.store, self._deps.clock, self._deps.rand)
         for number, part in enumerate(parts):
             value = encode(part)
-            done = await create_settled(settling, part_key(job_id, number), value, due_ms)
-            # An earlier try of the same job has written the same part.
-            if isinstance(done, Err) and done.err_value is not StoreError.CONFLICT:
-                return Err(not_run(ErrorKind.STORE_UNAVAILABLE, "a part was not written", RETRY_MS))
+            created = await create_settled(settling, part_key(job_id, number), value, due_ms)
+            # On a conflict, an earlier submission of the same job has written the same part.
+            if isinstance(created, Err) and created.err_value is not StoreError.CONFLICT:
+                return Err(
+                    not_run(
+                        ErrorKind.STORE_UNAVAILABLE, "a part of the job was not written", RETRY_MS
+                    )
+                )
         return Ok(None)
 
-    async def _not_created(
-        self, job_id: str, team: str, why: StoreError, copies: Copies
+    async def _create_refusal(
+        self, job_id: str, team: str, error: StoreError, copies: Copies
     ) -> Result[None, Refusal]:
         if copies.maybe_held:
-            # Too few disks hold it to promise it; one that does creates it later.
-            return Err(unknown(ErrorKind.STORE_UNAVAILABLE, f"job {job_id} may be held"))
-        if why in (StoreError.CONFLICT, StoreError.LOST):
-            # LOST may also mean that the record of another try is there: then it is accepted.
+            # Too few disks have a copy to accept the job, but a keeper with one creates it later.
+            return Err(
+                unknown(ErrorKind.STORE_UNAVAILABLE, f"job {job_id} may be stored by a keeper")
+            )
+        if error in (StoreError.CONFLICT, StoreError.LOST):
+            # After LOST too, the record of this or another submission may exist; the job is
+            # accepted then.
             found = await self._deps.store.get(job_key(job_id))
             if isinstance(found, Ok):
-                return _sent_before(job_id, team, found.ok_value.value)
-            why = StoreError.LOST
-        return Err(_not_written(job_id, why))
+                return _resubmitted(job_id, team, found.ok_value.value)
+            error = StoreError.LOST
+        return Err(_write_refusal(job_id, error))
 
     async def _view(self, job_id: str, team: str) -> Result[_View, Refusal]:
-        """Return a job as its team may see it; to any other team it does not exist."""
-        found = await self._any_view(job_id)
+        """Return a job's view to its own team; for any other team the job does not exist."""
+        found = await self._view_of_any_team(job_id)
         if isinstance(found, Ok) and not may_use(found.ok_value.record.team, team):
-            return Err(_not_read(job_id, StoreError.NOT_FOUND))
+            return Err(_read_refusal(job_id, StoreError.NOT_FOUND))
         return found
 
-    async def _any_view(self, job_id: str) -> Result[_View, Refusal]:
-        known = self._views.get(job_id)
-        if known is not None:
+    async def _view_of_any_team(self, job_id: str) -> Result[_View, Refusal]:
+        cached = self._views.get(job_id)
+        if cached is not None:
             self._views.move_to_end(job_id)
-            return Ok(known)
+            return Ok(cached)
         followed = self._deps.known(job_id)
         if followed is not None:
-            return Ok(self._keep(job_id, _View(followed)))
+            return Ok(self._cache(job_id, _View(followed)))
         found = await self._deps.store.get(job_key(job_id))
         if isinstance(found, Err):
-            return Err(self._not_found(job_id, found.err_value))
+            return Err(self._not_found_refusal(job_id, found.err_value))
         record = read_record(found.ok_value.value)
         if isinstance(record, Err):
             return Err(unknown(ErrorKind.INTERNAL, record.err_value))
-        whole = await read_whole(self._deps.store, job_id, record.ok_value)
-        if isinstance(whole, Err):
-            return Err(_not_read(job_id, StoreError.UNAVAILABLE))
-        return Ok(self._keep(job_id, _View(whole.ok_value)))
-
-    def _not_found(self, job_id: str, why: StoreError) -> Refusal:
-        """Say that there is no such job only where none can be on its way into the store."""
-        if why is StoreError.NOT_FOUND and not self._deps.settled():
-            reason = f"job {job_id} may be held until the store has it"
+        with_items = await read_with_items(self._deps.store, job_id, record.ok_value)
+        if isinstance(with_items, Err):
+            return Err(_read_refusal(job_id, StoreError.UNAVAILABLE))
+        return Ok(self._cache(job_id, _View(with_items.ok_value)))
+
+    def _not_found_refusal(self, job_id: str, error: StoreError) -> Refusal:
+        """Report a job as not found only if no keeper can still be about to create it."""
+        if error is StoreError.NOT_FOUND and not self._deps.settled():
+            reason = f"job {job_id} may be stored by a keeper and not yet in the store"
             return not_run(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_MS)
-        return _not_read(job_id, why)
+        return _read_refusal(job_id, error)
 
     async def _read_groups(self, job_id: str, view: _View) -> Result[bool, Refusal]:
-        """Read the next groups; False says that there is none yet."""
-        known = view.groups
+        """Read the next groups; return False if there is none yet."""
+        known_groups = view.groups
         began_ms = self._deps.clock.now()
-        read = await read_groups(self._deps.store, job_id, known)
+        read = await read_groups(self._deps.store, job_id, known_groups)
         if isinstance(read, Err):
-            return Err(_not_read(job_id, StoreError.UNAVAILABLE))
+            return Err(_read_refusal(job_id, StoreError.UNAVAILABLE))
         if not read.ok_value:
-            # Only what the store has answered stands, and from when it was asked: a look
-            # under way, or one that found a group, says nothing of the group after it.
-            view.looked_ms = max(view.looked_ms, began_ms)
-            view.told = min(view.told, known)
+            # Only a completed read that found no group is valid, counted from its start. A read
+            # in progress, or one that found a group, says nothing about the next group.
+            view.read_ms = max(view.read_ms, began_ms)
+            view.notified_groups = min(view.notified_groups, known_groups)
             return Ok(False)
-        for number, group in enumerate(read.ok_value, known):
+        for number, group in enumerate(read.ok_value, known_groups):
             if number == view.groups:
-                self._take(view, group)
+                self._add_group(view, group)
         return Ok(True)
 
-    def _take(self, view: _View, group: ResultGroup) -> None:
+    def _add_group(self, view: _View, group: ResultGroup) -> None:
         view.groups += 1
         view.results += group.results
-        size = sum(len(one.text) for one in group.results)
+        size = sum(len(result.text) for result in group.results)
         view.text_bytes += size
         self._text_bytes += size
-        self._bound()
+        self._evict()
 
-    def _keep(self, job_id: str, view: _View) -> _View:
+    def _cache(self, job_id: str, view: _View) -> _View:
         view = self._views.setdefault(job_id, view)
         self._views.move_to_end(job_id)
-        self._bound()
+        self._evict()
         return view
 
-    def _bound(self) -> None:
-        while len(self._views) > VIEWS_MAX or (
-            self._text_bytes > TEXT_MAX_BYTES and len(self._views) > 1
+    def _evict(self) -> None:
+        while len(self._views) > MAX_VIEWS or (
+            self._text_bytes > MAX_TEXT_BYTES and len(self._views) > 1
         ):
             _, oldest = self._views.popitem(last=False)
             self._text_bytes -= oldest.text_bytes
 
 
-def _end_wait(view: _View, told: Deferred[None]) -> None:
-    if told in view.waiting:
-        view.waiting.remove(told)
-        told.callback(None)
+def _stop_waiting(view: _View, notified: Deferred[None]) -> None:
+    if notified in view.waiting:
+        view.waiting.remove(notified)
+        notified.callback(None)
 
 
-def _sent_before(job_id: str, team: str, value: bytes) -> Result[None, Refusal]:
-    """Accept the repeat of a job, unless the id is that of another team's."""
+def _resubmitted(job_id: str, team: str, value: bytes) -> Result[None, Refusal]:
+    """Accept the resubmission of a job, unless its id belongs to a job of another team."""
     record = read_record(value)
     if isinstance(record, Ok) and not may_use(record.ok_value.team, team):
-        return Err(not_run(ErrorKind.KEY_CONFLICT, f"job {job_id} is not this team's"))
+        return Err(not_run(ErrorKind.KEY_CONFLICT, f"job {job_id} belongs to another team"))
     events.emit(events.JOB_RESENT, job=job_id)
     return Ok(None)
 
 
-def _not_read(job_id: str, why: StoreError) -> Refusal:
-    if why is StoreError.NOT_FOUND:
-        return not_run(ErrorKind.NOT_FOUND, f"there is no job {job_id}")
-    return not_run(ErrorKind.STORE_UNAVAILABLE, f"the store said {why.value}", RETRY_MS)
+def _read_refusal(job_id: str, error: StoreError) -> Refusal:
+    if error is StoreError.NOT_FOUND:
+        return not_run(ErrorKind.NOT_FOUND, f"no such job: {job_id}")
+    return not_run(ErrorKind.STORE_UNAVAILABLE, f"the store replied {error.value}", RETRY_MS)
 
 
-def _not_written(job_id: str, why: StoreError) -> Refusal:
-    if why is StoreError.LOST:
-        reason = f"whether job {job_id} was written is not known"
+def _write_refusal(job_id: str, error: StoreError) -> Refusal:
+    if error is StoreError.LOST:
+        reason = f"it is unknown whether job {job_id} was written"
         return unknown(ErrorKind.STORE_UNAVAILABLE, reason)
-    return _not_read(job_id, why)
+    return _read_refusal(job_id, error)
--- a/papayapier/jobs/groups.py
+++ b/papayapier/jobs/groups.py
@@ -1,4 +1,4 @@
-"""Read a job with all its items, and the groups of results beyond those that are known."""
+"""Read all items of a job, and the result groups that are not yet known."""
 
 from typing import Final
 
@@ -17,21 +17,21 @@
 )
 from papayapier.store.api import Store, StoreError
 
-PAGE: Final = 500
-FIRST: Final = 0
+PAGE_SIZE: Final = 500
+FIRST_GROUP: Final = 0
 
 
 async def read_groups(
     store: Store, job_id: str, known: int
 ) -> Result[list[ResultGroup], StoreError]:
-    """Return the groups from number known on, as many as one call gives."""
-    after = group_key(job_id, known - 1) if known > FIRST else ""
-    listed = await store.list(groups_prefix(job_id), after, PAGE)
+    """Return the groups that follow the first `known` ones, as many as one list call returns."""
+    after = group_key(job_id, known - 1) if known > FIRST_GROUP else ""
+    listed = await store.list(groups_prefix(job_id), after, PAGE_SIZE)
     if isinstance(listed, Err):
         return listed
     groups: list[ResultGroup] = []
     for entry in sorted(listed.ok_value.objects):
-        # A group may be listed only after all groups before it; anything else is not read.
+        # Groups are consecutive; anything after a gap is not read.
         if entry.key != group_key(job_id, known + len(groups)):
             break
         group = read_group(entry.value)
@@ -42,16 +42,18 @@
     return Ok(groups)
 
 
-async def read_whole(store: Store, job_id: str, record: JobRecord) -> Result[JobRecord, StoreError]:
-    """Return a job with the items that its parts hold."""
+async def read_with_items(
+    store: Store, job_id: str, record: JobRecord
+) -> Result[JobRecord, StoreError]:
+    """Return a job's record with the items of all its parts."""
     items: tuple[JobItem, ...] = record.items
     for number in range(record.parts):
         found = await store.get(part_key(job_id, number))
         if isinstance(found, Err):
             return found
-        part = read_items(found.ok_value.value)
-        if isinstance(part, Err):
-            events.emit(events.INPUT_MISSING, job=job_id, part=number, reason=part.err_value)
+        items_part = read_items(found.ok_value.value)
+        if isinstance(items_part, Err):
+            events.emit(events.INPUT_MISSING, job=job_id, part=number, reason=items_part.err_value)
             return Err(StoreError.UNAVAILABLE)
-        items += part.ok_value
+        items += items_part.ok_value
     return Ok(record._replace(items=items, parts=0))
--- a/papayapier/jobs/item_run.py
+++ b/papayapier/jobs/item_run.py
@@ -1,4 +1,4 @@
-"""Run one item as a stream at a replica, and keep what came if it breaks off."""
+"""Receive the stream of one item's run, and keep the events received if it breaks off."""
 
 from typing import TYPE_CHECKING
 
@@ -7,49 +7,49 @@
 from papayapier.upstream.phases import Fault
 
 if TYPE_CHECKING:
-    from papayapier.jobs.work import Item
+    from papayapier.jobs.work import ItemState
     from papayapier.upstream.exchange import Head
 
 
-class ItemTaker:
-    """Collect the events of one run; each one that is whole counts, also if the run breaks."""
+class ItemReceiver:
+    """Collect the complete events of one run; they are kept even if the run fails later."""
 
-    def __init__(self, one: "Item") -> None:
-        self._one = one
-        self._cutter = EventCutter(one.last_event)
+    def __init__(self, state: "ItemState") -> None:
+        self._state = state
+        self._cutter = EventCutter(state.last_event)
         self._first = True
         self.first_ms = 0
 
     def on_head(self, _head: "Head") -> None:
-        """Take the head of a good answer."""
+        """Ignore the head of a successful response."""
 
     def on_data(self, data: bytes, now_ms: int) -> Fault | None:
-        """Take a part of the body."""
+        """Handle a chunk of the body."""
         self.first_ms = self.first_ms or now_ms
-        whole = self._cutter.feed(data)
-        if whole is None:
-            return Fault(FailureKind.BROKEN, "an event is too long")
-        for event in read_events(whole):
-            fault = self._take(event.id, event.data)
+        complete = self._cutter.feed(data)
+        if complete is None:
+            return Fault(FailureKind.BROKEN, "event exceeds the size limit")
+        for event in read_events(complete):
+            fault = self._add(event.id, event.data)
             if fault is not None:
                 return fault
-            self._one.heard_ms = now_ms
+            self._state.last_received_ms = now_ms
         return None
 
     def on_end(self, _declared: bool) -> Fault | None:
-        """Check that nothing was left over."""
+        """Check that the stream ended after a complete event."""
         if self._cutter.rest().strip():
-            return Fault(FailureKind.CUT, "the stream ended within an event")
-        if not self._one.texts:
-            return Fault(FailureKind.CUT, "the stream ended without an event")
+            return Fault(FailureKind.CUT, "stream ended within an event")
+        if not self._state.texts:
+            return Fault(FailureKind.CUT, "stream ended without an event")
         return None
 
-    def _take(self, event_id: int, data: str) -> Fault | None:
-        last = self._one.last_event
-        # Joined with a gap or an overlap, the parts of two runs would make a text that no
-        # replica made; it would show only to who reads it.
+    def _add(self, event_id: int, data: str) -> Fault | None:
+        last = self._state.last_event
+        # Joining the events of two runs with a gap or an overlap would produce a text that no
+        # replica has sent, and nothing but reading it would reveal that.
         if last != NO_EVENT and event_id != last + 1:
-            return Fault(FailureKind.BROKEN, f"event {event_id} came after {last}")
-        self._one.last_event = event_id
-        self._one.texts.append(data)
+            return Fault(FailureKind.BROKEN, f"event {event_id} received after event {last}")
+        self._state.last_event = event_id
+        self._state.texts.append(data)
         return None
--- a/papayapier/jobs/kept_files.py
+++ b/papayapier/jobs/kept_files.py
@@ -1,6 +1,7 @@
-"""Keep jobs as files on a keeper's disk: one file a job, whole or worth nothing.
+"""Store jobs as files on a keeper's disk, one file per job; an incomplete file is ignored.
 
-A job is synced before anybody is told of it. All calls block; they run in a thread.
+A file is synced before the job is reported as stored. All functions block; callers run them in a
+thread.
 """
 
 from pathlib import Path
@@ -12,36 +13,36 @@
 from papayapier import sealed_files
 
 SUFFIX: Final = ".job"
-# The id in hexadecimal is the file's name, which has 255 characters at most.
-LONGEST_ID_BYTES: Final = 120
+# The file name is the id in hexadecimal, and file names are limited to 255 characters.
+MAX_ID_BYTES: Final = 120
 
 
 class KeptJob(NamedTuple):
-    """Hold a job as it is to be created in the store."""
+    """Hold a job's id and the encoded record to be created in the store."""
 
     job_id: str
     value: bytes
 
 
 class Loaded(NamedTuple):
-    """Hold what was read of a folder; odd names the files that are not whole, with the reason."""
+    """Hold the jobs read from a folder; odd lists the unreadable files with the reason."""
 
     jobs: list[KeptJob]
-    odd: list[str]
+    unreadable: list[str]
 
 
 _JOB: Final = msgspec.msgpack.Decoder(KeptJob)
 
 
 def write(folder: str, job: KeptJob) -> Result[None, str]:
-    """Write and sync a job's file."""
-    if len(job.job_id.encode()) > LONGEST_ID_BYTES:
-        return Err("the job's id is too long for a file's name")
+    """Write a job's file and sync it to disk."""
+    if len(job.job_id.encode()) > MAX_ID_BYTES:
+        return Err("job id is too long for a file name")
     return sealed_files.write(_path(folder, job.job_id), msgspec.msgpack.encode(job))
 
 
 def remove(folder: str, job_id: str) -> Result[None, str]:
-    """Remove a job's file for good: without a sync of its folder a loss of power brings it back."""
+    """Remove a job's file and sync its folder; otherwise a power loss could restore the file."""
     path = _path(folder, job_id)
     try:
         path.unlink(missing_ok=True)
@@ -52,7 +53,7 @@
 
 
 def load(folder: str) -> Result[Loaded, str]:
-    """Read every job of a folder."""
+    """Read all jobs of a folder."""
     loaded = Loaded([], [])
     try:
         paths = sorted(Path(folder).glob("*" + SUFFIX))
@@ -63,7 +64,7 @@
         if isinstance(read, Ok):
             loaded.jobs.append(read.ok_value)
         else:
-            loaded.odd.append(read.err_value)
+            loaded.unreadable.append(read.err_value)
     return Ok(loaded)
 
 
--- a/papayapier/jobs/news.py
+++ b/papayapier/jobs/news.py
@@ -1,13 +1,13 @@
-"""Know without asking the store that a job has no new group of results.
+"""Detect without a store call that a job has no new group of results.
 
-The load this answers: callers read each job twice a second, mostly to hear that nothing is new.
-Each such read cost a call to the store, nine of ten of all calls of a busy day. Who writes a
-group tells every instance at once; what the store adds is the certainty that no word was lost.
+Motivation: callers read each job twice a second, and most reads return nothing new. Each such read
+took a call to the store; these were nine of ten store calls under heavy load. The writer of a group
+notifies every instance at once, so a store call is only needed to rule out a lost notification.
 
-Numbers give that certainty. A writer counts the groups that it has told of, and its heartbeats
-say how many there were. A reader that has heard as many knows that it has missed none, as of a
-moment before the heartbeat. It looks at the store itself as soon as that is not so: a word is
-missing, a writer is silent, begins anew, or does not know whether a write took effect.
+Notifications are numbered for this reason. A writer counts the notifications that it has sent, and
+its heartbeats carry the count. A reader that has received as many has missed none up to a moment
+before the heartbeat. Otherwise it reads the store: when a notification is missing, or when a writer
+is unreachable, has restarted, or does not know whether one of its writes took effect.
 """
 
 from collections import deque
@@ -16,75 +16,77 @@
 
 from papayapier.peer.messages import NOT_SURE, Heartbeat, JobWord
 
-# A write that takes longer makes its writer unsure; the store answers in 4 ms, and a heartbeat
-# speaks for all writes begun this long before it.
-WRITE_MS: Final = 200
-# For how long the word of all writers stands. With heartbeats each 400 ms it is renewed just
-# before; what one instance has shown is then shown by all 0.7 s later, of the second that the
-# platform's page allows.
-WORD_STANDS_MS: Final = 700
-# Words in a heartbeat go out with three or four of them, so that a lost one costs nothing.
-WORDS_REPEATED_MS: Final = 1_500
-KEPT_WORDS: Final = 64
-# A silent writer counts until it has been silent this long, twice the longest cut seen in runs:
-# it may live and write where others hear it.
-FORGET_MS: Final = 20_000
+# A write that takes longer counts as unconfirmed; the store usually responds in 4 ms. A heartbeat
+# covers all writes begun at least this long before it.
+MAX_WRITE_MS: Final = 200
+# How long the confirmation by all writers is valid. Heartbeats every 400 ms renew it in time. A
+# result shown by one instance is then shown by all instances 0.7 s later; the platform allows one
+# second.
+CONFIRMATION_VALID_MS: Final = 700
+# Each notification is repeated in three or four heartbeats, so that losing one does no harm.
+REPEAT_MS: Final = 1_500
+MAX_REPEATED: Final = 64
+# An unreachable writer counts for this long, twice the longest network partition observed in test
+# runs: it may be alive and write groups while only other instances receive its messages.
+FORGET_WRITER_MS: Final = 20_000
 
 
 class GroupsTold:
-    """Count the groups that this instance has told of, and the writes whose end is open."""
+    """Count the notifications that this instance has sent, and track its unconfirmed writes."""
 
-    __slots__ = ("_count", "_last", "_open")
+    __slots__ = ("_count", "_recent", "_unconfirmed")
 
     def __init__(self) -> None:
         self._count = 0
-        self._last: deque[tuple[int, JobWord]] = deque(maxlen=KEPT_WORDS)
-        self._open: dict[str, int] = {}
+        self._recent: deque[tuple[int, JobWord]] = deque(maxlen=MAX_REPEATED)
+        self._unconfirmed: dict[str, int] = {}
 
     def begin(self, job_id: str, now: int) -> None:
-        """Take that a write of a job begins; repeats count from the first one."""
-        self._open.setdefault(job_id, now)
+        """Record that a write of a job has begun; a repeated write keeps the first start time."""
+        self._unconfirmed.setdefault(job_id, now)
 
     def end(self, job_id: str) -> None:
-        """Take that the end of a job's write is known."""
-        self._open.pop(job_id, None)
+        """Record that the outcome of a job's write is known."""
+        self._unconfirmed.pop(job_id, None)
 
     def word(self, job_id: str, groups: int, now: int) -> JobWord:
-        """Return one more word."""
+        """Create and count the next notification."""
         self._count += 1
-        word = JobWord(self._count, job_id, groups)
-        self._last.append((now, word))
-        return word
+        notification = JobWord(self._count, job_id, groups)
+        self._recent.append((now, notification))
+        return notification
 
     def last(self, now: int) -> tuple[JobWord, ...]:
-        """Return the words of the last moments, for heartbeats; each goes out several times."""
-        return tuple(word for told, word in self._last if now - told <= WORDS_REPEATED_MS)
+        """Return recent notifications for a heartbeat; several heartbeats repeat each of them."""
+        return tuple(
+            notification for sent_ms, notification in self._recent if now - sent_ms <= REPEAT_MS
+        )
 
     def count(self, now: int) -> int:
-        """Return how many words there were, or NOT_SURE while a write's end is long open."""
-        if any(now - began > WRITE_MS for began in self._open.values()):
+        """Return the number of notifications, or NOT_SURE while a write is overdue."""
+        if any(now - begun_ms > MAX_WRITE_MS for begun_ms in self._unconfirmed.values()):
             return NOT_SURE
         return self._count
 
 
 class _Writer(NamedTuple):
-    """Hold what is known of one writer.
+    """Hold the state known of one writer.
 
-    heard counts its words without a gap. since is from when on none was missed, sure_ms when
-    its last heartbeat agreed.
+    received counts its notifications without a gap. complete_since_ms is the time from which on
+    none was missed, confirmed_ms the time of its last heartbeat with a matching count.
     """
 
     boot: int
-    heard: int
-    since: int
-    sure_ms: int
+    received: int
+    complete_since_ms: int
+    confirmed_ms: int
 
 
 class GroupsHeard:
-    """Judge whether a look at the store still stands, by what writers have told.
+    """Decide from the writers' notifications whether a read of the store is still current.
 
-    writers names the instances that may write results, live those of all that are taken to live:
-    one that lives counts although it is never heard here, as most are in a large fleet.
+    writers returns the instances that may write results, live all instances considered live. A
+    live writer counts even if none of its heartbeats arrive here, as is usual in a large fleet.
     """
 
     def __init__(
@@ -92,45 +94,49 @@
     ) -> None:
         self._writers = writers
         self._live = live
-        self._known: dict[str, _Writer] = {}
-        self._silent_since: dict[str, int] = {}
+        self._states: dict[str, _Writer] = {}
+        self._last_received_ms: dict[str, int] = {}
 
     def on_word(self, writer: str, number: int) -> None:
-        """Take a writer's word of a new group."""
-        known = self._known.get(writer)
-        if known is not None and number == known.heard + 1:
-            self._known[writer] = known._replace(heard=number)
-
-    def on_heartbeat(self, writer: str, beat: Heartbeat, now: int) -> None:
-        """Take a writer's heartbeat."""
-        self._silent_since[writer] = now
-        if beat.groups_told == NOT_SURE:
+        """Handle a writer's notification of a new group."""
+        state = self._states.get(writer)
+        if state is not None and number == state.received + 1:
+            self._states[writer] = state._replace(received=number)
+
+    def on_heartbeat(self, writer: str, heartbeat: Heartbeat, now: int) -> None:
+        """Handle a writer's heartbeat."""
+        self._last_received_ms[writer] = now
+        if heartbeat.groups_told == NOT_SURE:
             return
-        known = self._known.get(writer)
-        if known is not None and known.boot == beat.boot:
-            for word in beat.words:
-                self.on_word(writer, word.number)
-            known = self._known[writer]
-        if known is None or known.boot != beat.boot or beat.groups_told > known.heard:
-            # What was missed shows only in the store: looks from now on count.
-            self._known[writer] = _Writer(beat.boot, beat.groups_told, now, now)
+        state = self._states.get(writer)
+        if state is not None and state.boot == heartbeat.boot:
+            for notification in heartbeat.words:
+                self.on_word(writer, notification.number)
+            state = self._states[writer]
+        if state is None or state.boot != heartbeat.boot or heartbeat.groups_told > state.received:
+            # Missed groups are only visible in the store, so only reads begun from now on count.
+            self._states[writer] = _Writer(heartbeat.boot, heartbeat.groups_told, now, now)
             return
-        self._known[writer] = known._replace(sure_ms=now)
+        self._states[writer] = state._replace(confirmed_ms=now)
 
-    def stands(self, looked_ms: int, now: int) -> bool:
-        """Tell whether a look at the store begun then has missed nothing that is to be shown."""
+    def stands(self, read_ms: int, now: int) -> bool:
+        """Return whether no group was missed since a read of the store that began at read_ms."""
         live = self._live()
-        writers = [one for one in self._writers() if one in live or not self._forgotten(one, now)]
+        writers = [
+            writer_id
+            for writer_id in self._writers()
+            if writer_id in live or not self._is_forgotten(writer_id, now)
+        ]
         if not writers:
             return False
         for writer in writers:
-            known = self._known.get(writer)
-            if known is None or looked_ms < known.since + WRITE_MS:
+            state = self._states.get(writer)
+            if state is None or read_ms < state.complete_since_ms + MAX_WRITE_MS:
                 return False
-            if now - (known.sure_ms - WRITE_MS) > WORD_STANDS_MS:
+            if now - (state.confirmed_ms - MAX_WRITE_MS) > CONFIRMATION_VALID_MS:
                 return False
         return True
 
-    def _forgotten(self, writer: str, now: int) -> bool:
-        since = self._silent_since.setdefault(writer, now)
-        return now - since > FORGET_MS
+    def _is_forgotten(self, writer: str, now: int) -> bool:
+        last_ms = self._last_received_ms.setdefault(writer, now)
+        return now - last_ms > FORGET_WRITER_MS
--- a/papayapier/jobs/progress.py
+++ b/papayapier/jobs/progress.py
@@ -1,13 +1,14 @@
-"""Keep on a keeper's disk what its next start goes on from: how far its items have come.
+"""Save the progress of a keeper's items on its disk, so that its next start resumes from there.
 
-Also which work has ended replicas, or a loss of all power would let it end as many again.
+The replica losses per request fingerprint are saved too; otherwise, after a power loss of the whole
+fleet, a request could end as many replicas again.
 
-The load this answers: all processes are killed or lose power at once, at times while the store is
-away. What had been run and not yet written was in memory only, and all of it ran again from its
-beginning, in the same seconds in which everything else that had waited came too.
+Motivation: all processes may be killed or lose power at once, possibly while the store is
+unavailable. Progress that was not yet written was held in memory only, and all of those items ran
+again from their beginning, at the same time as all other waiting requests.
 
-Losing the disk costs time and nothing else: what is agreed is in the store. Two files are written
-in turn, so that one torn by the loss leaves the one before.
+Losing the disk costs only time, as all confirmed results are in the store. Two files are written
+alternately, so that if one is torn by a power loss the previous one remains.
 """
 
 from collections.abc import Awaitable, Callable, Sequence
@@ -24,18 +25,19 @@
 from papayapier.policy.crashes import Loss
 
 FILES: Final = ("progress-0", "progress-1")
-# A run lasts some five seconds, so that a loss costs a tenth of one on the mean; 25 items of 10 kB
-# a write are far below what a slow disk takes.
+# A run takes about five seconds, so a power loss costs a tenth of a run on average. A write of 25
+# items of 10 kB is far below the throughput of a slow disk.
 SAVE_MS: Final = 1_000
-# A start does not wait longer for a disk that hangs.
+# Bounds how long a start waits for a disk that hangs.
 LOAD_MS: Final = 500
-# Some 25 runs of 10 kB are under way, and in an outage of a minute 300 results wait. In a longer
-# one the rest is left out: writing all of it each second would take the disk and the processor.
-MOST_CHARS: Final = 4_000_000
+# About 25 runs of 10 kB are in progress, and in a store outage of one minute 300 results wait. In a
+# longer outage the rest is omitted: writing it every second would overload the disk and the
+# processor.
+MAX_CHARS: Final = 4_000_000
 
 
 class ItemProgress(NamedTuple):
-    """Hold how far one item has come; end is that of one whose result is not written yet."""
+    """Hold the progress of one item; end is set if it has finished and is not yet written."""
 
     job_id: str
     item_id: str
@@ -47,7 +49,7 @@
 
 
 class Snapshot(NamedTuple):
-    """Hold the progress of all items of a keeper; the one with the higher number is later."""
+    """Hold the progress of all items of a keeper; a later snapshot has a higher number."""
 
     number: int
     items: tuple[ItemProgress, ...]
@@ -55,7 +57,7 @@
 
 
 class SaverDeps(NamedTuple):
-    """Group what saving works with; in_thread runs a call that blocks."""
+    """Group the dependencies of saving; in_thread runs a blocking call."""
 
     clock: Clock
     folder: str
@@ -65,21 +67,21 @@
 
 
 _SNAPSHOT: Final = msgspec.msgpack.Decoder(Snapshot)
-NOTHING: Final = Snapshot(0, ())
+EMPTY_SNAPSHOT: Final = Snapshot(0, ())
 
 
 def load(folder: str) -> Snapshot:
-    """Return the latest whole snapshot of a folder; blocks."""
+    """Return the latest complete snapshot of a folder; this call blocks."""
     read = [_read(Path(folder) / name) for name in FILES]
-    whole = [one.ok_value for one in read if isinstance(one, Ok)]
-    return max(whole, key=lambda one: one.number, default=NOTHING)
+    complete = [snapshot.ok_value for snapshot in read if isinstance(snapshot, Ok)]
+    return max(complete, key=lambda snapshot: snapshot.number, default=EMPTY_SNAPSHOT)
 
 
 async def load_soon(deps: SaverDeps) -> Snapshot:
-    """Return the latest snapshot, or an empty one where the disk does not answer in time."""
+    """Return the latest snapshot, or an empty one if the disk does not respond in time."""
     loading = Pending(deps.clock, deps.in_thread(lambda: load(deps.folder)))
     snapshot: Snapshot | None = await loading.within(LOAD_MS)
-    known = snapshot or NOTHING
+    known = snapshot or EMPTY_SNAPSHOT
     events.emit(
         events.PROGRESS_LOADED,
         items=len(known.items),
@@ -90,39 +92,44 @@
 
 
 async def save_regularly(deps: SaverDeps, number: int) -> None:
-    """Write a snapshot every second in which there is something to write; number is the last."""
-    failing = False
-    written: set[tuple[str, str]] | None = None
+    """Write a snapshot every second in which there are changes; number is that of the last one."""
+    is_failing = False
+    saved_loss_keys: set[tuple[str, str]] | None = None
     while True:
         await deps.clock.sleep(SAVE_MS)
         items = _bounded(deps.progress())
         losses = tuple(deps.losses())
-        lost = {(loss.work, loss.replica) for loss in losses}
-        if not items and lost == written:
+        loss_keys = {(loss.work, loss.replica) for loss in losses}
+        if not items and loss_keys == saved_loss_keys:
             continue
-        written = None if items else lost
+        saved_loss_keys = None if items else loss_keys
         number += 1
-        done = await deps.in_thread(_writing(deps.folder, Snapshot(number, items, losses)))
-        reason = done.err_value if isinstance(done, Err) else ""
-        # The reason names one of two files in turn, so it differs each time.
-        if bool(reason) != failing:
-            failing = bool(reason)
-            events.emit(events.PROGRESS_NOT_SAVED, items=len(items), reason=reason or "well again")
+        result = await deps.in_thread(_write_call(deps.folder, Snapshot(number, items, losses)))
+        reason = result.err_value if isinstance(result, Err) else ""
+        # The reason contains the name of one of the two files, so it changes with every write;
+        # only the change between success and failure is logged.
+        if bool(reason) != is_failing:
+            is_failing = bool(reason)
+            events.emit(
+                events.PROGRESS_NOT_SAVED,
+                items=len(items),
+                reason=reason or "saved successfully again",
+            )
 
 
 def _bounded(items: Sequence[ItemProgress]) -> tuple[ItemProgress, ...]:
-    """Return as many items as a snapshot may hold, those that are done first."""
-    taken = []
+    """Return as many items as fit into a snapshot, finished items first."""
+    kept = []
     chars = 0
-    for one in sorted(items, key=lambda item: item.end is None):
-        chars += sum(len(text) for text in one.texts)
-        if chars > MOST_CHARS:
+    for progress in sorted(items, key=lambda item: item.end is None):
+        chars += sum(len(text) for text in progress.texts)
+        if chars > MAX_CHARS:
             break
-        taken.append(one)
-    return tuple(taken)
+        kept.append(progress)
+    return tuple(kept)
 
 
-def _writing(folder: str, snapshot: Snapshot) -> Callable[[], Result[None, str]]:
+def _write_call(folder: str, snapshot: Snapshot) -> Callable[[], Result[None, str]]:
     path = Path(folder) / FILES[snapshot.number % len(FILES)]
     return lambda: sealed_files.write(path, msgspec.msgpack.encode(snapshot))
 
--- a/papayapier/jobs/records.py
+++ b/papayapier/jobs/records.py
@@ -1,4 +1,4 @@
-"""Define what is stored of a batch job, and encode it as JSON text."""
+"""Define the stored records of batch jobs, and encode them as JSON."""
 
 from enum import Enum
 from typing import Final, NamedTuple, TypeVar
@@ -10,14 +10,14 @@
 
 JOBS: Final = "papayapier-jobs/"
 PARTS: Final = "papayapier-parts/"
-# A kind for each job, so that one call lists all the groups that are not yet known.
+# Each job has a prefix of its own, so that one list call returns all groups after a given one.
 RESULTS: Final = "papayapier-results-"
-# The store takes values of 1 MiB at most, and what is stored is escaped once more.
-PART_BYTES: Final = 800_000
+# The store accepts values of up to 1 MiB, and escaping makes the stored value larger than its text.
+MAX_PART_BYTES: Final = 800_000
 
 
 class JobItem(NamedTuple):
-    """Hold one item; body is base64 text."""
+    """Hold one item as it was submitted; body is base64 text."""
 
     id: str
     path: str
@@ -29,9 +29,9 @@
 class JobRecord(NamedTuple):
     """Hold one job; accepted_ms is the wall clock of the instance that accepted it.
 
-    team is whose job it is; a key of it that is taken away later ends nothing.
+    team is the team that owns the job; revoking an API key of the team does not end the job.
 
-    The items of a large job are in parts, objects of their own that are there before the job.
+    The items of a large job are stored in parts: separate objects written before the record.
     """
 
     write_id: str
@@ -46,7 +46,7 @@
 
 
 class ItemEnd(Enum):
-    """Say how an item ended."""
+    """Name the outcomes of an item."""
 
     DONE = "done"
     GIVEN_UP = "given_up"
@@ -61,7 +61,7 @@
 
 
 class ResultGroup(NamedTuple):
-    """Hold results that were written together."""
+    """Hold results that are written as one object."""
 
     write_id: str
     results: tuple[ItemResult, ...]
@@ -73,7 +73,7 @@
 
 
 def job_key(job_id: str) -> str:
-    """Return the key of a job."""
+    """Return the key of a job's record."""
     return JOBS + job_id
 
 
@@ -83,7 +83,7 @@
 
 
 def groups_prefix(job_id: str) -> str:
-    """Return what the keys of a job's groups begin with."""
+    """Return the key prefix of a job's result groups."""
     return f"{RESULTS}{job_id}/"
 
 
@@ -93,12 +93,12 @@
 
 
 def encode(value: JobRecord | ResultGroup | tuple[JobItem, ...]) -> bytes:
-    """Encode for the store."""
+    """Encode a record, a group or a part for the store."""
     return msgspec.json.encode(value)
 
 
 def read_record(value: bytes) -> Result[JobRecord, str]:
-    """Decode a job."""
+    """Decode a job's record."""
     return _decode(_RECORD, value)
 
 
@@ -113,12 +113,12 @@
 
 
 def split_items(items: tuple[JobItem, ...]) -> list[tuple[JobItem, ...]]:
-    """Split items into parts that fit into one object each; the same items split alike."""
+    """Split items into parts that fit into one object each; the same items give the same parts."""
     parts: list[list[JobItem]] = [[]]
     size = 0
     for item in items:
         item_bytes = len(msgspec.json.encode(item))
-        if parts[-1] and size + item_bytes > PART_BYTES:
+        if parts[-1] and size + item_bytes > MAX_PART_BYTES:
             parts.append([])
             size = 0
         parts[-1].append(item)
--- a/papayapier/jobs/room.py
+++ b/papayapier/jobs/room.py
@@ -1,4 +1,4 @@
-"""Know how many batch streams this instance may have at each replica, and find one with room."""
+"""Find replicas with free slots for the batch streams of this instance."""
 
 import random
 from collections.abc import Collection, Sequence
@@ -11,76 +11,78 @@
 from papayapier.upstream.api import Replica
 
 
-class Shared(NamedTuple):
-    """Group what is known of the replicas at one moment.
+class SlotSnapshot(NamedTuple):
+    """Hold a snapshot of the state that decides how slots are shared.
 
-    sharing names the live instances that run batch, hidden those of them whose open calls are
-    not heard of here. Both are worked out once for all replicas: asking for each of them took,
-    with the order of who shares, half of a hub's processor time among 29 instances.
+    sharing lists the live instances that run batch, hidden those of them whose open calls are not
+    reported here. Both are computed once for all replicas: computing them per replica, with the
+    order of the sharing instances, took half of a hub's processor time in a fleet of 29 instances.
     """
 
     rand: random.Random
     me: str
-    book: LoadBook
+    loads: LoadBook
     outliers: Outliers
     sharing: Sequence[str]
     hidden: Collection[str]
 
 
-def use_of(deps: Shared, replica_id: str) -> Use:
-    """Return what is known of the open calls at a replica, and this instance's place there.
+def replica_use(snapshot: SlotSnapshot, replica_id: str) -> Use:
+    """Return the open calls at a replica and the share of its slots that this instance has.
 
-    A replica's slots are shared by few instances. What one leaves unused the others may take,
-    and with many that would all take it before they hear of each other.
+    Only a few instances share a replica's slots. Each may use slots that the others leave idle;
+    if many did, all of them would take the same idle slots before they learn of each other's calls.
     """
-    may_use = sharers_of(replica_id, deps.sharing)
-    sharing = may_use[: parts_among(len(deps.sharing))]
-    own = deps.book.own(replica_id).batch
-    slots = deps.book.slots(replica_id)
-    batch = deps.book.batch_at(replica_id)
-    if not set(deps.hidden).isdisjoint(sharing):
-        # What a hidden one leaves unused cannot be known, so everybody keeps to a fair part.
+    may_use = sharers_of(replica_id, snapshot.sharing)
+    sharing = may_use[: parts_among(len(snapshot.sharing))]
+    own = snapshot.loads.own(replica_id).batch
+    slots = snapshot.loads.slots(replica_id)
+    batch = snapshot.loads.batch_at(replica_id)
+    if not set(snapshot.hidden).isdisjoint(sharing):
+        # The slots that a hidden instance leaves idle are unknown, so each instance keeps to its
+        # fair share.
         batch = own + slots
     return Use(
-        slots if deps.me in may_use else 0,
-        deps.book.online_at(replica_id),
+        slots if snapshot.me in may_use else 0,
+        snapshot.loads.online_at(replica_id),
         own,
         batch,
-        sharing.index(deps.me) if deps.me in sharing else NO_PART,
+        sharing.index(snapshot.me) if snapshot.me in sharing else NO_PART,
         len(sharing),
     )
 
 
-class Room:
-    """Find replicas with room, looking at the use of each one once."""
+class ReplicaFinder:
+    """Find replicas with free slots; the use of each replica is computed once and cached."""
 
-    def __init__(self, deps: Shared) -> None:
-        self._deps = deps
+    def __init__(self, snapshot: SlotSnapshot) -> None:
+        self._snapshot = snapshot
         self._uses: dict[str, Use] = {}
 
-    def take(self, upstream: str, now: int, part: bool = True) -> Replica | None:
-        """Return the replica with the most room, or None.
+    def find(self, upstream: str, now: int, has_share: bool = True) -> Replica | None:
+        """Return the replica with the most free slots, or None.
 
-        One that has failed lately looks fuller, since failing is quick. With part only replicas
-        count of whose slots this instance has a part, without it only others.
+        Replicas that failed recently rank lower, because failed calls end fast and free their
+        slots. With has_share only replicas are considered at which this instance has a share of
+        the slots, otherwise only the other replicas.
         """
         best: tuple[float, float, Replica] | None = None
-        for replica in self._deps.book.usable(upstream, now):
-            if self._deps.outliers.ejected(replica.id, now):
+        for replica in self._snapshot.loads.usable(upstream, now):
+            if self._snapshot.outliers.ejected(replica.id, now):
                 continue
             use = self._use(replica.id)
-            if (use.place != NO_PART) is not part:
+            if (use.place != NO_PART) is not has_share:
                 continue
-            room = start_limit(use) - self._deps.book.own(replica.id).batch
-            if room <= 0:
+            free_slots = start_limit(use) - self._snapshot.loads.own(replica.id).batch
+            if free_slots <= 0:
                 continue
-            likely = room - self._deps.outliers.penalty(replica.id, now)
-            ranked = (likely, self._deps.rand.random(), replica)
+            score = free_slots - self._snapshot.outliers.penalty(replica.id, now)
+            ranked = (score, self._snapshot.rand.random(), replica)
             if best is None or ranked[:2] > best[:2]:
                 best = ranked
         return best[2] if best is not None else None
 
     def _use(self, replica_id: str) -> Use:
         if replica_id not in self._uses:
-            self._uses[replica_id] = use_of(self._deps, replica_id)
+            self._uses[replica_id] = replica_use(self._snapshot, replica_id)
         return self._uses[replica_id]
--- a/papayapier/jobs/runner.py
+++ b/papayapier/jobs/runner.py
@@ -1,8 +1,8 @@
-"""Run the items of the jobs that this instance owns, in the room that online calls leave.
+"""Run the items of the jobs that this instance owns, in the capacity that online calls leave free.
 
-Who owns a job follows from rendezvous hashing over the instances that run batch, are heard from and
-may use a replica of the job's upstream. Two that disagree for a while run some items twice;
-commits.py keeps results right.
+The owner of a job is chosen by rendezvous hashing over the live instances that run batch and may
+use a replica of the job's upstream. If two instances disagree about the owner for a while, some
+items run twice; commits.py ensures that their results are still listed once.
 """
 
 from collections.abc import Callable, Sequence
@@ -15,14 +15,14 @@
 from papayapier import events
 from papayapier.config.route_table import Route, RouteTable
 from papayapier.jobs.commits import CommitDeps, Written, commit, load_groups
-from papayapier.jobs.groups import read_whole
+from papayapier.jobs.groups import read_with_items
 from papayapier.jobs.looks import JobLooks, LookDeps
 from papayapier.jobs.news import GroupsTold
 from papayapier.jobs.owners import JobOwners
 from papayapier.jobs.progress import ItemProgress
 from papayapier.jobs.records import JOBS, ItemEnd, JobRecord, read_record
 from papayapier.jobs.runs import RunDeps, Runs
-from papayapier.jobs.work import Item, JobWork
+from papayapier.jobs.work import ItemState, OwnedJob
 from papayapier.policy.ownership import owner
 from papayapier.store.api import Change, Store
 
@@ -30,17 +30,19 @@
     from papayapier.clock import Timer
 
 TICK_MS: Final = 50
-# Far below the time in which a waiting online call would notice; each round looks at every run.
+# Batches several triggers into one round, because each round examines every run. The delay is too
+# short to matter for a waiting online call.
 SOON_MS: Final = 20
-LOAD_AGAIN_MS: Final = 300
-# What the disk holds of jobs that have not shown up by then is of jobs that are deleted by now.
+LOAD_RETRY_MS: Final = 300
+# Saved progress of jobs that have not appeared by then is dropped, as these jobs have been deleted.
 RECALL_MS: Final = 120_000
 
 
 class RunnerDeps(NamedTuple):
-    """Group what the runner works with.
+    """Group the dependencies of JobRunner.
 
-    tell_groups tells how many groups a job has, and of the last one if it was written here.
+    tell_groups is called with a job's id, its number of groups, and the last group if this instance
+    wrote it.
     """
 
     runs: RunDeps
@@ -51,23 +53,23 @@
 
 
 class JobRunner:
-    """Own the jobs of this instance and the runs of their items."""
+    """Manage the jobs that this instance owns and the runs of their items."""
 
     def __init__(self, deps: RunnerDeps) -> None:
         self._deps = deps
         self._clock = deps.runs.clock
         self._runs = Runs(deps.runs, self._commit, self.pump)
-        self._recalled: dict[str, list[ItemProgress]] = {}
+        self._saved_progress: dict[str, list[ItemProgress]] = {}
         self._open: dict[str, JobRecord] = {}
-        # Since when each job is known here, on the monotonic clock.
+        # Monotonic time at which each job became known here.
         self._known_ms: dict[str, int] = {}
-        # Jobs that are known from this keeper's disk only.
-        self._held: set[str] = set()
-        # Ended or complete jobs, which may come again from a disk.
-        self._over: set[str] = set()
-        # Jobs that were complete while they were this instance's.
+        # Jobs that are known only from this keeper's disk, not from the store.
+        self._local_only: set[str] = set()
+        # Cancelled or complete jobs; they may be reported again from a disk.
+        self._closed: set[str] = set()
+        # Jobs that were completed while this instance owned them.
         self._completed: set[str] = set()
-        self._owned: dict[str, JobWork] = {}
+        self._owned: dict[str, OwnedJob] = {}
         self._owners = JobOwners(deps.runs.book, deps.table, deps.runs.sharing)
         self.looks = JobLooks(
             LookDeps(
@@ -75,14 +77,14 @@
                 deps.runs.me,
                 self._open,
                 self._owned,
-                self._over,
+                self._closed,
                 self._owners,
-                self._runs.has_room,
+                self._runs.has_free_slot,
                 self.review,
             )
         )
         self._timer: Timer | None = None
-        self._soon: Timer | None = None
+        self._soon_timer: Timer | None = None
         self._stopping = False
         self._pumping = False
         self._pumped_ms = self._clock.now()
@@ -91,50 +93,50 @@
             deps.runs.rand,
             deps.store,
             self._runs.cancel_items,
-            self._tell_groups,
+            self._notify_groups,
             deps.news,
         )
 
     def start(self) -> None:
-        """Begin to run."""
-        self._clock.call_later(RECALL_MS, self._recalled.clear)
+        """Start the periodic rounds."""
+        self._clock.call_later(RECALL_MS, self._saved_progress.clear)
         self._tick()
 
     def recall(self, items: Sequence[ItemProgress]) -> None:
-        """Take how far an earlier run of this process had come."""
-        for one in items:
-            self._recalled.setdefault(one.job_id, []).append(one)
+        """Keep item progress saved by an earlier run, to be restored when its job is loaded."""
+        for saved in items:
+            self._saved_progress.setdefault(saved.job_id, []).append(saved)
 
     def progress(self) -> list[ItemProgress]:
-        """Return how far the items of the jobs that are known whole have come."""
-        owned = (one for work in self._owned.values() if work.loaded for one in work.progress())
-        waiting = (one for items in self._recalled.values() for one in items)
+        """Return the progress of the items of loaded jobs, and saved progress not yet restored."""
+        owned = (item for job in self._owned.values() if job.loaded for item in job.progress())
+        waiting = (item for items in self._saved_progress.values() for item in items)
         return [*owned, *waiting]
 
     def stop(self) -> None:
-        """Cancel every run; what was finished is still written."""
+        """Cancel every run; results of finished items are still written."""
         self._stopping = True
         self.looks.stop()
         self._runs.cancel_all()
 
     def close(self) -> None:
         """Stop the timers."""
-        for timer in (self._timer, self._soon):
+        for timer in (self._timer, self._soon_timer):
             if timer is not None and timer.active():
                 timer.cancel()
 
     def unwritten(self) -> int:
-        """Return how many results are not yet in the store."""
-        return sum(len(work.unwritten) for work in self._owned.values())
+        """Return the number of results that are not yet in the store."""
+        return sum(len(job.unwritten) for job in self._owned.values())
 
     def running(self) -> int:
-        """Return how many items run."""
+        """Return the number of running items."""
         return self._runs.count()
 
     def has_closed(self, job_id: str) -> bool:
-        """Tell whether a job is this instance's, and every item of it is listed or ended.
+        """Return whether this instance is responsible for a job that is complete or cancelled.
 
-        Nobody owns an ended job; it falls to one of all.
+        A cancelled job has no owner; one of all instances that run batch is responsible for it.
         """
         if job_id in self._open or job_id in self._owned:
             return False
@@ -142,12 +144,12 @@
         return job_id in self._completed or ended_here
 
     def record(self, job_id: str) -> JobRecord | None:
-        """Return a job's record as the store has it, with all its items."""
+        """Return a job's record if it was read from the store and contains all items."""
         record = self._open.get(job_id)
-        return None if record is None or record.parts or job_id in self._held else record
+        return None if record is None or record.parts or job_id in self._local_only else record
 
     def on_change(self, change: Change) -> None:
-        """Take a change of a job's record."""
+        """Handle a change of a job's record in the store."""
         job_id = change.key.removeprefix(JOBS)
         if change.deleted:
             self._forget(job_id)
@@ -159,93 +161,94 @@
         if read.ok_value.ended:
             self._end_job(job_id)
             return
-        self._held.discard(job_id)
+        self._local_only.discard(job_id)
         self._open[job_id] = read.ok_value
         self.review()
 
     def on_held(self, job_id: str, record: JobRecord) -> None:
-        """Take a job that was accepted while the store is away, and run it without the store.
+        """Run a job that was accepted and stored locally while the store is unavailable.
 
-        Whoever owns a job by its id is the first to be asked to hold it. Of five to nine seconds of
-        an outage each counts, where results are due in eighteen.
+        The owner of a job is the first keeper to which it is replicated. Outages last five to nine
+        seconds and results are due in eighteen, so the job must not wait for the store.
         """
-        if job_id in self._open or job_id in self._over:
+        if job_id in self._open or job_id in self._closed:
             return
         self._open[job_id] = record
-        self._held.add(job_id)
+        self._local_only.add(job_id)
         self.review()
 
     def review(self) -> None:
-        """Work out again which jobs are this instance's."""
+        """Recompute which jobs this instance is to run, and take or release jobs accordingly."""
         self._owners.refresh()
         for job_id, record in list(self._open.items()):
-            mine = self.looks.runs_here(job_id, self._owners.owner(job_id, record))
-            if mine and job_id not in self._owned and not self._stopping:
+            is_mine = self.looks.runs_here(job_id, self._owners.owner(job_id, record))
+            if is_mine and job_id not in self._owned and not self._stopping:
                 self._own(job_id, record)
-            elif not mine and job_id in self._owned:
+            elif not is_mine and job_id in self._owned:
                 self._disown(job_id)
 
     def _own(self, job_id: str, record: JobRecord) -> None:
-        work = JobWork(job_id, record)
-        work.moved_ms = self._clock.now()
-        self._known_ms.setdefault(job_id, work.moved_ms)
-        self._owned[job_id] = work
+        job = OwnedJob(job_id, record)
+        job.last_progress_ms = self._clock.now()
+        self._known_ms.setdefault(job_id, job.last_progress_ms)
+        self._owned[job_id] = job
         events.emit(events.RUN_TAKEN, job=job_id, items=record.total)
-        self._spawn(self._load(work))
+        self._start_task(self._load(job))
 
     def _disown(self, job_id: str) -> None:
-        work = self._owned[job_id]
-        events.emit(events.RUN_RELEASED, job=job_id, listed=work.listed)
-        self._runs.cancel_job(work)
-        if work.loaded:
-            # It may come back, as when a keeper was silent for a moment.
-            self.recall(work.progress())
-        if not work.unwritten:
+        job = self._owned[job_id]
+        events.emit(events.RUN_RELEASED, job=job_id, listed=job.listed)
+        self._runs.cancel_job(job)
+        if job.loaded:
+            # The job may return, for example after another keeper was unreachable for a moment.
+            self.recall(job.progress())
+        if not job.unwritten:
             del self._owned[job_id]
 
     def _end_job(self, job_id: str) -> None:
-        self._held.discard(job_id)
-        self._over.add(job_id)
+        self._local_only.discard(job_id)
+        self._closed.add(job_id)
         self.looks.forget(job_id)
         self._owners.forget(job_id)
-        self._recalled.pop(job_id, None)
-        work = self._owned.pop(job_id, None)
+        self._saved_progress.pop(job_id, None)
+        job = self._owned.pop(job_id, None)
         if self._open.pop(job_id, None) is not None:
             events.emit(events.JOB_ENDED, job=job_id, reason="cancelled")
-        if work is not None:
-            work.items.clear()
-            self._runs.cancel_job(work)
+        if job is not None:
+            job.items.clear()
+            self._runs.cancel_job(job)
 
     def _forget(self, job_id: str) -> None:
         self._open.pop(job_id, None)
         self._known_ms.pop(job_id, None)
-        self._held.discard(job_id)
-        self._over.discard(job_id)
+        self._local_only.discard(job_id)
+        self._closed.discard(job_id)
         self._completed.discard(job_id)
         self.looks.forget(job_id)
         self._owners.forget(job_id)
-        self._recalled.pop(job_id, None)
-        work = self._owned.pop(job_id, None)
-        if work is not None:
-            self._runs.cancel_job(work)
-
-    async def _load(self, work: JobWork) -> None:
-        # Nothing is listed of it as far as is known; the first write of a group tells if there is.
-        work.loaded = work.job_id in self._held
-        while self._owned.get(work.job_id) is work and not work.loaded:
-            whole = await read_whole(self._deps.store, work.job_id, work.record)
-            if isinstance(whole, Ok):
-                work.items = {item.id: Item(item) for item in whole.ok_value.items}
-                work.groups = work.listed = 0
-                loaded = await load_groups(self._commits, work)
-                work.loaded = isinstance(loaded, Ok)
-            if not work.loaded:
-                await self._clock.sleep(LOAD_AGAIN_MS)
-        for saved in self._recalled.pop(work.job_id, ()):
-            work.recall(saved)
-        if work.unwritten:
-            self._commit(work)
-        self._close_if_complete(work)
+        self._saved_progress.pop(job_id, None)
+        job = self._owned.pop(job_id, None)
+        if job is not None:
+            self._runs.cancel_job(job)
+
+    async def _load(self, job: OwnedJob) -> None:
+        # The groups of a locally stored job cannot be read now; a conflict at the first write of a
+        # group reveals whether there are any.
+        job.loaded = job.job_id in self._local_only
+        while self._owned.get(job.job_id) is job and not job.loaded:
+            with_items = await read_with_items(self._deps.store, job.job_id, job.record)
+            if isinstance(with_items, Ok):
+                job.items = {item.id: ItemState(item) for item in with_items.ok_value.items}
+                job.groups = job.listed = 0
+                loaded = await load_groups(self._commits, job)
+                job.loaded = isinstance(loaded, Ok)
+            if not job.loaded:
+                await self._clock.sleep(LOAD_RETRY_MS)
+        for saved in self._saved_progress.pop(job.job_id, ()):
+            job.restore(saved)
+        if job.unwritten:
+            self._commit(job)
+        self._close_if_complete(job)
         self.pump()
 
     def _tick(self) -> None:
@@ -256,90 +259,93 @@
                 self.pump()
 
     def _review_if_changed(self) -> None:
-        # Also what others say of a silent one changes who shares, and no event tells it.
+        # Peers' reports about an unreachable instance also change which instances share replicas,
+        # and no event signals that.
         changed = self._owners.refresh()
         taken_back = self.looks.expire(self._deps.runs.sharing())
         if changed or taken_back:
             self.review()
 
     def pump_soon(self) -> None:
-        """Pump once for all that is heard within a moment.
+        """Run one round soon for all triggers until then.
 
-        Hundreds of heartbeats a second come to an instance of a large fleet, and each asks the
-        same question.
+        An instance of a large fleet receives hundreds of heartbeats a second, and each of them
+        triggers a round.
         """
-        # With nothing to run it was a third of an idle keeper's time, 0.029 of a core.
+        # Rounds without any job took a third of an idle keeper's processor time, 0.029 of a core.
         if not self._owned:
             return
-        if self._soon is None or not self._soon.active():
-            self._soon = self._clock.call_later(SOON_MS, self.pump)
+        if self._soon_timer is None or not self._soon_timer.active():
+            self._soon_timer = self._clock.call_later(SOON_MS, self.pump)
 
     def pump(self) -> None:
-        """Give back what online calls need, and start what there is room for."""
+        """Run one round: free the slots that online calls need, and start items in free slots."""
         table = self._deps.table()
         if self._stopping or table is None:
             return
         if self._pumping:
-            # A run that was cut here has ended; what it leaves is seen by the next round.
+            # Called from the end of a run that this round cancelled; the next round uses its slot.
             self.pump_soon()
             return
         self._pumping = True
         self._pumped_ms = self._clock.now()
         try:
-            self._runs.give_way_and_start(self._by_due(table))
+            self._runs.run_round(self._jobs_by_due_time(table))
         finally:
             self._pumping = False
 
-    def _by_due(self, table: RouteTable) -> list[tuple[JobWork, Route]]:
+    def _jobs_by_due_time(self, table: RouteTable) -> list[tuple[OwnedJob, Route]]:
         jobs = []
-        for work in list(self._owned.values()):
-            if not work.loaded or not work.items:
+        for job in list(self._owned.values()):
+            if not job.loaded or not job.items:
                 continue
-            route = table.find(work.record.host, work.record.path)
+            route = table.find(job.record.host, job.record.path)
             if route is None:
-                self._give_up(work, "the job's route is gone")
+                self._give_up(job, "the job's route was removed")
                 continue
-            # By the time for which the job is known here, never by the wall clock: that of this
-            # machine or of the one that accepted the job may jump, and an item given up too early
-            # is lost, while one that is tried for longer costs a run.
-            known_ms = self._clock.now() - self._known_ms[work.job_id]
+            # Uses the time for which the job is known here instead of the wall clock, because the
+            # wall clock of this or of the accepting machine may jump. An item given up too early is
+            # lost, while an item that is tried for too long only costs a run.
+            known_ms = self._clock.now() - self._known_ms[job.job_id]
             if route.give_up_ms and known_ms > route.give_up_ms:
-                self._give_up(work, "the time in which items are tried has passed")
+                self._give_up(job, "the time limit for running items has passed")
                 continue
-            work.due_ms = work.record.accepted_ms + route.due_ms
-            jobs.append((work.due_ms, work.job_id, work, route))
-        return [(job[2], job[3]) for job in sorted(jobs, key=lambda job: job[:2])]
-
-    def _give_up(self, work: JobWork, reason: str) -> None:
-        events.emit(events.ITEMS_LOST, job=work.job_id, items=len(work.items), reason=reason)
-        self._runs.cancel_job(work)
-        for item_id in list(work.items):
-            work.finish(item_id, ItemEnd.GIVEN_UP)
-        self._commit(work)
-
-    def _tell_groups(self, work: JobWork, written: Written | None) -> None:
-        self._deps.tell_groups(work.job_id, work.groups, written)
-
-    def _commit(self, work: JobWork) -> None:
-        self._spawn(self._commit_and_close(work))
-
-    async def _commit_and_close(self, work: JobWork) -> None:
-        await commit(self._commits, work)
-        self._close_if_complete(work)
-
-    def _close_if_complete(self, work: JobWork) -> None:
-        if work.complete() and not work.committing and self._owned.get(work.job_id) is work:
-            del self._owned[work.job_id]
-            self._open.pop(work.job_id, None)
-            self._over.add(work.job_id)
-            self._completed.add(work.job_id)
-            self._owners.forget(work.job_id)
-            events.emit(events.JOB_ENDED, job=work.job_id, reason="complete", listed=work.listed)
-
-    def _spawn(self, work: Any) -> None:
-        Deferred.fromCoroutine(work).addErrback(_report)
-
-
-def _report(why: TwistedFailure) -> None:
-    if not why.check(CancelledError):
-        events.emit(events.BATCH_BROKEN, reason=repr(why.value), traceback=why.getTraceback())
+            job.due_ms = job.record.accepted_ms + route.due_ms
+            jobs.append((job.due_ms, job.job_id, job, route))
+        return [(entry[2], entry[3]) for entry in sorted(jobs, key=lambda entry: entry[:2])]
+
+    def _give_up(self, job: OwnedJob, reason: str) -> None:
+        events.emit(events.ITEMS_LOST, job=job.job_id, items=len(job.items), reason=reason)
+        self._runs.cancel_job(job)
+        for item_id in list(job.items):
+            job.finish(item_id, ItemEnd.GIVEN_UP)
+        self._commit(job)
+
+    def _notify_groups(self, job: OwnedJob, written: Written | None) -> None:
+        self._deps.tell_groups(job.job_id, job.groups, written)
+
+    def _commit(self, job: OwnedJob) -> None:
+        self._start_task(self._commit_and_close(job))
+
+    async def _commit_and_close(self, job: OwnedJob) -> None:
+        await commit(self._commits, job)
+        self._close_if_complete(job)
+
+    def _close_if_complete(self, job: OwnedJob) -> None:
+        if job.is_complete() and not job.committing and self._owned.get(job.job_id) is job:
+            del self._owned[job.job_id]
+            self._open.pop(job.job_id, None)
+            self._closed.add(job.job_id)
+            self._completed.add(job.job_id)
+            self._owners.forget(job.job_id)
+            events.emit(events.JOB_ENDED, job=job.job_id, reason="complete", listed=job.listed)
+
+    def _start_task(self, coroutine: Any) -> None:
+        Deferred.fromCoroutine(coroutine).addErrback(_report)
+
+
+def _report(failure: TwistedFailure) -> None:
+    if not failure.check(CancelledError):
+        events.emit(
+            events.BATCH_BROKEN, reason=repr(failure.value), traceback=failure.getTraceback()
+        )
--- a/papayapier/jobs/vault.py
+++ b/papayapier/jobs/vault.py
@@ -1,8 +1,8 @@
-"""Hold jobs that were accepted while the store was away, until they are in the store.
+"""Store jobs locally that were accepted while the store was unavailable, until the store has them.
 
-Several keepers hold each such job. Every one of them creates it as soon as it reaches the store;
-the first succeeds, the others find it there and drop their copies. So no holder needs to know
-whether another lives, and a job is created once, however many of them do it.
+Several keepers have a copy of each such job. Each of them creates it as soon as the store is
+reachable: the first one succeeds, the others find the job there and remove their copies. So no
+keeper needs to know whether the others are live, and a job is created once.
 """
 
 import random
@@ -23,18 +23,19 @@
 
 T = TypeVar("T")
 
-# One try to create a job; the next one begins after a pause.
-TRY_MS: Final = 2_000
-WRITING_LOOK_MS: Final = 10
+# Time limit of one attempt to create a job; the next attempt begins after a pause.
+ATTEMPT_MS: Final = 2_000
+WRITE_POLL_MS: Final = 10
 
 
 class VaultDeps(NamedTuple):
-    """Group what a vault works with.
+    """Group the dependencies of Vault.
 
-    in_thread runs a call that blocks. held is told of each job that comes to be held, to run it
-    while the store is still away; not of those that an earlier run has left, since only the store
-    knows what has become of them. A job is dropped keep_s after its submission: whoever else held
-    it has created it by then, and its results may have been read and deleted.
+    in_thread runs a blocking call. held is called for each newly stored job, to run it while the
+    store is still unavailable; not for jobs left by an earlier run of this keeper, because only the
+    store knows whether these have been completed or cancelled. A job is dropped keep_s after its
+    submission: by then another keeper has created it, and its results may have been read and
+    deleted.
     """
 
     clock: Clock
@@ -48,40 +49,41 @@
 
 
 class Vault:
-    """Own the jobs on this keeper's disk."""
+    """Manage the jobs on this keeper's disk."""
 
     def __init__(self, deps: VaultDeps) -> None:
         self._deps = deps
-        self._held: dict[str, Deferred[None]] = {}
+        self._creating: dict[str, Deferred[None]] = {}
         self._writing: set[str] = set()
         self._loading = True
         self._refusing = False
 
     def pending(self) -> int:
-        """Return how many jobs are held here and may not be in the store."""
-        return len(self._held) + self._loading
+        """Return how many locally stored jobs may not be in the store yet."""
+        return len(self._creating) + self._loading
 
     async def start(self) -> None:
-        """Take up what an earlier run of this keeper held."""
+        """Load the jobs that an earlier run of this keeper stored."""
         folder = self._deps.folder
         loaded = await self._deps.in_thread(lambda: kept_files.load(folder))
         if isinstance(loaded, Err):
             events.emit(events.JOB_NOT_KEPT, job="", reason=loaded.err_value)
         else:
-            for reason in loaded.ok_value.odd:
+            for reason in loaded.ok_value.unreadable:
                 events.emit(events.JOB_NOT_KEPT, job="", reason=reason)
             for job in loaded.ok_value.jobs:
-                self._hold(job)
+                self._start_creating(job)
         self._loading = False
 
     async def keep(self, job: KeptJob) -> bool:
-        """Put a job on the disk; True says that it will be in the store, whatever happens here."""
+        """Write a job to the disk; return whether it is sure to be created in the store."""
         while job.job_id in self._writing:
-            # A repeat of the job through another entry; two threads would mix their bytes.
-            await self._deps.clock.sleep(WRITING_LOOK_MS)
+            # The same job was resent through another entry; two threads must not write one file
+            # concurrently.
+            await self._deps.clock.sleep(WRITE_POLL_MS)
         if self._refusing:
             return False
-        if job.job_id in self._held:
+        if job.job_id in self._creating:
             return True
         folder = self._deps.folder
         self._writing.add(job.job_id)
@@ -93,40 +95,40 @@
             events.emit(events.JOB_NOT_KEPT, job=job.job_id, reason=written.err_value)
             return False
         events.emit(events.JOB_KEPT, job=job.job_id, bytes=len(job.value))
-        self._hold(job)
+        self._start_creating(job)
         record = read_record(job.value)
-        if job.job_id in self._held and isinstance(record, Ok):
+        if job.job_id in self._creating and isinstance(record, Ok):
             self._deps.held(job.job_id, record.ok_value)
         return True
 
     def refuse(self) -> None:
-        """Take no job any more: this machine's disk will be removed."""
+        """Reject further jobs, because this machine's disk will be removed."""
         self._refusing = True
 
     def close(self) -> None:
-        """Stop; the files stay."""
-        for task in list(self._held.values()):
+        """Stop creating jobs; their files remain on the disk."""
+        for task in list(self._creating.values()):
             task.cancel()
 
-    def _hold(self, job: KeptJob) -> None:
-        if job.job_id in self._held:
+    def _start_creating(self, job: KeptJob) -> None:
+        if job.job_id in self._creating:
             return
         task = Deferred.fromCoroutine(self._create(job))
         task.addErrback(report_failure, "kept job")
         if task.called:
             return
-        self._held[job.job_id] = task
+        self._creating[job.job_id] = task
 
     async def _create(self, job: KeptJob) -> None:
-        """Create the job in the store, however long that takes, and remove its file."""
+        """Create the job in the store, retrying without limit, and remove its file."""
         pauses = Pauses(self._deps.rand, self._deps.longest_pause_ms)
-        reason = self._why_dropped(job)
+        reason = self._drop_reason(job)
         while not reason:
             if await self._is_created(job):
-                reason = "it is in the store"
+                reason = "job is in the store"
                 break
             await self._deps.clock.sleep(pauses.next_ms())
-            reason = self._why_dropped(job)
+            reason = self._drop_reason(job)
         events.emit(events.KEPT_JOB_ENDED, job=job.job_id, reason=reason)
         folder = self._deps.folder
         removed: Result[None, str] = await self._deps.in_thread(
@@ -134,20 +136,20 @@
         )
         if isinstance(removed, Err):
             events.emit(events.JOB_NOT_KEPT, job=job.job_id, reason=removed.err_value)
-        self._held.pop(job.job_id, None)
+        self._creating.pop(job.job_id, None)
 
     async def _is_created(self, job: KeptJob) -> bool:
         settling = Settling(self._deps.store, self._deps.clock, self._deps.rand)
-        due_ms = self._deps.clock.now() + TRY_MS
-        done = await create_settled(settling, job_key(job.job_id), job.value, due_ms)
-        if isinstance(done, Ok) or done == Err(StoreError.CONFLICT):
+        due_ms = self._deps.clock.now() + ATTEMPT_MS
+        created = await create_settled(settling, job_key(job.job_id), job.value, due_ms)
+        if isinstance(created, Ok) or created == Err(StoreError.CONFLICT):
             return True
-        if done != Err(StoreError.LOST):
+        if created != Err(StoreError.LOST):
             return False
         return isinstance(await self._deps.store.get(job_key(job.job_id)), Ok)
 
-    def _why_dropped(self, job: KeptJob) -> str:
-        """Return why a job is not created any more, or nothing."""
+    def _drop_reason(self, job: KeptJob) -> str:
+        """Return the reason why a job must not be created any more, or an empty string."""
         record = read_record(job.value)
         if isinstance(record, Err):
             return record.err_value
--- a/papayapier/jobs/work.py
+++ b/papayapier/jobs/work.py
@@ -1,4 +1,4 @@
-"""Hold one job that this instance runs: what waits, what runs, what is to be written."""
+"""Track a job that this instance runs: items waiting, items running and unwritten results."""
 
 import math
 from typing import Final
@@ -8,23 +8,23 @@
 from papayapier.policy.handing import SILENT_MS, STALLED_MS
 from papayapier.upstream.event_cutter import NO_EVENT
 
-NOT_HELD: Final = 0
+NO_DELAY: Final = 0
 
 
-class Item:
-    """Hold the state of one item; texts and last_event are what its streams have given."""
+class ItemState:
+    """Hold the state of one item; texts and last_event come from the streams of its runs."""
 
     __slots__ = (
         "failures",
-        "heard_ms",
-        "held_until_ms",
+        "fingerprint",
         "item",
         "last_event",
+        "last_received_ms",
+        "not_before_ms",
+        "quarantined",
         "ran_ms",
         "running",
         "texts",
-        "withheld",
-        "work",
     )
 
     def __init__(self, item: JobItem) -> None:
@@ -32,24 +32,24 @@
         self.texts: list[str] = []
         self.last_event = NO_EVENT
         self.failures = 0
-        # When an event of it last came, monotonic.
-        self.heard_ms = 0
-        # How long its runs have taken together.
+        # Monotonic time of its last received event.
+        self.last_received_ms = 0
+        # Total duration of its runs.
         self.ran_ms = 0
         self.running = False
-        self.held_until_ms = NOT_HELD
-        # Held back because replicas ended under its work, here as anywhere.
-        self.withheld = False
-        # The name of its work, empty until it is asked for.
-        self.work = ""
+        self.not_before_ms = NO_DELAY
+        # Set while its request fingerprint is quarantined after replica losses on any instance.
+        self.quarantined = False
+        # Its request fingerprint; empty until first computed.
+        self.fingerprint = ""
 
     def text(self) -> str:
-        """Return the text so far."""
+        """Return the text received so far."""
         return "\n".join(self.texts)
 
 
-class JobWork:
-    """Track the items of one job."""
+class OwnedJob:
+    """Track the items of one job that this instance owns."""
 
     def __init__(self, job_id: str, record: JobRecord) -> None:
         self.job_id = job_id
@@ -57,42 +57,53 @@
         self.groups = 0
         self.loaded = False
         self.committing = False
-        self.items: dict[str, Item] = {item.id: Item(item) for item in record.items}
+        self.items: dict[str, ItemState] = {item.id: ItemState(item) for item in record.items}
         self.unwritten: dict[str, ItemResult] = {}
         self.listed = 0
-        # When the job was taken or an item was last done here, monotonic.
-        self.moved_ms = 0
-        # Wall clock; known once the job's route is.
+        # Monotonic time at which the job was taken or an item was last completed here.
+        self.last_progress_ms = 0
+        # On the wall clock; infinite until the job's route is known.
         self.due_ms = math.inf
 
-    def waiting(self, now: int) -> list[Item]:
-        """Return the items that may be started."""
-        return [one for one in self.items.values() if not one.running and now >= one.held_until_ms]
+    def waiting(self, now: int) -> list[ItemState]:
+        """Return the items that may be started now."""
+        return [
+            state
+            for state in self.items.values()
+            if not state.running and now >= state.not_before_ms
+        ]
 
-    def runs(self) -> bool:
-        """Tell whether an item runs."""
-        return any(one.running for one in self.items.values())
+    def is_running(self) -> bool:
+        """Return whether an item is running."""
+        return any(state.running for state in self.items.values())
 
-    def stalled(self, now: int) -> bool:
-        """Tell whether nothing has come for long of items that may be sent."""
-        if not self.loaded or all(one.withheld for one in self.items.values()):
+    def is_stalled(self, now: int) -> bool:
+        """Return whether items that may be sent have made no progress for too long."""
+        if not self.loaded or all(state.quarantined for state in self.items.values()):
             return False
-        last_ms = max([self.moved_ms, *(one.heard_ms for one in self.items.values())])
-        return now - last_ms >= (SILENT_MS if self.runs() else STALLED_MS)
+        last_ms = max(
+            [self.last_progress_ms, *(state.last_received_ms for state in self.items.values())]
+        )
+        return now - last_ms >= (SILENT_MS if self.is_running() else STALLED_MS)
 
     def finish(self, item_id: str, end: ItemEnd) -> None:
-        """Take the end of an item, to be written."""
-        one = self.items.pop(item_id)
-        self.unwritten[item_id] = ItemResult(item_id, end, one.text())
+        """Record the result of an item, which is then to be written."""
+        state = self.items.pop(item_id)
+        self.unwritten[item_id] = ItemResult(item_id, end, state.text())
 
     def progress(self) -> list[ItemProgress]:
-        """Return how far the items have come that are begun, or done and not yet written."""
+        """Return the progress of items that have begun, or are finished but not yet written."""
         begun = [
             ItemProgress(
-                self.job_id, one.item.id, one.last_event, tuple(one.texts), one.ran_ms, one.failures
+                self.job_id,
+                state.item.id,
+                state.last_event,
+                tuple(state.texts),
+                state.ran_ms,
+                state.failures,
             )
-            for one in self.items.values()
-            if one.texts or one.failures
+            for state in self.items.values()
+            if state.texts or state.failures
         ]
         ended = [
             ItemProgress(self.job_id, result.id, NO_EVENT, (result.text,), 0, 0, result.end)
@@ -100,32 +111,32 @@
         ]
         return begun + ended
 
-    def recall(self, saved: ItemProgress) -> None:
-        """Go on with an item from where an earlier run of this process left it."""
-        one = self.items.get(saved.item_id)
-        if one is None:
-            # Another has listed it.
+    def restore(self, saved: ItemProgress) -> None:
+        """Restore the progress that an earlier run of this process saved for an item."""
+        state = self.items.get(saved.item_id)
+        if state is None:
+            # Another instance has listed it.
             return
-        one.texts = list(saved.texts)
-        one.last_event = saved.last_event
-        one.ran_ms = saved.ran_ms
-        one.failures = saved.failures
+        state.texts = list(saved.texts)
+        state.last_event = saved.last_event
+        state.ran_ms = saved.ran_ms
+        state.failures = saved.failures
         if saved.end is not None:
             self.finish(saved.item_id, saved.end)
 
-    def take_group(self, number: int, group: ResultGroup) -> list[Item]:
-        """Learn a group that is stored; return the items that others have listed."""
+    def apply_group(self, number: int, group: ResultGroup) -> list[ItemState]:
+        """Apply a stored group; return the unfinished items that another instance has listed."""
         assert number == self.groups
         self.groups += 1
         self.listed += len(group.results)
-        gone = []
+        listed_elsewhere = []
         for result in group.results:
             self.unwritten.pop(result.id, None)
-            one = self.items.pop(result.id, None)
-            if one is not None:
-                gone.append(one)
-        return gone
+            state = self.items.pop(result.id, None)
+            if state is not None:
+                listed_elsewhere.append(state)
+        return listed_elsewhere
 
-    def complete(self) -> bool:
-        """Tell whether every item is listed."""
+    def is_complete(self) -> bool:
+        """Return whether every item is listed."""
         return self.loaded and not self.items and not self.unwritten
--- a/tests/jobs_run_world.py
+++ b/tests/jobs_run_world.py
@@ -10,7 +10,7 @@
 from papayapier.dispatch.crash_watch import CrashWatch
 from papayapier.jobs.records import JobItem, JobRecord
 from papayapier.jobs.runs import RunDeps, Runs
-from papayapier.jobs.work import Item, JobWork
+from papayapier.jobs.work import ItemState, OwnedJob
 from papayapier.metrics import make_metrics
 from papayapier.platform.headers import of_team
 from papayapier.policy.batch_room import SPARE_SLOTS
@@ -63,7 +63,7 @@
         self.sends = 0
         self.sent: dict[str, Deferred[Any]] = {}
         self.done: list[str] = []
-        self.jobs: list[tuple[JobWork, Route]] = []
+        self.jobs: list[tuple[OwnedJob, Route]] = []
         self.deps = deps = RunDeps(
             clock=self.time.clock,
             rand=random.Random(1),
@@ -111,9 +111,9 @@
         finally:
             del self.sent[call.request_id]
 
-    def job(self, name: str, items: int, due_in_ms: int, upstream: str = "lm") -> JobWork:
+    def job(self, name: str, items: int, due_in_ms: int, upstream: str = "lm") -> OwnedJob:
         listed = tuple(JobItem(f"{name}-{n}", "/j", {}, "", 10) for n in range(items))
-        work = JobWork(name, JobRecord("w", "h", "/j", 0, listed, items))
+        work = OwnedJob(name, JobRecord("w", "h", "/j", 0, listed, items))
         work.due_ms = self.time.clock.wall() + due_in_ms
         self.jobs.append((work, cast(Any, RouteTo(upstream))))
         self.jobs.sort(key=lambda job: job[0].due_ms)
@@ -127,12 +127,12 @@
         self.end(item)
         self.jobs.clear()
 
-    def end(self, one: Item) -> None:
+    def end(self, one: ItemState) -> None:
         one.texts = ["x"] * EVENTS
         self.sent[one.item.id].callback(Ok(PassedOn(200)))
 
-    def lose(self, one: Item, kind: FailureKind, sent: Sent) -> None:
+    def lose(self, one: ItemState, kind: FailureKind, sent: Sent) -> None:
         self.sent[one.item.id].callback(Err(Failure(kind, sent, kind.value, fresh=True)))
 
     def pump(self) -> None:
-        self.runs.give_way_and_start(self.jobs)
+        self.runs.run_round(self.jobs)
--- a/tests/test_jobs_commits.py
+++ b/tests/test_jobs_commits.py
@@ -17,7 +17,7 @@
 from papayapier.jobs.commits import CommitDeps, commit, load_groups
 from papayapier.jobs.news import GroupsTold
 from papayapier.jobs.records import ItemEnd, groups_prefix, read_group
-from papayapier.jobs.work import JobWork
+from papayapier.jobs.work import OwnedJob
 from papayapier.store.api import StoreError
 from tests.jobs_world import JOB, MemoryStore, record
 
@@ -28,7 +28,7 @@
     """Hold one instance that runs the job."""
 
     def __init__(self, memory: MemoryStore, clock: Any, seed: int) -> None:
-        self.work = JobWork(JOB, record(*NAMES))
+        self.work = OwnedJob(JOB, record(*NAMES))
         self.deps = CommitDeps(
             clock,
             random.Random(seed),
--- a/tests/test_jobs_desk.py
+++ b/tests/test_jobs_desk.py
@@ -5,7 +5,7 @@
 
 from papayapier.errors import ErrorKind, Outcome
 from papayapier.jobs.commits import Written
-from papayapier.jobs.desk import LOOK_STANDS_MS
+from papayapier.jobs.desk import READ_VALID_MS
 from papayapier.jobs.records import ItemResult, groups_prefix, job_key, read_record
 from papayapier.store.api import StoreError
 from tests.jobs_world import JOB, DeskWorld, MemoryStore, group, item
@@ -186,7 +186,7 @@
     world.desk.on_written(JOB, Written(0, group("a"), world.time.clock.now()))
     assert names(waiting.end().unwrap().results) == ["a"]
     # The write shows that there was nothing after it, as a look does.
-    world.time.advance(LOOK_STANDS_MS - 1)
+    world.time.advance(READ_VALID_MS - 1)
     assert world.begin(world.desk.results(JOB, 1, 0)).end().unwrap().results == []
     assert world.memory.calls.count(f"list {groups_prefix(JOB)}") == looks
     # Another may write as well: what was written elsewhere is seen by the next look.
--- a/tests/test_jobs_news.py
+++ b/tests/test_jobs_news.py
@@ -5,9 +5,9 @@
 import pytest
 
 from papayapier.jobs.news import (
-    FORGET_MS,
-    WORD_STANDS_MS,
-    WRITE_MS,
+    CONFIRMATION_VALID_MS,
+    FORGET_WRITER_MS,
+    MAX_WRITE_MS,
     GroupsHeard,
     GroupsTold,
 )
@@ -67,7 +67,7 @@
 
 def fall_silent(world: World) -> None:
     world.cut.add("a")
-    world.beats(WORD_STANDS_MS // BEAT_MS)
+    world.beats(CONFIRMATION_VALID_MS // BEAT_MS)
 
 
 def begin_anew(world: World) -> None:
@@ -77,7 +77,7 @@
 
 def doubt_a_write(world: World) -> None:
     world.told["a"].begin("job", world.now)
-    world.beats((WRITE_MS + WORD_STANDS_MS) // BEAT_MS + 1)
+    world.beats((MAX_WRITE_MS + CONFIRMATION_VALID_MS) // BEAT_MS + 1)
 
 
 def add_a_writer(world: World) -> None:
@@ -130,18 +130,18 @@
 def test_a_write_whose_end_is_known_is_no_doubt() -> None:
     told = GroupsTold()
     told.begin("job", 0)
-    assert told.count(WRITE_MS) == 0
-    told.begin("job", WRITE_MS)
-    assert told.count(WRITE_MS + 1) == NOT_SURE
+    assert told.count(MAX_WRITE_MS) == 0
+    told.begin("job", MAX_WRITE_MS)
+    assert told.count(MAX_WRITE_MS + 1) == NOT_SURE
     told.end("job")
-    assert told.count(WRITE_MS + 1) == 0
+    assert told.count(MAX_WRITE_MS + 1) == 0
 
 
 def test_a_writer_that_is_gone_for_good_is_forgotten() -> None:
     world = World("a", "b")
     world.beats(3)
     world.cut.add("a")
-    world.beats(FORGET_MS // BEAT_MS + 1)
+    world.beats(FORGET_WRITER_MS // BEAT_MS + 1)
     assert world.stands(world.now)
     del world.told["b"]
     assert not world.stands(world.now)
@@ -173,10 +173,10 @@
     world = World("hub", "other")
     world.cut = {"other"}
     world.live = {"hub", "other"}
-    world.beats(FORGET_MS // BEAT_MS + 10)
+    world.beats(FORGET_WRITER_MS // BEAT_MS + 10)
     assert not world.stands(world.now - BEAT_MS)
     # Known to be lost, it counts for twenty seconds more.
     world.live = {"hub"}
     assert not world.stands(world.now - BEAT_MS)
-    world.beats(FORGET_MS // BEAT_MS + 10)
+    world.beats(FORGET_WRITER_MS // BEAT_MS + 10)
     assert world.stands(world.now - BEAT_MS)
--- a/tests/test_jobs_progress.py
+++ b/tests/test_jobs_progress.py
@@ -14,7 +14,7 @@
 from papayapier.jobs import progress
 from papayapier.jobs.progress import ItemProgress, SaverDeps, Snapshot
 from papayapier.jobs.records import ItemEnd
-from papayapier.jobs.work import JobWork
+from papayapier.jobs.work import OwnedJob
 from papayapier.policy.crashes import Loss
 from papayapier.upstream.event_cutter import NO_EVENT
 from tests.jobs_world import JOB, Begun, record
@@ -28,7 +28,7 @@
     """Write snapshots, each with an item named by its number."""
     for number in numbers:
         item = BEGUN._replace(item_id=str(number))
-        progress._writing(str(tmp_path), Snapshot(number, (item,)))()
+        progress._write_call(str(tmp_path), Snapshot(number, (item,)))()
     return str(tmp_path)
 
 
@@ -37,7 +37,7 @@
 
 
 def test_nothing_is_known_without_a_disk(tmp_path: Path) -> None:
-    assert progress.load(str(tmp_path / "none")) == progress.NOTHING
+    assert progress.load(str(tmp_path / "none")) == progress.EMPTY_SNAPSHOT
 
 
 @pytest.mark.parametrize("left", [0, 7, 30])
@@ -50,15 +50,15 @@
     assert progress.load(folder).number == 1
     other = tmp_path / progress.FILES[1]
     other.write_bytes(b"x" + other.read_bytes()[1:])
-    assert progress.load(folder) == progress.NOTHING
+    assert progress.load(folder) == progress.EMPTY_SNAPSHOT
 
 
 def test_an_item_goes_on_from_its_last_event() -> None:
     # Symptom: after a kill of all, each item that ran begins again, and all are late together.
     # Cause: what had come of it was in memory only.
-    work = JobWork(JOB, record("a", "b", "c"))
+    work = OwnedJob(JOB, record("a", "b", "c"))
     for saved in (BEGUN, DONE):
-        work.recall(saved)
+        work.restore(saved)
     one = work.items["a"]
     assert (one.last_event, one.text(), one.failures) == (2, "one\ntwo", 1)
     assert work.unwritten["b"].text == "one\ntwo\nthree"
@@ -67,8 +67,8 @@
 
 
 def test_what_another_has_listed_is_not_recalled() -> None:
-    work = JobWork(JOB, record("b"))
-    work.recall(BEGUN)
+    work = OwnedJob(JOB, record("b"))
+    work.restore(BEGUN)
     assert (sorted(work.items), work.unwritten) == (["b"], {})
 
 
@@ -110,7 +110,7 @@
 def test_a_snapshot_is_bounded_and_holds_results_first(tmp_path: Path) -> None:
     # Symptom: in an outage of hours each second's snapshot is larger than the one before.
     disk = Disk(str(tmp_path))
-    half = "x" * (progress.MOST_CHARS // 2)
+    half = "x" * (progress.MAX_CHARS // 2)
     disk.items = [BEGUN._replace(texts=(half,)), DONE._replace(texts=(half,)), DONE]
     Deferred.fromCoroutine(progress.save_regularly(disk.deps, 0))
     disk.time.advance(progress.SAVE_MS)
@@ -133,7 +133,7 @@
     disk.hangs = True
     begun = Begun(progress.load_soon(disk.deps))
     disk.time.advance(progress.LOAD_MS + 1)
-    assert begun.end() == progress.NOTHING
+    assert begun.end() == progress.EMPTY_SNAPSHOT
 
 
 def test_random_bytes_are_no_snapshot(tmp_path: Path) -> None:
@@ -141,7 +141,7 @@
     for _ in range(50):
         for name in progress.FILES:
             (tmp_path / name).write_bytes(rand.randbytes(rand.randrange(80)))
-        assert progress.load(str(tmp_path)) == progress.NOTHING
+        assert progress.load(str(tmp_path)) == progress.EMPTY_SNAPSHOT
 
 
 def test_what_has_ended_replicas_is_on_the_disk(tmp_path: Path) -> None:
--- a/tests/test_jobs_room.py
+++ b/tests/test_jobs_room.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from papayapier.jobs.room import Room, Shared, use_of
+from papayapier.jobs.room import ReplicaFinder, SlotSnapshot, replica_use
 from papayapier.policy.batch_room import SPARE_SLOTS, start_limit
 from papayapier.policy.loads import LoadBook
 from papayapier.policy.outliers import Outliers
@@ -14,23 +14,23 @@
 SLOTS = 8
 
 
-def shared(sharing: list[str], hidden: list[str]) -> Shared:
+def shared(sharing: list[str], hidden: list[str]) -> SlotSnapshot:
     book = LoadBook()
     replica = Replica("r", "lm", "h", 1, "dc")
     book.on_listed([replica], (), {"r": SLOTS})
     outliers = Outliers()
     outliers.on_listed([replica])
-    return Shared(random.Random(1), "a", book, outliers, sharing, hidden)
+    return SlotSnapshot(random.Random(1), "a", book, outliers, sharing, hidden)
 
 
 def test_unused_slots_of_one_that_is_heard_are_taken() -> None:
-    assert start_limit(use_of(shared(["a", "b"], []), "r")) == SLOTS - SPARE_SLOTS
+    assert start_limit(replica_use(shared(["a", "b"], []), "r")) == SLOTS - SPARE_SLOTS
 
 
 def test_a_hidden_one_keeps_its_part() -> None:
     # Symptom: online streams wait a second at full replicas while two keepers are cut from
     # each other. Cause: each took all slots, since it saw none of the other's streams.
-    assert start_limit(use_of(shared(["a", "b"], ["b"]), "r")) == (SLOTS - SPARE_SLOTS) // 2
+    assert start_limit(replica_use(shared(["a", "b"], ["b"]), "r")) == (SLOTS - SPARE_SLOTS) // 2
 
 
 @pytest.mark.parametrize("hubs", range(1, ALL_SHARE + 1))
@@ -50,11 +50,11 @@
 
 
 def test_room_is_found_where_there_is_some() -> None:
-    room = Room(shared(["a"], []))
-    found = room.take("lm", 0)
+    finder = ReplicaFinder(shared(["a"], []))
+    found = finder.find("lm", 0)
     assert found is not None
     assert found.id == "r"
-    assert room.take("none", 0) is None
+    assert finder.find("none", 0) is None
 
 
 def test_every_keeper_of_a_large_fleet_has_a_replica_to_run_items_at() -> None:
--- a/tests/test_jobs_runs.py
+++ b/tests/test_jobs_runs.py
@@ -1,6 +1,6 @@
 """Test which items run, which give way, and what becomes of their runs."""
 
-from papayapier.jobs.runs import AGAIN_MS
+from papayapier.jobs.runs import RETRY_DELAY_MS
 from papayapier.policy.outliers import FAILURES_IN_A_ROW
 from tests.jobs_run_world import FAR_MS, ROOM, RUN_MS, SLOTS, SOON_MS, World
 
@@ -78,7 +78,7 @@
     world.job("j", 3 * ROOM, FAR_MS)
     for _ in range(20):
         world.pump()
-        world.time.advance(AGAIN_MS)
+        world.time.advance(RETRY_DELAY_MS)
     assert len(world.sent) == 3 * ROOM
     assert world.sends <= 3 * ROOM + FAILURES_IN_A_ROW
 
@@ -91,5 +91,5 @@
     world.job("j", ROOM, FAR_MS)
     for _ in range(8):
         world.pump()
-        world.time.advance(AGAIN_MS)
+        world.time.advance(RETRY_DELAY_MS)
     assert len(world.sent) == ROOM
--- a/tests/test_kept_jobs.py
+++ b/tests/test_kept_jobs.py
@@ -150,7 +150,7 @@
     [path] = tmp_path.iterdir()
     path.write_bytes(path.read_bytes()[:cut])
     loaded = kept_files.load(folder).unwrap()
-    assert (loaded.jobs, len(loaded.odd)) == ([], 1)
+    assert (loaded.jobs, len(loaded.unreadable)) == ([], 1)
 
 
 def test_a_disk_that_takes_nothing_holds_nothing(tmp_path: Path) -> None:
