--- a/papayapier/claims/__init__.py
+++ b/papayapier/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Run non-idempotent requests with an idempotency key at most once."""
+"""Run non-idempotent requests that have an idempotency key at most once."""
--- a/papayapier/claims/api.py
+++ b/papayapier/claims/api.py
@@ -1,4 +1,4 @@
-"""Define the ends of beginning a claim."""
+"""Define the results of beginning a claim, and the refusals."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final, NamedTuple
@@ -19,25 +19,25 @@
 
 
 class New(NamedTuple):
-    """Tell that the key is claimed: send the request, then finish or abandon the token."""
+    """The key is now claimed: the request may be sent, then finish or abandon the token."""
 
     token: Token
 
 
 class Done(NamedTuple):
-    """Tell that the request has run; the answer is None if it was too large to keep."""
+    """The request has run; the answer is None if it was too large to be stored."""
 
     answer: SavedAnswer | None
 
 
 class Running(NamedTuple):
-    """Tell that another instance is running the request."""
+    """Another instance is running the request."""
 
     writer: str
 
 
 class Unknown(NamedTuple):
-    """Tell that the request may have run on an instance that cannot be asked any more."""
+    """The request may have run on an instance that can no longer be queried."""
 
     writer: str
 
@@ -46,27 +46,27 @@
 Begun = Result[Begin, Refusal]
 
 
-class Again(NamedTuple):
-    """Ask to begin again; supersedes is a claim whose writer has abandoned it."""
+class RetryBegin(NamedTuple):
+    """Request another attempt; supersedes is the token of a claim that its writer abandoned."""
 
     supersedes: Token | None
 
 
 def key_conflict() -> Refusal:
-    """Refuse a key that was used for another request."""
+    """Return the refusal of a key that was used for another request."""
     return not_run(ErrorKind.KEY_CONFLICT, "the key was used for another request")
 
 
 def still_running() -> Refusal:
-    """Refuse a delivery while another one of its key runs."""
+    """Return the refusal of a delivery while another delivery with its key is running."""
     reason = "another delivery with this key is running"
     return unknown(ErrorKind.STILL_RUNNING, reason, RETRY_AFTER_MS)
 
 
 def store_down() -> Refusal:
-    """Refuse a delivery whose key could not be claimed."""
+    """Return the refusal of a delivery whose key could not be claimed."""
     reason = (
         "the key could not be claimed, so this delivery was not sent; "
-        "whether an earlier delivery with this key ran could not be looked up"
+        "it could not be determined whether an earlier delivery with this key ran"
     )
     return not_run(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS)
--- a/papayapier/claims/archive.py
+++ b/papayapier/claims/archive.py
@@ -1,12 +1,12 @@
-"""Move a shard's records from its head to archives, and drop old archives.
+"""Move a shard's records from its head to archives, and delete expired archives.
 
-The head is written whole with every group of claims, so it must stay small. When it has
-grown, its records are first written to the archive with the next number, and the next write
-of the head names that archive and leaves those records out. In between nothing is lost: the
-records are in both places. Several instances may do it at once, or one may die half way: the
-archive is created only once, and whoever finds it there uses it as it is. All that it holds
-is in the head still, equal or followed by a newer record, because as long as the head's next
-number is the archive's, no record has left the head.
+Every write of a group of claims rewrites the entire head, so the head must stay small. When it has
+grown too large, its records are first written to the archive with the next number; the next write
+of the head lists that archive and omits its records. Between the two writes the records are in both
+places, so none is lost. Several instances may do this concurrently, and an instance may crash
+between the writes: an archive is created only once, and an instance that finds it there uses it
+unchanged. All of its records are still in the head, in the same or a newer state, because no record
+leaves the head while the head's next number is that of the archive.
 """
 
 from typing import Final
@@ -23,20 +23,20 @@
 from papayapier.claims.shard import Prepared, ShardView
 from papayapier.store.api import Store, StoreError
 
-SWEEP_PAGE: Final = 100
+SWEEP_PAGE_SIZE: Final = 100
 
 
 async def prepare_archive(store: Store, view: ShardView) -> Prepared | None:
-    """Write the head's records to the next archive, or use the one that is there."""
+    """Write the head's records to the next archive, or use the archive that exists already."""
     number = view.next_number
     records = list(view.head.values())
-    end = await store.create(archive_key(view.shard, number), codec.pack(Archive(records)))
-    if isinstance(end, Ok):
+    created = await store.create(archive_key(view.shard, number), codec.pack(Archive(records)))
+    if isinstance(created, Ok):
         return _prepared(view, number, records)
-    if end.err_value not in (StoreError.CONFLICT, StoreError.LOST):
+    if created.err_value not in (StoreError.CONFLICT, StoreError.LOST):
         return None
-    # Whether a lost create took effect now, later or never does not matter: only what a
-    # read shows is used, and no second create can replace it.
+    # A lost create may take effect now, later or never. That does not matter, because only an
+    # archive that was read is used, and no later create can replace it.
     found = await view.read_archive(number)
     if isinstance(found, Err):
         return None
@@ -51,14 +51,14 @@
     return Prepared(number, {record.id: record for record in records}, newest_ms)
 
 
-async def sweep(store: Store, view: ShardView) -> None:
-    """Delete archives below the first one named; what fails is left for the next time."""
+async def delete_expired(store: Store, view: ShardView) -> None:
+    """Delete archives older than the first one in the head; failed deletions are retried later."""
     first = view.archives[0].number if view.archives else view.next_number
-    listing = await store.list(archive_prefix(view.shard), "", SWEEP_PAGE)
+    listing = await store.list(archive_prefix(view.shard), "", SWEEP_PAGE_SIZE)
     if isinstance(listing, Err):
         return
     bound = archive_key(view.shard, first)
-    old = [entry for entry in listing.ok_value.objects if entry.key < bound]
-    for entry in old:
+    expired = [entry for entry in listing.ok_value.objects if entry.key < bound]
+    for entry in expired:
         await store.delete(entry.key, entry.version)
-    events.emit(events.CLAIMS_EXPIRED, shard=view.shard, archives=len(old))
+    events.emit(events.CLAIMS_EXPIRED, shard=view.shard, archives=len(expired))
--- a/papayapier/claims/group.py
+++ b/papayapier/claims/group.py
@@ -1,29 +1,30 @@
 """Write the claims of one shard in groups: claims that arrive together share one write.
 
-What was weighed. One object per claim needs no grouping and never conflicts, but costs a
-write for each claim and one for each end, and the platform takes a few hundred a second. A
-log object per instance groups best, but two instances could claim one key. One owner per
-shard, to whom the others hand their claims, groups best and is safe, but every claim then
-waits for a peer, and for a lease after a loss; it can be put in front of this module later
-without a change in what is stored. Chosen: SHARDS head objects that every instance updates
-conditionally. Few shards make large groups, large heads and many conflicts; many shards make
-many small groups that wait for each other's permits.
-
-Measured by misc/claims_cost.py (a claim and its end together; six instances of 30 writes a
-second each, a simulated store that answers in 5 ms, answers of 300 bytes): with 8 shards
-2.36 writes per claim at 6 claims/s, 1.89 at 120, 0.42 at 600 and 0.11 at 2,400, where the
-99th percentile of the time to claim is 279 ms; there, 4 shards take 2,650 ms and 16 take
-1,015 ms. At low rates a claim costs two writes and some conflicts, as one object each would.
-
-How it works. Each instance runs one loop per shard, with one write under way at most. Ops
-that arrive meanwhile wait for the next write; when permits are short, groups grow instead of
-the rate. A write is the whole head at the version seen, so that it fails if anybody else has
-written since; then the head is read again and every op decided anew. An instance that met a
-conflict reads before its next write, until a read shows that nobody else is writing.
-
-A lost write may take effect until the head's version has moved on, or may have moved it. Until
-a later version shows which, its ops are exposed: they can't be taken back, only followed by
-an abandon.
+Design alternatives. One object per claim needs no grouping and never conflicts, but costs one write
+for each claim and one for its end, and the platform accepts a few hundred writes a second. A log
+object per instance gives the largest groups, but two instances could claim the same key. A single
+owner per shard that receives the claims of all other instances gives the largest groups and is
+safe, but every claim then waits for a peer, and for a lease after the loss of the owner; it can be
+added in front of this module later without changing the stored data. This module uses SHARDS head
+objects that every instance updates conditionally. Fewer shards mean larger groups, larger heads and
+more conflicts; more shards mean many small groups that wait for each other's write permits.
+
+Cost, from misc/claims_cost.py (a claim and its end together; six instances with 30 writes a second
+each, a simulated store that responds in 5 ms, answers of 300 bytes): with 8 shards 2.36 writes per
+claim at 6 claims/s, 1.89 at 120, 0.42 at 600 and 0.11 at 2,400. At 2,400 claims/s the 99th
+percentile of the time to claim is 279 ms, against 2,650 ms with 4 shards and 1,015 ms with 16. At
+low rates a claim costs two writes and some conflicts, as one object per claim would.
+
+Operation. Each instance runs one loop per shard, with at most one write in progress. Ops that
+arrive meanwhile wait for the next write; if permits are scarce, groups grow while the write rate
+stays bounded. A write replaces the entire head at the version last read, so it fails if another
+instance has written since; then the head is read again and every op is decided anew. After a
+conflict an instance reads the head before each write, until a read shows that no other instance is
+writing.
+
+A write whose response was lost may still take effect, or may already have taken effect, until a
+later version of the head shows which. Until then its ops are exposed: they cannot be withdrawn,
+only followed by an abandon.
 """
 
 import random
@@ -32,17 +33,17 @@
 from result import Err, Ok
 from twisted.internet.defer import Deferred
 
-from papayapier.claims.archive import prepare_archive, sweep
+from papayapier.claims.archive import delete_expired, prepare_archive
 from papayapier.claims.ops import (
-    Kept,
     Known,
     Op,
-    OpEnd,
-    Refused,
-    Want,
+    OpKind,
+    OpResult,
+    Stored,
+    StoreFailed,
     Writer,
+    clear_exposure_if_failed,
     decide,
-    forget_dead_write,
 )
 from papayapier.claims.records import Head, Record, head_key
 from papayapier.claims.shard import NO_HEAD, Prepared, ShardView, pack_head
@@ -53,15 +54,15 @@
 from papayapier.store.bucket import Bucket
 from papayapier.store.watch import Pauses, report_failure
 
-REFUSALS_UNTIL_END: Final = 2
-FREE_RETRIES: Final = 2
-RECORD_BYTES: Final = 200
-FULL_BYTES: Final = MAX_VALUE_BYTES * 9 // 10
-PERMIT_WAIT_MS: Final = 60 * MS_PER_S
+MAX_STORE_FAILURES: Final = 2
+MAX_FREE_RETRIES: Final = 2
+MAX_RECORD_BYTES: Final = 200
+MAX_HEAD_BYTES: Final = MAX_VALUE_BYTES * 9 // 10
+MAX_PERMIT_WAIT_MS: Final = 60 * MS_PER_S
 
 
 class GroupDeps(NamedTuple):
-    """Hold what the loops of all shards share; permits bounds their writes together."""
+    """Group the dependencies that all shards share; permits limits their total rate of writes."""
 
     store: Store
     clock: Clock
@@ -73,7 +74,7 @@
 
 
 class ShardWriter:
-    """Hold the waiting ops of a shard, and apply them in groups."""
+    """Queue the ops of a shard, and apply them in groups."""
 
     def __init__(self, deps: GroupDeps, shard: int) -> None:
         self._deps = deps
@@ -86,28 +87,28 @@
         self._task: Deferred[None] | None = None
 
     def submit(self, op: Op) -> None:
-        """Put an op into the next group; op.done fires at its end."""
+        """Queue an op for the next group; op.done fires when op.result is set."""
         self._ops.append(op)
-        self._stale = self._stale or op.want is Want.LOOK
+        self._stale = self._stale or op.kind is OpKind.LOOKUP
         if self._task is None:
             self._task = Deferred.fromCoroutine(self._run())
             self._task.addErrback(report_failure, f"claims of shard {self._view.shard}")
 
-    def take_back(self, op: Op) -> bool:
-        """Take a claim out; False if it may take effect, and is now an abandon instead."""
+    def withdraw(self, op: Op) -> bool:
+        """Withdraw an op; return False if it may have taken effect, and turn it into an abandon."""
         if op.exposed_at is None:
             self._ops = [other for other in self._ops if other is not op]
             return True
-        op.want = Want.ABANDON
+        op.kind = OpKind.ABANDON
         return False
 
     def known(self, claim: bytes) -> Known:
-        """Tell what was known of an id when the head was last read or written."""
+        """Return what is known of an id from the last read or write of the head."""
         archived = self._view.archive_of(claim) is not None
         return Known(self._view.head.get(claim), archived)
 
     def stop(self) -> None:
-        """Stop; ops that have not ended never will."""
+        """Stop the loop; unfinished ops never get a result."""
         if self._task is not None:
             self._task.cancel()
 
@@ -121,30 +122,30 @@
                 if error is None:
                     pauses.reset()
                     continue
-                self._refuse(error)
+                self._fail_unavailable(error)
                 if self._ops:
                     await self._deps.clock.sleep(pauses.next_ms())
         finally:
             self._task = None
 
-    def _refuse(self, error: StoreError) -> None:
-        """End the claims that a store which is down keeps from being made.
+    def _fail_unavailable(self, error: StoreError) -> None:
+        """Fail claims and lookups that repeatedly fail because the store is unavailable.
 
-        A claim that is exposed is not ended here: it may yet take effect.
+        An exposed claim is not failed here, because it may still take effect.
         """
         if error is not StoreError.UNAVAILABLE:
             return
         for op in list(self._ops):
-            if op.want in (Want.CLAIM, Want.LOOK) and op.exposed_at is None:
-                op.refusals += 1
-                if op.refusals >= REFUSALS_UNTIL_END:
-                    self._end(op, Refused(error, self.known(op.id)))
+            if op.kind in (OpKind.CLAIM, OpKind.LOOKUP) and op.exposed_at is None:
+                op.store_failures += 1
+                if op.store_failures >= MAX_STORE_FAILURES:
+                    self._finish_op(op, StoreFailed(error, self.known(op.id)))
 
     async def _write_group(self) -> StoreError | None:
-        """Apply all waiting ops by one write; return the error after which to pause."""
-        if not await self._may_write():
+        """Apply all waiting ops with one write; return the error that requires a pause, if any."""
+        if not await self._acquire_permit():
             return StoreError.LIMITED
-        error = await self._refresh() or await self._make_room()
+        error = await self._refresh() or await self._prepare_archive()
         if error is not None:
             return error
         found = await self._find_all()
@@ -155,25 +156,25 @@
         changes, writing = self._decide_all(found, version)
         if not changes and self._prepared is None:
             return None
-        head = self._view.next_head(changes, self._prepared, self._oldest_ms())
+        head = self._view.next_head(changes, self._prepared, self._expiry_cutoff_ms())
         expired = head.archives[:1] != self._view.archives[:1] and bool(self._view.archives)
         error = await self._write(version, head, writing)
         if error is None and expired:
-            await sweep(self._deps.store, self._view)
+            await delete_expired(self._deps.store, self._view)
         return error
 
-    async def _may_write(self) -> bool:
-        """Wait for a permit; a group that lost a conflict may try again at once.
+    async def _acquire_permit(self) -> bool:
+        """Wait for a permit; a group whose write met a conflict may be retried at once.
 
-        At the end of the queue its claims would wait a whole round of all shards for each
-        conflict, and those of a busy shard many rounds.
+        At the end of the permit queue, its claims would wait for a full round of all shards after
+        each conflict, and those of a busy shard for many rounds.
         """
-        if 0 < self._conflicts <= FREE_RETRIES:
+        if 0 < self._conflicts <= MAX_FREE_RETRIES:
             return True
-        return await self._deps.permits.acquire(0, PERMIT_WAIT_MS)
+        return await self._deps.permits.acquire(0, MAX_PERMIT_WAIT_MS)
 
     async def _refresh(self) -> StoreError | None:
-        """Read the head if what is known of it may be out of date."""
+        """Read the head if the known version may be out of date."""
         view = self._view
         if not self._stale and not self._contended and view.version is not None:
             return None
@@ -189,30 +190,30 @@
             self._prepared = None
         return None
 
-    async def _make_room(self) -> StoreError | None:
-        """Prepare an archive when the head has grown; only a full head is an error."""
+    async def _prepare_archive(self) -> StoreError | None:
+        """Prepare an archive if the head has grown; return an error only if the head is full."""
         if self._view.size < self._deps.cfg.head_bytes or self._prepared is not None:
             return None
         self._prepared = await prepare_archive(self._deps.store, self._view)
-        full = self._view.size >= FULL_BYTES - self._deps.cfg.answer_bytes - RECORD_BYTES
+        full = self._view.size >= MAX_HEAD_BYTES - self._deps.cfg.answer_bytes - MAX_RECORD_BYTES
         return StoreError.UNAVAILABLE if full and self._prepared is None else None
 
     async def _find_all(self) -> dict[bytes, Record | None] | StoreError:
-        """Find the records that count for the waiting ops, as many as fit into one write."""
-        room = FULL_BYTES - self._view.size
+        """Find the current records for as many waiting ops as fit into one write."""
+        free_bytes = MAX_HEAD_BYTES - self._view.size
         if self._prepared is not None:
-            room = max(room, self._deps.cfg.head_bytes)
+            free_bytes = max(free_bytes, self._deps.cfg.head_bytes)
         found: dict[bytes, Record | None] = {}
         for op in list(self._ops):
-            room -= _size(op)
-            if room < 0:
+            free_bytes -= _max_op_bytes(op)
+            if free_bytes < 0:
                 break
             if op.id in found:
                 continue
-            if op.kept is not None:
-                # Nobody replaces the record of a claim that was sent, so the archives need
-                # not be read for it.
-                found[op.id] = self._view.head.get(op.id) or op.kept
+            if op.stored is not None:
+                # No instance replaces the record of a claim whose request was sent, so its archive
+                # need not be read.
+                found[op.id] = self._view.head.get(op.id) or op.stored
                 continue
             record = await self._view.find(op.id)
             if isinstance(record, Err):
@@ -224,21 +225,21 @@
     def _decide_all(
         self, found: dict[bytes, Record | None], version: int
     ) -> tuple[dict[bytes, Record], list[tuple[Op, Record]]]:
-        """Decide the ops in their order; a later op sees what an earlier one will write."""
+        """Decide the ops in order; a later op is decided against the record of an earlier one."""
         at_ms = self._deps.clock.wall()
         changes: dict[bytes, Record] = {}
         writing: list[tuple[Op, Record]] = []
         for op in list(self._ops):
             if op.id not in found:
                 continue
-            forget_dead_write(op, found[op.id], version)
-            pending = changes.get(op.id) if op.want is not Want.LOOK else None
+            clear_exposure_if_failed(op, found[op.id], version)
+            pending = changes.get(op.id) if op.kind is not OpKind.LOOKUP else None
             decision = decide(op, pending or found[op.id], self._deps.writer, at_ms)
             if isinstance(decision, Record):
                 changes[op.id] = decision
                 writing.append((op, decision))
             elif pending is None:
-                self._end(op, decision)
+                self._finish_op(op, decision)
         return changes, writing
 
     async def _write(
@@ -250,47 +251,47 @@
             op.exposed_at = version
         key = head_key(self._view.shard)
         if version == NO_HEAD:
-            end = await self._deps.store.create(key, value)
+            written = await self._deps.store.create(key, value)
         else:
-            end = await self._deps.store.update(key, value, version)
-        label = "ok" if isinstance(end, Ok) else end.err_value.value
+            written = await self._deps.store.update(key, value, version)
+        label = "ok" if isinstance(written, Ok) else written.err_value.value
         self._deps.metrics.claim_writes.labels(end=label).inc()
-        if isinstance(end, Ok):
-            self._view.accept_written(head, end.ok_value, len(value), self._prepared)
+        if isinstance(written, Ok):
+            self._view.replace_written_head(head, written.ok_value, len(value), self._prepared)
             self._prepared = None
             self._conflicts = 0
             self._deps.metrics.claim_records.inc(len(writing))
-            self._end_written(writing)
+            self._finish_written(writing)
             return None
-        if end.err_value is StoreError.LOST:
+        if written.err_value is StoreError.LOST:
             self._stale = True
             return StoreError.LOST
         for op in newly_exposed:
             op.exposed_at = None
-        if end.err_value is StoreError.CONFLICT:
+        if written.err_value is StoreError.CONFLICT:
             self._stale = True
             self._contended = True
             self._conflicts += 1
             return None
-        return end.err_value
+        return written.err_value
 
-    def _end_written(self, writing: list[tuple[Op, Record]]) -> None:
-        """End the ops that were written, but not a claim that became an abandon meanwhile."""
+    def _finish_written(self, writing: list[tuple[Op, Record]]) -> None:
+        """Finish the written ops, except a claim that was turned into an abandon meanwhile."""
         for op, record in writing:
-            if decide(op, record, self._deps.writer, record.at_ms) == Kept(record):
-                self._end(op, Kept(record))
+            if decide(op, record, self._deps.writer, record.at_ms) == Stored(record):
+                self._finish_op(op, Stored(record))
 
-    def _end(self, op: Op, end: OpEnd) -> None:
+    def _finish_op(self, op: Op, result: OpResult) -> None:
         self._ops = [other for other in self._ops if other is not op]
-        op.end = end
+        op.result = result
         op.done.callback(None)
 
-    def _oldest_ms(self) -> int:
+    def _expiry_cutoff_ms(self) -> int:
         return self._deps.clock.wall() - self._deps.cfg.retention_ms
 
 
-def _size(op: Op) -> int:
-    """Return an upper bound of the bytes that an op adds to the head."""
+def _max_op_bytes(op: Op) -> int:
+    """Return an upper bound for the bytes that an op adds to the head."""
     if op.answer is None:
-        return RECORD_BYTES
-    return RECORD_BYTES + len(op.answer.body) + len(op.answer.content_type)
+        return MAX_RECORD_BYTES
+    return MAX_RECORD_BYTES + len(op.answer.body) + len(op.answer.content_type)
--- a/papayapier/claims/local.py
+++ b/papayapier/claims/local.py
@@ -1,8 +1,8 @@
-"""Keep this process's own attempts until their ends are in the store.
+"""Track this process's own attempts until their outcomes are in the store.
 
-Only this table says what the process has done with a token: the store says what it meant to
-do. An attempt that was given up stays here until the store shows it as abandoned, so that
-the question of another instance always has a true answer.
+Only this table records what the process has done with a token; the store records what it intended
+to do. An attempt that was given up stays here until it is stored as abandoned, so that requests
+of other instances about it always get a correct reply.
 """
 
 from enum import Enum
@@ -18,7 +18,7 @@
 
 
 class AttemptState(Enum):
-    """Name the states of an attempt of this process."""
+    """Name the states of an attempt in this process."""
 
     CLAIMING = "claiming"
     SENDING = "sending"
@@ -27,9 +27,9 @@
 
 
 class Attempt:
-    """Hold one attempt on a key."""
+    """Hold one attempt to claim a key and run its request."""
 
-    __slots__ = ("_deciding", "_waiting", "answer", "content", "id", "kept", "state", "token")
+    __slots__ = ("_deciding", "_waiting", "answer", "content", "id", "state", "stored", "token")
 
     def __init__(self, claim: bytes, token: bytes, content: bytes) -> None:
         self.id = claim
@@ -37,12 +37,12 @@
         self.content = content
         self.state = AttemptState.CLAIMING
         self.answer: SavedAnswer | None = None
-        self.kept: Record | None = None
+        self.stored: Record | None = None
         self._waiting: list[Deferred[bool]] = []
         self._deciding: list[Deferred[bool]] = []
 
     def when_decided(self) -> Deferred[bool]:
-        """Return a Deferred that fires when it is known whether the key was claimed."""
+        """Return a Deferred that fires when the outcome of claiming the key is known."""
         decided: Deferred[bool] = Deferred()
         if self.state is AttemptState.CLAIMING:
             self._deciding.append(decided)
@@ -59,29 +59,29 @@
             self._waiting.append(ended)
         return ended
 
-    def may_send(self, kept: Record) -> None:
-        """Note that the key was claimed and the request may be sent."""
-        self.kept = kept
+    def on_claimed(self, stored: Record) -> None:
+        """Record that the key was claimed, so that the request may be sent."""
+        self.stored = stored
         self.state = AttemptState.SENDING
-        self._deciding = _fire(self._deciding)
+        self._deciding = _fire_all(self._deciding)
 
     def end(self, state: AttemptState, answer: SavedAnswer | None) -> None:
-        """Set the end, and wake those who wait for it."""
+        """Set the outcome, and fire the Deferreds that wait for it."""
         self.state = state
         self.answer = answer
-        self._deciding = _fire(self._deciding)
-        self._waiting = _fire(self._waiting)
+        self._deciding = _fire_all(self._deciding)
+        self._waiting = _fire_all(self._waiting)
 
 
 class Attempts:
-    """Find attempts by the key's id and by token."""
+    """Index the attempts by claim id and by token."""
 
     def __init__(self) -> None:
         self._by_id: dict[bytes, Attempt] = {}
         self._by_token: dict[bytes, Attempt] = {}
 
     def add(self, claim: bytes, token: bytes, content: bytes) -> Attempt:
-        """Begin an attempt; the id has none that counts."""
+        """Add an attempt; the claim id must not have an active one."""
         assert claim not in self._by_id
         attempt = Attempt(claim, token, content)
         self._by_id[claim] = attempt
@@ -89,61 +89,61 @@
         return attempt
 
     def by_id(self, claim: bytes) -> Attempt | None:
-        """Return the attempt on a key that was not given up."""
+        """Return the attempt on a claim id that was not given up."""
         return self._by_id.get(claim)
 
     def by_token(self, token: bytes) -> Attempt | None:
-        """Return an attempt whose end is not in the store yet."""
+        """Return the attempt with a token, if its outcome is not in the store yet."""
         return self._by_token.get(token)
 
     def gave_up(self, token: bytes) -> bool:
-        """Tell whether a token will certainly never be sent."""
+        """Return whether the request of a token was given up and will never be sent."""
         attempt = self._by_token.get(token)
         return attempt is not None and attempt.state is AttemptState.ABANDONED
 
     def end(self, attempt: Attempt, state: AttemptState, answer: SavedAnswer | None) -> None:
-        """End an attempt; an abandoned one leaves its key free at once."""
+        """End an attempt; abandoning it frees its claim id at once."""
         if state is AttemptState.ABANDONED and self._by_id.get(attempt.id) is attempt:
             del self._by_id[attempt.id]
         attempt.end(state, answer)
 
     def ids(self) -> set[bytes]:
-        """Return the ids of all attempts that are not forgotten."""
+        """Return the claim ids of all tracked attempts."""
         return {attempt.id for attempt in self._by_token.values()}
 
     def forget(self, attempt: Attempt) -> None:
-        """Drop an attempt whose end is in the store, or whose claim never will be."""
+        """Remove an attempt whose outcome is in the store, or whose claim will never be there."""
         self._by_token.pop(attempt.token, None)
         if self._by_id.get(attempt.id) is attempt:
             del self._by_id[attempt.id]
 
 
-def _fire(waiting: list[Deferred[bool]]) -> list[Deferred[bool]]:
-    for one in waiting:
-        one.callback(True)
+def _fire_all(waiting: list[Deferred[bool]]) -> list[Deferred[bool]]:
+    for deferred in waiting:
+        deferred.callback(True)
     return []
 
 
-async def until(clock: Clock, done: Deferred[T], due_ms: int) -> T | None:
-    """Wait for a Deferred, at most until a time; None also stands for its failure."""
-    gate: Deferred[T | None] = Deferred()
+async def wait_until(clock: Clock, done: Deferred[T], due_ms: int) -> T | None:
+    """Wait for a Deferred until a due time; return None on timeout or failure."""
+    outcome: Deferred[T | None] = Deferred()
 
-    def open_gate(value: T | None) -> None:
-        if not gate.called:
-            gate.callback(value)
+    def resolve(value: T | None) -> None:
+        if not outcome.called:
+            outcome.callback(value)
 
     def pass_value(value: T) -> T:
-        open_gate(value)
+        resolve(value)
         return value
 
     def pass_failure(failure: Failure) -> Failure:
-        open_gate(None)
+        resolve(None)
         return failure
 
     done.addCallbacks(pass_value, pass_failure)
-    timer = clock.call_later(due_ms - clock.now(), lambda: open_gate(None))
+    timer = clock.call_later(due_ms - clock.now(), lambda: resolve(None))
     try:
-        return await gate
+        return await outcome
     finally:
         if timer.active():
             timer.cancel()
--- a/papayapier/claims/ops.py
+++ b/papayapier/claims/ops.py
@@ -1,7 +1,7 @@
-"""Define what an instance wants to add to a shard, and decide what that makes of a record.
+"""Define the operations (ops) on a shard, and decide which record an op writes.
 
-An op is decided anew at every write of the shard's head, against the record that counts at
-that version. So a write that was lost needs no bookkeeping: if it took effect, the next
+An op is decided anew before every write of the shard's head, against the record that is current at
+that version. So a write whose response was lost needs no bookkeeping: if it took effect, the next
 decision finds the op's token in the record.
 """
 
@@ -15,118 +15,117 @@
 from papayapier.store.api import StoreError
 
 
-class Want(Enum):
-    """Name what an op is for."""
+class OpKind(Enum):
+    """Name the kinds of ops."""
 
-    LOOK = "look"
+    LOOKUP = "look"
     CLAIM = "claim"
     ABANDON = "abandon"
     FINISH = "finish"
 
 
 class Known(NamedTuple):
-    """Tell what a view that may be out of date knows of an id.
+    """Hold what a possibly outdated view contains about an id.
 
-    A record of the past still proves that the key was used; archived says that there is a
-    record, but that it was not read.
+    An outdated record still proves that the key was used. archived means that a record exists in an
+    archive, which was not read.
     """
 
     record: Record | None
     archived: bool
 
 
-class Kept(NamedTuple):
-    """Tell that the op's record is in the store."""
+class Stored(NamedTuple):
+    """The op's record is in the store."""
 
     record: Record
 
 
 class Found(NamedTuple):
-    """Tell that another record counts (or none, for a look), so that the op was not applied."""
+    """Another record is current, so the op was not applied; a lookup may find no record."""
 
     record: Record | None
 
 
-class Refused(NamedTuple):
-    """Tell that the op will certainly never be applied, because the store refused it."""
+class StoreFailed(NamedTuple):
+    """The store failed; the op was not applied and never will be."""
 
     error: StoreError
     known: Known
 
 
-OpEnd = Kept | Found | Refused
+OpResult = Stored | Found | StoreFailed
 
 
 class Op:
-    """Hold one wish; done fires when end has been set.
+    """Hold one operation; done fires when result has been set.
 
-    exposed_at is the head's version on which a write with this op in it was sent, unless it is
+    exposed_at is the version of the head on which a write with this op was based, unless it is
     known that this write did not take effect and never will.
-    supersedes is the token of a claim whose writer has said that it was abandoned. kept is the
-    claim's record, for the end of a claim that was kept and then sent.
+    supersedes is the token of a claim that its writer has reported as abandoned. stored is the
+    claim's record, for an op that ends a claim whose request was sent.
     """
 
     __slots__ = (
         "answer",
         "content",
         "done",
-        "end",
         "exposed_at",
         "id",
-        "kept",
-        "refusals",
+        "kind",
+        "result",
+        "store_failures",
+        "stored",
         "supersedes",
         "token",
-        "want",
     )
 
-    def __init__(self, want: Want, claim: bytes, token: bytes, content: bytes) -> None:
-        self.want = want
+    def __init__(self, kind: OpKind, claim: bytes, token: bytes, content: bytes) -> None:
+        self.kind = kind
         self.id = claim
         self.token = token
         self.content = content
         self.answer: SavedAnswer | None = None
-        self.kept: Record | None = None
+        self.stored: Record | None = None
         self.supersedes: bytes | None = None
         self.exposed_at: int | None = None
-        self.refusals = 0
-        self.end: OpEnd | None = None
+        self.store_failures = 0
+        self.result: OpResult | None = None
         self.done: Deferred[None] = Deferred()
 
 
 class Writer(NamedTuple):
-    """Identify the writing process, and tell which tokens it has given up."""
+    """Identify the writing process; gave_up returns whether it has given up a token."""
 
     instance: str
     boot: int
     gave_up: Callable[[bytes], bool]
 
 
-def forget_dead_write(op: Op, found: Record | None, version: int) -> None:
-    """Note that an earlier write of an op is dead, once a later version shows another record.
+def clear_exposure_if_failed(op: Op, found: Record | None, version: int) -> None:
+    """Clear an op's exposure once a later version shows another record than the op's own.
 
-    Seeing only that the version has moved on is not enough: it may be the op's own write that
-    moved it.
+    A later version alone is not sufficient, because the op's own write may have produced it.
     """
-    moved_on = op.exposed_at is not None and op.exposed_at < version
-    if moved_on and (found is None or found.token != op.token):
+    is_later_version = op.exposed_at is not None and op.exposed_at < version
+    if is_later_version and (found is None or found.token != op.token):
         op.exposed_at = None
 
 
-def decide(op: Op, found: Record | None, writer: Writer, at_ms: int) -> Record | OpEnd:
-    """Return the record to write for an op, or its end if there is nothing to write."""
-    if op.want is Want.LOOK:
+def decide(op: Op, found: Record | None, writer: Writer, at_ms: int) -> Record | OpResult:
+    """Return the record to write for an op, or the op's result if there is nothing to write."""
+    if op.kind is OpKind.LOOKUP:
         return Found(found)
-    if op.want is Want.CLAIM:
+    if op.kind is OpKind.CLAIM:
         return _decide_claim(op, found, writer, at_ms)
     return _decide_end(op, found, writer, at_ms)
 
 
-def _decide_claim(op: Op, found: Record | None, writer: Writer, at_ms: int) -> Record | OpEnd:
+def _decide_claim(op: Op, found: Record | None, writer: Writer, at_ms: int) -> Record | OpResult:
     if found is None:
         return _record(op, 1, ClaimState.CLAIMED, writer, at_ms)
     if found.token == op.token:
-        return Kept(found)
+        return Stored(found)
     free = found.state is ClaimState.ABANDONED
     given_up = found.state is ClaimState.CLAIMED and (
         found.token == op.supersedes or writer.gave_up(found.token)
@@ -136,20 +135,20 @@
     return Found(found)
 
 
-def _decide_end(op: Op, found: Record | None, writer: Writer, at_ms: int) -> Record | OpEnd:
+def _decide_end(op: Op, found: Record | None, writer: Writer, at_ms: int) -> Record | OpResult:
     """Decide an abandon or a finish.
 
-    While the op is exposed its claim may still be on its way, and only a write can make that
-    fail. So something is written even if there is nothing to change: without it the claim
-    would turn up after its abandon, and nobody would know any more that it was given up.
+    While the op is exposed, the write of its claim may still take effect, and only another write of
+    the head can make it fail. So the head is written even if no record changes. Otherwise the claim
+    could appear after its abandon, when no process knows any more that it was given up.
     """
-    state = ClaimState.DONE if op.want is Want.FINISH else ClaimState.ABANDONED
+    state = ClaimState.DONE if op.kind is OpKind.FINISH else ClaimState.ABANDONED
     if found is None:
         return _record(op, 1, state, writer, at_ms)
     if found.token != op.token:
         return Found(found) if op.exposed_at is None else found
     if found.state is state:
-        return Kept(found)
+        return Stored(found)
     return _record(op, found.attempt, state, writer, at_ms)
 
 
--- a/papayapier/claims/records.py
+++ b/papayapier/claims/records.py
@@ -1,9 +1,9 @@
-"""Define what is kept of a claim, and which of two records about one key counts.
+"""Define the stored records of claims, and which of two records for one key takes precedence.
 
-A key may be claimed several times in turn, because a claim that was abandoned before
-anything was sent leaves the key free. Each attempt has a number and a token of its own; of
-two records, the one with the higher attempt counts, and within an attempt the end counts
-before the claim. So records can be merged in any order.
+A key may be claimed several times in succession, because a claim that is abandoned before its
+request is sent frees the key. Each attempt has a number and a token of its own. Of two records, the
+one with the higher attempt number takes precedence, and within an attempt its end takes precedence
+over its claim. So records can be merged in any order.
 """
 
 import hashlib
@@ -18,8 +18,8 @@
 LENGTH_BYTES: Final = 4
 ROOT: Final = "claims/"
 
-# Not a setting: two instances with different counts would look for one key in two places,
-# and the request would run twice.
+# Not a setting: instances with different counts would place one key in different shards, and its
+# request would run twice.
 SHARDS: Final = 8
 
 
@@ -32,7 +32,7 @@
 
 
 class SavedAnswer(NamedTuple):
-    """Hold an answer to be given again."""
+    """Hold a stored answer that is returned to later deliveries."""
 
     status: int
     content_type: str
@@ -40,7 +40,7 @@
 
 
 class Record(NamedTuple):
-    """Hold what is kept of one attempt on one key; at_ms is on the wall clock."""
+    """Hold the stored state of one attempt on one key; at_ms is on the wall clock."""
 
     id: bytes
     attempt: int
@@ -54,14 +54,14 @@
 
 
 class ArchiveEntry(NamedTuple):
-    """Name one archive of a shard and the time of its newest record."""
+    """Hold the number of an archive and the time of its newest record."""
 
     number: int
     newest_ms: int
 
 
 class Head(NamedTuple):
-    """Hold the object to which a shard's records are added, and what it has archived."""
+    """Hold the records of a shard that are not archived, and the list of its archives."""
 
     records: list[Record]
     archives: list[ArchiveEntry]
@@ -69,13 +69,13 @@
 
 
 class Archive(NamedTuple):
-    """Hold records that are only read again."""
+    """Hold archived records; an archive is never changed."""
 
     records: list[Record]
 
 
 def claim_id(caller: str, key: str) -> bytes:
-    """Derive the claim's id; the caller's length keeps two pairs from joining to one text."""
+    """Derive a claim's id; the length prefix keeps different pairs from giving the same text."""
     name = caller.encode()
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     digest.update(len(name).to_bytes(LENGTH_BYTES, "big"))
@@ -85,7 +85,7 @@
 
 
 def content_hash(*parts: bytes) -> bytes:
-    """Hash what makes two requests with one key the same request."""
+    """Hash the parts that identify a request, to compare requests with the same key."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
         digest.update(len(part).to_bytes(LENGTH_BYTES, "big"))
@@ -94,7 +94,7 @@
 
 
 def shard_of(claim: bytes) -> int:
-    """Return the shard in which a claim is kept."""
+    """Return the shard in which a claim is stored."""
     return claim[0] % SHARDS
 
 
@@ -109,12 +109,12 @@
 
 
 def archive_key(shard: int, number: int) -> str:
-    """Return the key of an archive; the digits make key order number order."""
+    """Return the key of an archive; zero padding makes the key order equal the number order."""
     return f"{archive_prefix(shard)}{number:010d}"
 
 
 def newer(left: Record | None, right: Record | None) -> Record | None:
-    """Return the record that counts."""
+    """Return the record that takes precedence."""
     if left is None or right is None:
         return left or right
     return max(left, right, key=lambda record: (record.attempt, record.state))
--- a/papayapier/claims/service.py
+++ b/papayapier/claims/service.py
@@ -1,17 +1,18 @@
-"""Let a non-idempotent request with an idempotency key run at most once, on any instance.
+"""Run a non-idempotent request with an idempotency key at most once, across all instances.
 
-A claim on the key is in the store before anything is sent. Whoever meets the claim of
-another asks its writer before saying anything, and runs the request only if the claim was
-abandoned, which only the writer can say. A claim never lapses by time: its writer may be
-paused, and may send when it wakes. So when the writer is gone, the outcome stays unknown.
+A claim on the key is stored before the request is sent. An instance that finds the claim of another
+instance queries its writer before it replies, and runs the request only if the claim was abandoned,
+which only the writer can confirm. A claim never expires by time, because its writer may be paused
+and may send the request when it resumes. So if the writer is lost, the outcome remains unknown.
 
-What a refusal says. It speaks of the delivery that is refused: NOT_RUN means that this
-delivery was not sent and never will be. While the store is down nothing can be learnt of an
-earlier delivery with the same key; where this instance knows of one, it does not say NOT_RUN.
+A refusal refers to the delivery that is refused: NOT_RUN means that this delivery was not sent and
+never will be. While the store is unavailable, nothing can be found out about earlier deliveries
+with the same key; if this instance knows of one, it does not reply NOT_RUN.
 
-A claim whose write was lost may appear after its request was refused. Its token is given up
-before the refusal, so that it can never be sent; the instance goes on writing until the
-claim is marked abandoned in the store, and tells others so when they ask.
+A claim whose write was lost may appear in the store after its request was refused. Its token is
+given up before the refusal, so that the request can never be sent. The instance keeps writing until
+the claim is marked as abandoned in the store, and reports it as abandoned to instances that query
+it.
 """
 
 import random
@@ -27,11 +28,11 @@
     NO_RECORD,
     RETRY_AFTER_MS,
     RUNNING,
-    Again,
     AskWriter,
     Begun,
     Done,
     New,
+    RetryBegin,
     Running,
     Token,
     Unknown,
@@ -40,8 +41,8 @@
     store_down,
 )
 from papayapier.claims.group import GroupDeps, ShardWriter
-from papayapier.claims.local import Attempt, Attempts, AttemptState, until
-from papayapier.claims.ops import Found, Kept, Known, Op, OpEnd, Want, Writer
+from papayapier.claims.local import Attempt, Attempts, AttemptState, wait_until
+from papayapier.claims.ops import Found, Known, Op, OpKind, OpResult, Stored, Writer
 from papayapier.claims.records import (
     DIGEST_BYTES,
     SHARDS,
@@ -61,14 +62,14 @@
 from papayapier.store.bucket import Bucket
 from papayapier.store.watch import report_failure
 
-DRAIN_STEP_MS: Final = 10
+DRAIN_POLL_MS: Final = 10
 
 
 class ClaimDeps(NamedTuple):
-    """Group what the claims of one instance work with.
+    """Group the dependencies of Claims.
 
-    boot is drawn at process start. ask_writer asks an instance for the state() of a claim
-    reference; any text but the four states means that it could not be asked.
+    boot is drawn at random at process start. ask_writer requests the state() of a claim reference
+    from an instance; any text but the four states means that the request failed.
     """
 
     store: Store
@@ -82,7 +83,7 @@
 
 
 class _Request(NamedTuple):
-    """Hold what identifies a delivery of a request."""
+    """Hold the claim id, the content hash and the due time of a delivery."""
 
     id: bytes
     content: bytes
@@ -90,7 +91,7 @@
 
 
 class Claims:
-    """Begin and end the claims of one instance."""
+    """Begin, finish and abandon the claims of one instance."""
 
     def __init__(self, deps: ClaimDeps) -> None:
         self._deps = deps
@@ -102,29 +103,29 @@
         self._shards = [ShardWriter(group, shard) for shard in range(SHARDS)]
 
     def start(self) -> None:
-        """Read the shards ahead, so that the first requests need not wait for it."""
+        """Read the shards in advance, so that the first requests do not wait for that."""
         for shard in self._shards:
-            shard.submit(Op(Want.LOOK, bytes(DIGEST_BYTES), b"", b""))
+            shard.submit(Op(OpKind.LOOKUP, bytes(DIGEST_BYTES), b"", b""))
 
     def stop(self) -> None:
-        """Stop at once; what is not in the store yet never will be."""
+        """Stop at once; outcomes that are not in the store yet are never written."""
         for shard in self._shards:
             shard.stop()
 
     def unsettled(self) -> set[bytes]:
-        """Return the ids of the claims of this process whose end is not in the store yet."""
+        """Return the ids of this process's claims whose outcome is not in the store yet."""
         return self._attempts.ids()
 
     async def drain(self, due_ms: int) -> bool:
-        """Wait until the ends of all claims are in the store; False if time runs out."""
+        """Wait until the outcomes of all claims are stored; return False if due_ms is reached."""
         while self.unsettled():
             if self._deps.clock.now() >= due_ms:
                 return False
-            await self._deps.clock.sleep(DRAIN_STEP_MS)
+            await self._deps.clock.sleep(DRAIN_POLL_MS)
         return True
 
     async def begin(self, caller: str, key: str, content: bytes, due_ms: int) -> Begun:
-        """Claim a key before the request is sent, or tell what has become of it."""
+        """Claim a key before its request is sent, or return the state of an earlier delivery."""
         req = _Request(claim_id(caller, key), content, due_ms)
         begun = await self._begin(req)
         end = begun.ok_value if isinstance(begun, Ok) else begun.err_value.kind
@@ -133,31 +134,31 @@
         return begun
 
     def finish(self, token: Token, answer: SavedAnswer) -> None:
-        """Keep the answer of a request that was sent, whatever it is."""
+        """Store the answer of a request that was sent, whether it succeeded or not."""
         attempt = self._attempts.by_token(token)
         sent = attempt is not None and attempt.state is AttemptState.SENDING
         check(sent, Promise.AT_MOST_ONCE, token=token.hex(), end="finish")
         if attempt is None or not sent:
             return
         self._attempts.end(attempt, AttemptState.DONE, answer)
-        op = Op(Want.FINISH, attempt.id, token, attempt.content)
-        op.kept = attempt.kept
+        op = Op(OpKind.FINISH, attempt.id, token, attempt.content)
+        op.stored = attempt.stored
         if len(answer.body) <= self._deps.cfg.answer_bytes:
             op.answer = answer
-        self._follow(attempt, op)
+        self._write_outcome(attempt, op)
 
     def abandon(self, token: Token) -> None:
-        """Free the key of a request of which nothing was sent."""
+        """Free the key of a request that was not sent."""
         attempt = self._attempts.by_token(token)
-        held = attempt is not None and attempt.state is AttemptState.SENDING
-        check(held, Promise.NOT_RUN_TRUE, token=token.hex(), end="abandon")
-        if attempt is None or not held:
+        is_sending = attempt is not None and attempt.state is AttemptState.SENDING
+        check(is_sending, Promise.NOT_RUN_TRUE, token=token.hex(), end="abandon")
+        if attempt is None or not is_sending:
             return
         self._attempts.end(attempt, AttemptState.ABANDONED, None)
-        self._follow(attempt, Op(Want.ABANDON, attempt.id, token, attempt.content))
+        self._write_outcome(attempt, Op(OpKind.ABANDON, attempt.id, token, attempt.content))
 
     def state(self, reference: str) -> str:
-        """Tell another instance what has become of a claim that this process wrote."""
+        """Return the state of a claim that this process wrote, for another instance."""
         try:
             attempt = self._attempts.by_token(bytes.fromhex(reference))
         except ValueError:
@@ -169,155 +170,161 @@
         return DONE if attempt.state is AttemptState.DONE else RUNNING
 
     async def _begin(self, req: _Request) -> Begun:
-        again: Begun | Again = Again(None)
-        while isinstance(again, Again):
-            met = self._attempts.by_id(req.id)
-            if met is not None:
-                again = await self._join(met, req)
+        result: Begun | RetryBegin = RetryBegin(None)
+        while isinstance(result, RetryBegin):
+            earlier = self._attempts.by_id(req.id)
+            if earlier is not None:
+                result = await self._join_earlier(earlier, req)
             else:
-                again = await self._claim(req, again.supersedes)
-        return again
-
-    async def _join(self, met: Attempt, req: _Request) -> Begun | Again:
-        """Wait for the attempt of another delivery of the same request on this instance."""
-        if met.content != req.content:
-            return await self._join_other(met, req)
-        if not await until(self._deps.clock, met.when_ended(), req.due_ms):
+                result = await self._claim(req, result.supersedes)
+        return result
+
+    async def _join_earlier(self, earlier: Attempt, req: _Request) -> Begun | RetryBegin:
+        """Wait for the attempt of an earlier delivery of the same request on this instance."""
+        if earlier.content != req.content:
+            return await self._join_other_request(earlier, req)
+        if not await wait_until(self._deps.clock, earlier.when_ended(), req.due_ms):
             return Err(still_running())
-        return Ok(Done(met.answer)) if met.state is AttemptState.DONE else Again(None)
+        return Ok(Done(earlier.answer)) if earlier.state is AttemptState.DONE else RetryBegin(None)
 
-    async def _join_other(self, met: Attempt, req: _Request) -> Begun | Again:
-        """Refuse a key that was used for another request, once it has been.
+    async def _join_other_request(self, earlier: Attempt, req: _Request) -> Begun | RetryBegin:
+        """Refuse a key that an earlier delivery uses for another request, once it has the key.
 
-        An attempt that only tries to claim the key may find that it belongs to the very
-        request that would be refused here as not run.
+        An earlier delivery that is still claiming may find that the key belongs to the very request
+        that would be refused here as not run.
         """
-        if not await until(self._deps.clock, met.when_decided(), req.due_ms):
+        if not await wait_until(self._deps.clock, earlier.when_decided(), req.due_ms):
             return Err(still_running())
-        return Again(None) if met.state is AttemptState.ABANDONED else Err(key_conflict())
+        return RetryBegin(None) if earlier.state is AttemptState.ABANDONED else Err(key_conflict())
 
-    async def _claim(self, req: _Request, supersedes: Token | None) -> Begun | Again:
-        """Write a claim of this delivery."""
+    async def _claim(self, req: _Request, supersedes: Token | None) -> Begun | RetryBegin:
+        """Write a claim for this delivery."""
         if self._deps.clock.now() >= req.due_ms:
             return Err(not_run(ErrorKind.DEADLINE, "no time was left to claim the key"))
         attempt = self._attempts.add(req.id, self._new_token(), req.content)
-        op = Op(Want.CLAIM, req.id, attempt.token, req.content)
+        op = Op(OpKind.CLAIM, req.id, attempt.token, req.content)
         op.supersedes = supersedes
         self._shard(req.id).submit(op)
         try:
-            await until(self._deps.clock, op.done, req.due_ms)
+            await wait_until(self._deps.clock, op.done, req.due_ms)
         except CancelledError:
             self._give_up(attempt, op)
             raise
-        if self._deps.clock.now() < req.due_ms and isinstance(op.end, Kept):
-            attempt.may_send(op.end.record)
+        if self._deps.clock.now() < req.due_ms and isinstance(op.result, Stored):
+            attempt.on_claimed(op.result.record)
             return Ok(New(attempt.token))
         known = self._shard(req.id).known(req.id)
         self._give_up(attempt, op)
-        return await self._not_claimed(req, op.end, known)
+        return await self._not_claimed(req, op.result, known)
 
-    async def _not_claimed(self, req: _Request, end: OpEnd | None, known: Known) -> Begun | Again:
-        """Tell why a delivery could not claim its key; its own attempt is given up."""
+    async def _not_claimed(
+        self, req: _Request, end: OpResult | None, known: Known
+    ) -> Begun | RetryBegin:
+        """Return why a delivery could not claim its key; its own attempt is given up already."""
         if isinstance(end, Found) and end.record is not None:
-            return await self._judge(req, end.record, may_claim=True)
-        if isinstance(end, Kept):
+            return await self._decide(req, end.record, may_claim=True)
+        if isinstance(end, Stored):
             return Err(not_run(ErrorKind.DEADLINE, "the key was claimed too late"))
         if known.record is not None and not self._is_free(known.record):
-            return await self._judge(req, known.record, may_claim=False)
+            return await self._decide(req, known.record, may_claim=False)
         if known.record is None and known.archived:
-            reason = "an earlier delivery is on record, but the record cannot be read"
+            reason = "a record of an earlier delivery exists, but it cannot be read"
             return Err(unknown(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
         return Err(store_down())
 
     def _give_up(self, attempt: Attempt, op: Op) -> None:
-        """Make sure that an attempt is never sent, and that others can learn so."""
+        """Ensure that an attempt is never sent, and that other instances can find this out."""
         self._attempts.end(attempt, AttemptState.ABANDONED, None)
-        if isinstance(op.end, Kept):
-            self._follow(attempt, Op(Want.ABANDON, attempt.id, attempt.token, attempt.content))
-        elif op.end is not None or self._shard(attempt.id).take_back(op):
+        if isinstance(op.result, Stored):
+            self._write_outcome(
+                attempt, Op(OpKind.ABANDON, attempt.id, attempt.token, attempt.content)
+            )
+        elif op.result is not None or self._shard(attempt.id).withdraw(op):
             self._attempts.forget(attempt)
         else:
-            op.done.addCallback(self._followed, attempt, op)
+            op.done.addCallback(self._on_outcome_written, attempt, op)
 
-    def _follow(self, attempt: Attempt, op: Op) -> None:
-        """Write the end of an attempt, however long the store takes."""
-        op.done.addCallback(self._followed, attempt, op)
+    def _write_outcome(self, attempt: Attempt, op: Op) -> None:
+        """Write the outcome of an attempt, retrying for as long as the store is unavailable."""
+        op.done.addCallback(self._on_outcome_written, attempt, op)
         op.done.addErrback(report_failure, "end of a claim")
         self._shard(attempt.id).submit(op)
 
-    def _followed(self, _: None, attempt: Attempt, op: Op) -> None:
-        """Forget an attempt whose end others can now read in the store."""
+    def _on_outcome_written(self, _: None, attempt: Attempt, op: Op) -> None:
+        """Forget an attempt, as its outcome is now in the store."""
         self._attempts.forget(attempt)
-        if op.want is Want.FINISH:
-            kept = isinstance(op.end, Kept)
-            check(kept, Promise.AT_MOST_ONCE, token=attempt.token.hex(), end="superseded")
+        if op.kind is OpKind.FINISH:
+            is_stored = isinstance(op.result, Stored)
+            check(is_stored, Promise.AT_MOST_ONCE, token=attempt.token.hex(), end="superseded")
         else:
             events.emit(events.CLAIM_ABANDONED, claim=attempt.id.hex())
 
-    async def _judge(self, req: _Request, record: Record, may_claim: bool) -> Begun | Again:
-        """Tell what the claim of another attempt means for a delivery."""
+    async def _decide(self, req: _Request, record: Record, may_claim: bool) -> Begun | RetryBegin:
+        """Decide a delivery from the record of another attempt on its key."""
         if record.state is ClaimState.DONE:
             same = record.content == req.content
             return Ok(Done(record.answer)) if same else Err(key_conflict())
         if self._is_free(record):
-            return Again(None) if may_claim else Err(store_down())
+            return RetryBegin(None) if may_claim else Err(store_down())
         if record.content != req.content:
-            return await self._judge_other(req, record, may_claim)
+            return await self._decide_other_request(req, record, may_claim)
         state = await self._state_of(req, record)
         if state == RUNNING:
             return Ok(Running(record.writer))
         if state == ABANDONED:
-            return Again(record.token) if may_claim else Err(store_down())
-        # The writer may have forgotten the claim because its end is in the store by now.
-        latest = await self._look(req)
+            return RetryBegin(record.token) if may_claim else Err(store_down())
+        # The writer may have forgotten the claim because its outcome has been stored meanwhile.
+        latest = await self._lookup(req)
         if latest is not None and latest != record:
-            return await self._judge(req, latest, may_claim)
+            return await self._decide(req, latest, may_claim)
         if state == DONE:
             return Ok(Running(record.writer))
-        return self._unknown(record)
+        return self._unknown_outcome(record)
 
-    async def _judge_other(self, req: _Request, record: Record, may_claim: bool) -> Begun | Again:
-        """Refuse a key that is claimed for another request, if it still is.
+    async def _decide_other_request(
+        self, req: _Request, record: Record, may_claim: bool
+    ) -> Begun | RetryBegin:
+        """Refuse a key if it is still claimed for another request.
 
-        The record may have been read long ago. If its claim was abandoned since, the key may
-        have gone to this very request, and have run.
+        The record may have been read long ago. If its claim was abandoned since, this very request
+        may have claimed the key and have run.
         """
-        latest = await self._look(req)
+        latest = await self._lookup(req)
         if latest is None:
             reason = "another request had the key when the store was last read"
             return Err(unknown(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
         if latest == record:
             return Err(key_conflict())
-        return await self._judge(req, latest, may_claim)
+        return await self._decide(req, latest, may_claim)
 
     async def _state_of(self, req: _Request, record: Record) -> str:
-        """Return what a claim's writer says of it; NO_RECORD if it can't be asked in time.
+        """Return the state reported by a claim's writer, or NO_RECORD if it does not reply in time.
 
-        A claim with this instance's name, but not of this process, was written by an earlier
-        process: what that one sent is not known here.
+        A claim that carries this instance's name, but is unknown to this process, was written by an
+        earlier process; it is unknown here whether that process sent the request.
         """
         if record.writer == self._deps.instance:
             return self.state(record.token.hex())
-        asked = Deferred.fromCoroutine(self._asked(record))
-        state = await until(self._deps.clock, asked, req.due_ms)
-        asked.addErrback(report_failure, "question to a claim's writer")
+        requested = Deferred.fromCoroutine(self._request_state(record))
+        state = await wait_until(self._deps.clock, requested, req.due_ms)
+        requested.addErrback(report_failure, "request to the writer of a claim")
         return state if state is not None else NO_RECORD
 
-    async def _asked(self, record: Record) -> str:
+    async def _request_state(self, record: Record) -> str:
         return await self._deps.ask_writer(record.writer, record.token.hex())
 
-    def _unknown(self, record: Record) -> Begun:
+    def _unknown_outcome(self, record: Record) -> Begun:
         events.emit(events.CLAIM_UNKNOWN, claim=record.id.hex(), writer=record.writer)
         return Ok(Unknown(record.writer))
 
-    async def _look(self, req: _Request) -> Record | None:
-        """Read the record that counts now; None if that fails or takes too long."""
-        op = Op(Want.LOOK, req.id, b"", req.content)
+    async def _lookup(self, req: _Request) -> Record | None:
+        """Read the current record from the store; return None on failure or timeout."""
+        op = Op(OpKind.LOOKUP, req.id, b"", req.content)
         self._shard(req.id).submit(op)
-        await until(self._deps.clock, op.done, req.due_ms)
-        if op.end is None:
-            self._shard(req.id).take_back(op)
-        return op.end.record if isinstance(op.end, Found) else None
+        await wait_until(self._deps.clock, op.done, req.due_ms)
+        if op.result is None:
+            self._shard(req.id).withdraw(op)
+        return op.result.record if isinstance(op.result, Found) else None
 
     def _is_free(self, record: Record) -> bool:
         if record.state is ClaimState.ABANDONED:
@@ -328,10 +335,10 @@
         return self._shards[shard_of(claim)]
 
     def _new_token(self) -> Token:
-        """Draw a token that no other process can draw.
+        """Create a token that no other process can create.
 
-        Two processes with the same random state would otherwise take each other's claim for
-        their own, and both would send.
+        Two processes with the same random state could otherwise mistake each other's claims for
+        their own, and both would send the request.
         """
         self._tokens += 1
         drawn = self._deps.rng.randbytes(DIGEST_BYTES)
--- a/papayapier/claims/shard.py
+++ b/papayapier/claims/shard.py
@@ -1,14 +1,14 @@
-"""Hold one instance's view of a shard of claims, as of one version of its head.
+"""Hold one instance's view of a shard of claims at one version of the shard's head.
 
-A shard is a head object, to which records are added by conditional update, and archives,
-which are written once and never changed. A view is whole when it has the head at a version
-and the ids of every archive that this head names. Then an id that is in none of them is not
-claimed, and a conditional update of that version proves it: had anybody claimed it since,
-the version would be another.
+A shard consists of a head object, to which records are added by conditional updates, and of
+archives, which are written once and never changed. A view is complete when it has the head at one
+version and the ids of all archives that this head lists. An id found in none of them is not claimed
+at that version, and a conditional update of that version proves that it has not been claimed since,
+because a claim would have changed the version.
 
-Of the archives only the ids are kept in memory, DIGEST_BYTES each, sorted in one block of
-bytes; a record in an archive is read again when it is asked for, which takes a resend long
-after the request.
+For archives only the ids are kept in memory, DIGEST_BYTES each, sorted in one block of bytes. An
+archived record is read from the store when needed, which only happens if a request is resent long
+after its first delivery.
 """
 
 from bisect import bisect_left
@@ -32,11 +32,11 @@
 from papayapier.store.api import Store, StoreError
 
 NO_HEAD: Final = 0
-REFRESH_TRIES: Final = 3
+MAX_REFRESH_ATTEMPTS: Final = 3
 
 
 class Prepared(NamedTuple):
-    """Hold an archive that is in the store, but not yet named by the head."""
+    """Hold an archive that is in the store, but not yet listed in the head."""
 
     number: int
     records: dict[bytes, Record]
@@ -44,7 +44,7 @@
 
 
 class ShardView:
-    """Hold the head and the archives' ids; its owner calls one method at a time."""
+    """Hold the head and the ids of the archives; calls must not overlap."""
 
     def __init__(self, store: Store, shard: int) -> None:
         self.shard = shard
@@ -57,12 +57,12 @@
         self._ids: dict[int, bytes] = {}
 
     async def refresh(self) -> Result[None, StoreError]:
-        """Read the head, and the archives it names that are not known yet."""
-        for _ in range(REFRESH_TRIES):
-            done = await self._refresh_once()
-            # An archive that is gone was expired after the head was read: read it again.
-            if done != Err(StoreError.NOT_FOUND):
-                return done
+        """Read the head, and the archives it lists that are not known yet."""
+        for _ in range(MAX_REFRESH_ATTEMPTS):
+            refreshed = await self._refresh_once()
+            # A missing archive was deleted as expired after the head was read: read the head again.
+            if refreshed != Err(StoreError.NOT_FOUND):
+                return refreshed
         return Err(StoreError.UNAVAILABLE)
 
     async def _refresh_once(self) -> Result[None, StoreError]:
@@ -71,7 +71,7 @@
             self.version = NO_HEAD
             return Ok(None)
         if isinstance(found, Err):
-            return Err(StoreError.UNAVAILABLE if _absent(found) else found.err_value)
+            return Err(StoreError.UNAVAILABLE if _is_missing(found) else found.err_value)
         stored = found.ok_value
         if stored.version == self.version:
             return Ok(None)
@@ -83,7 +83,7 @@
             return Err(StoreError.UNAVAILABLE)
         loaded = await self._load_archives(head.ok_value)
         if isinstance(loaded, Ok):
-            self.accept(head.ok_value, stored.version, len(stored.value))
+            self.replace_head(head.ok_value, stored.version, len(stored.value))
         return loaded
 
     async def _load_archives(self, head: Head) -> Result[None, StoreError]:
@@ -96,8 +96,8 @@
             self._ids[entry.number] = _sorted_ids(archive.ok_value.records)
         return Ok(None)
 
-    def accept(self, head: Head, version: int, size: int) -> None:
-        """Take a head for the one in the store at a version."""
+    def replace_head(self, head: Head, version: int, size: int) -> None:
+        """Replace the view by a head that is stored with the given version."""
         self.version = version
         self.size = size
         self.head = {record.id: record for record in head.records}
@@ -106,13 +106,13 @@
         named = {entry.number for entry in head.archives}
         self._ids = {number: ids for number, ids in self._ids.items() if number in named}
 
-    def accept_written(
+    def replace_written_head(
         self, head: Head, version: int, size: int, prepared: Prepared | None
     ) -> None:
-        """Take the head that this instance wrote, which names the prepared archive."""
+        """Replace the view by a head that this instance wrote; it lists the prepared archive."""
         if prepared is not None:
             self._ids[prepared.number] = _sorted_ids(list(prepared.records.values()))
-        self.accept(head, version, size)
+        self.replace_head(head, version, size)
 
     async def read_archive(self, number: int) -> Result[Archive, StoreError]:
         """Read an archive."""
@@ -126,10 +126,10 @@
         return Ok(archive.ok_value)
 
     async def find(self, claim: bytes) -> Result[Record | None, StoreError]:
-        """Return the record that counts for an id, as of the view's version.
+        """Return the current record for an id at the view's version.
 
-        A record was added to the head only after the one that counted was found, so the
-        newest archive that has the id has the highest record of all archives.
+        A record is added to the head only after the current one was found, so the newest archive
+        that contains the id has the record with the highest precedence of all archives.
         """
         number = self.archive_of(claim)
         if number is None:
@@ -141,16 +141,16 @@
         return Ok(newer(self.head.get(claim), archived))
 
     def archive_of(self, claim: bytes) -> int | None:
-        """Return the number of the newest archive that has an id."""
+        """Return the number of the newest archive that contains an id."""
         for entry in reversed(self.archives):
-            if _contains(self._ids[entry.number], claim):
+            if _contains_id(self._ids[entry.number], claim):
                 return entry.number
         return None
 
     def next_head(
         self, changes: dict[bytes, Record], prepared: Prepared | None, oldest_ms: int
     ) -> Head:
-        """Build the head that has changes added and prepared records and old archives gone."""
+        """Build the next head: add changes, remove prepared records and drop expired archives."""
         records = dict(self.head)
         archives = [entry for entry in self.archives if entry.newest_ms >= oldest_ms]
         next_number = self.next_number
@@ -167,8 +167,8 @@
     return codec.pack(head)
 
 
-def _absent(found: Err[StoreError]) -> bool:
-    """Tell whether a head that was there is said to be gone; heads are never deleted."""
+def _is_missing(found: Err[StoreError]) -> bool:
+    """Return whether the store reports a known head as missing; heads are never deleted."""
     return found.err_value is StoreError.NOT_FOUND
 
 
@@ -176,7 +176,7 @@
     return b"".join(sorted(record.id for record in records))
 
 
-def _contains(ids: bytes, claim: bytes) -> bool:
+def _contains_id(ids: bytes, claim: bytes) -> bool:
     count = len(ids) // DIGEST_BYTES
 
     def id_at(index: int) -> bytes:
