--- a/tests/claims_bench.py
+++ b/tests/claims_bench.py
@@ -1,4 +1,4 @@
-"""Run several instances' claims over one fake platform, with pauses and crashes."""
+"""Run the claims of several instances against one fake platform, with pauses and crashes."""
 
 import random
 from collections.abc import Callable, Iterator
@@ -19,23 +19,23 @@
 from tests.fake_store import FakePlatform
 
 STEP_MS: Final = 5
-PEER_MS: Final = 20
-LONGEST_MS: Final = 60_000
+PEER_LATENCY_MS: Final = 20
+MAX_WAIT_MS: Final = 60_000
 CONTENTS: Final = (b"content-1", b"content-2")
 
 
 @contextmanager
-def promises_checked() -> Iterator[None]:
-    """Raise where a promise is broken, and fail where that was not seen."""
+def invariants_checked() -> Iterator[None]:
+    """Raise where an invariant is violated, and fail if the exception was swallowed."""
     invariants.raise_on_failure(True)
     before = invariants.broken_count()
     yield
-    # A check that fails inside a callback raises where nobody looks, but is counted.
+    # The exception of a check inside a callback may be swallowed, but the violation is counted.
     assert invariants.broken_count() == before
 
 
 class Instance:
-    """Hold one process: its claims, its own clock and its store, which freeze in a pause."""
+    """Simulate one process with its claims, clock and store, all of which stop during a pause."""
 
     def __init__(self, fleet: "Fleet", name: str, boot: int) -> None:
         self.name = name
@@ -53,19 +53,22 @@
             self.metrics,
             name,
             boot,
-            fleet.ask(self),
+            fleet.writer_request(self),
         )
         self.claims = Claims(deps)
 
     async def awake(self) -> None:
-        """Wait while the process is paused; for ever if it is dead."""
+        """Wait while the process is paused; wait forever if it is dead."""
         while self.paused or self.dead:
             resumed: Deferred[None] = Deferred()
             self._resumed.append(resumed)
             await resumed
 
     def resume(self, now_ms: int, answers_first: bool) -> None:
-        """Let the process go on; it finds that time has passed, and answers that wait."""
+        """Resume the process after now_ms has been reached; store responses may be waiting.
+
+        With answers_first the responses are delivered before timers that are due.
+        """
         self.paused = False
         passed_ms = now_ms - self.fake.clock.now()
         if answers_first:
@@ -79,7 +82,7 @@
 
 
 class Delivery(NamedTuple):
-    """Hold one request as sent to an instance; result gets its end."""
+    """Hold one request sent to an instance; result receives what begin() returned."""
 
     instance: Instance
     key: str
@@ -88,7 +91,7 @@
 
 
 class Fleet:
-    """Hold the instances and the platform."""
+    """Simulate the instances and the platform."""
 
     def __init__(self, names: list[str], cfg: ClaimSettings, latency_ms: int = 0) -> None:
         self.cfg = cfg
@@ -100,23 +103,23 @@
             self.start(name)
 
     def start(self, name: str) -> Instance:
-        """Start a process; one that had the name before is dead."""
+        """Start a process; a previous process of this name is dead from now on."""
         if name in self.instances:
             self.instances[name].dead = True
         self.boots += 1
         self.instances[name] = Instance(self, name, self.boots)
         return self.instances[name]
 
-    def ask(self, asker: Instance) -> AskWriter:
-        """Make the question from one instance to another, which takes its time."""
+    def writer_request(self, asker: Instance) -> AskWriter:
+        """Make the function with which an instance queries another one, with a delay."""
 
         async def ask_writer(name: str, reference: str) -> str:
             target = self.instances.get(name)
             if target is None or target.paused or target.dead:
-                await asker.fake.clock.sleep(PEER_MS)
+                await asker.fake.clock.sleep(PEER_LATENCY_MS)
                 return "silent"
             state = target.claims.state(reference)
-            await asker.fake.clock.sleep(PEER_MS)
+            await asker.fake.clock.sleep(PEER_LATENCY_MS)
             await asker.awake()
             return state
 
@@ -140,19 +143,19 @@
         return delivery
 
     def begin(self, name: str, key: str, content: bytes = b"c", due_in_ms: int = 1_000) -> Begun:
-        """Send a request and let time pass until it has its end."""
+        """Send a request and advance the clock until begin() has returned."""
         return self.settled(self.deliver(name, key, content, due_in_ms)).result[0]
 
     def settled(self, delivery: Delivery) -> Delivery:
-        """Let time pass until a delivery has its end."""
-        for _ in range(LONGEST_MS // STEP_MS):
+        """Advance the clock until a delivery has its result."""
+        for _ in range(MAX_WAIT_MS // STEP_MS):
             if not delivery.result:
                 self.advance(STEP_MS)
-        assert delivery.result, "a delivery has no end long after its due time"
+        assert delivery.result, "a delivery has no result long after its due time"
         return delivery
 
     def advance(self, for_ms: int) -> None:
-        """Let time pass for the platform and for every process that runs."""
+        """Advance the clocks of the platform and of every running process."""
         for _ in range(max(1, for_ms // STEP_MS)):
             self.fake.advance(STEP_MS)
             for instance in list(self.instances.values()):
@@ -165,12 +168,12 @@
 
 
 def make_answer(text: str) -> SavedAnswer:
-    """Make an answer that tells whose it is."""
+    """Make an answer with the given text."""
     return SavedAnswer(200, "text/plain", text.encode())
 
 
 def _gated(store: Store, instance: Instance) -> Store:
-    """Hold back answers from a process that is paused or dead."""
+    """Delay store responses to a process that is paused or dead."""
 
     def gate(call: Callable[..., Any]) -> Any:
         async def gated(*args: object) -> object:
--- a/tests/jobs_run_world.py
+++ b/tests/jobs_run_world.py
@@ -1,4 +1,4 @@
-"""Run the items of jobs on a fake clock against one scripted replica of each upstream."""
+"""Run items of jobs on a fake clock against scripted replicas of each upstream."""
 
 import random
 from typing import TYPE_CHECKING, Any, cast
@@ -23,7 +23,7 @@
     from papayapier.config.route_table import Route
 
 SLOTS = 4
-ROOM = SLOTS - SPARE_SLOTS
+USABLE_SLOTS = SLOTS - SPARE_SLOTS
 EVENTS = 100
 RUN_MS = 3_000
 SOON_MS = 1_000
@@ -43,7 +43,7 @@
 
 
 class World:
-    """Hold one instance that runs batch alone, at one replica of each upstream."""
+    """Simulate the only instance that runs batch, with replicas of each upstream."""
 
     def __init__(self, *upstreams: str, replicas: int = 1) -> None:
         self.time = fake_clock()
@@ -54,7 +54,7 @@
             for name in upstreams
             for number in range(replicas)
         ]
-        # Where connections are refused.
+        # Ids of the replicas that refuse connections.
         self.closed: set[str] = set()
         self.crashes = CrashWatch(self.time.clock, make_metrics(), lambda: True)
         self.list_replicas()
@@ -80,21 +80,21 @@
             hidden=lambda: (),
             uses_changed=lambda: None,
         )
-        self.runs = Runs(deps, lambda work: self.done.append(work.job_id), lambda: None)
+        self.runs = Runs(deps, lambda job: self.done.append(job.job_id), lambda: None)
 
     def list_replicas(self) -> None:
-        self.book.on_listed(self.replicas, (), {one.id: SLOTS for one in self.replicas})
+        self.book.on_listed(self.replicas, (), {replica.id: SLOTS for replica in self.replicas})
         self.outliers.on_listed(self.replicas)
-        self.crashes.on_listed([one.id for one in self.replicas], ())
+        self.crashes.on_listed([replica.id for replica in self.replicas], ())
 
     def replace(self, upstream: str) -> None:
-        """End the replica of an upstream, and list another in its place."""
-        self.replicas = [one for one in self.replicas if one.upstream != upstream]
+        """Remove the replicas of an upstream, and list a new one instead."""
+        self.replicas = [replica for replica in self.replicas if replica.upstream != upstream]
         self.replicas.append(Replica(f"{upstream}-{self.sends + 1}", upstream, "h", 1, "dc"))
         self.list_replicas()
 
     def real_headers(self) -> None:
-        """Set whose an item is as the program does."""
+        """Set the team header as the program does."""
         self.of_team = of_team
 
     async def _send(
@@ -113,26 +113,26 @@
 
     def job(self, name: str, items: int, due_in_ms: int, upstream: str = "lm") -> OwnedJob:
         listed = tuple(JobItem(f"{name}-{n}", "/j", {}, "", 10) for n in range(items))
-        work = OwnedJob(name, JobRecord("w", "h", "/j", 0, listed, items))
-        work.due_ms = self.time.clock.wall() + due_in_ms
-        self.jobs.append((work, cast(Any, RouteTo(upstream))))
-        self.jobs.sort(key=lambda job: job[0].due_ms)
-        return work
+        job = OwnedJob(name, JobRecord("w", "h", "/j", 0, listed, items))
+        job.due_ms = self.time.clock.wall() + due_in_ms
+        self.jobs.append((job, cast(Any, RouteTo(upstream))))
+        self.jobs.sort(key=lambda entry: entry[0].due_ms)
+        return job
 
     def learn(self, upstream: str = "lm") -> None:
-        """Run one whole item, so that it is known how long items take."""
+        """Run one item to its end, so that the typical run time is known."""
         (item,) = self.job("first", 1, FAR_MS, upstream).items.values()
         self.pump()
         self.time.advance(RUN_MS)
         self.end(item)
         self.jobs.clear()
 
-    def end(self, one: ItemState) -> None:
-        one.texts = ["x"] * EVENTS
-        self.sent[one.item.id].callback(Ok(PassedOn(200)))
+    def end(self, state: ItemState) -> None:
+        state.texts = ["x"] * EVENTS
+        self.sent[state.item.id].callback(Ok(PassedOn(200)))
 
-    def lose(self, one: ItemState, kind: FailureKind, sent: Sent) -> None:
-        self.sent[one.item.id].callback(Err(Failure(kind, sent, kind.value, fresh=True)))
+    def lose(self, state: ItemState, kind: FailureKind, sent: Sent) -> None:
+        self.sent[state.item.id].callback(Err(Failure(kind, sent, kind.value, fresh=True)))
 
     def pump(self) -> None:
         self.runs.run_round(self.jobs)
--- a/tests/jobs_world.py
+++ b/tests/jobs_world.py
@@ -1,4 +1,4 @@
-"""Run job desks and commits against a store in memory, on a clock that the test moves."""
+"""Run JobDesk and commits against an in-memory store, on a fake clock."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -30,23 +30,26 @@
 
 
 def item(name: str, body: str = "q83v") -> JobItem:
-    """Make an item."""
+    """Make a job item."""
     return JobItem(name, f"/jobs/{name}", {}, body, 10)
 
 
 def record(*names: str) -> JobRecord:
-    """Make a job of some items."""
+    """Make the record of a job with the given items."""
     items = tuple(item(name) for name in names)
     return JobRecord("w", "h.example", "/jobs/j", 0, items, len(items))
 
 
 def group(*names: str) -> ResultGroup:
-    """Make a group of results."""
+    """Make a group of results with the given item ids."""
     return ResultGroup("-".join(names), tuple(ItemResult(n, ItemEnd.DONE, n) for n in names))
 
 
 class MemoryStore:
-    """Hold objects; faults are taken, one a call, from a list of functions of the call."""
+    """Store objects in memory; fault returns the error with which a call fails, or None.
+
+    While hold is set, get and list calls block until release().
+    """
 
     def __init__(self) -> None:
         self.objects: dict[str, tuple[int, bytes]] = {}
@@ -63,8 +66,8 @@
 
     def release(self) -> None:
         held, self.held = self.held, []
-        for one in held:
-            one.callback(None)
+        for blocked in held:
+            blocked.callback(None)
 
     def store(self) -> Store:
         async def get(key: str) -> Result[Stored, StoreError]:
@@ -127,7 +130,7 @@
 
 
 class DeskWorld:
-    """Hold one desk and its store."""
+    """Hold one JobDesk and its store."""
 
     def __init__(self, memory: MemoryStore | None = None) -> None:
         self.time = fake_clock()
@@ -163,12 +166,12 @@
 
 
 class Begun(list[T]):
-    """Hold the end of work that has been begun, once it is there."""
+    """Start a coroutine; the list contains its result once it has finished."""
 
     def __init__(self, work: Awaitable[T]) -> None:
         super().__init__()
         Deferred.fromCoroutine(work).addCallback(self.append)  # type: ignore[arg-type]
 
     def end(self) -> T:
-        assert self, "the work has not ended"
+        assert self, "the coroutine has not finished"
         return self[0]
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Check that a request with an idempotency key runs at most once, whatever fails."""
+"""Test that a request with an idempotency key runs at most once despite failures."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -10,7 +10,7 @@
 from papayapier.claims.records import SHARDS, claim_id, shard_of
 from papayapier.errors import ErrorKind, Outcome
 from papayapier.settings import ClaimSettings
-from tests.claims_bench import CONTENTS, Fleet, make_answer, promises_checked
+from tests.claims_bench import CONTENTS, Fleet, invariants_checked, make_answer
 from tests.fake_store import Fault
 from tests.test_store import started
 
@@ -18,8 +18,8 @@
 
 
 @pytest.fixture(autouse=True)
-def raising() -> Iterator[None]:
-    with promises_checked():
+def check_invariants() -> Iterator[None]:
+    with invariants_checked():
         yield
 
 
@@ -38,7 +38,7 @@
     return begun.err_value.kind, begun.err_value.outcome
 
 
-def test_answer_is_given_again_on_any_instance(fleet: Fleet) -> None:
+def test_answer_is_returned_again_on_any_instance(fleet: Fleet) -> None:
     token = new_token(fleet.begin("a", "k"))
     assert fleet.begin("b", "k") == Ok(Running("a"))
     fleet.instances["a"].claims.finish(token, make_answer("x"))
@@ -48,7 +48,7 @@
     assert fleet.begin("a", "k") == Ok(Done(make_answer("x")))
 
 
-def test_large_answer_is_not_kept_but_known_as_done(fleet: Fleet) -> None:
+def test_large_answer_is_not_stored_but_request_is_done(fleet: Fleet) -> None:
     token = new_token(fleet.begin("a", "k"))
     fleet.instances["a"].claims.finish(token, make_answer("x" * (CFG.answer_bytes + 1)))
     fleet.advance(100)
@@ -63,10 +63,10 @@
 
 
 def test_conflict_with_an_attempt_that_has_not_claimed_yet(fleet: Fleet) -> None:
-    # Symptom: "not run, other content" for the very request that has run.
-    # Sequence: a runs it; b gets the key with other content, by mistake, and while it reads
-    # the store gets the first request again.
-    # Cause: b compared with its own attempt, which was about to lose the key to a's claim.
+    # Guards against refusing a request as not run, for other content, although it has run. a runs
+    # the request; b receives the key with other content by mistake and, while it reads the store,
+    # the first request again. b must not compare it with its own attempt, which is about to lose
+    # the key to a's claim.
     token = new_token(fleet.begin("a", "k", CONTENTS[0]))
     fleet.instances["a"].claims.finish(token, make_answer("x"))
     fleet.advance(100)
@@ -76,10 +76,9 @@
 
 
 def test_conflict_with_a_record_read_long_ago(fleet: Fleet) -> None:
-    # Symptom: as above.
-    # Sequence: b has read a's claim for other content; a abandons it, claims the key for the
-    # right content and runs it; b gets the right request.
-    # Cause: the record that b compared with was out of date.
+    # Guards against the same failure with an outdated record. b has read a's claim for other
+    # content; a abandons it, claims the key for the right content and runs the request; then b
+    # receives the right request.
     mistaken = new_token(fleet.begin("a", "k", CONTENTS[1]))
     assert fleet.begin("b", "k", CONTENTS[1]) == Ok(Running("a"))
     fleet.instances["a"].claims.abandon(mistaken)
@@ -117,10 +116,10 @@
     assert refusal(delivery.result[0]) == (ErrorKind.STORE_UNAVAILABLE, Outcome.NOT_RUN)
 
 
-def test_store_down_is_not_taken_for_not_run_of_a_known_claim(fleet: Fleet) -> None:
-    # Symptom: "not run" for a request that an earlier delivery has run.
-    # Sequence: b runs the request, a has read its claim; the store goes down; a resend.
-    # Cause: the refusal would look only at its own delivery.
+def test_store_down_does_not_report_not_run_for_a_known_claim(fleet: Fleet) -> None:
+    # Guards against reporting "not run" for a request that an earlier delivery has run. b runs the
+    # request, a has read its claim, the store becomes unavailable, and the request is resent to a.
+    # The refusal must not consider only its own delivery.
     token = new_token(fleet.begin("b", "k"))
     assert fleet.begin("a", "k") == Ok(Running("b"))
     fleet.instances["b"].claims.finish(token, make_answer("x"))
@@ -138,13 +137,13 @@
         (Fault.LOST_BEFORE, 0),
     ],
 )
-def test_claim_lost_past_its_due_is_abandoned_by_its_writer(
+def test_claim_lost_until_its_due_time_is_abandoned_by_its_writer(
     fleet: Fleet, fault: Fault, delay_ms: int
 ) -> None:
-    # Symptom: a request that was refused as not run can never be sent again with its key.
-    # Sequence: the claim's write is lost and the store silent until the due time; the
-    # refusal is given; then the write takes effect.
-    # Cause: nobody but the writer knows that the claim was given up.
+    # Guards against a request that was refused as not run and can never be sent with its key again.
+    # The claim's write is lost and the store does not respond until the due time; the request is
+    # refused; then the write takes effect. Only the writer knows that the claim was given up, so it
+    # must abandon it in the store.
     shard = shard_of(claim_id("caller", "k"))
     other = next(f"o{i}" for i in range(99) if shard_of(claim_id("caller", f"o{i}")) == shard)
     new_token(fleet.begin("a", other))
@@ -159,11 +158,12 @@
     assert fleet.begin("a", "k") == Ok(Running("b"))
 
 
-def test_lost_second_claim_is_abandoned_too(fleet: Fleet) -> None:
-    # Symptom: a key is in doubt for ever although nothing was sent and nobody has died.
-    # Sequence: a abandons its claim; its next claim of the key is lost on its way and given
-    # up; the abandon finds the first one's record and is taken for done; the claim lands.
-    # Cause: another's record does not prove that a lost write at the same version is dead.
+def test_second_claim_with_a_delayed_write_is_abandoned_too(fleet: Fleet) -> None:
+    # Guards against a key whose outcome stays unknown although no request was sent and no instance
+    # has crashed. a abandons its claim; the write of its next claim of the key is delayed and the
+    # claim given up; the abandon finds the record of the first claim and seems to be complete; then
+    # the delayed write takes effect. The record of another attempt does not prove that a lost write
+    # at the same version has failed.
     fleet.instances["a"].claims.abandon(new_token(fleet.begin("a", "k")))
     fleet.advance(100)
     fleet.platform.fail(Fault.LOST_DELAYED, "update", delay_ms=400)
@@ -172,11 +172,11 @@
     new_token(fleet.begin("b", "k"))
 
 
-def test_claim_that_landed_is_not_taken_back_while_an_archive_is_written() -> None:
-    # Symptom: as above.
-    # Sequence: a claim's answer is lost, though it took effect; the head is read again, and
-    # while an archive is written before the next group, the claim's due time passes.
-    # Cause: the head had moved on, by this very claim, which was then taken back as unsent.
+def test_written_claim_is_not_withdrawn_while_an_archive_is_written() -> None:
+    # Guards against the same failure. The response to a claim's write is lost although the write
+    # took effect; the head is read again, and the claim's due time passes while an archive is
+    # written before the next group. The head's version has advanced because of this claim itself,
+    # so the claim must not be withdrawn as if it had not been written.
     fleet = Fleet(["a", "b"], ClaimSettings(head_bytes=100), latency_ms=5)
     new_token(fleet.begin("b", "k4"))
     fleet.begin("a", "k4")
@@ -187,7 +187,7 @@
     new_token(fleet.begin("b", "k2"))
 
 
-def test_writer_gone_or_restarted_stays_unknown(fleet: Fleet) -> None:
+def test_outcome_is_unknown_if_the_writer_is_paused_or_restarted(fleet: Fleet) -> None:
     new_token(fleet.begin("a", "k"))
     fleet.instances["a"].paused = True
     assert fleet.begin("b", "k") == Ok(Unknown("a"))
@@ -199,10 +199,12 @@
 
 
 @pytest.mark.parametrize("answers_first", [False, True])
-def test_paused_begin_is_not_sent_after_its_due(fleet: Fleet, answers_first: bool) -> None:
-    # Symptom: a pass is issued after its caller was told that it was not.
-    # Sequence: the process stops after the claim's write left and wakes after the due time.
-    # Cause: the answer to the write looks as good as in time.
+def test_request_paused_in_begin_is_not_sent_after_its_due_time(
+    fleet: Fleet, answers_first: bool
+) -> None:
+    # Guards against sending a request after its caller was told that it was not sent. The process
+    # is paused after the claim's write was sent and resumes after the due time, when the response
+    # to the write must not be treated as if it had arrived in time.
     delivery = fleet.deliver("a", "k", due_in_ms=100)
     fleet.advance(10)
     fleet.instances["a"].paused = True
@@ -222,7 +224,7 @@
     assert writes <= 2 * SHARDS
 
 
-def test_all_instances_at_once_claim_each_key_once(fleet: Fleet) -> None:
+def test_concurrent_instances_claim_each_key_once(fleet: Fleet) -> None:
     deliveries = [fleet.deliver(name, f"k{i}") for i in range(50) for name in "ab"]
     fleet.advance(1_000)
     ends = [d.result[0].unwrap() for d in deliveries]
@@ -253,11 +255,11 @@
     assert len(left) < len(archived) / 4
 
 
-def test_archives_of_two_instances_at_once() -> None:
-    # Symptom: a key whose claim is in the store is claimed a second time.
-    # Sequence: a writes an archive and stops before the head names it; b adds to the head,
-    # uses a's archive and writes the next; a goes on.
-    # Cause: a's own idea of the archive, or its number, is taken for what is in the store.
+def test_two_instances_write_archives_concurrently() -> None:
+    # Guards against claiming a key twice although its claim is in the store. a writes an archive
+    # and is paused before the head lists it; b adds to the head, uses a's archive and writes the
+    # next one; a resumes. a must not rely on its own copy of the archive or on its number instead
+    # of reading the store.
     fleet = Fleet(["a", "b"], ClaimSettings(head_bytes=100), latency_ms=5)
     first, second, third, fourth = (f"k{i}" for i in (2, 4, 13, 24))
     assert len({shard_of(claim_id("caller", k)) for k in (first, second, third, fourth)}) == 1
@@ -269,12 +271,12 @@
         if not any("/archive/" in key for key in fleet.platform.objects):
             fleet.advance(5)
     fleet.instances["a"].paused = True
-    # The head grows further before b comes to use the archive.
+    # The head grows further before b uses the archive.
     fleet.platform.fail(Fault.UNAVAILABLE, "create", store="b")
     new_token(fleet.begin("b", first))
     assert refusal(fleet.begin("b", first, due_in_ms=50))[0] is ErrorKind.STILL_RUNNING
     new_token(fleet.begin("b", fourth))
-    # The archive has the abandoned attempt on the key and the head the one that followed.
+    # The archive contains the abandoned attempt on the key, the head the attempt after it.
     fleet.start("c")
     assert fleet.begin("c", first) == Ok(Running("b"))
     for i in (32, 33):
@@ -287,7 +289,7 @@
         assert fleet.begin("c", key) == Ok(Running("b"))
 
 
-def test_drain_waits_for_the_ends_to_be_stored(fleet: Fleet) -> None:
+def test_drain_waits_until_outcomes_are_stored(fleet: Fleet) -> None:
     token = new_token(fleet.begin("a", "k"))
     fleet.platform.down = True
     claims = fleet.instances["a"].claims
--- a/tests/test_claims_machine.py
+++ b/tests/test_claims_machine.py
@@ -1,4 +1,4 @@
-"""Check by a state machine that a request with an idempotency key runs at most once."""
+"""Test with a state machine that a request with an idempotency key runs at most once."""
 
 import os
 from collections.abc import Iterator
@@ -21,20 +21,20 @@
 from papayapier.claims.records import claim_id
 from papayapier.errors import ErrorKind, Outcome
 from papayapier.settings import ClaimSettings
-from tests.claims_bench import CONTENTS, Delivery, Fleet, make_answer, promises_checked
+from tests.claims_bench import CONTENTS, Delivery, Fleet, invariants_checked, make_answer
 from tests.fake_store import Fault
 
 KEYS = ("k2", "k4", "k13")  # all in one shard
 
 
 @pytest.fixture(autouse=True)
-def raising() -> Iterator[None]:
-    with promises_checked():
+def check_invariants() -> Iterator[None]:
+    with invariants_checked():
         yield
 
 
 class _Run:
-    """Follow one claim that was handed out."""
+    """Track one claim that begin() returned as new."""
 
     def __init__(self, delivery: Delivery, token: bytes) -> None:
         self.delivery = delivery
@@ -46,10 +46,10 @@
 
 
 class ClaimsMachine(RuleBasedStateMachine):
-    """Send requests in any order to instances that crash and pause over a faulty store.
+    """Send requests in any order to instances that crash and pause, with a faulty store.
 
-    The machine is the entry: it sends what it was given a new token for, once, and finishes
-    or abandons. It counts what ran, and compares every end with that.
+    The machine plays the entry: it sends each request for which it received a new token once, then
+    finishes or abandons the token. It records what ran, and checks every result against that.
     """
 
     names = st.sampled_from(["a", "b", "c"])
@@ -149,17 +149,17 @@
             assert len(contents) == 1, (key, contents)
 
     def _collect(self) -> None:
-        """Take the deliveries that have ended, and check what was said of them."""
+        """Remove the finished deliveries, and check their results."""
         for delivery in [d for d in self.open if d.result and not d.instance.dead]:
             self.open = [other for other in self.open if other is not delivery]
-            self._check_end(delivery, delivery.result[0])
+            self._check_result(delivery, delivery.result[0])
 
-    def _check_end(self, delivery: Delivery, begun: Any) -> None:
+    def _check_result(self, delivery: Delivery, begun: Any) -> None:
         key = delivery.key
         if isinstance(begun, Err):
             kind = begun.err_value.kind
             if kind is ErrorKind.KEY_CONFLICT:
-                assert not any(delivery is one for one in self.already_ran)
+                assert not any(delivery is other for other in self.already_ran)
             elif kind is ErrorKind.STILL_RUNNING:
                 assert begun.err_value.outcome is Outcome.UNKNOWN
             return
@@ -174,7 +174,7 @@
             assert self.ran[key] == [delivery.content]
 
     def teardown(self) -> None:
-        """Mend everything; then every key must have the end that what ran gives it."""
+        """Remove all faults; then the result for every key must match what ran."""
         if not hasattr(self, "fleet"):
             return
         self.fleet.platform.clear_faults()
@@ -184,32 +184,32 @@
         for key in KEYS:
             content = self.ran.get(key, [CONTENTS[0]])[0]
             for name in ("a", "b", "c"):
-                self._check_last(self.fleet.settled(self.fleet.deliver(name, key, content)))
+                self._check_final_result(self.fleet.settled(self.fleet.deliver(name, key, content)))
 
-    def _check_last(self, delivery: Delivery) -> None:
+    def _check_final_result(self, delivery: Delivery) -> None:
         key, begun = delivery.key, delivery.result[0]
-        handed_out = [run for run in self.runs if run.delivery.key == key]
+        unfinished = [run for run in self.runs if run.delivery.key == key]
         if isinstance(begun, Err):
-            # Only a claim that is still handed out may keep a request waiting.
+            # Only a claim that is neither finished nor abandoned may keep a request waiting.
             assert begun.err_value.kind in (ErrorKind.STILL_RUNNING, ErrorKind.KEY_CONFLICT)
-            assert handed_out or key in self.crashed, begun
+            assert unfinished or key in self.crashed, begun
             return
-        self._check_end(delivery, begun)
+        self._check_result(delivery, begun)
         end = begun.ok_value
         if isinstance(end, Unknown):
-            assert key in self.crashed, "nobody has died who could have claimed this key"
+            assert key in self.crashed, "no crashed instance could have claimed this key"
         elif isinstance(end, Running):
-            assert handed_out, "nobody has this claim"
+            assert unfinished, "no instance has this claim"
 
 
-def test_nothing_runs_twice_whatever_happens() -> None:
+def test_no_request_runs_twice() -> None:
     run_state_machine_as_test(
         ClaimsMachine,
         settings=settings(
             derandomize=True,
             deadline=None,
             database=None,
-            # Shrinking takes minutes here; a failure prints its steps as they were.
+            # Shrinking takes minutes here; a failure prints its steps without shrinking.
             phases=[Phase.generate],
             max_examples=int(os.environ.get("CLAIMS_EXAMPLES", "60")),
             stateful_step_count=40,
--- a/tests/test_jobs_commits.py
+++ b/tests/test_jobs_commits.py
@@ -1,8 +1,8 @@
-"""Test that results are listed once and keep their positions, whoever writes them.
+"""Test that results are listed once and keep their positions when several instances write them.
 
-Symptom that these rules prevent: an item stands at two positions, or a position changes.
-Events: two instances run the same job, because one took the other for dead; answers to writes
-are lost, writes take effect late, calls fail in any order.
+Guards against an item that is listed at two positions, or a position that changes. This could
+happen if two instances run the same job because one wrongly considers the other dead, and responses
+to writes are lost, writes take effect late, or calls fail in any order.
 """
 
 import random
@@ -25,26 +25,26 @@
 
 
 class Writer:
-    """Hold one instance that runs the job."""
+    """Simulate one instance that runs the job."""
 
     def __init__(self, memory: MemoryStore, clock: Any, seed: int) -> None:
-        self.work = OwnedJob(JOB, record(*NAMES))
+        self.job = OwnedJob(JOB, record(*NAMES))
         self.deps = CommitDeps(
             clock,
             random.Random(seed),
             memory.store(),
             lambda _items: None,
-            lambda _work, _written: None,
+            lambda _job, _written: None,
             GroupsTold(),
         )
 
     def load(self) -> None:
-        Deferred.fromCoroutine(load_groups(self.deps, self.work))
+        Deferred.fromCoroutine(load_groups(self.deps, self.job))
 
     def finish(self, name: str) -> None:
-        if name in self.work.items:
-            self.work.finish(name, ItemEnd.DONE)
-            Deferred.fromCoroutine(commit(self.deps, self.work))
+        if name in self.job.items:
+            self.job.finish(name, ItemEnd.DONE)
+            Deferred.fromCoroutine(commit(self.deps, self.job))
 
 
 class TwoWriters(RuleBasedStateMachine):
@@ -85,20 +85,22 @@
         return [result.id for group in groups for result in group.results]
 
     @invariant()
-    def each_item_stands_once_and_stays(self) -> None:
+    def each_item_is_listed_once_and_keeps_its_position(self) -> None:
         listed = self.listed()
         assert len(set(listed)) == len(listed)
         assert listed[: len(self.shown)] == self.shown
         self.shown = listed
 
     def teardown(self) -> None:
-        """Whatever was finished is listed once the store answers again."""
+        """Check that all finished items are listed once the store is available again."""
         self.faults = []
         for _ in range(60):
             self.time.advance(300)
-        finished = {name for one in self.writers for name in NAMES if name not in one.work.items}
+        finished = {
+            name for writer in self.writers for name in NAMES if name not in writer.job.items
+        }
         assert finished <= set(self.listed())
-        assert not any(one.work.unwritten for one in self.writers)
+        assert not any(writer.job.unwritten for writer in self.writers)
 
 
 TwoWriters.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
--- a/tests/test_jobs_desk.py
+++ b/tests/test_jobs_desk.py
@@ -1,4 +1,4 @@
-"""Test that batch jobs are accepted once, and that their results are never denied or moved."""
+"""Test that batch jobs are accepted once, and that shown results neither disappear nor move."""
 
 import pytest
 from result import Err, Ok
@@ -14,16 +14,16 @@
 
 
 def names(results: list[ItemResult]) -> list[str]:
-    return [one.id for one in results]
+    return [result.id for result in results]
 
 
-def test_a_job_sent_again_elsewhere_is_accepted_again_and_kept_once() -> None:
-    one = DeskWorld()
-    other = DeskWorld(one.memory)
-    for world in (one, other, one):
+def test_a_job_resubmitted_to_another_instance_is_accepted_and_stored_once() -> None:
+    first = DeskWorld()
+    other = DeskWorld(first.memory)
+    for world in (first, other, first):
         submitted = world.begin(world.desk.submit(JOB, "h", "/j", ITEMS, 1_000))
         assert submitted.end() == Ok(None)
-    assert [key for key in one.memory.objects if key.startswith("papayapier-jobs")] == [
+    assert [key for key in first.memory.objects if key.startswith("papayapier-jobs")] == [
         job_key(JOB)
     ]
 
@@ -35,10 +35,10 @@
     assert world.begin(world.desk.submit(JOB, "h", "/j", ITEMS, 1_000)).end() == Ok(None)
 
 
-def test_a_write_of_unknown_fate_is_neither_accepted_nor_refused() -> None:
-    # Symptom: items run of a job whose every submission was answered "not run".
-    # Events: the write of the record is lost; the store stays silent until the answer is due;
-    # the record turns up later. Cause: the refusal did not know what it promised.
+def test_a_write_of_unknown_outcome_is_neither_accepted_nor_refused() -> None:
+    # Guards against running a job whose submissions were all refused as "not run". The write of the
+    # record is lost, the store does not respond until the due time, and the record appears later,
+    # so the refusal must not claim that the job was not accepted.
     world = DeskWorld()
     world.memory.fault = lambda call, _key: (
         StoreError.LOST if call == "create" else StoreError.UNAVAILABLE
@@ -51,7 +51,7 @@
     assert ended.err_value.outcome is Outcome.UNKNOWN
 
 
-def test_a_store_that_is_away_is_a_true_refusal() -> None:
+def test_a_job_is_refused_as_not_run_while_the_store_is_unavailable() -> None:
     world = DeskWorld()
     world.memory.fault = lambda _call, _key: StoreError.UNAVAILABLE
     ended = world.begin(world.desk.submit(JOB, "h", "/j", ITEMS, 1_000)).end()
@@ -60,7 +60,7 @@
     assert ended.err_value.kind is ErrorKind.STORE_UNAVAILABLE
 
 
-def test_large_jobs_are_split_and_read_whole() -> None:
+def test_large_jobs_are_split_and_read_completely() -> None:
     world = DeskWorld()
     items = tuple(item(f"i{n}", "A" * 200_000) for n in range(9))
     assert world.begin(world.desk.submit(JOB, "h", "/j", items, 1_000)).end() == Ok(None)
@@ -69,22 +69,21 @@
     assert other.begin(other.desk.item(JOB, "i8")).end() == Ok(items[8])
 
 
-def test_a_missing_job_is_denied_only_if_the_store_says_so() -> None:
+def test_a_job_is_not_found_only_if_the_store_confirms_it() -> None:
     world = DeskWorld()
     missing = world.begin(world.desk.results(JOB, 0, 0)).end()
     assert isinstance(missing, Err)
     assert missing.err_value.kind is ErrorKind.NOT_FOUND
     world.memory.fault = lambda _call, _key: StoreError.UNAVAILABLE
-    unsure = world.begin(world.desk.results(JOB, 0, 0)).end()
-    assert isinstance(unsure, Err)
-    assert unsure.err_value.kind is ErrorKind.STORE_UNAVAILABLE
+    unavailable = world.begin(world.desk.results(JOB, 0, 0)).end()
+    assert isinstance(unavailable, Err)
+    assert unavailable.err_value.kind is ErrorKind.STORE_UNAVAILABLE
 
 
 def test_a_late_reader_sees_all_groups_at_once() -> None:
-    # Symptom: a position that another instance had shown seconds ago is answered as empty.
-    # Events: several groups are stored; an instance reads the first; the next read of the
-    # same call was put off. Cause: a look that had found a group was taken for one that had
-    # found none.
+    # Guards against reporting a position as empty that another instance showed seconds ago. Several
+    # groups are stored and an instance reads the first one. A read that found a group must not be
+    # treated like one that found none, or the next read of the same call is deferred.
     world = DeskWorld()
     world.has_job("a", "b", "c", "d")
     for number, name in enumerate("abc"):
@@ -94,10 +93,10 @@
     assert page.total == 4
 
 
-def test_a_look_under_way_does_not_stand_for_an_answer() -> None:
-    # Symptom: as above, where two callers read the same job at the same time.
-    # Events: the first read's look is on its way; the second read takes it for an answer
-    # and tells its caller that there is nothing. Cause: the time was noted before the answer.
+def test_a_store_read_in_progress_is_not_taken_for_a_result() -> None:
+    # Guards against the same failure when two callers read a job concurrently. While the store read
+    # of the first call is in progress, the second call must not reply that there is no result, as
+    # happened when the time of the read was recorded before its response.
     world = DeskWorld()
     world.has_job("a", "b")
     world.begin(world.desk.results(JOB, 0, 0)).end()
@@ -111,7 +110,7 @@
         assert names(read.end().unwrap().results) == ["a"]
 
 
-def test_a_waiting_read_ends_when_a_peer_tells_of_a_group() -> None:
+def test_a_waiting_read_ends_when_a_peer_notifies_of_a_group() -> None:
     world = DeskWorld()
     world.has_job("a")
     waiting = world.begin(world.desk.results(JOB, 0, 1_000))
@@ -122,8 +121,8 @@
     assert names(waiting.end().unwrap().results) == ["a"]
 
 
-def test_a_waiting_read_costs_two_looks_when_nothing_comes() -> None:
-    # Before: five looks for each second of waiting, which were most calls to the store.
+def test_a_waiting_read_costs_two_store_reads_without_results() -> None:
+    # Guards against five store reads per second of waiting, which were most of all store calls.
     world = DeskWorld()
     world.has_job("a")
     waiting = world.begin(world.desk.results(JOB, 0, 1_000))
@@ -143,19 +142,20 @@
     assert stored.ended
 
 
-def test_a_racing_end_and_resend_leave_one_ended_job() -> None:
+def test_a_concurrent_end_and_resubmission_leave_one_ended_job() -> None:
     memory = MemoryStore()
-    one, other = DeskWorld(memory), DeskWorld(memory)
-    one.begin(one.desk.submit(JOB, "h", "/j", ITEMS, 1_000))
-    ends = [world.begin(world.desk.end(JOB, 1_000)) for world in (one, other)]
+    first, other = DeskWorld(memory), DeskWorld(memory)
+    first.begin(first.desk.submit(JOB, "h", "/j", ITEMS, 1_000))
+    ends = [world.begin(world.desk.end(JOB, 1_000)) for world in (first, other)]
     assert other.begin(other.desk.submit(JOB, "h", "/j", ITEMS, 1_000)).end() == Ok(None)
     assert [end.end() for end in ends] == [Ok(None), Ok(None)]
     assert read_record(memory.objects[job_key(JOB)][1]).unwrap().ended
 
 
-def test_reading_again_and_again_looks_at_the_store_every_other_time() -> None:
-    # Load: a caller waits for a job and reads twice a second, and no writer is heard.
-    # Before: 20 looks in ten seconds, two thirds of all calls of a day. After: 11.
+def test_repeated_reads_read_the_store_every_second_time() -> None:
+    # A caller reads a job twice a second, and no notifications of writers arrive. Guards against a
+    # store read for each of the 20 reads in ten seconds, which were two thirds of all store calls;
+    # 11 are expected.
     world = DeskWorld()
     world.has_job("a", "b")
     for _ in range(20):
@@ -163,9 +163,9 @@
         for _ in range(11):
             world.time.advance(50)
         assert isinstance(reading.end(), Ok)
-    looks = [call for call in world.memory.calls if call.startswith("list")]
-    assert len(looks) <= 12
-    # What another instance has shown a second before is shown here, whenever that was.
+    store_reads = [call for call in world.memory.calls if call.startswith("list")]
+    assert len(store_reads) <= 12
+    # A position that another instance showed one second ago is shown here.
     world.has_group(0, "a")
     world.time.advance(1_000)
     reading = world.begin(world.desk.results(JOB, 0, 0))
@@ -173,29 +173,29 @@
     assert names(page.results) == ["a"]
 
 
-def test_a_group_of_ones_own_is_not_read_back() -> None:
-    # Symptom: of 2,668 calls to the store on a calm day 1,001 are looks for results.
-    # Cause: whoever writes a group read it from the store before it showed it.
+def test_an_instance_does_not_read_back_its_own_group() -> None:
+    # Guards against needless store calls: under light load 1,001 of 2,668 calls read results,
+    # because an instance that wrote a group read it back from the store before showing it.
     world = DeskWorld()
     world.has_job("a", "b", "c")
     assert world.begin(world.desk.results(JOB, 0, 0)).end().unwrap().results == []
     waiting = world.begin(world.desk.results(JOB, 0, 1_000))
     world.time.advance(500)
-    looks = world.memory.calls.count(f"list {groups_prefix(JOB)}")
+    store_reads = world.memory.calls.count(f"list {groups_prefix(JOB)}")
     world.has_group(0, "a")
     world.desk.on_written(JOB, Written(0, group("a"), world.time.clock.now()))
     assert names(waiting.end().unwrap().results) == ["a"]
-    # The write shows that there was nothing after it, as a look does.
+    # Like a read, the write proves that no later group existed.
     world.time.advance(READ_VALID_MS - 1)
     assert world.begin(world.desk.results(JOB, 1, 0)).end().unwrap().results == []
-    assert world.memory.calls.count(f"list {groups_prefix(JOB)}") == looks
-    # Another may write as well: what was written elsewhere is seen by the next look.
+    assert world.memory.calls.count(f"list {groups_prefix(JOB)}") == store_reads
+    # Another instance may write too: its group is found by the next store read.
     world.has_group(1, "b")
     world.time.advance(2)
     assert names(world.begin(world.desk.results(JOB, 1, 0)).end().unwrap().results) == ["b"]
 
 
-def test_a_group_after_one_that_is_not_known_is_read() -> None:
+def test_a_written_group_after_an_unknown_one_is_read() -> None:
     world = DeskWorld()
     world.has_job("a", "b", "c")
     world.begin(world.desk.results(JOB, 0, 0)).end()
--- a/tests/test_jobs_expiry.py
+++ b/tests/test_jobs_expiry.py
@@ -1,4 +1,4 @@
-"""Test that jobs are deleted when nobody may ask for them any more, and not before."""
+"""Test that jobs are deleted after their retention period, and not before."""
 
 from twisted.internet.defer import Deferred
 
@@ -30,7 +30,7 @@
         return sorted(self.memory.objects)
 
 
-def test_an_old_closed_job_goes_with_all_that_belongs_to_it() -> None:
+def test_an_expired_closed_job_is_deleted_with_its_parts_and_groups() -> None:
     world = World()
     assert len(world.sweep_at(KEEP_S * 1_000)) == 3
     assert world.sweep_at(CLOCK_MARGIN_MS + 1) == []
@@ -38,13 +38,13 @@
     assert deletes[0] == f"delete {job_key(JOB)}"
 
 
-def test_an_open_job_stays() -> None:
+def test_an_open_job_is_not_deleted() -> None:
     world = World()
     world.closed = False
     assert len(world.sweep_at(10 * KEEP_S * 1_000)) == 3
 
 
-def test_a_job_that_has_changed_stays() -> None:
+def test_a_job_that_has_changed_is_not_deleted() -> None:
     world = World()
     world.memory.put(job_key(JOB), encode(record("a")._replace(ended=True)))
     assert len(world.sweep_at(10 * KEEP_S * 1_000)) == 3
--- a/tests/test_jobs_progress.py
+++ b/tests/test_jobs_progress.py
@@ -1,4 +1,4 @@
-"""Test that items go on from what a keeper's disk holds, and from nothing where it holds none."""
+"""Test that items resume from the progress on a keeper's disk, if there is any."""
 
 import random
 from collections.abc import Callable
@@ -32,18 +32,18 @@
     return str(tmp_path)
 
 
-def test_the_latest_snapshot_counts(tmp_path: Path) -> None:
+def test_the_latest_snapshot_is_loaded(tmp_path: Path) -> None:
     assert progress.load(folder_of(tmp_path, 1, 2, 3)).number == 3
 
 
-def test_nothing_is_known_without_a_disk(tmp_path: Path) -> None:
+def test_without_a_disk_the_snapshot_is_empty(tmp_path: Path) -> None:
     assert progress.load(str(tmp_path / "none")) == progress.EMPTY_SNAPSHOT
 
 
 @pytest.mark.parametrize("left", [0, 7, 30])
-def test_a_torn_snapshot_leaves_the_one_before(tmp_path: Path, left: int) -> None:
-    # Symptom: after a loss of power a text is no item's whole output.
-    # Events: power goes while a snapshot is written; a part of it reached the disk.
+def test_with_a_torn_snapshot_the_previous_one_is_loaded(tmp_path: Path, left: int) -> None:
+    # Guards against a result text that is not an item's complete output after a power loss. The
+    # power fails while a snapshot is written, and only a part of it reaches the disk.
     folder = folder_of(tmp_path, 1, 2)
     path = tmp_path / progress.FILES[0]
     path.write_bytes(path.read_bytes()[:left])
@@ -53,27 +53,27 @@
     assert progress.load(folder) == progress.EMPTY_SNAPSHOT
 
 
-def test_an_item_goes_on_from_its_last_event() -> None:
-    # Symptom: after a kill of all, each item that ran begins again, and all are late together.
-    # Cause: what had come of it was in memory only.
-    work = OwnedJob(JOB, record("a", "b", "c"))
+def test_an_item_resumes_from_its_last_event() -> None:
+    # Guards against items that all start again, and are all late, after all processes were killed.
+    # This happens if their progress is held in memory only.
+    job = OwnedJob(JOB, record("a", "b", "c"))
     for saved in (BEGUN, DONE):
-        work.restore(saved)
-    one = work.items["a"]
-    assert (one.last_event, one.text(), one.failures) == (2, "one\ntwo", 1)
-    assert work.unwritten["b"].text == "one\ntwo\nthree"
-    assert sorted(work.items) == ["a", "c"]
-    assert sorted(work.progress()) == [BEGUN, DONE]
+        job.restore(saved)
+    state = job.items["a"]
+    assert (state.last_event, state.text(), state.failures) == (2, "one\ntwo", 1)
+    assert job.unwritten["b"].text == "one\ntwo\nthree"
+    assert sorted(job.items) == ["a", "c"]
+    assert sorted(job.progress()) == [BEGUN, DONE]
 
 
-def test_what_another_has_listed_is_not_recalled() -> None:
-    work = OwnedJob(JOB, record("b"))
-    work.restore(BEGUN)
-    assert (sorted(work.items), work.unwritten) == (["b"], {})
+def test_an_item_listed_by_another_instance_is_not_restored() -> None:
+    job = OwnedJob(JOB, record("b"))
+    job.restore(BEGUN)
+    assert (sorted(job.items), job.unwritten) == (["b"], {})
 
 
 class Disk:
-    """Run the calls of a saver on a clock of the test's."""
+    """Run the blocking calls of a saver on a fake clock."""
 
     def __init__(self, folder: str) -> None:
         self.time = fake_clock()
@@ -92,7 +92,7 @@
         return call()
 
 
-def test_progress_is_saved_while_there_is_some(tmp_path: Path) -> None:
+def test_progress_is_saved_only_while_there_is_some(tmp_path: Path) -> None:
     disk = Disk(str(tmp_path))
     Deferred.fromCoroutine(progress.save_regularly(disk.deps, 4))
     disk.time.advance(3 * progress.SAVE_MS)
@@ -107,18 +107,18 @@
     assert disk.writes <= idle + 2
 
 
-def test_a_snapshot_is_bounded_and_holds_results_first(tmp_path: Path) -> None:
-    # Symptom: in an outage of hours each second's snapshot is larger than the one before.
+def test_a_snapshot_is_bounded_and_contains_results_first(tmp_path: Path) -> None:
+    # Guards against snapshots that grow every second during a store outage of hours.
     disk = Disk(str(tmp_path))
     half = "x" * (progress.MAX_CHARS // 2)
     disk.items = [BEGUN._replace(texts=(half,)), DONE._replace(texts=(half,)), DONE]
     Deferred.fromCoroutine(progress.save_regularly(disk.deps, 0))
     disk.time.advance(progress.SAVE_MS)
     saved = progress.load(str(tmp_path)).items
-    assert [one.end for one in saved] == [ItemEnd.DONE, ItemEnd.DONE]
+    assert [item.end for item in saved] == [ItemEnd.DONE, ItemEnd.DONE]
 
 
-def test_a_full_disk_is_told_once(tmp_path: Path) -> None:
+def test_a_failing_disk_is_logged_once(tmp_path: Path) -> None:
     disk = Disk(str(tmp_path / "none"))
     disk.items = [BEGUN]
     logs = LogCatcher()
@@ -136,7 +136,7 @@
     assert begun.end() == progress.EMPTY_SNAPSHOT
 
 
-def test_random_bytes_are_no_snapshot(tmp_path: Path) -> None:
+def test_random_bytes_are_not_read_as_a_snapshot(tmp_path: Path) -> None:
     rand = random.Random(1)
     for _ in range(50):
         for name in progress.FILES:
@@ -144,21 +144,21 @@
         assert progress.load(str(tmp_path)) == progress.EMPTY_SNAPSHOT
 
 
-def test_what_has_ended_replicas_is_on_the_disk(tmp_path: Path) -> None:
-    # Symptom: after a loss of all power a work that had ended three replicas ends three more.
-    # Cause: what was known of it was in memory only.
+def test_replica_losses_are_saved(tmp_path: Path) -> None:
+    # Guards against a request that ended three replicas and ends three more after a power loss of
+    # all processes. This happens if replica losses are held in memory only.
     disk = Disk(str(tmp_path))
     Deferred.fromCoroutine(progress.save_regularly(disk.deps, 4))
     disk.losses = [Loss("w", "r", 0)]
     disk.time.advance(progress.SAVE_MS)
     assert progress.load(str(tmp_path)).losses == (Loss("w", "r", 0),)
     written = disk.writes
-    # Only their age changes: nothing is written for that.
+    # Only the age of the losses changes, which causes no write.
     disk.losses = [Loss("w", "r", 5_000)]
     disk.time.advance(3 * progress.SAVE_MS)
     assert disk.writes == written
 
 
-def test_a_snapshot_of_an_older_program_is_read() -> None:
+def test_a_snapshot_of_an_older_version_is_read() -> None:
     old = msgspec.msgpack.encode((7, ()))
     assert msgspec.msgpack.decode(old, type=Snapshot) == Snapshot(7, (), ())
--- a/tests/test_jobs_room.py
+++ b/tests/test_jobs_room.py
@@ -1,4 +1,4 @@
-"""Test what an instance takes of the slots that it shares with one that it cannot hear."""
+"""Test how many of the shared slots of a replica an instance may use."""
 
 import random
 
@@ -14,7 +14,7 @@
 SLOTS = 8
 
 
-def shared(sharing: list[str], hidden: list[str]) -> SlotSnapshot:
+def snapshot(sharing: list[str], hidden: list[str]) -> SlotSnapshot:
     book = LoadBook()
     replica = Replica("r", "lm", "h", 1, "dc")
     book.on_listed([replica], (), {"r": SLOTS})
@@ -23,21 +23,22 @@
     return SlotSnapshot(random.Random(1), "a", book, outliers, sharing, hidden)
 
 
-def test_unused_slots_of_one_that_is_heard_are_taken() -> None:
-    assert start_limit(replica_use(shared(["a", "b"], []), "r")) == SLOTS - SPARE_SLOTS
+def test_idle_slots_of_a_reachable_instance_are_used() -> None:
+    assert start_limit(replica_use(snapshot(["a", "b"], []), "r")) == SLOTS - SPARE_SLOTS
 
 
-def test_a_hidden_one_keeps_its_part() -> None:
-    # Symptom: online streams wait a second at full replicas while two keepers are cut from
-    # each other. Cause: each took all slots, since it saw none of the other's streams.
-    assert start_limit(replica_use(shared(["a", "b"], ["b"]), "r")) == (SLOTS - SPARE_SLOTS) // 2
+def test_an_unreachable_instance_keeps_its_share() -> None:
+    # Guards against online streams that wait a second at full replicas while two keepers cannot
+    # reach each other, because each uses all slots without knowing of the other's streams.
+    assert start_limit(replica_use(snapshot(["a", "b"], ["b"]), "r")) == (SLOTS - SPARE_SLOTS) // 2
 
 
 @pytest.mark.parametrize("hubs", range(1, ALL_SHARE + 1))
 def test_every_hub_of_a_small_fleet_may_use_every_idle_slot(hubs: int) -> None:
-    # Symptom: 37 items wait for 25 s while 40 of 48 slots are idle, and end late or never.
-    # Events: a keeper is added to three; it owns five jobs; no online call is under way.
-    # Cause: three keepers shared each replica, whom hashing chose; the fourth had one replica.
+    # Guards against 37 items that wait for 25 s and finish late or never, while 40 of 48 slots are
+    # idle. A keeper is added to three others and owns five jobs, without any online call in
+    # progress. If hashing chose three keepers to share each replica, the fourth had only one
+    # replica.
     names = [f"storage-{number}" for number in range(hubs)]
     for me in names:
         for replica in range(8):
@@ -49,8 +50,8 @@
     assert len(sharers_of("i-1", names)) == SHARERS
 
 
-def test_room_is_found_where_there_is_some() -> None:
-    finder = ReplicaFinder(shared(["a"], []))
+def test_a_replica_with_free_slots_is_found() -> None:
+    finder = ReplicaFinder(snapshot(["a"], []))
     found = finder.find("lm", 0)
     assert found is not None
     assert found.id == "r"
@@ -58,9 +59,10 @@
 
 
 def test_every_keeper_of_a_large_fleet_has_a_replica_to_run_items_at() -> None:
-    # Failure: a keeper shares no replica of a service, and the jobs that fall to it lie for good.
+    # Guards against a keeper that has no share at any replica of a service, so that the jobs it
+    # owns never run.
     keepers = [f"keeper-{number}" for number in range(30)]
     for fleet in range(40):
         replicas = [f"i-{fleet}-{number}" for number in range(47)]
-        sharing = {one for replica in replicas for one in sharers_of(replica, keepers)}
+        sharing = {keeper for replica in replicas for keeper in sharers_of(replica, keepers)}
         assert sharing == set(keepers), fleet
--- a/tests/test_jobs_runner.py
+++ b/tests/test_jobs_runner.py
@@ -1,4 +1,4 @@
-"""Test what a keeper does with jobs that it knows from its own disk before the store has them."""
+"""Test how a keeper runs jobs that are stored on its own disk and not yet in the store."""
 
 from typing import Any, cast
 
@@ -26,7 +26,7 @@
 
 
 class RunnerWorld(World):
-    """Hold one keeper's runner, its replica and a store that may be away."""
+    """Hold one keeper's runner, its replica and a store that may be unavailable."""
 
     def __init__(self) -> None:
         super().__init__("lm")
@@ -39,49 +39,49 @@
         )
         self.runner.start()
 
-    def away(self) -> None:
+    def make_store_unavailable(self) -> None:
         self.memory.fault = lambda _call, _key: StoreError.UNAVAILABLE
 
-    def back(self) -> None:
+    def make_store_available(self) -> None:
         self.memory.fault = lambda _call, _key: None
 
     def record(self, *names: str) -> JobRecord:
         return record(*names)._replace(accepted_ms=int(self.time.clock.wall()))
 
     def finish(self, item_id: str) -> None:
-        work = self.runner._owned[JOB]
-        work.items[item_id].texts = ["x"] * EVENTS
+        job = self.runner._owned[JOB]
+        job.items[item_id].texts = ["x"] * EVENTS
         self.sent[item_id].callback(Ok(PassedOn(200)))
 
     def listed(self, number: int) -> list[str]:
         read = read_group(self.memory.objects[group_key(JOB, number)][1]).unwrap()
-        return [one.id for one in read.results]
+        return [result.id for result in read.results]
 
 
-def test_a_held_job_runs_while_the_store_is_away() -> None:
-    # Symptom: a job that was accepted in an outage waits for its end, and is late.
-    # Cause: a job began to run when its record was read from the store.
+def test_a_locally_stored_job_runs_while_the_store_is_unavailable() -> None:
+    # Guards against a job that is accepted during a store outage and starts only after it, so that
+    # its results are late. This happens if a job starts when its record is read from the store.
     world = RunnerWorld()
-    world.away()
+    world.make_store_unavailable()
     world.runner.on_held(JOB, world.record("a"))
     world.time.advance(200)
     assert sorted(world.sent) == ["a"]
     world.finish("a")
     world.time.advance(1_000)
-    world.back()
+    world.make_store_available()
     world.memory.put(job_key(JOB), encode(world.record("a")))
     world.time.advance(2_000)
     assert world.listed(0) == ["a"]
     assert world.runner.has_closed(JOB)
 
 
-def test_what_another_has_listed_of_a_held_job_is_listed_once() -> None:
+def test_items_of_a_locally_stored_job_listed_elsewhere_are_listed_once() -> None:
     world = RunnerWorld()
-    world.away()
+    world.make_store_unavailable()
     world.runner.on_held(JOB, world.record("a", "b"))
     world.time.advance(200)
     world.finish("a")
-    world.back()
+    world.make_store_available()
     world.memory.put(group_key(JOB, 0), encode(group("a")))
     world.time.advance(2_000)
     world.finish("b")
@@ -90,11 +90,10 @@
 
 
 @pytest.mark.parametrize("step_ms", [-3_600_000, 30_000, 3_600_000])
-def test_a_clock_that_jumps_gives_no_item_up(step_ms: int) -> None:
-    # Symptom: an item is listed as given up long before it may be (clocks-and-resets, seed
-    # 759149388742 of a small site).
-    # Events: the wall clock of a keeper, or of the entry that accepted the job, jumps.
-    # Cause: a job's age was the difference of two machines' wall clocks.
+def test_a_clock_jump_does_not_give_up_items(step_ms: int) -> None:
+    # Guards against an item that is given up long before its time limit, because the wall clock of
+    # a keeper, or of the entry that accepted the job, jumps and the job's age is computed from the
+    # wall clocks of two machines (clocks-and-resets, seed 759149388742 of a small site).
     world = RunnerWorld()
     early = world.record("a")
     early = early._replace(accepted_ms=early.accepted_ms - step_ms)
@@ -107,8 +106,8 @@
     assert world.listed(0) == ["a"]
 
 
-def test_an_ended_job_does_not_come_back_from_a_disk() -> None:
-    # Symptom: items of a job run after its caller has ended it.
+def test_an_ended_job_is_not_run_again_from_a_disk() -> None:
+    # Guards against running items of a job after its caller has ended it.
     world = RunnerWorld()
     ended = encode(world.record("a")._replace(ended=True))
     world.runner.on_change(Change(job_key(JOB), 1, False, ended))
@@ -117,8 +116,8 @@
     assert world.sent == {}
 
 
-def test_what_the_disk_holds_of_jobs_that_are_gone_is_dropped() -> None:
-    # Symptom: texts of jobs deleted long ago are written to the disk each second.
+def test_saved_progress_of_deleted_jobs_is_dropped() -> None:
+    # Guards against writing texts of jobs deleted long ago to the disk every second.
     world = RunnerWorld()
     world.runner.recall([ItemProgress("gone", "a", 7, ("x",), 400, 0)])
     world.time.advance(RECALL_MS - 1)
@@ -127,8 +126,8 @@
     assert world.runner.progress() == []
 
 
-def test_a_start_goes_on_from_the_disk() -> None:
-    # Symptom: all items that ran begin again after a loss of power.
+def test_a_start_resumes_from_saved_progress() -> None:
+    # Guards against items that all start again after a power loss.
     world = RunnerWorld()
     world.runner.recall([ItemProgress(JOB, "a", 7, ("x",) * 8, 400, 0)])
     world.memory.put(job_key(JOB), encode(world.record("a")))
@@ -136,12 +135,12 @@
     world.time.advance(500)
     assert "a" in world.sent
     assert world.runner._owned[JOB].items["a"].last_event == 7
-    assert [one.last_event for one in world.runner.progress()] == [7]
+    assert [item.last_event for item in world.runner.progress()] == [7]
 
 
-def test_a_job_that_falls_to_this_keeper_is_run_whoever_notices_first() -> None:
-    # Failure: a look at other keepers' jobs notes that a keeper is lost, and the jobs of that one
-    # are not taken.
+def test_jobs_of_a_lost_keeper_run_even_if_the_orphan_check_notices_it_first() -> None:
+    # Guards against jobs of a lost keeper that are not taken over if the check of other keepers'
+    # jobs is the first to notice the loss.
     world = RunnerWorld()
     live = ["a", "b"]
     deps = world.deps._replace(sharing=lambda: list(live))
--- a/tests/test_jobs_runs.py
+++ b/tests/test_jobs_runs.py
@@ -1,17 +1,17 @@
-"""Test which items run, which give way, and what becomes of their runs."""
+"""Test which items run, which runs are cancelled, and how results of runs are handled."""
 
 from papayapier.jobs.runs import RETRY_DELAY_MS
 from papayapier.policy.outliers import FAILURES_IN_A_ROW
-from tests.jobs_run_world import FAR_MS, ROOM, RUN_MS, SLOTS, SOON_MS, World
+from tests.jobs_run_world import FAR_MS, RUN_MS, SLOTS, SOON_MS, USABLE_SLOTS, World
 
 
-def test_an_item_that_can_be_done_in_time_goes_first() -> None:
+def test_an_item_that_can_be_done_in_time_runs_first() -> None:
     world = World("lm")
     world.learn()
     world.job("hopeless", 5, SOON_MS)
     world.job("later", 5, FAR_MS)
     world.pump()
-    assert sorted(world.sent) == [f"later-{n}" for n in range(ROOM)]
+    assert sorted(world.sent) == [f"later-{n}" for n in range(USABLE_SLOTS)]
 
 
 def test_late_items_run_where_nothing_else_waits() -> None:
@@ -19,27 +19,27 @@
     world.learn()
     world.job("hopeless", 5, SOON_MS)
     world.pump()
-    assert len(world.sent) == ROOM
+    assert len(world.sent) == USABLE_SLOTS
 
 
-def test_a_late_run_gives_its_slot_to_an_item_that_can_be_done_in_time() -> None:
-    # Symptom: all results come just after they are due, though slots enough were there.
-    # Events: items that have no chance took the slots before; a job with time enough comes.
-    # Cause: a run kept its slot whatever became of it.
+def test_a_late_run_is_cancelled_for_an_item_that_can_be_done_in_time() -> None:
+    # Guards against results that all arrive just after they are due, although there were enough
+    # slots. Items that cannot be done in time occupy the slots when a job arrives that can be done
+    # in time, so late runs must not keep their slots.
     world = World("lm")
     world.learn()
-    world.job("hopeless", ROOM, SOON_MS)
+    world.job("hopeless", USABLE_SLOTS, SOON_MS)
     world.pump()
     world.job("later", 1, FAR_MS)
     world.pump()
     world.pump()
     assert "later-0" in world.sent
-    assert len(world.sent) == ROOM
+    assert len(world.sent) == USABLE_SLOTS
 
 
-def test_a_full_upstream_holds_up_no_other() -> None:
-    # Symptom: items of one service wait while its replicas idle.
-    # Cause: the search for room ended at the first item that found none.
+def test_a_full_upstream_does_not_block_another() -> None:
+    # Guards against items of one service that wait while its replicas are idle, because the search
+    # for free slots stops at the first item that finds none.
     world = World("lm", "app")
     world.job("many", 9, SOON_MS)
     world.job("other", 1, FAR_MS, "app")
@@ -47,7 +47,7 @@
     assert "other-0" in world.sent
 
 
-def test_the_run_with_the_most_time_gives_way() -> None:
+def test_the_run_with_the_most_time_left_is_cancelled_for_online_calls() -> None:
     world = World("lm")
     world.job("urgent", 1, RUN_MS)
     world.job("patient", 1, FAR_MS)
@@ -59,37 +59,37 @@
     assert sorted(world.sent) == ["urgent-0"]
 
 
-def test_a_whole_item_is_finished_once() -> None:
+def test_a_complete_item_is_finished_once() -> None:
     world = World("lm")
-    work = world.job("job", 1, FAR_MS)
+    job = world.job("job", 1, FAR_MS)
     world.pump()
-    world.end(work.items["job-0"])
+    world.end(job.items["job-0"])
     assert world.done == ["job"]
-    assert list(work.unwritten) == ["job-0"]
+    assert list(job.unwritten) == ["job-0"]
     assert world.runs.count() == 0
 
 
-def test_items_leave_an_ended_replica_alone() -> None:
-    # Symptom: after the end of a replica nearly all runs of items fail for seconds, while other
-    # replicas have room. Events: its address refuses connections until the list drops it.
-    # Cause: a refused connection did not count against it, and it looked the emptiest of all.
+def test_items_avoid_an_ended_replica() -> None:
+    # Guards against runs that nearly all fail for seconds after a replica has ended, while other
+    # replicas have free slots. The replica refuses connections until it is removed from the list;
+    # if that does not count against it, it appears to have the most free slots.
     world = World("lm", replicas=4)
     world.closed = {"lm-1"}
-    world.job("j", 3 * ROOM, FAR_MS)
+    world.job("j", 3 * USABLE_SLOTS, FAR_MS)
     for _ in range(20):
         world.pump()
         world.time.advance(RETRY_DELAY_MS)
-    assert len(world.sent) == 3 * ROOM
-    assert world.sends <= 3 * ROOM + FAILURES_IN_A_ROW
+    assert len(world.sent) == 3 * USABLE_SLOTS
+    assert world.sends <= 3 * USABLE_SLOTS + FAILURES_IN_A_ROW
 
 
-def test_items_leave_an_ended_replica_alone_where_it_is_half_of_all() -> None:
-    # Failure: of two replicas one refuses connections and cannot be ejected; items are sent there
-    # again and again, and one at a time runs at the other.
+def test_items_avoid_an_ended_replica_that_is_one_of_two() -> None:
+    # Guards against items that are sent again and again to a replica that refuses connections, and
+    # run one at a time at the other one. With two replicas, the first one cannot be ejected.
     world = World("lm", replicas=2)
     world.closed = {"lm-1"}
-    world.job("j", ROOM, FAR_MS)
+    world.job("j", USABLE_SLOTS, FAR_MS)
     for _ in range(8):
         world.pump()
         world.time.advance(RETRY_DELAY_MS)
-    assert len(world.sent) == ROOM
+    assert len(world.sent) == USABLE_SLOTS
--- a/tests/test_kept_jobs.py
+++ b/tests/test_kept_jobs.py
@@ -1,4 +1,7 @@
-"""Test that a job accepted while the store is away is there afterwards, once, whatever is lost."""
+"""Test that a job accepted while the store is unavailable is later in the store, exactly once.
+
+This must hold although keepers are killed and one disk is lost.
+"""
 
 import random
 import tempfile
@@ -35,12 +38,12 @@
 BEGAN_MS = int(fake_clock().clock.wall())
 
 
-async def at_once(call: Callable[[], Any]) -> Any:
+async def run_directly(call: Callable[[], Any]) -> Any:
     return call()
 
 
 class Keepers:
-    """Hold keepers with a disk each, and the store that they all reach or do not."""
+    """Simulate keepers with a disk each, and a store that is available to all or none of them."""
 
     def __init__(self, count: int = 3) -> None:
         self.time = fake_clock()
@@ -60,7 +63,7 @@
                 self.folders[name].name,
                 KEEP_S,
                 500,
-                at_once,
+                run_directly,
                 lambda job_id, _record: self.held.append(job_id),
             )
         )
@@ -76,17 +79,17 @@
         for path in Path(self.folders[name].name).iterdir():
             path.unlink()
 
-    def away(self, why: StoreError | None = StoreError.UNAVAILABLE) -> None:
+    def make_store_unavailable(self, why: StoreError | None = StoreError.UNAVAILABLE) -> None:
         self.memory.fault = lambda _call, _key: why
 
-    def back(self) -> None:
+    def make_store_available(self) -> None:
         self.memory.fault = lambda _call, _key: None
 
     def pending(self) -> int:
         return sum(vault.pending() for vault in self.vaults.values())
 
     def files(self) -> int:
-        return sum(len(list(Path(one.name).iterdir())) for one in self.folders.values())
+        return sum(len(list(Path(folder.name).iterdir())) for folder in self.folders.values())
 
     def close(self) -> None:
         for name in list(self.vaults):
@@ -97,12 +100,14 @@
     async def ask(
         self, peer_id: str, make: Callable[[int], Message], _timeout_ms: int
     ) -> Result[Message, PeerError]:
-        """Stand in for the peers' link."""
-        ask = make(1)
-        assert isinstance(ask, KeepAsk)
+        """Replace the connections between peers."""
+        request = make(1)
+        assert isinstance(request, KeepAsk)
         if peer_id not in self.vaults:
             return Err(PeerError.TIMEOUT)
-        return Ok(KeepTell(1, await self.vaults[peer_id].keep(KeptJob(ask.job_id, ask.value))))
+        return Ok(
+            KeepTell(1, await self.vaults[peer_id].keep(KeptJob(request.job_id, request.value)))
+        )
 
     def desk(self) -> JobDesk:
         deps = KeepingDeps(
@@ -143,7 +148,7 @@
 
 
 @pytest.mark.parametrize("cut", [0, 10, 40, 60])
-def test_a_torn_file_is_no_job(tmp_path: Path, cut: int) -> None:
+def test_a_torn_file_is_not_read_as_a_job(tmp_path: Path, cut: int) -> None:
     folder = str(tmp_path)
     assert kept_files.write(folder, KeptJob(JOB, value())) == Ok(None)
     assert kept_files.load(folder).unwrap().jobs == [KeptJob(JOB, value())]
@@ -153,39 +158,39 @@
     assert (loaded.jobs, len(loaded.unreadable)) == ([], 1)
 
 
-def test_a_disk_that_takes_nothing_holds_nothing(tmp_path: Path) -> None:
+def test_a_failed_write_is_reported(tmp_path: Path) -> None:
     assert isinstance(kept_files.write(str(tmp_path / "none"), KeptJob(JOB, value())), Err)
 
 
-def test_a_job_is_created_when_the_store_is_back(keepers: Keepers) -> None:
-    keepers.away()
+def test_a_job_is_created_when_the_store_is_available_again(keepers: Keepers) -> None:
+    keepers.make_store_unavailable()
     kept = begin(keepers.vaults["k0"].keep(KeptJob(JOB, value())))
     assert (kept.end(), keepers.held) == (True, [JOB])
     keepers.time.advance(5_000)
     assert keepers.memory.objects == {}
-    keepers.back()
+    keepers.make_store_available()
     keepers.time.advance(1_000)
     assert keepers.memory.objects[job_key(JOB)][1] == value()
     assert (keepers.pending(), keepers.files()) == (0, 0)
 
 
-def test_a_keeper_that_starts_again_goes_on(keepers: Keepers) -> None:
-    keepers.away()
+def test_a_restarted_keeper_creates_its_stored_jobs(keepers: Keepers) -> None:
+    keepers.make_store_unavailable()
     begin(keepers.vaults["k0"].keep(KeptJob(JOB, value())))
     keepers.stop("k0")
-    keepers.back()
+    keepers.make_store_available()
     keepers.start("k0")
     keepers.time.advance(1_000)
     assert job_key(JOB) in keepers.memory.objects
 
 
-def test_a_file_that_comes_back_runs_nothing(keepers: Keepers) -> None:
-    # Symptom: an item that can never be done reaches replicas a fourth time, and complete jobs run
-    # again (outage-with-power-loss, seed 105761694142 of a small site).
-    # Events: a job was held, created and completed, its file removed; a loss of power brings the
-    # file back, and the store is away again when the keeper starts.
-    # Cause: whatever lay on the disk at a start was run, before the store could tell its end.
-    keepers.away()
+def test_a_restored_file_does_not_run_its_job(keepers: Keepers) -> None:
+    # Guards against running complete jobs again, so that an item that always fails reaches replicas
+    # a fourth time (outage-with-power-loss, seed 105761694142 of a small site). A job was stored
+    # locally, created and completed, and its file removed. A power loss restores the file, and the
+    # store is unavailable when the keeper starts: the job must not run before its state is read
+    # from the store.
+    keepers.make_store_unavailable()
     keepers.stop("k0")
     assert kept_files.write(keepers.folders["k0"].name, KeptJob(JOB, value())) == Ok(None)
     keepers.start("k0")
@@ -193,14 +198,14 @@
     assert (keepers.held, keepers.pending()) == ([], 1)
     done = encode(record("a")._replace(ended=True))
     keepers.memory.put(job_key(JOB), done)
-    keepers.back()
+    keepers.make_store_available()
     keepers.time.advance(1_000)
     assert keepers.memory.objects[job_key(JOB)][1] == done
     assert (keepers.held, keepers.pending(), keepers.files()) == ([], 0, 0)
 
 
-def test_a_job_that_is_there_already_is_not_touched(keepers: Keepers) -> None:
-    # Also one that its caller has ended: a second record would let its items run again.
+def test_an_existing_job_is_not_overwritten(keepers: Keepers) -> None:
+    # This includes a job that its caller has ended: a second record would run its items again.
     ended = encode(record("a")._replace(ended=True))
     keepers.memory.put(job_key(JOB), ended)
     assert begin(keepers.vaults["k0"].keep(KeptJob(JOB, value()))).end() is True
@@ -210,21 +215,21 @@
 
 
 def test_a_job_whose_results_may_be_deleted_is_not_created_again(keepers: Keepers) -> None:
-    keepers.away()
+    keepers.make_store_unavailable()
     begin(keepers.vaults["k0"].keep(KeptJob(JOB, value())))
     keepers.time.advance(KEEP_S * 1_000 + 5_000)
-    keepers.back()
+    keepers.make_store_available()
     keepers.time.advance(5_000)
     assert keepers.memory.objects == {}
     assert keepers.files() == 0
 
 
-def test_a_disk_that_will_be_removed_takes_nothing(keepers: Keepers) -> None:
+def test_a_keeper_that_retires_accepts_no_job(keepers: Keepers) -> None:
     keepers.vaults["k0"].refuse()
     assert begin(keepers.vaults["k0"].keep(KeptJob(JOB, value()))).end() is False
 
 
-def test_whom_to_ask() -> None:
+def test_the_keepers_that_store_a_job_and_the_wait_for_the_store() -> None:
     keepers = [f"k{n}" for n in range(9)]
     assert len(holders(JOB, keepers, 2)) == 3
     assert holders(JOB, keepers, 2) == holders(JOB, reversed(keepers), 2)
@@ -233,9 +238,9 @@
     assert patience_ms(400, store_away=False) == 200
 
 
-def test_one_that_may_run_a_job_is_the_first_to_hold_it() -> None:
-    # Failure: a job that comes while the store is away is held by keepers that share no replica of
-    # its service, and lies until the store is back.
+def test_a_keeper_that_may_run_a_job_is_the_first_to_store_it() -> None:
+    # Guards against a job that is submitted while the store is unavailable and stored only by
+    # keepers that have no share at any replica of its service, so that it waits for the store.
     keepers = [f"k{n}" for n in range(30)]
     for able in keepers:
         assert holders(JOB, keepers, 2, {able})[0] == able
@@ -250,16 +255,17 @@
 
 
 @pytest.mark.parametrize("why", [StoreError.UNAVAILABLE, StoreError.LOST])
-def test_a_job_is_accepted_while_the_store_is_away(keepers: Keepers, why: StoreError) -> None:
-    # Symptom: every job that comes in an outage is refused, and so is its second attempt.
-    # Events: the store is away for six seconds; jobs come in that time.
-    # Cause: a job could be accepted by the store alone.
-    keepers.away(why)
+def test_a_job_is_accepted_while_the_store_is_unavailable(
+    keepers: Keepers, why: StoreError
+) -> None:
+    # Guards against refusing every job and its retry during a store outage of six seconds, as
+    # happens if a job can be accepted only by writing it to the store.
+    keepers.make_store_unavailable(why)
     assert submitted(keepers, keepers.desk()) == Ok(None)
 
 
-def test_a_job_on_too_few_disks_is_not_called_not_run(keepers: Keepers) -> None:
-    keepers.away()
+def test_a_job_on_too_few_disks_is_not_reported_as_not_run(keepers: Keepers) -> None:
+    keepers.make_store_unavailable()
     desk = keepers.desk()
     for name in ("k0", "k1"):
         keepers.vaults[name].refuse()
@@ -268,8 +274,8 @@
     assert refused.err_value.outcome is Outcome.UNKNOWN
 
 
-def test_without_disks_a_refusal_is_true(keepers: Keepers) -> None:
-    keepers.away()
+def test_without_disks_a_job_is_refused_as_not_run(keepers: Keepers) -> None:
+    keepers.make_store_unavailable()
     desk = keepers.desk()
     for name in ("k0", "k1"):
         keepers.stop(name)
@@ -278,35 +284,35 @@
     assert refused.err_value.outcome is Outcome.NOT_RUN
 
 
-def test_disks_are_not_asked_where_the_store_answers(keepers: Keepers) -> None:
+def test_disks_are_not_used_while_the_store_responds(keepers: Keepers) -> None:
     assert submitted(keepers, keepers.desk()) == Ok(None)
     assert keepers.files() == 0
 
 
-def test_what_may_be_on_its_way_is_not_called_missing() -> None:
-    # A caller that is told there is no such job gives it up.
+def test_a_job_that_may_be_stored_by_keepers_is_not_reported_as_not_found() -> None:
+    # A caller gives up a job that is reported as not found.
     world = DeskWorld()
     world.settled = False
-    told: list[Result[Any, Any]] = [
+    results: list[Result[Any, Any]] = [
         world.begin(world.desk.results(JOB, 0, 0)).end(),
         world.begin(world.desk.end(JOB, 1_000)).end(),
     ]
-    for one in told:
-        assert isinstance(one, Err)
-        assert one.err_value.kind is ErrorKind.STORE_UNAVAILABLE
+    for result in results:
+        assert isinstance(result, Err)
+        assert result.err_value.kind is ErrorKind.STORE_UNAVAILABLE
 
 
-class Losses(RuleBasedStateMachine):
-    """Submit and end jobs while the store goes away, keepers die and one disk is lost."""
+class OutagesAndLosses(RuleBasedStateMachine):
+    """Submit and end jobs while the store becomes unavailable, keepers die and one disk is lost."""
 
     @initialize()
-    def begin_world(self) -> None:
+    def set_up(self) -> None:
         self.keepers = Keepers()
         self.desk = self.keepers.desk()
         self.accepted: set[str] = set()
         self.ended: set[str] = set()
         self.refused: dict[str, bool] = {}
-        self.away = False
+        self.store_unavailable = False
         self.lost_disks = 0
         self.number = 0
 
@@ -327,14 +333,14 @@
                 assert job_key(job_id) not in stored, f"{job_id} was refused and is there"
 
     @rule()
-    def go_away(self) -> None:
-        self.away = True
-        self.keepers.away()
+    def make_store_unavailable(self) -> None:
+        self.store_unavailable = True
+        self.keepers.make_store_unavailable()
 
     @rule()
     def settle(self) -> None:
-        self.away = False
-        self.keepers.back()
+        self.store_unavailable = False
+        self.keepers.make_store_available()
         for name in self.keepers.folders:
             if name not in self.keepers.vaults:
                 self.keepers.start(name)
@@ -390,7 +396,7 @@
         self.keepers.start(name)
 
 
-Losses.TestCase.settings = settings(
+OutagesAndLosses.TestCase.settings = settings(
     derandomize=True,
     deadline=None,
     database=None,
@@ -398,4 +404,4 @@
     stateful_step_count=25,
     suppress_health_check=list(HealthCheck),
 )
-TestLosses = Losses.TestCase
+TestOutagesAndLosses = OutagesAndLosses.TestCase
