--- a/papayapier/claims/service.py
+++ b/papayapier/claims/service.py
@@ -40,8 +40,8 @@
     still_running,
     store_down,
 )
+from papayapier.claims.attempts import Attempt, Attempts, AttemptState, wait_until
 from papayapier.claims.group import GroupDeps, ShardWriter
-from papayapier.claims.local import Attempt, Attempts, AttemptState, wait_until
 from papayapier.claims.ops import Found, Known, Op, OpKind, OpResult, Stored, Writer
 from papayapier.claims.records import (
     DIGEST_BYTES,
--- a/papayapier/jobs/commits.py
+++ b/papayapier/jobs/commits.py
@@ -17,8 +17,8 @@
 from papayapier.clock import Clock
 from papayapier.jobs.groups import read_groups
 from papayapier.jobs.news import GroupsTold
+from papayapier.jobs.owned_job import ItemState, OwnedJob
 from papayapier.jobs.records import ItemResult, ResultGroup, encode, group_key
-from papayapier.jobs.work import ItemState, OwnedJob
 from papayapier.store.api import Store, StoreError
 from papayapier.store.writes import Settling, create_settled
 
--- a/papayapier/jobs/item_run.py
+++ b/papayapier/jobs/item_run.py
@@ -7,7 +7,7 @@
 from papayapier.upstream.phases import Fault
 
 if TYPE_CHECKING:
-    from papayapier.jobs.work import ItemState
+    from papayapier.jobs.owned_job import ItemState
     from papayapier.upstream.exchange import Head
 
 
--- a/papayapier/jobs/looks.py
+++ b/papayapier/jobs/looks.py
@@ -9,9 +9,9 @@
 
 from papayapier import events
 from papayapier.clock import Clock
+from papayapier.jobs.owned_job import OwnedJob
 from papayapier.jobs.owners import JobOwners
 from papayapier.jobs.records import JobRecord
-from papayapier.jobs.work import OwnedJob
 from papayapier.policy.handing import OFFERED_MOST, HandedJobs, Offers
 from papayapier.policy.orphans import Answered, OrphanWatch
 
--- a/papayapier/jobs/runner.py
+++ b/papayapier/jobs/runner.py
@@ -18,11 +18,11 @@
 from papayapier.jobs.groups import read_with_items
 from papayapier.jobs.looks import JobLooks, LookDeps
 from papayapier.jobs.news import GroupsTold
+from papayapier.jobs.owned_job import ItemState, OwnedJob
 from papayapier.jobs.owners import JobOwners
 from papayapier.jobs.progress import ItemProgress
 from papayapier.jobs.records import JOBS, ItemEnd, JobRecord, read_record
 from papayapier.jobs.runs import RunDeps, Runs
-from papayapier.jobs.work import ItemState, OwnedJob
 from papayapier.policy.ownership import owner
 from papayapier.store.api import Change, Store
 
--- a/papayapier/jobs/runs.py
+++ b/papayapier/jobs/runs.py
@@ -21,10 +21,10 @@
 from papayapier.dispatch.blame import blames_replica
 from papayapier.dispatch.crash_watch import CrashWatch
 from papayapier.dispatch.lost_sends import name_work
+from papayapier.jobs.free_slots import ReplicaFinder, SlotSnapshot, replica_use
 from papayapier.jobs.item_run import ItemReceiver
+from papayapier.jobs.owned_job import ItemState, OwnedJob
 from papayapier.jobs.records import ItemEnd
-from papayapier.jobs.room import ReplicaFinder, SlotSnapshot, replica_use
-from papayapier.jobs.work import ItemState, OwnedJob
 from papayapier.policy.batch_order import RunTimes, Standing, standing, victims
 from papayapier.policy.batch_room import keep_limit, start_limit
 from papayapier.policy.loads import LoadBook
--- a/tests/jobs_run_world.py
+++ b/tests/jobs_run_world.py
@@ -8,9 +8,9 @@
 
 from papayapier.clock import fake_clock
 from papayapier.dispatch.crash_watch import CrashWatch
+from papayapier.jobs.owned_job import ItemState, OwnedJob
 from papayapier.jobs.records import JobItem, JobRecord
 from papayapier.jobs.runs import RunDeps, Runs
-from papayapier.jobs.work import ItemState, OwnedJob
 from papayapier.metrics import make_metrics
 from papayapier.platform.headers import of_team
 from papayapier.policy.batch_room import SPARE_SLOTS
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -10,7 +10,7 @@
 from papayapier.claims.records import SHARDS, claim_id, shard_of
 from papayapier.errors import ErrorKind, Outcome
 from papayapier.settings import ClaimSettings
-from tests.claims_bench import CONTENTS, Fleet, invariants_checked, make_answer
+from tests.claims_simulation import CONTENTS, Fleet, invariants_checked, make_answer
 from tests.fake_store import Fault
 from tests.test_store import started
 
--- a/tests/test_claims_machine.py
+++ b/tests/test_claims_machine.py
@@ -21,7 +21,7 @@
 from papayapier.claims.records import claim_id
 from papayapier.errors import ErrorKind, Outcome
 from papayapier.settings import ClaimSettings
-from tests.claims_bench import CONTENTS, Delivery, Fleet, invariants_checked, make_answer
+from tests.claims_simulation import CONTENTS, Delivery, Fleet, invariants_checked, make_answer
 from tests.fake_store import Fault
 
 KEYS = ("k2", "k4", "k13")  # all in one shard
--- a/tests/test_jobs_commits.py
+++ b/tests/test_jobs_commits.py
@@ -16,8 +16,8 @@
 from papayapier.clock import fake_clock
 from papayapier.jobs.commits import CommitDeps, commit, load_groups
 from papayapier.jobs.news import GroupsTold
+from papayapier.jobs.owned_job import OwnedJob
 from papayapier.jobs.records import ItemEnd, groups_prefix, read_group
-from papayapier.jobs.work import OwnedJob
 from papayapier.store.api import StoreError
 from tests.jobs_world import JOB, MemoryStore, record
 
--- a/tests/test_jobs_room.py
+++ b/tests/test_jobs_free_slots.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from papayapier.jobs.room import ReplicaFinder, SlotSnapshot, replica_use
+from papayapier.jobs.free_slots import ReplicaFinder, SlotSnapshot, replica_use
 from papayapier.policy.batch_room import SPARE_SLOTS, start_limit
 from papayapier.policy.loads import LoadBook
 from papayapier.policy.outliers import Outliers
--- a/tests/test_jobs_progress.py
+++ b/tests/test_jobs_progress.py
@@ -12,9 +12,9 @@
 from papayapier import events
 from papayapier.clock import fake_clock
 from papayapier.jobs import progress
+from papayapier.jobs.owned_job import OwnedJob
 from papayapier.jobs.progress import ItemProgress, SaverDeps, Snapshot
 from papayapier.jobs.records import ItemEnd
-from papayapier.jobs.work import OwnedJob
 from papayapier.policy.crashes import Loss
 from papayapier.upstream.event_cutter import NO_EVENT
 from tests.jobs_world import JOB, Begun, record
