--- a/papayapier/claims/api.py
+++ b/papayapier/claims/api.py
@@ -14,7 +14,7 @@
 ABANDONED: Final = "abandoned"
 NO_RECORD: Final = "no_record"
 
-AskWriter = Callable[[str, str], Awaitable[str]]
+QueryWriter = Callable[[str, str], Awaitable[str]]
 Token = bytes
 
 
@@ -42,8 +42,8 @@
     writer: str
 
 
-Begin = New | Done | Running | Unknown
-Begun = Result[Begin, Refusal]
+BeginOutcome = New | Done | Running | Unknown
+Begun = Result[BeginOutcome, Refusal]
 
 
 class RetryBegin(NamedTuple):
--- a/papayapier/claims/service.py
+++ b/papayapier/claims/service.py
@@ -28,10 +28,10 @@
     NO_RECORD,
     RETRY_AFTER_MS,
     RUNNING,
-    AskWriter,
     Begun,
     Done,
     New,
+    QueryWriter,
     RetryBegin,
     Running,
     Token,
@@ -79,7 +79,7 @@
     metrics: Metrics
     instance: str
     boot: int
-    ask_writer: AskWriter
+    ask_writer: QueryWriter
 
 
 class _Request(NamedTuple):
--- a/papayapier/jobs/commits.py
+++ b/papayapier/jobs/commits.py
@@ -82,7 +82,7 @@
                 await deps.clock.sleep(RETRY_MS * deps.rand.uniform(0.5, 1.5))
     finally:
         job.committing = False
-        deps.notifications.end(job.job_id)
+        deps.notifications.write_settled(job.job_id)
 
 
 async def _write_group(deps: CommitDeps, job: OwnedJob) -> bool:
@@ -92,7 +92,7 @@
     settling = Settling(deps.store, deps.clock, deps.rand)
     began_ms = deps.clock.now()
     due_ms = began_ms + SETTLE_MS
-    deps.notifications.begin(job.job_id, began_ms)
+    deps.notifications.write_begun(job.job_id, began_ms)
     created = await create_settled(settling, group_key(job.job_id, number), encode(group), due_ms)
     if isinstance(created, Ok):
         job.apply_group(number, group)
@@ -115,7 +115,7 @@
 
 
 def _notify(deps: CommitDeps, job: OwnedJob, written: Written | None) -> None:
-    deps.notifications.end(job.job_id)
+    deps.notifications.write_settled(job.job_id)
     deps.on_written(job, written)
 
 
--- a/papayapier/jobs/desk.py
+++ b/papayapier/jobs/desk.py
@@ -230,7 +230,7 @@
         now = self._deps.clock.now()
         if now < view.read_ms + READ_VALID_MS:
             return True
-        return self._deps.heard.stands(view.read_ms, now)
+        return self._deps.heard.is_read_current(view.read_ms, now)
 
     async def _wait_for_group(self, view: _View, wait_ms: int) -> None:
         """Wait until a peer notifies of a new group, or until wait_ms have passed."""
--- a/papayapier/jobs/free_slots.py
+++ b/papayapier/jobs/free_slots.py
@@ -14,17 +14,17 @@
 class SlotSnapshot(NamedTuple):
     """Hold a snapshot of the state that decides how slots are shared.
 
-    sharing lists the live instances that run batch, hidden those of them whose open calls are not
-    reported here. Both are computed once for all replicas: computing them per replica, with the
+    sharing lists the live instances that run batch, unreachable those of them whose open calls are
+    not reported here. Both are computed once for all replicas: computing them per replica, with the
     order of the sharing instances, took half of a hub's processor time in a fleet of 29 instances.
     """
 
     rand: random.Random
-    me: str
+    instance_id: str
     loads: LoadBook
     outliers: Outliers
     sharing: Sequence[str]
-    hidden: Collection[str]
+    unreachable: Collection[str]
 
 
 def replica_use(snapshot: SlotSnapshot, replica_id: str) -> Use:
@@ -38,16 +38,16 @@
     own = snapshot.loads.own(replica_id).batch
     slots = snapshot.loads.slots(replica_id)
     batch = snapshot.loads.batch_at(replica_id)
-    if not set(snapshot.hidden).isdisjoint(sharing):
-        # The slots that a hidden instance leaves idle are unknown, so each instance keeps to its
-        # fair share.
+    if not set(snapshot.unreachable).isdisjoint(sharing):
+        # The slots that an unreachable instance leaves idle are unknown, so each instance keeps to
+        # its fair share.
         batch = own + slots
     return Use(
-        slots if snapshot.me in may_use else 0,
+        slots if snapshot.instance_id in may_use else 0,
         snapshot.loads.online_at(replica_id),
         own,
         batch,
-        sharing.index(snapshot.me) if snapshot.me in sharing else NO_PART,
+        sharing.index(snapshot.instance_id) if snapshot.instance_id in sharing else NO_PART,
         len(sharing),
     )
 
--- a/papayapier/jobs/looks.py
+++ b/papayapier/jobs/looks.py
@@ -26,7 +26,7 @@
     """
 
     clock: Clock
-    me: str
+    instance_id: str
     open: Mapping[str, JobRecord]
     owned: Mapping[str, OwnedJob]
     closed: Collection[str]
@@ -40,9 +40,9 @@
 
     def __init__(self, deps: LookDeps) -> None:
         self._deps = deps
-        self._orphans = OrphanWatch(deps.me)
+        self._orphans = OrphanWatch(deps.instance_id)
         self._handovers = HandedJobs()
-        self._offers = Offers(deps.me)
+        self._offers = Offers(deps.instance_id)
         self._stopping = False
 
     def stop(self) -> None:
@@ -51,7 +51,7 @@
 
     def runs_here(self, job_id: str, owner_id: str) -> bool:
         """Return whether this instance is to run a job, given its owner."""
-        if owner_id == self._deps.me and self._handovers.holder(job_id) is None:
+        if owner_id == self._deps.instance_id and self._handovers.holder(job_id) is None:
             return True
         return self._orphans.taken(job_id)
 
@@ -75,7 +75,7 @@
         owned = {
             job_id: owners.owner(job_id, record)
             for job_id, record in deps.open.items()
-            if owners.may_own(deps.me, record)
+            if owners.may_own(deps.instance_id, record)
         }
         return self._orphans.asks(
             owned, lambda job_id: owners.eligible(deps.open[job_id]), deps.clock.now()
--- a/papayapier/jobs/news.py
+++ b/papayapier/jobs/news.py
@@ -41,11 +41,11 @@
         self._recent: deque[tuple[int, JobWord]] = deque(maxlen=MAX_REPEATED)
         self._unconfirmed: dict[str, int] = {}
 
-    def begin(self, job_id: str, now: int) -> None:
+    def write_begun(self, job_id: str, now: int) -> None:
         """Record that a write of a job has begun; a repeated write keeps the first start time."""
         self._unconfirmed.setdefault(job_id, now)
 
-    def end(self, job_id: str) -> None:
+    def write_settled(self, job_id: str) -> None:
         """Record that the outcome of a job's write is known."""
         self._unconfirmed.pop(job_id, None)
 
@@ -119,7 +119,7 @@
             return
         self._states[writer] = state._replace(confirmed_ms=now)
 
-    def stands(self, read_ms: int, now: int) -> bool:
+    def is_read_current(self, read_ms: int, now: int) -> bool:
         """Return whether no group was missed since a read of the store that began at read_ms."""
         live = self._live()
         writers = [
--- a/tests/claims_simulation.py
+++ b/tests/claims_simulation.py
@@ -9,7 +9,7 @@
 from twisted.internet.defer import Deferred
 
 from papayapier import invariants
-from papayapier.claims.api import AskWriter, Begun, New
+from papayapier.claims.api import Begun, New, QueryWriter
 from papayapier.claims.records import SavedAnswer
 from papayapier.claims.service import ClaimDeps, Claims
 from papayapier.clock import MS_PER_S, FakeClock, fake_clock
@@ -110,7 +110,7 @@
         self.instances[name] = Instance(self, name, self.boots)
         return self.instances[name]
 
-    def writer_request(self, asker: Instance) -> AskWriter:
+    def writer_request(self, asker: Instance) -> QueryWriter:
         """Make the function with which an instance queries another one, with a delay."""
 
         async def ask_writer(name: str, reference: str) -> str:
--- a/tests/jobs_world.py
+++ b/tests/jobs_world.py
@@ -161,11 +161,11 @@
     def has_group(self, number: int, *names: str) -> None:
         self.memory.put(group_key(JOB, number), encode(group(*names)))
 
-    def begin(self, work: Awaitable[T]) -> "Begun[T]":
-        return Begun(work)
+    def begin(self, work: Awaitable[T]) -> "StartedCoroutine[T]":
+        return StartedCoroutine(work)
 
 
-class Begun(list[T]):
+class StartedCoroutine(list[T]):
     """Start a coroutine; the list contains its result once it has finished."""
 
     def __init__(self, work: Awaitable[T]) -> None:
--- a/tests/test_jobs_notifications.py
+++ b/tests/test_jobs_notifications.py
@@ -46,8 +46,8 @@
         self.boots[writer] += 1
         self.sent[writer] = GroupsTold()
 
-    def stands(self, read_ms: int) -> bool:
-        return self.received.stands(read_ms, self.now)
+    def is_read_current(self, read_ms: int) -> bool:
+        return self.received.is_read_current(read_ms, self.now)
 
 
 def test_a_store_read_stays_valid_while_no_notification_is_missed() -> None:
@@ -57,7 +57,7 @@
     for _ in range(50):
         world.word("a")
         world.heartbeats()
-        assert world.stands(read_ms)
+        assert world.is_read_current(read_ms)
 
 
 def lose_a_notification(world: World) -> None:
@@ -76,7 +76,7 @@
 
 
 def leave_a_write_unconfirmed(world: World) -> None:
-    world.sent["a"].begin("job", world.now)
+    world.sent["a"].write_begun("job", world.now)
     world.heartbeats((MAX_WRITE_MS + CONFIRMATION_VALID_MS) // HEARTBEAT_MS + 1)
 
 
@@ -102,9 +102,9 @@
     world = World("a", "b")
     world.heartbeats(3)
     read_ms = world.now
-    assert world.stands(read_ms)
+    assert world.is_read_current(read_ms)
     event(world)
-    assert not world.stands(read_ms)
+    assert not world.is_read_current(read_ms)
 
 
 def test_a_store_read_after_a_missed_notification_is_valid() -> None:
@@ -112,10 +112,10 @@
     world.heartbeats(3)
     lose_a_notification(world)
     world.heartbeats(2)
-    assert world.stands(world.now)
+    assert world.is_read_current(world.now)
     world.word("a")
     world.heartbeats()
-    assert world.stands(world.now - HEARTBEAT_MS)
+    assert world.is_read_current(world.now - HEARTBEAT_MS)
 
 
 def test_notifications_in_heartbeats_are_received() -> None:
@@ -131,16 +131,16 @@
         heartbeat = heartbeat._replace(groups_told=sent.count(world.now))
         if not lost:
             world.received.on_heartbeat("a", heartbeat, world.now)
-    assert world.stands(read_ms)
+    assert world.is_read_current(read_ms)
 
 
 def test_a_write_of_known_outcome_is_not_unconfirmed() -> None:
     sent = GroupsTold()
-    sent.begin("job", 0)
+    sent.write_begun("job", 0)
     assert sent.count(MAX_WRITE_MS) == 0
-    sent.begin("job", MAX_WRITE_MS)
+    sent.write_begun("job", MAX_WRITE_MS)
     assert sent.count(MAX_WRITE_MS + 1) == NOT_SURE
-    sent.end("job")
+    sent.write_settled("job")
     assert sent.count(MAX_WRITE_MS + 1) == 0
 
 
@@ -149,13 +149,13 @@
     world.heartbeats(3)
     world.cut.add("a")
     world.heartbeats(FORGET_WRITER_MS // HEARTBEAT_MS + 1)
-    assert world.stands(world.now)
+    assert world.is_read_current(world.now)
     del world.sent["b"]
-    assert not world.stands(world.now)
+    assert not world.is_read_current(world.now)
 
 
 def test_without_writers_no_store_read_is_valid() -> None:
-    assert not World().stands(0)
+    assert not World().is_read_current(0)
 
 
 def test_repeated_reads_do_not_call_the_store() -> None:
@@ -181,9 +181,9 @@
     world.cut = {"other"}
     world.live = {"hub", "other"}
     world.heartbeats(FORGET_WRITER_MS // HEARTBEAT_MS + 10)
-    assert not world.stands(world.now - HEARTBEAT_MS)
+    assert not world.is_read_current(world.now - HEARTBEAT_MS)
     # A writer that is no longer live counts for twenty more seconds.
     world.live = {"hub"}
-    assert not world.stands(world.now - HEARTBEAT_MS)
+    assert not world.is_read_current(world.now - HEARTBEAT_MS)
     world.heartbeats(FORGET_WRITER_MS // HEARTBEAT_MS + 10)
-    assert world.stands(world.now - HEARTBEAT_MS)
+    assert world.is_read_current(world.now - HEARTBEAT_MS)
--- a/tests/test_jobs_progress.py
+++ b/tests/test_jobs_progress.py
@@ -17,7 +17,7 @@
 from papayapier.jobs.records import ItemEnd
 from papayapier.policy.crashes import Loss
 from papayapier.upstream.event_cutter import NO_EVENT
-from tests.jobs_world import JOB, Begun, record
+from tests.jobs_world import JOB, StartedCoroutine, record
 from tests.log_catcher import LogCatcher
 
 BEGUN = ItemProgress(JOB, "a", 2, ("one", "two"), 900, 1)
@@ -131,7 +131,7 @@
 def test_a_start_does_not_wait_for_a_disk_that_hangs(tmp_path: Path) -> None:
     disk = Disk(folder_of(tmp_path, 1))
     disk.hangs = True
-    begun = Begun(progress.load_soon(disk.deps))
+    begun = StartedCoroutine(progress.load_soon(disk.deps))
     disk.time.advance(progress.LOAD_MS + 1)
     assert begun.end() == progress.EMPTY_SNAPSHOT
 
--- a/tests/test_local_job_store.py
+++ b/tests/test_local_job_store.py
@@ -31,7 +31,7 @@
 from papayapier.peer.questions import PeerError
 from papayapier.policy.job_keeping import Copies, holders, patience_ms
 from papayapier.store.api import StoreError
-from tests.jobs_world import JOB, Begun, DeskWorld, MemoryStore, item, record
+from tests.jobs_world import JOB, DeskWorld, MemoryStore, StartedCoroutine, item, record
 
 KEEP_S = 120
 LONG_MS = 20_000
@@ -143,8 +143,8 @@
     return encode(record("a")._replace(accepted_ms=BEGAN_MS))
 
 
-def begin(work: Awaitable[Any]) -> Begun[Any]:
-    return Begun(work)
+def begin(work: Awaitable[Any]) -> StartedCoroutine[Any]:
+    return StartedCoroutine(work)
 
 
 @pytest.mark.parametrize("cut", [0, 10, 40, 60])
