--- a/papayapier/jobs/records.py
+++ b/papayapier/jobs/records.py
@@ -9,9 +9,9 @@
 T = TypeVar("T")
 
 JOBS: Final = "papayapier-jobs/"
-PARTS: Final = "papayapier-parts/"
+PARTS_PREFIX: Final = "papayapier-parts/"
 # Each job has a prefix of its own, so that one list call returns all groups after a given one.
-RESULTS: Final = "papayapier-results-"
+RESULTS_PREFIX: Final = "papayapier-results-"
 # The store accepts values of up to 1 MiB, and escaping makes the stored value larger than its text.
 MAX_PART_BYTES: Final = 800_000
 
@@ -79,12 +79,12 @@
 
 def part_key(job_id: str, number: int) -> str:
     """Return the key of a part of a large job."""
-    return f"{PARTS}{job_id}.{number:03}"
+    return f"{PARTS_PREFIX}{job_id}.{number:03}"
 
 
 def groups_prefix(job_id: str) -> str:
     """Return the key prefix of a job's result groups."""
-    return f"{RESULTS}{job_id}/"
+    return f"{RESULTS_PREFIX}{job_id}/"
 
 
 def group_key(job_id: str, number: int) -> str:
--- a/papayapier/jobs/runner.py
+++ b/papayapier/jobs/runner.py
@@ -32,10 +32,10 @@
 TICK_MS: Final = 50
 # Batches several triggers into one round, because each round examines every run. The delay is too
 # short to matter for a waiting online call.
-SOON_MS: Final = 20
+ROUND_DELAY_MS: Final = 20
 LOAD_RETRY_MS: Final = 300
 # Saved progress of jobs that have not appeared by then is dropped, as these jobs have been deleted.
-RECALL_MS: Final = 120_000
+SAVED_PROGRESS_KEPT_MS: Final = 120_000
 
 
 class RunnerDeps(NamedTuple):
@@ -58,7 +58,7 @@
     def __init__(self, deps: RunnerDeps) -> None:
         self._deps = deps
         self._clock = deps.runs.clock
-        self._runs = Runs(deps.runs, self._commit, self.pump)
+        self._runs = Runs(deps.runs, self._commit, self.run_round)
         self._saved_progress: dict[str, list[ItemProgress]] = {}
         self._open: dict[str, JobRecord] = {}
         # Monotonic time at which each job became known here.
@@ -84,10 +84,10 @@
             )
         )
         self._timer: Timer | None = None
-        self._soon_timer: Timer | None = None
+        self._round_timer: Timer | None = None
         self._stopping = False
-        self._pumping = False
-        self._pumped_ms = self._clock.now()
+        self._in_round = False
+        self._last_round_ms = self._clock.now()
         self._commits = CommitDeps(
             deps.runs.clock,
             deps.runs.rand,
@@ -99,7 +99,7 @@
 
     def start(self) -> None:
         """Start the periodic rounds."""
-        self._clock.call_later(RECALL_MS, self._saved_progress.clear)
+        self._clock.call_later(SAVED_PROGRESS_KEPT_MS, self._saved_progress.clear)
         self._tick()
 
     def recall(self, items: Sequence[ItemProgress]) -> None:
@@ -121,7 +121,7 @@
 
     def close(self) -> None:
         """Stop the timers."""
-        for timer in (self._timer, self._soon_timer):
+        for timer in (self._timer, self._round_timer):
             if timer is not None and timer.active():
                 timer.cancel()
 
@@ -249,14 +249,14 @@
         if job.unwritten:
             self._commit(job)
         self._close_if_complete(job)
-        self.pump()
+        self.run_round()
 
     def _tick(self) -> None:
         self._timer = self._clock.call_later(TICK_MS, self._tick)
         if self._open:
             self._review_if_changed()
-            if self._clock.now() - self._pumped_ms >= TICK_MS:
-                self.pump()
+            if self._clock.now() - self._last_round_ms >= TICK_MS:
+                self.run_round()
 
     def _review_if_changed(self) -> None:
         # Peers' reports about an unreachable instance also change which instances share replicas,
@@ -275,24 +275,24 @@
         # Rounds without any job took a third of an idle keeper's processor time, 0.029 of a core.
         if not self._owned:
             return
-        if self._soon_timer is None or not self._soon_timer.active():
-            self._soon_timer = self._clock.call_later(SOON_MS, self.pump)
+        if self._round_timer is None or not self._round_timer.active():
+            self._round_timer = self._clock.call_later(ROUND_DELAY_MS, self.run_round)
 
-    def pump(self) -> None:
+    def run_round(self) -> None:
         """Run one round: free the slots that online calls need, and start items in free slots."""
         table = self._deps.table()
         if self._stopping or table is None:
             return
-        if self._pumping:
+        if self._in_round:
             # Called from the end of a run that this round cancelled; the next round uses its slot.
             self.pump_soon()
             return
-        self._pumping = True
-        self._pumped_ms = self._clock.now()
+        self._in_round = True
+        self._last_round_ms = self._clock.now()
         try:
             self._runs.run_round(self._jobs_by_due_time(table))
         finally:
-            self._pumping = False
+            self._in_round = False
 
     def _jobs_by_due_time(self, table: RouteTable) -> list[tuple[OwnedJob, Route]]:
         jobs = []
--- a/papayapier/jobs/vault.py
+++ b/papayapier/jobs/vault.py
@@ -76,7 +76,7 @@
         self._loading = False
 
     async def keep(self, job: KeptJob) -> bool:
-        """Write a job to the disk; return whether it is sure to be created in the store."""
+        """Write a job to the disk; return whether its creation in the store is guaranteed."""
         while job.job_id in self._writing:
             # The same job was resent through another entry; two threads must not write one file
             # concurrently.
@@ -114,7 +114,7 @@
         if job.job_id in self._creating:
             return
         task = Deferred.fromCoroutine(self._create(job))
-        task.addErrback(report_failure, "kept job")
+        task.addErrback(report_failure, "locally stored job")
         if task.called:
             return
         self._creating[job.job_id] = task
--- a/tests/test_jobs_runner.py
+++ b/tests/test_jobs_runner.py
@@ -8,7 +8,7 @@
 from papayapier.jobs.news import GroupsTold
 from papayapier.jobs.progress import ItemProgress
 from papayapier.jobs.records import JobRecord, encode, group_key, job_key, read_group
-from papayapier.jobs.runner import RECALL_MS, JobRunner, RunnerDeps
+from papayapier.jobs.runner import SAVED_PROGRESS_KEPT_MS, JobRunner, RunnerDeps
 from papayapier.store.api import Change, StoreError
 from papayapier.upstream.raw import PassedOn
 from tests.jobs_run_world import EVENTS, RouteTo, World
@@ -120,7 +120,7 @@
     # Guards against writing texts of jobs deleted long ago to the disk every second.
     world = RunnerWorld()
     world.runner.recall([ItemProgress("gone", "a", 7, ("x",), 400, 0)])
-    world.time.advance(RECALL_MS - 1)
+    world.time.advance(SAVED_PROGRESS_KEPT_MS - 1)
     assert len(world.runner.progress()) == 1
     world.time.advance(1)
     assert world.runner.progress() == []
