--- a/papayapier/dispatch/again.py
+++ b/papayapier/dispatch/again.py
@@ -1,7 +1,7 @@
-"""Keep what one request has sent, and decide whether and where it is sent again.
+"""Track the sends of one request and decide whether it is retried.
 
-What a caller's request and one in the product's own form pass on differs; when they may be sent
-again, and what may be said at their end, does not.
+Shared by attempts (requests to the OpenAI-style API) and forwarding (requests passed on unchanged):
+they relay different answers, but the rules for retries and for the reported outcome are the same.
 """
 
 from typing import TYPE_CHECKING, Final, Protocol
@@ -24,54 +24,54 @@
 
 
 class AgainDeps(Protocol):
-    """Describe what sending again works with."""
+    """Describe what retries depend on."""
 
     @property
     def clock(self) -> "Clock":
-        """Tell the time."""
+        """Return the clock."""
 
     @property
     def rand(self) -> "random.Random":
-        """Spread the pauses."""
+        """Return the random source that spreads the pauses."""
 
     @property
     def book(self) -> "LoadBook":
-        """Know the replicas and their slots."""
+        """Return the known replicas and their slots."""
 
     @property
     def crashes(self) -> "CrashWatch":
-        """Know the work under which replicas end."""
+        """Return the tracker of requests under which replicas are lost."""
 
     @property
     def budget(self) -> "RetryBudget":
-        """Bound the retries."""
+        """Return the budget that bounds retries."""
 
     @property
     def metrics(self) -> "Metrics":
-        """Count."""
+        """Return the metrics."""
 
 
 class Tries:
     """Track the sends of one request; maybe_sent says that one of them may have run.
 
-    turn_by_ms is until when it waits for turns of its work.
+    After turn_by_ms the request no longer waits for send windows.
     """
 
     __slots__ = ("excluded", "fresh", "made", "maybe_sent", "rejections", "turn_by_ms")
 
     def __init__(self, fresh: bool) -> None:
         self.made = 0
-        # Sends that certainly did not run.
+        # Sends that are confirmed not to have run.
         self.rejections = 0
         self.excluded = NONE_EXCLUDED
-        # A kept connection may have been closed by the replica unnoticed. A second send then is
-        # safe only for idempotent work, so the rest pays for a new connection.
+        # The replica may have closed a pooled connection without our noticing. A retry is then
+        # safe only for idempotent requests, so all others use a new connection.
         self.fresh = fresh
         self.maybe_sent = False
         self.turn_by_ms: int | None = None
 
     def note(self, failure: Failure) -> Sent:
-        """Take how a send failed; return whether one before it can have run."""
+        """Record a failed send and return whether an earlier one may have run."""
         earlier = Sent.MAYBE if self.maybe_sent else Sent.NO
         if failure.sent is Sent.MAYBE:
             self.maybe_sent = True
@@ -89,7 +89,7 @@
     earlier: Sent,
     counted: int,
 ) -> Retry | GiveUp:
-    """Decide about a failed send; counted is how many sends use up the attempts allowed."""
+    """Decide what follows a failed send; counted sends use up the allowed attempts."""
     return decide(
         failure,
         profile.idempotent,
@@ -113,7 +113,7 @@
     tries: Tries,
     apart_ms: int,
 ) -> None:
-    """Note the replica that failed, and pause as decided, or for as long as apart_ms if longer."""
+    """Exclude the failed replica and pause for the longer of the retry delay and apart_ms."""
     tries.fresh = True
     if retry.exclude:
         tries.excluded |= {replica.id}
@@ -124,9 +124,9 @@
 
 
 def apart_ms(deps: AgainDeps, work: "Work", failure: Failure, due_ms: int) -> int:
-    """Return how long a request waits that was cut off twice by the ends of replicas.
+    """Return the pause before retrying a request under which two replicas were lost, in ms.
 
-    Half of what is left of its time is left for the send itself.
+    At most half of the remaining time is spent waiting; the rest is left for the send itself.
     """
     if failure.kind is not FailureKind.CUT:
         return 0
@@ -140,9 +140,9 @@
 async def wait_for_turn(
     deps: AgainDeps, request_id: str, work: "Work", tries: Tries, due_ms: int
 ) -> None:
-    """Wait while other work is sent that may have ended the same replicas.
+    """Wait while another suspect request of the same replica losses has the send window.
 
-    Half of what is left of the request's time is left for its sends.
+    At most half of the remaining time is spent waiting; the rest is left for the sends.
     """
     wait_ms = deps.crashes.turn_ms(work)
     if wait_ms and tries.turn_by_ms is None:
@@ -159,7 +159,7 @@
 
 
 def may_send(deps: AgainDeps, work: "Work", tries: Tries) -> bool:
-    """Tell whether a request for which a replica was found may be sent to it now."""
+    """Return whether a request with a chosen replica may be sent now."""
     return deps.crashes.take_turn(work) or _waited_enough(deps, tries)
 
 
--- a/papayapier/dispatch/api.py
+++ b/papayapier/dispatch/api.py
@@ -1,4 +1,4 @@
-"""Define what passes between the entry, the dispatch and the policies."""
+"""Define the records shared by the entry, the dispatch and the policies."""
 
 import random
 from collections.abc import Callable
@@ -21,9 +21,9 @@
 class OnlineRequest(NamedTuple):
     """Describe one online request; due_ms is on the monotonic clock.
 
-    call_id names the work and stays the same when the work is sent again, so that an
-    upstream can tell a second run; each send has a request id of its own. generates tells a
-    model engine's call from a plain service's. prefix is the start of the prompt.
+    call_id stays the same across retries, so that an upstream can recognise a repeated run;
+    each send has a request id of its own. generates is true for calls to a model engine and
+    false for calls to a plain service. prefix is the start of the prompt.
     """
 
     call_id: str
@@ -38,7 +38,7 @@
     due_ms: int
 
     def work(self) -> str:
-        """Return the name of the work, which is the same when its caller returns."""
+        """Return the request fingerprint, which is the same when the caller retries."""
         return name_work(self.method, self.profile.upstream, self.path, self.body)
 
 
@@ -46,9 +46,9 @@
 
 
 class DispatchDeps(NamedTuple):
-    """Group what the dispatch of one instance works with.
+    """Group the dependencies of one instance's dispatch.
 
-    uses_changed is told whenever the open calls at some replica have changed.
+    uses_changed is called whenever the number of open calls at a replica changes.
     """
 
     clock: Clock
--- a/papayapier/dispatch/attempts.py
+++ b/papayapier/dispatch/attempts.py
@@ -1,11 +1,10 @@
-"""Send one online request to replicas until it has an answer or may not be sent again.
+"""Send one online request to replicas until it is answered or may not be retried.
 
-The rule that matters is what may be said at the end. A request is refused as not_run only
-when no send of it, however early, can have reached a replica; one send of unknown fate makes
-the whole request unknown, whatever the later sends did.
+A request is refused as not_run only if none of its sends can have reached a replica. One send
+with an unknown outcome makes the outcome of the request unknown, whatever the later sends did.
 
-A stream that breaks off is resumed on another replica from the tokens already received, when
-the profile is idempotent; the caller sees one stream.
+If the profile is idempotent, a stream that breaks off is resumed on another replica after the
+tokens already received; the caller sees one stream.
 """
 
 from typing import TYPE_CHECKING, Final
@@ -39,7 +38,7 @@
 
 
 class _Progress:
-    """Keep what one request has sent and received over all its attempts."""
+    """Hold what one request has sent and received over all its attempts."""
 
     __slots__ = ("began_ms", "first_token_ms", "parts", "tries")
 
@@ -59,9 +58,9 @@
     on_token: "OnToken",
     make_room: "Callable[[str], None]",
 ) -> Result[Reply, Refusal]:
-    """Return the whole answer, or a refusal that is true about every send made.
+    """Return the complete answer, or a refusal whose outcome covers every send made.
 
-    make_room is told the replica of each send before it is made, with the call counted.
+    make_room is called with the replica before each send, when the call is already counted.
     """
     now = deps.clock.now()
     progress = _Progress(now, fresh=not req.profile.idempotent)
@@ -114,7 +113,7 @@
     deps.uses_changed()
     verdict = False
     try:
-        # Only now, because what batch must give up is worked out from the calls counted.
+        # Must follow on_sent: the number of batch streams to cancel depends on the counted calls.
         make_room(replica.id)
         may_run_again = req.profile.idempotent or not progress.tries.maybe_sent
         check_send(deps.book, replica, req.call_id, may_run_again, started)
@@ -139,7 +138,7 @@
     progress: _Progress,
     on_token: "OnToken",
 ) -> "OnToken":
-    """Make what takes the tokens of one send."""
+    """Return the callback that receives the tokens of one send."""
 
     def receive(token: Token) -> None:
         if not progress.parts:
@@ -153,7 +152,7 @@
 def _first_byte_ms(
     deps: "DispatchDeps", req: "OnlineRequest", progress: _Progress, now: int
 ) -> int:
-    """Return the limit of this attempt; what may not be sent again has none of its own."""
+    """Return the first-byte timeout of this attempt; requests that may not be retried have none."""
     if not req.profile.idempotent:
         return NO_LIMIT
     attempts_left = req.profile.retry.attempts - progress.tries.made + 1
@@ -180,12 +179,12 @@
 
 
 def _request_id(req: "OnlineRequest", attempt: int) -> str:
-    """Name one send. A late answer to an earlier send must not match a later one."""
+    """Return the id of one send; a late answer to an earlier send must not match a later one."""
     return req.call_id if attempt == 1 else f"{req.call_id}-{attempt}"
 
 
 def _with_call_id(token: Token, req: "OnlineRequest", call: Call) -> Token:
-    """Keep one id in the caller's stream, also after it was resumed under another."""
+    """Replace the id of a resumed send, so that the caller's stream has one id throughout."""
     if call.request_id == req.call_id:
         return token
     data = token.data.replace(call.request_id.encode(), req.call_id.encode(), 1)
@@ -199,7 +198,7 @@
     sent: Result[Reply, Failure],
     lasted_ms: int,
 ) -> None:
-    """Tell the policies how a send ended."""
+    """Report the result of a send to the policies."""
     now = deps.clock.now()
     upstream = req.profile.upstream
     if isinstance(sent, Err):
@@ -225,7 +224,7 @@
     failure: Failure,
     progress: _Progress,
 ) -> Retry | GiveUp:
-    """Decide what follows a failed send, and note whether it may have run."""
+    """Decide what follows a failed send, and record whether it may have run."""
     rejected = rejection(failure)
     if rejected is not None:
         return GiveUp(rejected)
@@ -247,7 +246,7 @@
 
 
 def _joined(reply: Reply, progress: _Progress) -> Reply:
-    """Make one answer of the parts that several attempts gave."""
+    """Join the text received over several attempts into one answer."""
     if progress.tries.made == 1:
         return reply
     return reply._replace(
--- a/papayapier/dispatch/blame.py
+++ b/papayapier/dispatch/blame.py
@@ -1,9 +1,9 @@
-"""Tell what a failed call says about the replica and about the request.
+"""Decide whether a failed call counts against the replica or against the request.
 
-Two confusions are costly. A caller's malformed body fails on every replica: were it blamed
-on them, one caller could have every replica ejected, and retries would only repeat the
-failure. And a kept connection can go silent while the replica is well: were that blamed on
-the replica, an event in the network between would take good replicas out of use.
+A caller's malformed body fails on every replica. If that counted against the replicas, one caller
+could have all of them ejected, and retries would only repeat the failure. A pooled connection can
+go silent while its replica is healthy. If that counted against the replica, a network fault would
+eject healthy replicas.
 """
 
 from http import HTTPStatus
@@ -12,7 +12,7 @@
 from papayapier.errors import ErrorKind, Refusal, not_run
 from papayapier.upstream.api import Failure, FailureKind
 
-# Answers by which a replica says that it looked at the request and will not run it.
+# Statuses with which a replica rejects a request without running it.
 REJECTIONS: Final = frozenset(
     {
         HTTPStatus.BAD_REQUEST,
@@ -25,11 +25,12 @@
         HTTPStatus.UNPROCESSABLE_ENTITY,
     }
 )
+# These count against the replica only on a new connection.
 NEEDS_FRESH: Final = frozenset({FailureKind.SILENT, FailureKind.CUT, FailureKind.DUE})
 
 
 def rejection(failure: Failure) -> Refusal | None:
-    """Return the refusal for a request that the replica itself rejected, if it did."""
+    """Return the refusal of a request that the replica itself rejected, or None."""
     if failure.kind is not FailureKind.STATUS or failure.status not in REJECTIONS:
         return None
     kind = ErrorKind.BAD_REQUEST
@@ -39,7 +40,7 @@
 
 
 def blames_replica(failure: Failure) -> bool:
-    """Tell whether a failure counts against the replica."""
+    """Return whether a failure counts against the replica."""
     if failure.kind is FailureKind.CANCELLED or rejection(failure) is not None:
         return False
     return failure.fresh or failure.kind not in NEEDS_FRESH
--- a/papayapier/dispatch/caller_limits.py
+++ b/papayapier/dispatch/caller_limits.py
@@ -1,7 +1,7 @@
-"""Bound what one caller may have under way with one profile on this instance.
+"""Bound the open requests of one caller with one profile on this instance.
 
-Fair queueing keeps a caller from starving others of an upstream's capacity; these limits
-bound what a caller holds while nobody else asks, for operators who want that.
+Fair queueing keeps a caller from starving others of an upstream's capacity. These optional limits
+also apply while no other caller sends requests.
 """
 
 from collections import Counter
@@ -28,7 +28,7 @@
         self._running: Counter[_Key] = Counter()
 
     def refusal(self, profile: "Profile", caller: str) -> Refusal | None:
-        """Return the refusal of a caller who is at a limit of the profile."""
+        """Return the refusal if the caller is at a limit of the profile, or None."""
         key = _Key(profile.name, caller)
         queued = self._queued[key]
         limits = profile.callers
@@ -45,13 +45,13 @@
         _count(self._queued, _Key(profile.name, caller), change)
 
     def running(self, profile: "Profile", caller: str, change: int) -> None:
-        """Count a request that was started (1) or has ended (-1)."""
+        """Count a request that was started (1) or has finished (-1)."""
         _count(self._running, _Key(profile.name, caller), change)
 
 
 def _count(counts: Counter[_Key], key: _Key, change: int) -> None:
     counts[key] += change
     assert counts[key] >= 0
-    # Callers come and go by the thousand; those without requests must cost nothing.
+    # There can be thousands of callers over time; drop those without requests.
     if not counts[key]:
         del counts[key]
--- a/papayapier/dispatch/claimed.py
+++ b/papayapier/dispatch/claimed.py
@@ -1,8 +1,8 @@
 """Run a request that may not be repeated, under a claim on its idempotency key.
 
-The run does not belong to the caller's connection. A caller that loses its connection sends
-the request again under the same key; if the first run had been cancelled, nobody could say
-any more whether it took effect. So it goes on to its end, and the resend gets its answer.
+The run is independent of the caller's connection. A caller that loses its connection resends the
+request under the same key. If the first run were cancelled, its effect would be unknown, so it
+runs to completion and the resend gets its answer.
 """
 
 from typing import TYPE_CHECKING, Final
@@ -36,7 +36,7 @@
 def make_runner(
     online: "OnlineDispatch", claims: "Claims"
 ) -> "Callable[[OnlineRequest, str, OnToken], Awaitable[Ended]]":
-    """Make the function that runs a request, under a claim where it needs one."""
+    """Return the function that runs a request, under a claim where it needs one."""
 
     async def run(req: "OnlineRequest", key: str, on_token: "OnToken") -> Ended:
         if req.profile.idempotent or not key:
@@ -47,14 +47,14 @@
 
 
 async def _detached(run: "_ClaimedRun", on_token: "OnToken") -> Ended:
-    """Wait for a run in such a way that the end of waiting does not end the run."""
+    """Wait for a run; cancelling the wait does not cancel the run."""
     waiter: Deferred[Ended] = Deferred()
 
     def ended(result: "Ended | Failure") -> None:
         if not waiter.called:
             waiter.callback(result)
         elif isinstance(result, Failure):
-            # The caller has gone, and nobody else would hear of it.
+            # The caller has disconnected, so only the log can report the failure.
             events.emit(events.REQUEST_CRASHED, traceback=result.getTraceback())
 
     def receive(token: StreamToken) -> None:
@@ -66,7 +66,7 @@
 
 
 class _ClaimedRun:
-    """Hold one run under a claim."""
+    """Run one request under a claim."""
 
     def __init__(
         self, online: "OnlineDispatch", claims: "Claims", req: "OnlineRequest", key: str
@@ -79,14 +79,16 @@
         self._earlier: Ended | None = None
 
     async def run(self, on_token: "OnToken") -> Ended:
-        """Run the request unless it has been run, and keep its end for resends."""
+        """Run the request unless it has run before, and save its result for resends."""
         try:
             ended = await self._online.run(self._req, on_token, self._claim)
         except Exception:
-            # A claim without an end would have every resend wait for this run, and a
-            # planned stop for the claim.
+            # If the claim stayed open, every resend would wait for this run, and a planned stop
+            # for the claim.
             if self._token is not None:
-                refusal = unknown(ErrorKind.INTERNAL, "the instance failed on this request")
+                refusal = unknown(
+                    ErrorKind.INTERNAL, "an internal error occurred while the request ran"
+                )
                 self._keep(self._token, Err(refusal))
             raise
         if self._earlier is not None:
@@ -120,7 +122,7 @@
 
 
 def _earlier_end(begun: "Begun") -> Ended:
-    """Return what a resend is told about the earlier run."""
+    """Return the answer to a resend: the result or state of the earlier run."""
     if isinstance(begun, Err):
         return begun
     match begun.ok_value:
@@ -131,9 +133,9 @@
             return Err(unknown(ErrorKind.STILL_RUNNING, reason, ASK_AGAIN_MS))
         case Unknown(writer):
             events.emit(events.CLAIM_UNKNOWN, writer=writer)
-            reason = f"the request was claimed by instance {writer}, which cannot be asked"
+            reason = f"the request was claimed by instance {writer}, which is unreachable"
             return Err(unknown(ErrorKind.OUTCOME_UNKNOWN, reason))
-    reason = "the request has run, its answer was too large to keep"
+    reason = "the request has run, but its answer was too large to save"
     return Err(unknown(ErrorKind.OUTCOME_UNKNOWN, reason))
 
 
@@ -146,12 +148,12 @@
 
 
 def _unreadable() -> Ended:
-    reason = "the request has run, its kept answer cannot be read"
+    reason = "the request has run, but its saved answer cannot be decoded"
     return Err(unknown(ErrorKind.OUTCOME_UNKNOWN, reason))
 
 
 def _not_again(earlier: Ended) -> Refusal:
-    """Return a refusal that ends this delivery; the caller is given the earlier end."""
+    """Return the refusal that stops this run; the caller gets the result of the earlier run."""
     if isinstance(earlier, Err):
         return earlier.err_value
-    return unknown(ErrorKind.STILL_RUNNING, "the request has run before")
+    return unknown(ErrorKind.STILL_RUNNING, "the request has already run")
--- a/papayapier/dispatch/crash_watch.py
+++ b/papayapier/dispatch/crash_watch.py
@@ -1,7 +1,8 @@
-"""Watch how sends end, and refuse work under which replicas end.
+"""Track the results of sends, and quarantine requests under which replicas are lost.
 
-Every way in which work is sent comes by here: a request's own tries, its caller's returns, streams
-that go on, items of jobs. What peers tell of their sends counts like what is seen here.
+Every kind of send is tracked: a request's retries, its caller's retries, resumed streams and items
+of jobs. Losses reported by peers count like those observed here. Sends of the same request are
+recognised by its fingerprint, a digest of its contents.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -17,15 +18,15 @@
 from papayapier.policy.crashes import CrashBook, Loss
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
 
-# Far below the time for which a loss stands; costs nothing while there is none.
+# Far below the time for which a loss counts. No timer runs while there are no losses.
 SWEEP_MS: Final = 1_000
 
-# Names the work of a send; a digest of its body, made only where it is asked for.
+# Returns the request fingerprint; the digest is computed only when it is needed.
 Work = Callable[[], str]
 
 
 class Hearers(NamedTuple):
-    """Name who is told of losses and answers seen here, and of work that is held from now on."""
+    """Hold the callbacks for losses and answers observed here and for new quarantines."""
 
     lost: Callable[[Loss], None]
     answered: Callable[[str], None]
@@ -33,10 +34,10 @@
 
 
 class CrashWatch:
-    """Own the losses, and tell of changes."""
+    """Own the replica losses and notify the listeners of changes."""
 
     def __init__(self, clock: Clock, metrics: Metrics, list_fresh: Callable[[], bool]) -> None:
-        """Make a watch; list_fresh tells whether the list of replicas can be believed now."""
+        """Create a tracker; list_fresh returns whether the list of replicas is up to date."""
         self._clock = clock
         self._metrics = metrics
         self._list_fresh = list_fresh
@@ -47,11 +48,11 @@
         self._hearers: Hearers | None = None
 
     def connect(self, hearers: Hearers) -> None:
-        """Name who is told."""
+        """Set the listeners."""
         self._hearers = hearers
 
     def refusal(self, request_id: str, work: Work) -> Refusal | None:
-        """Return the refusal of a request whose work is held."""
+        """Return the refusal of a request that is quarantined, or None."""
         if self._book.empty():
             return None
         name = work()
@@ -59,27 +60,27 @@
         return self._refuse(request_id, name) if hold_ms else None
 
     def apart_ms(self, work: Work) -> int:
-        """Return the least pause before a request whose work one more loss would hold, in ms."""
+        """Return the minimum pause before a request that one more loss would quarantine, in ms."""
         return 0 if self._book.empty() else self._book.apart_ms(work())
 
     def turn_ms(self, work: Work) -> int:
-        """Return when a request may be sent whose work one more loss would hold, in ms."""
+        """Return the wait before a request that one more loss would quarantine, in ms."""
         return 0 if self._book.empty() else self._book.turns.wait_ms(work(), self._clock.now())
 
     def take_turn(self, work: Work) -> bool:
-        """Tell whether a request may be sent now."""
+        """Return whether a request may be sent now, and take its send window if it needs one."""
         return self._book.empty() or self._book.turns.take(work(), self._clock.now())
 
     def rivals(self, work: Work) -> list[str]:
-        """Return the works that a work takes turns with."""
+        """Return the fingerprints that share replica losses, and send windows, with a request."""
         return self._book.turns.rivals(work())
 
     def item_hold_ms(self, work: Work) -> int:
-        """Return for how long an item is not sent, in ms; 0 if it may be."""
+        """Return for how long an item may not be sent, in ms; 0 if it may."""
         return 0 if self._book.empty() else self._book.item_hold_ms(work(), self._clock.now())
 
     def item_refusal(self, item_id: str, work: Work) -> Refusal | None:
-        """Return the refusal of an item that has been tried as often as it may be."""
+        """Return the refusal of a quarantined item without attempts left, or None."""
         hold_ms = self.item_hold_ms(work)
         if not hold_ms or not self._book.item_done_for(work()):
             return None
@@ -109,7 +110,7 @@
         ended: "Result[Any, Failure]",
         started_ms: int,
     ) -> None:
-        """Take how a send ended."""
+        """Record the result of a send."""
         if isinstance(ended, Ok) or _spoke(ended.err_value):
             self._book.on_alive(replica.id, started_ms)
             self._take_answer(work)
@@ -120,12 +121,12 @@
         self._review_if_changed()
 
     def on_poll_failed(self, replica: Replica, failure: Failure) -> None:
-        """Take how a call that is no send has failed."""
+        """Record the failure of a call other than a send, such as a load poll."""
         if failure.closed:
             self._book.on_ended(replica.id)
 
     def on_told(self, losses: Iterable[Loss], answered: Iterable[str]) -> list[Loss]:
-        """Take what a peer or a disk tells; return the losses not known before."""
+        """Record what a peer reports or a disk holds; return the losses not known before."""
         fresh = self._book.on_told(losses, self._clock.now())
         for work in answered:
             self._book.on_answered(work)
@@ -133,15 +134,15 @@
         return fresh
 
     def is_held(self, work: str) -> bool:
-        """Tell whether a work is held."""
+        """Return whether a request is quarantined."""
         return work in self._held
 
     def answered_lately(self, works: Iterable[str]) -> list[str]:
-        """Return which of some works were answered just before their losses, or lately here."""
+        """Return the fingerprints answered just before their losses, or recently here."""
         return self._book.answered_lately(works, self._clock.now())
 
     def take_lately(self, works: Iterable[str], peer_id: str) -> list[str]:
-        """Take that a peer has answered works lately; return those whose losses count less."""
+        """Record that a peer answered requests recently; return those whose losses count less."""
         cleared = self._book.take_lately(works, self._clock.now())
         for work in cleared:
             events.emit(events.WORK_CLEARED, work=work, peer=peer_id)
@@ -149,15 +150,15 @@
         return cleared
 
     def on_listed(self, listed: Collection[str], leaving: Collection[str]) -> None:
-        """Take the whole list of replicas, and those of them that leave as planned."""
+        """Replace the list of replicas, and of those that leave as planned."""
         self._book.on_listed(listed, leaving)
 
     def snapshot(self, only: Collection[str] = ()) -> list[Loss]:
-        """Return the losses of all works, or of some."""
+        """Return the losses of all requests, or of the given fingerprints."""
         return self._book.snapshot(self._clock.now(), only)
 
     def stands(self, loss: Loss) -> bool:
-        """Tell whether a loss has not been taken back."""
+        """Return whether a loss still counts."""
         return self._book.stands(loss)
 
     def close(self) -> None:
@@ -183,7 +184,7 @@
             self._review()
 
     def _review(self) -> None:
-        """Tell of work that is held from now on, and of work that no longer is."""
+        """Notify of requests that have entered or left quarantine."""
         self._reviewed = self._book.changes
         was, self._held = self._held, self._book.held(self._clock.now())
         for work in sorted(self._held - was):
@@ -203,5 +204,5 @@
 
 
 def _spoke(failure: Failure) -> bool:
-    """Tell whether the replica itself answered that it has failed the call."""
+    """Return whether the replica itself answered that the call failed."""
     return failure.kind is FailureKind.STATUS and failure.sent is Sent.MAYBE
--- a/papayapier/dispatch/forward_state.py
+++ b/papayapier/dispatch/forward_state.py
@@ -1,4 +1,4 @@
-"""Hold what forwarding a request works with, and what one request has come to."""
+"""Define the dependencies of forwarding, and the state of one forwarded request."""
 
 from typing import TYPE_CHECKING, NamedTuple
 
@@ -31,9 +31,10 @@
 class RawRequest(NamedTuple):
     """Describe a caller's request; due_ms is on the monotonic clock.
 
-    prompt names the parts of the prompt that a replica may have cached; last_event is that
-    after which the caller wants the stream to go on. returned tells that its caller has used up
-    a part of its time elsewhere, may_return whether it may come again when it is refused.
+    prompt identifies the part of the prompt that a replica may have cached. last_event is the
+    event after which the caller wants the stream to resume. returned says that the request is a
+    retry: its caller has spent part of its time elsewhere. may_return says that the caller may
+    retry if it is refused.
     """
 
     request_id: str
@@ -54,22 +55,23 @@
     may_return: bool = True
 
     def caller(self) -> str:
-        """Return who shares room fairly: teams, or routes where there are none."""
+        """Return the unit of fair queueing: the team, or the route if there is no team."""
         return self.team or self.profile.name
 
     def work(self) -> str:
-        """Return the name of the work, which is the same when its caller returns."""
+        """Return the request fingerprint, which is the same when the caller retries."""
         host = self.headers.getRawHeaders(b"Host", [b""])[0].decode("latin-1")
         return name_work(self.method, host, self.target, self.body, self.team)
 
 
 class ForwardDeps(NamedTuple):
-    """Group what forwarding works with.
+    """Group the dependencies of forwarding.
 
-    head writes the headers for one replica: the request's, the replica, the ms left and the
-    last event. uses_changed is told whenever the open calls at some replica have changed. place
-    returns what whoever places calls for all has decided; unanswered tells it of a replica that has
-    not answered. fresh tells whether peers tell of their calls within some 50 ms.
+    head makes the headers for a replica from those of the request, the replica, the remaining ms
+    and the last event. uses_changed is called whenever the number of open calls at a replica
+    changes. place returns the decision of the placer, which chooses replicas for all instances;
+    unanswered notifies the placer of a replica that did not answer. fresh returns whether peers
+    report their open calls within about 50 ms.
     """
 
     clock: "Clock"
@@ -91,7 +93,7 @@
 
 
 class Progress:
-    """Keep what one request has sent and received over all its attempts."""
+    """Hold what one request has sent and received over all its attempts."""
 
     __slots__ = (
         "answer",
@@ -109,18 +111,18 @@
         self.began_ms = began_ms
         self.replicas: list[str] = []
         self.held_ms = 0
-        # The replica of this send had room, by whoever knows the calls of all.
+        # The placer, which knows all open calls, reported a free slot at the replica of this send.
         self.has_place = False
-        # Sends that a placer chose; the rest were chosen here.
+        # Sends whose replica a placer chose; for the others it was chosen here.
         self.placed = 0
         self.answer: RawAnswer | None = None
         self.stream = None if reader is None else _passed_stream(req, reader)
 
     def begun(self) -> bool:
-        """Tell whether the caller has been given the head of a stream."""
+        """Return whether the head of a stream has been sent to the caller."""
         return self.stream is not None and self.stream.started
 
 
 def _passed_stream(req: RawRequest, reader: Reader) -> PassedStream:
-    # Of streams only those that may be resumed are idempotent.
+    # Only resumable streams have an idempotent profile.
     return PassedStream(reader, req.last_event, resumable=req.profile.idempotent)
--- a/papayapier/dispatch/forwarding.py
+++ b/papayapier/dispatch/forwarding.py
@@ -1,9 +1,8 @@
-"""Forward one caller's request to replicas until it has an answer or may not be sent again.
+"""Forward one caller's request to replicas until it is answered or may not be retried.
 
-The rule for what may be said at the end is that of dispatch.attempts: not_run only if no send
-can have reached a replica. A stream that may be resumed goes on at another replica after the
-last whole event that was passed on; the caller sees one stream with the head of its first
-replica.
+The outcome follows the rule of dispatch.attempts: not_run only if no send can have reached a
+replica. A resumable stream is resumed at another replica after the last complete event that was
+passed on; the caller sees one stream with the head of its first replica.
 """
 
 from typing import Final
@@ -27,20 +26,20 @@
 from papayapier.upstream.raw import Answered, RawAnswer, RawCall
 
 FULL_RETRY_MS: Final = 200
-# What a replica looks like that is dark, gone, or resets each connection and so looks idle.
+# Failures of a replica that is unreachable, removed, or resets each connection and so looks idle.
 UNANSWERED: Final = frozenset({FailureKind.SILENT, FailureKind.CONNECT, FailureKind.CUT})
-# Replicas that say they did not run a request may be asked one after the other; this many
-# are enough to find a free one among a dozen, and bound what a request costs.
+# After an answer that the request did not run, another replica is tried. This many rejections are
+# enough to find a free one among a dozen, and bound the cost of a request.
 REJECTIONS_MAX: Final = 4
 
 
 async def forward(
     deps: ForwardDeps, req: RawRequest, reader: Reader | None
 ) -> Result[Answered, Refusal]:
-    """Return a replica's whole answer, or a refusal that is true about every send made.
+    """Return a replica's complete answer, or a refusal whose outcome covers every send made.
 
-    A good answer to a stream has been written to the reader, which is all that is returned of it.
-    Once the reader has begun, the end is that or a refusal.
+    A successful streamed answer is written to the reader, and only its status is returned.
+    Once the reader has begun, the result is that or a refusal.
     """
     progress = Progress(req, reader, deps.clock.now())
     deps.budget.on_request(req.profile.upstream, deps.clock.now())
@@ -63,7 +62,7 @@
 async def _find_replica(
     deps: ForwardDeps, req: RawRequest, progress: Progress
 ) -> Result[Replica, Refusal]:
-    """Return where a request is sent next, once its work may be sent."""
+    """Return the next replica for a request, once it may be sent."""
     while True:
         await wait_for_turn(deps, req.request_id, req.work, progress.tries, req.due_ms)
         held = deps.crashes.refusal(req.request_id, req.work)
@@ -72,7 +71,7 @@
         picked = await _pick(deps, req, progress)
         if isinstance(picked, Err):
             return picked
-        # Replicas may have ended under its work while it waited for a place.
+        # The request may have been quarantined while it waited for its placement.
         held = deps.crashes.refusal(req.request_id, req.work)
         if held is not None:
             return Err(held)
@@ -81,7 +80,7 @@
 
 
 def _note_end(deps: ForwardDeps, req: RawRequest, progress: Progress, answer: Answered) -> None:
-    """Log how a request went, in one line that says where its time was spent."""
+    """Log the result of a request and where its time was spent, in one line."""
     now = deps.clock.now()
     stream = progress.stream
     first = stream.began_ms if stream is not None else 0
@@ -107,9 +106,10 @@
 def _end(
     deps: ForwardDeps, req: RawRequest, progress: Progress, refusal: Refusal
 ) -> Result[Answered, Refusal]:
-    """End without a good answer: a replica's own answer says more than any refusal.
+    """Return a replica's own error answer if there is one, else the refusal.
 
-    It is no answer to a caller that has a part of another replica's stream.
+    The replica's answer says more than a refusal, but does not fit a caller that has received part
+    of another replica's stream.
     """
     if progress.answer is not None and not progress.begun():
         _note_end(deps, req, progress, progress.answer)
@@ -118,7 +118,7 @@
 
 
 async def _pick(deps: ForwardDeps, req: RawRequest, progress: Progress) -> Result[Replica, Refusal]:
-    """Return the replica that a placer names, or one chosen by what is known here."""
+    """Return the replica that a placer chose, or one chosen from local knowledge."""
     upstream = req.profile.upstream
     route = RouteRequest(
         upstream,
@@ -145,9 +145,9 @@
 
 
 def _wanting(deps: ForwardDeps, req: RawRequest, progress: Progress, now: int) -> Wanting:
-    """Say what is left of the request's time until it must start.
+    """Return the remaining times until the request must start or be refused.
 
-    What has been sent may not be told to return.
+    A request that has already been sent may not be refused with a request to retry.
     """
     usual_ms = deps.first_bytes.usual_ms(req.profile.upstream)
     start_by = start_by_ms(req.arrived_ms, req.objective_ms, usual_ms)
@@ -195,9 +195,9 @@
 def _judge_answer(
     req: RawRequest, answer: RawAnswer, progress: Progress
 ) -> Result[Answered, Failure]:
-    """Take a replica's failure for the answer, unless another replica may do better.
+    """Return an error status as the answer, or as a failure if another replica may succeed.
 
-    It never is the answer to a stream that has begun: its caller would take that for whole.
+    It is never the answer to a stream that has begun: its caller would take that for complete.
     """
     if not progress.begun():
         if answer.status < 500 or not req.profile.idempotent:
@@ -242,7 +242,7 @@
     progress: Progress,
     started: int,
 ) -> None:
-    """Teach the outlier detection and the first-byte timer how the send ended."""
+    """Report the result of a send to the outlier detection and the first-byte timer."""
     now = deps.clock.now()
     began = progress.stream.began_ms if progress.stream is not None else 0
     deps.crashes.sent(req.request_id, req.work, replica, sent, started)
@@ -267,7 +267,7 @@
 ) -> Retry | GiveUp:
     tries = progress.tries
     earlier = tries.note(failure)
-    # A send that did not run uses up none of the replicas that the route allows.
+    # A send that did not run does not count towards the attempts that the route allows.
     counted = tries.made - tries.rejections
     if tries.rejections >= REJECTIONS_MAX:
         counted = req.profile.retry.attempts
--- a/papayapier/dispatch/items.py
+++ b/papayapier/dispatch/items.py
@@ -1,4 +1,4 @@
-"""Hold one batch item from hand-over to its end, over all its sends."""
+"""Hold the state of one batch item over all its sends."""
 
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING
@@ -16,10 +16,10 @@
 
 
 class Item:
-    """Keep what an item has sent and received.
+    """Track what an item has sent and received.
 
-    gave_way says that its last send was cancelled in favour of online requests, and not by
-    whoever handed it over.
+    gave_way says that its last send was cancelled in favour of online requests, and not because
+    its job was cancelled.
     """
 
     __slots__ = (
@@ -52,43 +52,43 @@
         self._cancelled = False
 
     def generates(self) -> bool:
-        """Tell whether the item is a call to a model engine."""
+        """Return whether the item is a call to a model engine."""
         return self.call.path in ENGINE_PATHS
 
     def body(self) -> bytes:
-        """Return the body of the next send, which goes on after the tokens received."""
+        """Return the body of the next send, which resumes after the tokens received."""
         if not self.generates():
             return self.call.body
         return streaming_body(self.call.body, "".join(self.parts))
 
     def receive(self, token: Token) -> None:
-        """Keep a token."""
+        """Store a token."""
         self.parts.append(token.text)
 
     def joined(self, reply: Reply) -> Reply:
-        """Make one answer of the parts that several sends gave."""
+        """Join the text received over several sends into one answer."""
         if self.sends == 1 or not self.parts:
             return reply
         return reply._replace(text="".join(self.parts), tokens=len(self.parts))
 
     def may_give_way(self) -> bool:
-        """Tell whether the item runs, and can be stopped and resumed."""
+        """Return whether the item is running, and can be cancelled and resumed."""
         if self._sending is None or self.gave_way:
             return False
         return self.call.profile.idempotent and self.generates()
 
     def give_way(self) -> None:
-        """Stop the send under way; it ends as a failure of kind CANCELLED."""
+        """Cancel the open send; its result is a failure of kind CANCELLED."""
         assert self._sending is not None
         self.gave_way = True
         self._sending.cancel()
 
     async def send(self, begin: Callable[[], Awaitable[Ended]]) -> Ended:
-        """Wait for a send, and tell who has cancelled it if somebody did.
+        """Wait for a send, and distinguish preemption from the cancel of the job.
 
-        The send is awaited through a second Deferred. Were it awaited directly, the cancel
-        of a job would look the same as giving way, and the item of a cancelled job would be
-        resumed; it shows as tokens generated for a job after its cancel.
+        The send is awaited through a second Deferred. If it were awaited directly, the cancel
+        of a job would look like a preemption and its item would be resumed, so that tokens were
+        generated for a job after its cancel.
         """
         sending: Deferred[Ended] = Deferred.fromCoroutine(_as_coroutine(begin))
         waiting: Deferred[Ended] = Deferred(lambda _: self._cancel())
@@ -99,7 +99,7 @@
         except CancelledError:
             if self._cancelled or not self.gave_way:
                 raise
-            ended = Err(Failure(FailureKind.CANCELLED, Sent.MAYBE, "gave way"))
+            ended = Err(Failure(FailureKind.CANCELLED, Sent.MAYBE, "preempted by online calls"))
         finally:
             self._sending = None
         if self._cancelled:
--- a/papayapier/dispatch/lanes.py
+++ b/papayapier/dispatch/lanes.py
@@ -1,12 +1,12 @@
-"""Run batch items on the capacity that online requests leave, and give it back at once.
+"""Run batch items on the capacity that online requests leave free, and preempt them at once.
 
-Engines know no priorities, so a batch stream gives way by being cancelled: the tokens it has
-received are kept, the item goes to the head of the queue, and its next send resumes after
-them. Only idempotent streams are cancelled for this; a call that may not be repeated, or that
-cannot be resumed, is left to finish.
+Engines have no priorities, so a batch stream is preempted by cancelling it: the tokens received
+are kept, the item goes to the head of the queue, and its next send resumes after them. Only
+idempotent streams are preempted; a call that may not be repeated or cannot be resumed is left to
+finish.
 
-BatchLanes owns the waiting and running items of one instance. Which replica has room and how
-many streams must go is decided by policy.batch_share.
+BatchLanes owns the waiting and running items of one instance. policy.batch_share decides which
+replica has capacity and how many streams must be preempted.
 """
 
 from collections import deque
@@ -49,14 +49,14 @@
         self._start_again = False
 
     def room(self, upstream: str) -> int:
-        """Return how many more items of an upstream may be handed over now."""
+        """Return how many more items of an upstream may be passed to run now."""
         deps = self._deps
         now = deps.clock.now()
         free = sum(deps.share.room(one.id, deps.book, now) for one in self._usable(upstream, now))
         return max(0, free - len(self._waiting.get(upstream, ())))
 
     def watch_room(self, call: "Callable[[], None]") -> None:
-        """Register a call for whenever room may have grown."""
+        """Register a callback for whenever free capacity may have grown."""
         self._watchers.append(call)
 
     def under_way(self) -> int:
@@ -65,7 +65,7 @@
         return waiting + sum(len(items) for items in self._running.values()) + self._pausing
 
     async def run(self, call: "ItemCall") -> Result[Reply, Refusal]:
-        """Return the whole answer of an item, however often it has to give way."""
+        """Return the complete answer of an item, however often it is preempted."""
         item = Item(call)
         self._deps.budget.on_request(call.profile.upstream, self._deps.clock.now())
         while True:
@@ -89,7 +89,7 @@
             await self._before_retry(item, replica, decision)
 
     async def _wait_while_held(self, item: Item) -> Refusal | None:
-        """Pause an item under which replicas ended; return the refusal of one that ends them."""
+        """Wait while an item is quarantined; return the refusal of one without attempts left."""
         crashes, work = self._deps.crashes, item.call.work
         while hold_ms := crashes.item_hold_ms(work):
             refusal = crashes.item_refusal(item.call.call_id, work)
@@ -118,11 +118,11 @@
         return await item.waiter
 
     def _start_waiting(self) -> None:
-        """Start whatever has room.
+        """Start the waiting items for which there is capacity.
 
-        An item that ends at once (its job was cancelled) calls this again while it is still
-        under way. It only notes that, since with many such items in a row the calls would
-        nest until the interpreter's stack ends.
+        An item that finishes at once, because its job was cancelled, calls this again while it is
+        still running. The nested call only sets a flag: with many such items in a row, recursion
+        would exceed the interpreter's limit.
         """
         self._start_again = True
         if self._starting:
@@ -149,14 +149,14 @@
     def _start(self, item: Item, replica: Replica) -> None:
         assert item.waiter is not None
         # Counted as sent here and not in _send, because the waiter's coroutine may run
-        # later and the next item must already see the slot taken.
+        # later, and the next item must already find the slot taken.
         self._deps.book.on_sent(replica.id, True, self._deps.clock.now())
         self._running.setdefault(replica.id, []).append(item)
         self._deps.uses_changed()
         item.waiter.callback(replica)
 
     def _replica_for(self, item: Item) -> Replica | None:
-        """Return where an item can start now, away from replicas that have just failed it."""
+        """Return a replica for an item, avoiding those that have just failed it."""
         upstream = item.call.profile.upstream
         now = self._deps.clock.now()
         usable = self._usable(upstream, now)
@@ -221,7 +221,7 @@
             body=item.body(),
             content_type="application/json",
             stream=item.generates(),
-            # Work past its due time is still wanted: the item must end with a result.
+            # An item past its due time is still run, because it must end with a result.
             due_ms=now + max(left_ms, MIN_ITEM_MS),
             fresh=item.fresh,
             plain=not item.generates(),
@@ -260,7 +260,7 @@
     async def _before_retry(self, item: Item, replica: Replica, decision: Retry) -> None:
         self._deps.metrics.retries.labels(item.call.profile.upstream).inc()
         item.fresh = item.fresh or decision.fresh_connection
-        # A replica that fails at once always has the most room, and would draw every item.
+        # A replica that fails at once always has the most free slots and would attract every item.
         if decision.exclude:
             item.excluded = item.excluded | {replica.id}
             item.avoid_until_ms = self._deps.clock.now() + decision.after_ms + AVOID_MS
@@ -268,7 +268,7 @@
             await self._pause(decision.after_ms)
 
     def before_online_send(self, replica_id: str) -> None:
-        """Give up as many batch streams on a replica as its online calls need."""
+        """Preempt as many batch streams on a replica as its online calls need."""
         items = self._running.get(replica_id)
         if not items:
             return
@@ -278,8 +278,8 @@
             self._give_up(items, count)
 
     def _give_up(self, items: list[Item], count: int) -> None:
-        """Cancel the streams that lose least: those with the fewest tokens."""
-        # Those already told to stop still count as open, and are not to be counted twice.
+        """Preempt the streams with the fewest tokens, which lose the least work."""
+        # Streams already cancelled still count as open, and must not be counted twice.
         count -= sum(1 for item in items if item.gave_way)
         able = [item for item in items if item.may_give_way()]
         for item in sorted(able, key=lambda one: len(one.parts))[: max(0, count)]:
@@ -296,7 +296,7 @@
             self._timer = self._deps.clock.call_later(TICK_MS, self._tick)
 
     def _tick(self) -> None:
-        """Follow the limits down and up, also when no request starts or ends."""
+        """Apply changed limits, also when no request starts or finishes."""
         self._timer = None
         if self.under_way():
             self._keep_ticking()
--- a/papayapier/dispatch/lost_sends.py
+++ b/papayapier/dispatch/lost_sends.py
@@ -1,8 +1,8 @@
-"""Tell which sends were lost at their replica, and name the work by what is the same each time.
+"""Decide which sends were lost with their replica, and compute request fingerprints.
 
-A caller that comes again sends the same work under another request id and at any instance, so ids
-cannot show that it is the same. Whoever looks for work that ends its replicas needs a name that
-stays: a digest of what the replica is given.
+A caller that retries sends the same request under another request id and to any instance, so ids
+cannot identify it. Finding requests that crash replicas needs a stable identity: a digest of what
+the replica receives.
 """
 
 import hashlib
@@ -11,16 +11,17 @@
 from papayapier import events
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
 
-# 64 bits: among a million works at once the chance that two share a name is 3 in 10^8.
+# 64 bits: among a million requests at once, the probability of a collision is 3 in 10^8.
 DIGEST_BYTES: Final = 8
-# Ways in which a call ends when its replica ends: its connections are reset, or nothing comes.
+# Failures of a call whose replica ends: its connection is reset, or nothing more arrives.
 LOST: Final = frozenset({FailureKind.CUT, FailureKind.SILENT, FailureKind.DUE})
 
 
 def name_work(method: str, host: str, target: str, body: bytes, team: str = "") -> str:
-    """Return the name of a work, the same for each return of it.
+    """Return the fingerprint of a request, which is the same for each retry of it.
 
-    The same words of two teams are two works: what one of them ends is not held against the other.
+    Equal requests of two teams differ, so that losses under one team's requests do not quarantine
+    the other team's.
     """
     place = f"{method}\n{host}\n{target}\n{team}\n"
     digest = hashlib.blake2b(place.encode(), digest_size=DIGEST_BYTES)
@@ -29,12 +30,12 @@
 
 
 def is_lost(failure: Failure) -> bool:
-    """Tell whether a send may have reached its replica and ended without a word from it."""
+    """Return whether a send may have reached its replica and ended without an answer from it."""
     return failure.sent is Sent.MAYBE and failure.kind in LOST
 
 
 def note_lost(request_id: str, work: str, replica: Replica, failure: Failure) -> None:
-    """Log a send that was lost, so that the sends of one work can be found at all instances."""
+    """Log a lost send, so that the sends of one request can be found across instances."""
     events.emit(
         events.SEND_LOST,
         request=request_id,
--- a/papayapier/dispatch/online.py
+++ b/papayapier/dispatch/online.py
@@ -1,4 +1,4 @@
-"""Run online requests: each waits for its turn, is claimed if it has a key, and is sent."""
+"""Run online requests: each is queued, claimed if it has an idempotency key, and sent."""
 
 from typing import TYPE_CHECKING, Final
 
@@ -14,18 +14,18 @@
     from papayapier.errors import Refusal
     from papayapier.upstream.api import Reply
 
-# Longer than a claim usually takes, shorter than any request would notice.
+# Longer than a claim usually takes, but too short to be noticeable for a request.
 CLAIM_HOLDS_SLOT_MS: Final = 50
 
 
 class _Claiming:
-    """Count the slots meant for admitted requests whose claims are being written.
+    """Count the slots reserved for admitted requests whose claims are being written.
 
-    A claim takes some milliseconds, in which nothing shows the slot as taken. Without this
-    count, every queued request would be admitted for one free slot. It shows as requests
-    that wait in an engine, where no urgent one can overtake them. A claim that takes longer
-    than usual no longer holds its slot: while the store is slow, requests that need no claim
-    must not wait for those that do.
+    A claim takes some milliseconds, during which the slot does not yet count as used. Without
+    this count, every queued request would be admitted for one free slot, and would wait in an
+    engine, where no urgent request can overtake it. A claim that takes longer than usual no
+    longer reserves its slot: while the store is slow, requests that need no claim must not wait
+    for those that do.
     """
 
     def __init__(self) -> None:
@@ -50,7 +50,7 @@
 class OnlineDispatch:
     """Own the queued and running online requests of one instance.
 
-    make_room is told the replica of each send before it is made.
+    make_room is called with the replica before each send.
     """
 
     def __init__(self, deps: "DispatchDeps", make_room: "Callable[[str], None]") -> None:
@@ -73,7 +73,7 @@
         on_token: "OnToken",
         claim: "Callable[[], Awaitable[Result[None, Refusal]]] | None" = None,
     ) -> "Result[Reply, Refusal]":
-        """Return the whole answer of a request, or the refusal it gets.
+        """Return the complete answer of a request, or its refusal.
 
         claim, if given, runs after admission and before the first send; its refusal ends the
         request unsent.
@@ -103,7 +103,7 @@
             self._claiming.remove(upstream, ticket)
 
     def pump(self) -> None:
-        """Start and refuse whatever can be started or must be refused now."""
+        """Start the requests that can start now, and refuse those that would be late."""
         self._queue.pump()
 
     def close(self) -> None:
--- a/papayapier/dispatch/passed_streams.py
+++ b/papayapier/dispatch/passed_streams.py
@@ -1,4 +1,4 @@
-"""Pass a stream on to its caller in whole events, over all the replicas that make it."""
+"""Relay a stream to its caller in complete events, over all replicas that produce it."""
 
 from typing import TYPE_CHECKING, Protocol
 
@@ -21,14 +21,14 @@
 
 
 class PassedStream:
-    """Hold what a caller has been sent; a replica that goes on begins after the last event."""
+    """Relay one stream; a replica that resumes it must begin after the last event passed on."""
 
     __slots__ = ("_cutter", "_reader", "_resumed", "began_ms", "declared", "started")
 
     def __init__(self, reader: Reader, last_event: int, resumable: bool) -> None:
         self._reader = reader
         self._cutter = EventCutter(last_event)
-        # The next event is the first of a run that was asked to go on after another.
+        # The next event is the first from a replica that was asked to resume the stream.
         self._resumed = resumable and last_event != NO_EVENT
         self.started = False
         self.declared = False
@@ -67,8 +67,8 @@
         self.declared = declared
         rest = self._cutter.rest()
         if not declared and rest.strip():
-            # A process that is killed closes its connections as one that has ended its answer.
-            return Fault(FailureKind.CUT, "the stream ended with its connection, within an event")
+            # A killed process closes its connections just like one that has completed its answer.
+            return Fault(FailureKind.CUT, "the connection closed within an event of the stream")
         if rest:
             self._reader.write(rest)
         return None
--- a/papayapier/dispatch/start_queue.py
+++ b/papayapier/dispatch/start_queue.py
@@ -1,8 +1,8 @@
-"""Let requests wait until a replica can run them, in the order the admission policy gives.
+"""Queue requests until a replica can run them, in the order of the admission policy.
 
-A request waits on a Deferred of its own. Whatever ends the wait (start, refusal, caller gone)
-first takes the ticket out of the queue, so that "not run" cannot be contradicted by a later
-start.
+A request waits on a Deferred of its own. Whatever ends the wait (start, refusal, disconnect of
+the caller) first removes the ticket from the queue, so that a request refused as not_run cannot
+be started later.
 """
 
 from typing import TYPE_CHECKING, Final, NamedTuple, Protocol, TypeVar
@@ -38,9 +38,9 @@
 
 
 class Ask(NamedTuple):
-    """Describe who asks to start; due_ms is when waiting has lost its sense.
+    """Describe a request that waits to start; after due_ms it is refused.
 
-    rank None leaves that of the profile.
+    With rank None, the rank of the profile applies.
     """
 
     profile: "Profile"
@@ -50,31 +50,31 @@
 
 
 class QueueDeps(Protocol):
-    """Describe what a queue works with."""
+    """Describe what a queue depends on."""
 
     @property
     def clock(self) -> "Clock":
-        """Tell the time."""
+        """Return the clock."""
 
     @property
     def queue(self) -> "AdmissionQueue":
-        """Decide the order and who is refused."""
+        """Return the policy that decides the order and the refusals."""
 
     @property
     def book(self) -> "LoadBook":
-        """Know the load of the replicas."""
+        """Return the load of the replicas."""
 
     @property
     def outliers(self) -> "Outliers":
-        """Know the replicas out of use."""
+        """Return the ejected replicas."""
 
     @property
     def metrics(self) -> "Metrics":
-        """Count."""
+        """Return the metrics."""
 
 
 class _Waiter(NamedTuple):
-    """Hold who waits for one ticket."""
+    """Hold the waiting request of one ticket."""
 
     fired: Deferred[Admission]
     profile: str
@@ -83,8 +83,8 @@
 class StartQueue:
     """Own the queued and running online requests of one instance.
 
-    reserved tells how many starts at an upstream are decided and not yet seen in the book,
-    elsewhere whether requests of an upstream wait for their turn at a peer.
+    reserved returns how many starts at an upstream are decided but not yet counted as open calls;
+    elsewhere returns whether requests of an upstream are queued at a peer instead.
     """
 
     def __init__(
@@ -118,10 +118,10 @@
         work: "Callable[[], Awaitable[Result[T, Refusal]]]",
         learn: bool = True,
     ) -> Result[T, Refusal]:
-        """Run work when its turn has come, or return the refusal it gets.
+        """Run work once it is admitted, or return its refusal.
 
-        learn takes the run's duration into account when later waits are judged, which suits
-        asks whose due_ms is that of the whole answer.
+        learn adds the duration of the run to the estimate for later waits, which is right where
+        due_ms is the due time of the complete answer.
         """
         admitted = await self._admit(ask)
         if isinstance(admitted, Err):
@@ -171,13 +171,13 @@
             return not_run(ErrorKind.DEADLINE, "the due time has passed")
         upstream = ask.profile.upstream
         if not self._deps.book.usable(upstream, now):
-            # Waiting for a replica that is not there would only use up the due time.
+            # Waiting for a replica that is not listed would only use up the time until due_ms.
             reason = f"upstream {upstream} has no usable replica"
             return not_run(ErrorKind.NO_UPSTREAM, reason, NOT_LISTED_RETRY_MS)
         return self._callers.refusal(ask.profile, ask.caller)
 
     def take_ticket(self) -> int:
-        """Return a number that no other ticket has."""
+        """Return a new unique ticket number."""
         ticket = self._next_ticket
         self._next_ticket += 1
         return ticket
@@ -195,12 +195,12 @@
         )
 
     def _leave(self, ticket: int) -> None:
-        """Take a request whose caller has gone out of the queue."""
+        """Remove a request whose caller has disconnected from the queue."""
         self._deps.queue.leave(ticket)
         self._waiters.pop(ticket, None)
 
     def pump(self) -> None:
-        """Start and refuse whatever can be started or must be refused now."""
+        """Start the requests that can start now, and refuse those that would be late."""
         if self._pumping or not self._waiters:
             return
         self._pumping = True
@@ -227,7 +227,7 @@
             self._waiters.pop(waiting.ticket).fired.callback(Ok(None))
 
     def _can_start(self, upstream: str) -> bool:
-        """Tell whether the replicas could run one more online request at once."""
+        """Return whether the replicas could start one more online request now."""
         if self._elsewhere(upstream):
             return True
         now = self._deps.clock.now()
--- a/papayapier/dispatch/truth.py
+++ b/papayapier/dispatch/truth.py
@@ -1,4 +1,4 @@
-"""Check each send against the promises, and keep refusals true about all of them."""
+"""Check each send against the invariants, and correct the outcome that a refusal states."""
 
 from typing import TYPE_CHECKING
 
@@ -13,17 +13,17 @@
 def check_send(
     book: "LoadBook", replica: "Replica", call_id: str, may_run_again: bool, now: int
 ) -> None:
-    """Check, immediately before a send, that it may be made, and to this replica."""
+    """Check, immediately before a send, that it is allowed and that its replica is usable."""
     check(may_run_again, Promise.AT_MOST_ONCE, call=call_id, replica=replica.id)
     usable = book.usable(replica.upstream, now)
     check(replica in usable, Promise.LEAVING_IDLE, call=call_id, replica=replica.id)
 
 
 def make_true(refusal: Refusal, maybe_sent: bool) -> Refusal:
-    """Correct a refusal's outcome by what the earlier sends may have done.
+    """Set the outcome of a refusal to unknown if an earlier send may have run.
 
-    The parts that refuse know of one send at most. Without this, a request whose first send
-    was lost and whose second was refused a connection would be told that it did not run.
+    The code that refuses knows of one send at most. Without this, a request whose first send was
+    lost and whose second could not connect would be reported as not run.
     """
     if maybe_sent and refusal.outcome is Outcome.NOT_RUN:
         return refusal._replace(outcome=Outcome.UNKNOWN)
