--- a/papayapier/dispatch/api.py
+++ b/papayapier/dispatch/api.py
@@ -37,7 +37,7 @@
     prefix: str
     due_ms: int
 
-    def work(self) -> str:
+    def fingerprint(self) -> str:
         """Return the request fingerprint, which is the same when the caller retries."""
         return name_work(self.method, self.profile.upstream, self.path, self.body)
 
--- a/papayapier/dispatch/attempts.py
+++ b/papayapier/dispatch/attempts.py
@@ -12,16 +12,16 @@
 from result import Err, Ok, Result
 
 from papayapier import events
-from papayapier.dispatch.again import (
-    Tries,
-    apart_ms,
-    before_again,
-    decide_again,
+from papayapier.dispatch.blame import blames_replica, rejection
+from papayapier.dispatch.outcome_checks import check_send, correct_outcome
+from papayapier.dispatch.retrying import (
+    SendHistory,
+    decide_retry,
     may_send,
-    wait_for_turn,
+    prepare_retry,
+    retry_spacing_ms,
+    wait_for_send_window,
 )
-from papayapier.dispatch.blame import blames_replica, rejection
-from papayapier.dispatch.truth import check_send, make_true
 from papayapier.errors import ErrorKind, Refusal, not_run
 from papayapier.policy.first_byte import NO_LIMIT
 from papayapier.policy.retries import GiveUp, Retry
@@ -40,10 +40,10 @@
 class _Progress:
     """Hold what one request has sent and received over all its attempts."""
 
-    __slots__ = ("began_ms", "first_token_ms", "parts", "tries")
+    __slots__ = ("began_ms", "first_token_ms", "history", "parts")
 
     def __init__(self, began_ms: int, fresh: bool) -> None:
-        self.tries = Tries(fresh)
+        self.history = SendHistory(fresh)
         self.began_ms = began_ms
         self.first_token_ms = 0
         self.parts: list[str] = []
@@ -56,32 +56,32 @@
     deps: "DispatchDeps",
     req: "OnlineRequest",
     on_token: "OnToken",
-    make_room: "Callable[[str], None]",
+    preempt_batch: "Callable[[str], None]",
 ) -> Result[Reply, Refusal]:
     """Return the complete answer, or a refusal whose outcome covers every send made.
 
-    make_room is called with the replica before each send, when the call is already counted.
+    preempt_batch is called with the replica before each send, when the call is already counted.
     """
     now = deps.clock.now()
     progress = _Progress(now, fresh=not req.profile.idempotent)
     deps.budget.on_request(req.profile.upstream, now)
     while True:
-        await wait_for_turn(deps, req.call_id, req.work, progress.tries, req.due_ms)
-        held = deps.crashes.refusal(req.call_id, req.work)
-        if held is not None:
-            return Err(make_true(held, progress.tries.maybe_sent))
-        replica = _pick(deps, req, progress.tries.excluded)
+        await wait_for_send_window(deps, req.call_id, req.fingerprint, progress.history, req.due_ms)
+        quarantine_refusal = deps.crashes.refusal(req.call_id, req.fingerprint)
+        if quarantine_refusal is not None:
+            return Err(correct_outcome(quarantine_refusal, progress.history.maybe_sent))
+        replica = _pick(deps, req, progress.history.excluded)
         if replica is None:
-            return Err(make_true(_no_replica(req), progress.tries.maybe_sent))
-        if not may_send(deps, req.work, progress.tries):
+            return Err(correct_outcome(_no_replica(req), progress.history.maybe_sent))
+        if not may_send(deps, req.fingerprint, progress.history):
             continue
-        sent = await _send_once(deps, req, replica, progress, on_token, make_room)
-        if isinstance(sent, Ok):
-            return Ok(_joined(sent.ok_value, progress))
-        decision = _after_failure(deps, req, replica, sent.err_value, progress)
+        result = await _send_once(deps, req, replica, progress, on_token, preempt_batch)
+        if isinstance(result, Ok):
+            return Ok(_join_parts(result.ok_value, progress))
+        decision = _after_failure(deps, req, replica, result.err_value, progress)
         if isinstance(decision, GiveUp):
-            return Err(make_true(decision.refusal, progress.tries.maybe_sent))
-        pause_ms = apart_ms(deps, req.work, sent.err_value, req.due_ms)
+            return Err(correct_outcome(decision.refusal, progress.history.maybe_sent))
+        pause_ms = retry_spacing_ms(deps, req.fingerprint, result.err_value, req.due_ms)
         await _before_retry(deps, req, replica, decision, progress, pause_ms)
 
 
@@ -104,31 +104,31 @@
     replica: Replica,
     progress: _Progress,
     on_token: "OnToken",
-    make_room: "Callable[[str], None]",
+    preempt_batch: "Callable[[str], None]",
 ) -> Result[Reply, Failure]:
-    progress.tries.made += 1
-    started = deps.clock.now()
-    deps.book.on_sent(replica.id, False, started)
-    deps.outliers.on_start(replica.id, started)
+    progress.history.send_count += 1
+    started_ms = deps.clock.now()
+    deps.book.on_sent(replica.id, False, started_ms)
+    deps.outliers.on_start(replica.id, started_ms)
     deps.uses_changed()
-    verdict = False
+    outlier_reported = False
     try:
         # Must follow on_sent: the number of batch streams to cancel depends on the counted calls.
-        make_room(replica.id)
-        may_run_again = req.profile.idempotent or not progress.tries.maybe_sent
-        check_send(deps.book, replica, req.call_id, may_run_again, started)
-        call = _call(req, progress, _first_byte_ms(deps, req, progress, started))
+        preempt_batch(replica.id)
+        may_run_again = req.profile.idempotent or not progress.history.maybe_sent
+        check_send(deps.book, replica, req.call_id, may_run_again, started_ms)
+        call = _call(req, progress, _first_byte_ms(deps, req, progress, started_ms))
         receive = _receiver(deps, req, call, progress, on_token)
-        sent = await deps.upstreams.send(replica, call, receive)
-        verdict = isinstance(sent, Ok) or blames_replica(sent.err_value)
+        result = await deps.upstreams.send(replica, call, receive)
+        outlier_reported = isinstance(result, Ok) or blames_replica(result.err_value)
     finally:
         deps.book.on_done(replica.id, False, deps.clock.now())
         deps.uses_changed()
-        if not verdict:
+        if not outlier_reported:
             deps.outliers.on_dropped(replica.id)
-    deps.crashes.sent(req.call_id, req.work, replica, sent, started)
-    _learn(deps, req, replica, sent, deps.clock.now() - started)
-    return sent
+    deps.crashes.sent(req.call_id, req.fingerprint, replica, result, started_ms)
+    _report_result(deps, req, replica, result, deps.clock.now() - started_ms)
+    return result
 
 
 def _receiver(
@@ -155,7 +155,7 @@
     """Return the first-byte timeout of this attempt; requests that may not be retried have none."""
     if not req.profile.idempotent:
         return NO_LIMIT
-    attempts_left = req.profile.retry.attempts - progress.tries.made + 1
+    attempts_left = req.profile.retry.attempts - progress.history.send_count + 1
     return deps.first_bytes.limit_ms(req.profile.upstream, req.due_ms - now, attempts_left)
 
 
@@ -165,14 +165,14 @@
         body = streaming_body(req.body, progress.text())
     return Call(
         call_id=req.call_id,
-        request_id=_request_id(req, progress.tries.made),
+        request_id=_request_id(req, progress.history.send_count),
         method=req.method,
         path=req.path,
         body=body,
         content_type=req.content_type,
         stream=req.generates,
         due_ms=req.due_ms,
-        fresh=progress.tries.fresh,
+        fresh=progress.history.fresh,
         plain=not req.generates,
         first_byte_ms=first_byte_ms,
     )
@@ -191,30 +191,30 @@
     return token._replace(data=data)
 
 
-def _learn(
+def _report_result(
     deps: "DispatchDeps",
     req: "OnlineRequest",
     replica: Replica,
-    sent: Result[Reply, Failure],
+    result: Result[Reply, Failure],
     lasted_ms: int,
 ) -> None:
     """Report the result of a send to the policies."""
     now = deps.clock.now()
     upstream = req.profile.upstream
-    if isinstance(sent, Err):
-        if sent.err_value.kind is FailureKind.SILENT:
+    if isinstance(result, Err):
+        if result.err_value.kind is FailureKind.SILENT:
             deps.first_bytes.observe(upstream, lasted_ms)
-        if blames_replica(sent.err_value):
+        if blames_replica(result.err_value):
             deps.outliers.on_end(replica.id, False, None, now)
         return
-    reply = sent.ok_value
+    reply = result.ok_value
     deps.first_bytes.observe(upstream, reply.first_token_ms)
     deps.outliers.on_end(replica.id, True, float(reply.first_token_ms), now)
     if reply.load is not None:
         deps.book.on_report(replica.id, reply.load)
     if reply.tokens > 1:
-        gap = (reply.total_ms - reply.first_token_ms) / (reply.tokens - 1)
-        deps.share.on_online_signal(replica.id, float(reply.first_token_ms), gap, now)
+        gap_ms = (reply.total_ms - reply.first_token_ms) / (reply.tokens - 1)
+        deps.share.on_online_signal(replica.id, float(reply.first_token_ms), gap_ms, now)
 
 
 def _after_failure(
@@ -228,9 +228,9 @@
     rejected = rejection(failure)
     if rejected is not None:
         return GiveUp(rejected)
-    earlier = progress.tries.note(failure)
-    made = progress.tries.made
-    return decide_again(deps, req.profile, req.due_ms, replica, failure, earlier, made)
+    earlier = progress.history.record_failure(failure)
+    send_count = progress.history.send_count
+    return decide_retry(deps, req.profile, req.due_ms, replica, failure, earlier, send_count)
 
 
 async def _before_retry(
@@ -242,12 +242,12 @@
     pause_ms: int,
 ) -> None:
     events.emit(events.REQUEST_RETRIED, call=req.call_id, replica=replica.id, apart_ms=pause_ms)
-    await before_again(deps, req.profile, replica, decision, progress.tries, pause_ms)
+    await prepare_retry(deps, req.profile, replica, decision, progress.history, pause_ms)
 
 
-def _joined(reply: Reply, progress: _Progress) -> Reply:
+def _join_parts(reply: Reply, progress: _Progress) -> Reply:
     """Join the text received over several attempts into one answer."""
-    if progress.tries.made == 1:
+    if progress.history.send_count == 1:
         return reply
     return reply._replace(
         text=progress.text() or reply.text,
--- a/papayapier/dispatch/blame.py
+++ b/papayapier/dispatch/blame.py
@@ -13,7 +13,7 @@
 from papayapier.upstream.api import Failure, FailureKind
 
 # Statuses with which a replica rejects a request without running it.
-REJECTIONS: Final = frozenset(
+REJECTION_STATUSES: Final = frozenset(
     {
         HTTPStatus.BAD_REQUEST,
         HTTPStatus.UNAUTHORIZED,
@@ -26,12 +26,12 @@
     }
 )
 # These count against the replica only on a new connection.
-NEEDS_FRESH: Final = frozenset({FailureKind.SILENT, FailureKind.CUT, FailureKind.DUE})
+FRESH_ONLY_KINDS: Final = frozenset({FailureKind.SILENT, FailureKind.CUT, FailureKind.DUE})
 
 
 def rejection(failure: Failure) -> Refusal | None:
     """Return the refusal of a request that the replica itself rejected, or None."""
-    if failure.kind is not FailureKind.STATUS or failure.status not in REJECTIONS:
+    if failure.kind is not FailureKind.STATUS or failure.status not in REJECTION_STATUSES:
         return None
     kind = ErrorKind.BAD_REQUEST
     if failure.status == HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
@@ -43,4 +43,4 @@
     """Return whether a failure counts against the replica."""
     if failure.kind is FailureKind.CANCELLED or rejection(failure) is not None:
         return False
-    return failure.fresh or failure.kind not in NEEDS_FRESH
+    return failure.fresh or failure.kind not in FRESH_ONLY_KINDS
--- a/papayapier/dispatch/claimed.py
+++ b/papayapier/dispatch/claimed.py
@@ -28,29 +28,29 @@
 
 REPLY_FORM: Final = "reply"
 REFUSAL_FORM: Final = "refusal"
-ASK_AGAIN_MS: Final = 1_000
+RESEND_AFTER_MS: Final = 1_000
 
-Ended = Result[Reply, Refusal]
+RunResult = Result[Reply, Refusal]
 
 
 def make_runner(
     online: "OnlineDispatch", claims: "Claims"
-) -> "Callable[[OnlineRequest, str, OnToken], Awaitable[Ended]]":
+) -> "Callable[[OnlineRequest, str, OnToken], Awaitable[RunResult]]":
     """Return the function that runs a request, under a claim where it needs one."""
 
-    async def run(req: "OnlineRequest", key: str, on_token: "OnToken") -> Ended:
+    async def run(req: "OnlineRequest", key: str, on_token: "OnToken") -> RunResult:
         if req.profile.idempotent or not key:
             return await online.run(req, on_token)
-        return await _detached(_ClaimedRun(online, claims, req, key), on_token)
+        return await _run_detached(_ClaimedRun(online, claims, req, key), on_token)
 
     return run
 
 
-async def _detached(run: "_ClaimedRun", on_token: "OnToken") -> Ended:
+async def _run_detached(run: "_ClaimedRun", on_token: "OnToken") -> RunResult:
     """Wait for a run; cancelling the wait does not cancel the run."""
-    waiter: Deferred[Ended] = Deferred()
+    waiter: Deferred[RunResult] = Deferred()
 
-    def ended(result: "Ended | Failure") -> None:
+    def on_finished(result: "RunResult | Failure") -> None:
         if not waiter.called:
             waiter.callback(result)
         elif isinstance(result, Failure):
@@ -61,7 +61,7 @@
         if not waiter.called:
             on_token(token)
 
-    Deferred.fromCoroutine(run.run(receive)).addBoth(ended)
+    Deferred.fromCoroutine(run.run(receive)).addBoth(on_finished)
     return await waiter
 
 
@@ -76,12 +76,12 @@
         self._req = req
         self._key = key
         self._token: Token | None = None
-        self._earlier: Ended | None = None
+        self._earlier: RunResult | None = None
 
-    async def run(self, on_token: "OnToken") -> Ended:
+    async def run(self, on_token: "OnToken") -> RunResult:
         """Run the request unless it has run before, and save its result for resends."""
         try:
-            ended = await self._online.run(self._req, on_token, self._claim)
+            result = await self._online.run(self._req, on_token, self._claim)
         except Exception:
             # If the claim stayed open, every resend would wait for this run, and a planned stop
             # for the claim.
@@ -89,13 +89,13 @@
                 refusal = unknown(
                     ErrorKind.INTERNAL, "an internal error occurred while the request ran"
                 )
-                self._keep(self._token, Err(refusal))
+                self._save(self._token, Err(refusal))
             raise
         if self._earlier is not None:
             return self._earlier
         if self._token is not None:
-            self._keep(self._token, ended)
-        return ended
+            self._save(self._token, result)
+        return result
 
     async def _claim(self) -> Result[None, Refusal]:
         req = self._req
@@ -104,15 +104,15 @@
         if isinstance(begun, Ok) and isinstance(begun.ok_value, New):
             self._token = begun.ok_value.token
             return Ok(None)
-        self._earlier = _earlier_end(begun)
-        return Err(_not_again(self._earlier))
+        self._earlier = _earlier_result(begun)
+        return Err(_refuse_rerun(self._earlier))
 
-    def _keep(self, token: "Token", ended: Ended) -> None:
-        if isinstance(ended, Ok):
-            saved = SavedAnswer(ended.ok_value.status, REPLY_FORM, codec.pack(ended.ok_value))
+    def _save(self, token: "Token", result: RunResult) -> None:
+        if isinstance(result, Ok):
+            saved = SavedAnswer(result.ok_value.status, REPLY_FORM, codec.pack(result.ok_value))
             self._claims.finish(token, saved)
             return
-        refusal = ended.err_value
+        refusal = result.err_value
         if refusal.outcome is Outcome.NOT_RUN:
             events.emit(events.CLAIM_ABANDONED, call=self._req.call_id, kind=refusal.kind.value)
             self._claims.abandon(token)
@@ -121,16 +121,16 @@
         self._claims.finish(token, SavedAnswer(status, REFUSAL_FORM, codec.pack(refusal)))
 
 
-def _earlier_end(begun: "Begun") -> Ended:
+def _earlier_result(begun: "Begun") -> RunResult:
     """Return the answer to a resend: the result or state of the earlier run."""
     if isinstance(begun, Err):
         return begun
     match begun.ok_value:
         case Done(answer) if answer is not None:
-            return _saved_end(answer)
+            return _saved_result(answer)
         case Running(writer):
             reason = f"the request is running on instance {writer}"
-            return Err(unknown(ErrorKind.STILL_RUNNING, reason, ASK_AGAIN_MS))
+            return Err(unknown(ErrorKind.STILL_RUNNING, reason, RESEND_AFTER_MS))
         case Unknown(writer):
             events.emit(events.CLAIM_UNKNOWN, writer=writer)
             reason = f"the request was claimed by instance {writer}, which is unreachable"
@@ -139,7 +139,7 @@
     return Err(unknown(ErrorKind.OUTCOME_UNKNOWN, reason))
 
 
-def _saved_end(answer: SavedAnswer) -> Ended:
+def _saved_result(answer: SavedAnswer) -> RunResult:
     if answer.content_type == REFUSAL_FORM:
         refusal = codec.unpack(answer.body, Refusal)
         return Err(refusal.ok_value) if isinstance(refusal, Ok) else _unreadable()
@@ -147,12 +147,12 @@
     return Ok(reply.ok_value) if isinstance(reply, Ok) else _unreadable()
 
 
-def _unreadable() -> Ended:
+def _unreadable() -> RunResult:
     reason = "the request has run, but its saved answer cannot be decoded"
     return Err(unknown(ErrorKind.OUTCOME_UNKNOWN, reason))
 
 
-def _not_again(earlier: Ended) -> Refusal:
+def _refuse_rerun(earlier: RunResult) -> Refusal:
     """Return the refusal that stops this run; the caller gets the result of the earlier run."""
     if isinstance(earlier, Err):
         return earlier.err_value
--- a/papayapier/dispatch/crash_watch.py
+++ b/papayapier/dispatch/crash_watch.py
@@ -12,7 +12,7 @@
 
 from papayapier import events
 from papayapier.clock import MS_PER_S, Clock, Timer
-from papayapier.dispatch.lost_sends import is_lost, note_lost
+from papayapier.dispatch.lost_sends import is_lost, log_lost_send
 from papayapier.errors import ErrorKind, Refusal, not_run
 from papayapier.metrics import Metrics
 from papayapier.policy.crashes import CrashBook, Loss
@@ -22,7 +22,7 @@
 SWEEP_MS: Final = 1_000
 
 # Returns the request fingerprint; the digest is computed only when it is needed.
-Work = Callable[[], str]
+GetFingerprint = Callable[[], str]
 
 
 class Hearers(NamedTuple):
@@ -42,57 +42,65 @@
         self._metrics = metrics
         self._list_fresh = list_fresh
         self._book = CrashBook()
-        self._held: frozenset[str] = frozenset()
+        self._quarantined: frozenset[str] = frozenset()
         self._reviewed = 0
         self._timer: Timer | None = None
-        self._hearers: Hearers | None = None
+        self._listeners: Hearers | None = None
 
-    def connect(self, hearers: Hearers) -> None:
+    def connect(self, listeners: Hearers) -> None:
         """Set the listeners."""
-        self._hearers = hearers
+        self._listeners = listeners
 
-    def refusal(self, request_id: str, work: Work) -> Refusal | None:
+    def refusal(self, request_id: str, get_fingerprint: GetFingerprint) -> Refusal | None:
         """Return the refusal of a request that is quarantined, or None."""
         if self._book.empty():
             return None
-        name = work()
-        hold_ms = self._book.hold_ms(name, self._clock.now())
-        return self._refuse(request_id, name) if hold_ms else None
+        fingerprint = get_fingerprint()
+        hold_ms = self._book.hold_ms(fingerprint, self._clock.now())
+        return self._refuse(request_id, fingerprint) if hold_ms else None
 
-    def apart_ms(self, work: Work) -> int:
+    def retry_spacing_ms(self, get_fingerprint: GetFingerprint) -> int:
         """Return the minimum pause before a request that one more loss would quarantine, in ms."""
-        return 0 if self._book.empty() else self._book.apart_ms(work())
+        return 0 if self._book.empty() else self._book.apart_ms(get_fingerprint())
 
-    def turn_ms(self, work: Work) -> int:
+    def send_window_wait_ms(self, get_fingerprint: GetFingerprint) -> int:
         """Return the wait before a request that one more loss would quarantine, in ms."""
-        return 0 if self._book.empty() else self._book.turns.wait_ms(work(), self._clock.now())
+        return (
+            0
+            if self._book.empty()
+            else self._book.turns.wait_ms(get_fingerprint(), self._clock.now())
+        )
 
-    def take_turn(self, work: Work) -> bool:
+    def take_send_window(self, get_fingerprint: GetFingerprint) -> bool:
         """Return whether a request may be sent now, and take its send window if it needs one."""
-        return self._book.empty() or self._book.turns.take(work(), self._clock.now())
+        return self._book.empty() or self._book.turns.take(get_fingerprint(), self._clock.now())
 
-    def rivals(self, work: Work) -> list[str]:
+    def suspects(self, get_fingerprint: GetFingerprint) -> list[str]:
         """Return the fingerprints that share replica losses, and send windows, with a request."""
-        return self._book.turns.rivals(work())
+        return self._book.turns.rivals(get_fingerprint())
 
-    def item_hold_ms(self, work: Work) -> int:
+    def item_hold_ms(self, get_fingerprint: GetFingerprint) -> int:
         """Return for how long an item may not be sent, in ms; 0 if it may."""
-        return 0 if self._book.empty() else self._book.item_hold_ms(work(), self._clock.now())
+        return (
+            0
+            if self._book.empty()
+            else self._book.item_hold_ms(get_fingerprint(), self._clock.now())
+        )
 
-    def item_refusal(self, item_id: str, work: Work) -> Refusal | None:
+    def item_refusal(self, item_id: str, get_fingerprint: GetFingerprint) -> Refusal | None:
         """Return the refusal of a quarantined item without attempts left, or None."""
-        hold_ms = self.item_hold_ms(work)
-        if not hold_ms or not self._book.item_done_for(work()):
+        hold_ms = self.item_hold_ms(get_fingerprint)
+        if not hold_ms or not self._book.item_done_for(get_fingerprint()):
             return None
-        return self._refuse(item_id, work())
+        return self._refuse(item_id, get_fingerprint())
 
-    def _refuse(self, request_id: str, name: str) -> Refusal:
-        replicas = self._book.replicas(name)
-        return_ms = self._book.return_ms(name, self._clock.now())
+    def _refuse(self, request_id: str, fingerprint: str) -> Refusal:
+        replicas = self._book.replicas(fingerprint)
+        return_ms = self._book.return_ms(fingerprint, self._clock.now())
         events.emit(
             events.REQUEST_HELD,
             request=request_id,
-            work=name,
+            work=fingerprint,
             replicas=replicas,
             return_ms=return_ms,
         )
@@ -105,19 +113,19 @@
     def sent(
         self,
         request_id: str,
-        work: Work,
+        get_fingerprint: GetFingerprint,
         replica: Replica,
-        ended: "Result[Any, Failure]",
+        result: "Result[Any, Failure]",
         started_ms: int,
     ) -> None:
         """Record the result of a send."""
-        if isinstance(ended, Ok) or _spoke(ended.err_value):
+        if isinstance(result, Ok) or _replica_answered(result.err_value):
             self._book.on_alive(replica.id, started_ms)
-            self._take_answer(work)
-        elif ended.err_value.closed:
+            self._record_answer(get_fingerprint)
+        elif result.err_value.closed:
             self._book.on_ended(replica.id)
-        elif is_lost(ended.err_value):
-            self._take_loss(request_id, work(), replica, ended.err_value)
+        elif is_lost(result.err_value):
+            self._record_loss(request_id, get_fingerprint(), replica, result.err_value)
         self._review_if_changed()
 
     def on_poll_failed(self, replica: Replica, failure: Failure) -> None:
@@ -127,25 +135,25 @@
 
     def on_told(self, losses: Iterable[Loss], answered: Iterable[str]) -> list[Loss]:
         """Record what a peer reports or a disk holds; return the losses not known before."""
-        fresh = self._book.on_told(losses, self._clock.now())
-        for work in answered:
-            self._book.on_answered(work)
+        new_losses = self._book.on_told(losses, self._clock.now())
+        for fingerprint in answered:
+            self._book.on_answered(fingerprint)
         self._review_if_changed()
-        return fresh
+        return new_losses
 
-    def is_held(self, work: str) -> bool:
+    def is_held(self, fingerprint: str) -> bool:
         """Return whether a request is quarantined."""
-        return work in self._held
+        return fingerprint in self._quarantined
 
-    def answered_lately(self, works: Iterable[str]) -> list[str]:
+    def answered_lately(self, fingerprints: Iterable[str]) -> list[str]:
         """Return the fingerprints answered just before their losses, or recently here."""
-        return self._book.answered_lately(works, self._clock.now())
+        return self._book.answered_lately(fingerprints, self._clock.now())
 
-    def take_lately(self, works: Iterable[str], peer_id: str) -> list[str]:
+    def take_lately(self, fingerprints: Iterable[str], peer_id: str) -> list[str]:
         """Record that a peer answered requests recently; return those whose losses count less."""
-        cleared = self._book.take_lately(works, self._clock.now())
-        for work in cleared:
-            events.emit(events.WORK_CLEARED, work=work, peer=peer_id)
+        cleared = self._book.take_lately(fingerprints, self._clock.now())
+        for fingerprint in cleared:
+            events.emit(events.WORK_CLEARED, work=fingerprint, peer=peer_id)
         self._review_if_changed()
         return cleared
 
@@ -166,18 +174,20 @@
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
-    def _take_answer(self, work: Work) -> None:
-        name = work()
-        self._book.note_answered(name, self._clock.now())
-        if self._book.on_answered(name) and self._hearers is not None:
-            self._hearers.answered(name)
+    def _record_answer(self, get_fingerprint: GetFingerprint) -> None:
+        fingerprint = get_fingerprint()
+        self._book.note_answered(fingerprint, self._clock.now())
+        if self._book.on_answered(fingerprint) and self._listeners is not None:
+            self._listeners.answered(fingerprint)
 
-    def _take_loss(self, request_id: str, work: str, replica: Replica, failure: Failure) -> None:
-        note_lost(request_id, work, replica, failure)
+    def _record_loss(
+        self, request_id: str, fingerprint: str, replica: Replica, failure: Failure
+    ) -> None:
+        log_lost_send(request_id, fingerprint, replica, failure)
         self._metrics.sends_lost.labels(failure.kind.value).inc()
-        fresh = self._book.on_lost(work, replica.id, self._clock.now())
-        if fresh and self._hearers is not None:
-            self._hearers.lost(Loss(work, replica.id, 0))
+        is_new = self._book.on_lost(fingerprint, replica.id, self._clock.now())
+        if is_new and self._listeners is not None:
+            self._listeners.lost(Loss(fingerprint, replica.id, 0))
 
     def _review_if_changed(self) -> None:
         if self._reviewed != self._book.changes:
@@ -186,15 +196,15 @@
     def _review(self) -> None:
         """Notify of requests that have entered or left quarantine."""
         self._reviewed = self._book.changes
-        was, self._held = self._held, self._book.held(self._clock.now())
-        for work in sorted(self._held - was):
-            replicas = self._book.replicas(work)
-            events.emit(events.WORK_HELD, work=work, replicas=replicas)
-            if self._hearers is not None:
-                self._hearers.held(work)
-        for work in sorted(was - self._held):
-            events.emit(events.WORK_RELEASED, work=work)
-        self._metrics.works_held.set(len(self._held))
+        before, self._quarantined = self._quarantined, self._book.held(self._clock.now())
+        for fingerprint in sorted(self._quarantined - before):
+            replicas = self._book.replicas(fingerprint)
+            events.emit(events.WORK_HELD, work=fingerprint, replicas=replicas)
+            if self._listeners is not None:
+                self._listeners.held(fingerprint)
+        for fingerprint in sorted(before - self._quarantined):
+            events.emit(events.WORK_RELEASED, work=fingerprint)
+        self._metrics.works_held.set(len(self._quarantined))
         if not self._book.empty() and (self._timer is None or not self._timer.active()):
             self._timer = self._clock.call_later(SWEEP_MS, self._sweep)
 
@@ -203,6 +213,6 @@
         self._review()
 
 
-def _spoke(failure: Failure) -> bool:
+def _replica_answered(failure: Failure) -> bool:
     """Return whether the replica itself answered that the call failed."""
     return failure.kind is FailureKind.STATUS and failure.sent is Sent.MAYBE
--- a/papayapier/dispatch/forward_state.py
+++ b/papayapier/dispatch/forward_state.py
@@ -4,9 +4,9 @@
 
 from twisted.web.http_headers import Headers
 
-from papayapier.dispatch.again import Tries
 from papayapier.dispatch.lost_sends import name_work
-from papayapier.dispatch.passed_streams import PassedStream, Reader
+from papayapier.dispatch.passed_streams import CallerStream, PassedStream
+from papayapier.dispatch.retrying import SendHistory
 from papayapier.upstream.event_cutter import NO_EVENT
 
 if TYPE_CHECKING:
@@ -32,8 +32,8 @@
     """Describe a caller's request; due_ms is on the monotonic clock.
 
     prompt identifies the part of the prompt that a replica may have cached. last_event is the
-    event after which the caller wants the stream to resume. returned says that the request is a
-    retry: its caller has spent part of its time elsewhere. may_return says that the caller may
+    event after which the caller wants the stream to resume. is_retry says that the request is a
+    retry: its caller has spent part of its time elsewhere. may_retry says that the caller may
     retry if it is refused.
     """
 
@@ -51,14 +51,14 @@
     team: str = ""
     rank: int = 0
     objective_ms: int = 0
-    returned: bool = False
-    may_return: bool = True
+    is_retry: bool = False
+    may_retry: bool = True
 
     def caller(self) -> str:
         """Return the unit of fair queueing: the team, or the route if there is no team."""
         return self.team or self.profile.name
 
-    def work(self) -> str:
+    def fingerprint(self) -> str:
         """Return the request fingerprint, which is the same when the caller retries."""
         host = self.headers.getRawHeaders(b"Host", [b""])[0].decode("latin-1")
         return name_work(self.method, host, self.target, self.body, self.team)
@@ -92,37 +92,37 @@
     fresh: "Callable[[], bool]"
 
 
-class Progress:
+class ForwardProgress:
     """Hold what one request has sent and received over all its attempts."""
 
     __slots__ = (
-        "answer",
         "began_ms",
-        "has_place",
-        "held_ms",
-        "placed",
+        "failed_answer",
+        "history",
+        "placed_sends",
+        "placed_with_capacity",
+        "placement_ms",
         "replicas",
         "stream",
-        "tries",
     )
 
-    def __init__(self, req: RawRequest, reader: Reader | None, began_ms: int) -> None:
-        self.tries = Tries(fresh=not req.profile.idempotent)
+    def __init__(self, req: RawRequest, caller_stream: CallerStream | None, began_ms: int) -> None:
+        self.history = SendHistory(fresh=not req.profile.idempotent)
         self.began_ms = began_ms
         self.replicas: list[str] = []
-        self.held_ms = 0
+        self.placement_ms = 0
         # The placer, which knows all open calls, reported a free slot at the replica of this send.
-        self.has_place = False
+        self.placed_with_capacity = False
         # Sends whose replica a placer chose; for the others it was chosen here.
-        self.placed = 0
-        self.answer: RawAnswer | None = None
-        self.stream = None if reader is None else _passed_stream(req, reader)
+        self.placed_sends = 0
+        self.failed_answer: RawAnswer | None = None
+        self.stream = None if caller_stream is None else _relay_stream(req, caller_stream)
 
-    def begun(self) -> bool:
+    def has_begun(self) -> bool:
         """Return whether the head of a stream has been sent to the caller."""
         return self.stream is not None and self.stream.started
 
 
-def _passed_stream(req: RawRequest, reader: Reader) -> PassedStream:
+def _relay_stream(req: RawRequest, caller_stream: CallerStream) -> PassedStream:
     # Only resumable streams have an idempotent profile.
-    return PassedStream(reader, req.last_event, resumable=req.profile.idempotent)
+    return PassedStream(caller_stream, req.last_event, resumable=req.profile.idempotent)
--- a/papayapier/dispatch/items.py
+++ b/papayapier/dispatch/items.py
@@ -12,13 +12,13 @@
 if TYPE_CHECKING:
     from papayapier.batch.api import ItemCall
 
-Ended = Result[Reply, Failure]
+SendResult = Result[Reply, Failure]
 
 
 class Item:
     """Track what an item has sent and received.
 
-    gave_way says that its last send was cancelled in favour of online requests, and not because
+    preempted says that its last send was cancelled in favour of online requests, and not because
     its job was cancelled.
     """
 
@@ -30,9 +30,9 @@
         "excluded",
         "failures",
         "fresh",
-        "gave_way",
         "maybe_sent",
         "parts",
+        "preempted",
         "sends",
         "waiter",
     )
@@ -46,9 +46,9 @@
         self.excluded: frozenset[str] = frozenset()
         self.avoid_until_ms = 0
         self.maybe_sent = False
-        self.gave_way = False
+        self.preempted = False
         self.waiter: Deferred[Replica] | None = None
-        self._sending: Deferred[Ended] | None = None
+        self._sending: Deferred[SendResult] | None = None
         self._cancelled = False
 
     def generates(self) -> bool:
@@ -65,46 +65,46 @@
         """Store a token."""
         self.parts.append(token.text)
 
-    def joined(self, reply: Reply) -> Reply:
+    def join_parts(self, reply: Reply) -> Reply:
         """Join the text received over several sends into one answer."""
         if self.sends == 1 or not self.parts:
             return reply
         return reply._replace(text="".join(self.parts), tokens=len(self.parts))
 
-    def may_give_way(self) -> bool:
+    def may_be_preempted(self) -> bool:
         """Return whether the item is running, and can be cancelled and resumed."""
-        if self._sending is None or self.gave_way:
+        if self._sending is None or self.preempted:
             return False
         return self.call.profile.idempotent and self.generates()
 
-    def give_way(self) -> None:
+    def preempt(self) -> None:
         """Cancel the open send; its result is a failure of kind CANCELLED."""
         assert self._sending is not None
-        self.gave_way = True
+        self.preempted = True
         self._sending.cancel()
 
-    async def send(self, begin: Callable[[], Awaitable[Ended]]) -> Ended:
+    async def send(self, begin: Callable[[], Awaitable[SendResult]]) -> SendResult:
         """Wait for a send, and distinguish preemption from the cancel of the job.
 
         The send is awaited through a second Deferred. If it were awaited directly, the cancel
         of a job would look like a preemption and its item would be resumed, so that tokens were
         generated for a job after its cancel.
         """
-        sending: Deferred[Ended] = Deferred.fromCoroutine(_as_coroutine(begin))
-        waiting: Deferred[Ended] = Deferred(lambda _: self._cancel())
+        sending: Deferred[SendResult] = Deferred.fromCoroutine(_as_coroutine(begin))
+        waiting: Deferred[SendResult] = Deferred(lambda _: self._cancel())
         self._sending = sending
         sending.addBoth(waiting.callback)
         try:
-            ended = await waiting
+            result = await waiting
         except CancelledError:
-            if self._cancelled or not self.gave_way:
+            if self._cancelled or not self.preempted:
                 raise
-            ended = Err(Failure(FailureKind.CANCELLED, Sent.MAYBE, "preempted by online calls"))
+            result = Err(Failure(FailureKind.CANCELLED, Sent.MAYBE, "preempted by online calls"))
         finally:
             self._sending = None
         if self._cancelled:
-            self.gave_way = False
-        return ended
+            self.preempted = False
+        return result
 
     def _cancel(self) -> None:
         self._cancelled = True
@@ -112,5 +112,5 @@
             self._sending.cancel()
 
 
-async def _as_coroutine(begin: Callable[[], Awaitable[Ended]]) -> Ended:
+async def _as_coroutine(begin: Callable[[], Awaitable[SendResult]]) -> SendResult:
     return await begin()
--- a/papayapier/dispatch/lanes.py
+++ b/papayapier/dispatch/lanes.py
@@ -17,7 +17,7 @@
 
 from papayapier.dispatch.blame import blames_replica, rejection
 from papayapier.dispatch.items import Item
-from papayapier.dispatch.truth import check_send, make_true
+from papayapier.dispatch.outcome_checks import check_send, correct_outcome
 from papayapier.errors import ErrorKind, Refusal, not_run
 from papayapier.policy.retries import GiveUp, Retry, decide
 from papayapier.upstream.api import Call, Failure, Replica, Reply, Sent
@@ -30,8 +30,8 @@
     from papayapier.dispatch.api import DispatchDeps
 
 TICK_MS: Final = 20
-MIN_ITEM_MS: Final = 60_000
-AVOID_MS: Final = 1_000
+MIN_ITEM_TIMEOUT_MS: Final = 60_000
+AVOID_FAILED_MS: Final = 1_000
 
 
 class BatchLanes:
@@ -41,18 +41,20 @@
         self._deps = deps
         self._waiting: dict[str, deque[Item]] = {}
         self._running: dict[str, list[Item]] = {}
-        self._pausing = 0
+        self._paused_count = 0
         self._watchers: list[Callable[[], None]] = []
         self._timer: Timer | None = None
         self._closed = False
         self._starting = False
-        self._start_again = False
+        self._restart_pending = False
 
     def room(self, upstream: str) -> int:
         """Return how many more items of an upstream may be passed to run now."""
         deps = self._deps
         now = deps.clock.now()
-        free = sum(deps.share.room(one.id, deps.book, now) for one in self._usable(upstream, now))
+        free = sum(
+            deps.share.room(replica.id, deps.book, now) for replica in self._usable(upstream, now)
+        )
         return max(0, free - len(self._waiting.get(upstream, ())))
 
     def watch_room(self, call: "Callable[[], None]") -> None:
@@ -62,50 +64,50 @@
     def under_way(self) -> int:
         """Return how many items are waiting, running or pausing before a retry."""
         waiting = sum(len(items) for items in self._waiting.values())
-        return waiting + sum(len(items) for items in self._running.values()) + self._pausing
+        return waiting + sum(len(items) for items in self._running.values()) + self._paused_count
 
     async def run(self, call: "ItemCall") -> Result[Reply, Refusal]:
         """Return the complete answer of an item, however often it is preempted."""
         item = Item(call)
         self._deps.budget.on_request(call.profile.upstream, self._deps.clock.now())
         while True:
-            held = await self._wait_while_held(item)
-            if held is not None:
-                return Err(make_true(held, item.maybe_sent))
-            replica = await self._wait_for_room(item)
+            quarantine_refusal = await self._wait_while_quarantined(item)
+            if quarantine_refusal is not None:
+                return Err(correct_outcome(quarantine_refusal, item.maybe_sent))
+            replica = await self._wait_for_capacity(item)
             try:
                 if not call.still_allowed():
-                    return Err(make_true(_no_longer_allowed(), item.maybe_sent))
-                sent = await self._send(item, replica)
+                    return Err(correct_outcome(_not_allowed_refusal(), item.maybe_sent))
+                result = await self._send(item, replica)
             finally:
                 self._release(item, replica)
-            if isinstance(sent, Ok):
-                return Ok(item.joined(sent.ok_value))
-            if item.gave_way:
+            if isinstance(result, Ok):
+                return Ok(item.join_parts(result.ok_value))
+            if item.preempted:
                 continue
-            decision = self._after_failure(item, sent.err_value)
+            decision = self._after_failure(item, result.err_value)
             if isinstance(decision, GiveUp):
-                return Err(make_true(decision.refusal, item.maybe_sent))
+                return Err(correct_outcome(decision.refusal, item.maybe_sent))
             await self._before_retry(item, replica, decision)
 
-    async def _wait_while_held(self, item: Item) -> Refusal | None:
+    async def _wait_while_quarantined(self, item: Item) -> Refusal | None:
         """Wait while an item is quarantined; return the refusal of one without attempts left."""
-        crashes, work = self._deps.crashes, item.call.work
-        while hold_ms := crashes.item_hold_ms(work):
-            refusal = crashes.item_refusal(item.call.call_id, work)
+        crashes, get_fingerprint = self._deps.crashes, item.call.work
+        while quarantine_ms := crashes.item_hold_ms(get_fingerprint):
+            refusal = crashes.item_refusal(item.call.call_id, get_fingerprint)
             if refusal is not None:
                 return refusal
-            await self._pause(hold_ms)
+            await self._pause(quarantine_ms)
         return None
 
     async def _pause(self, delay_ms: int) -> None:
-        self._pausing += 1
+        self._paused_count += 1
         try:
             await self._deps.clock.sleep(delay_ms)
         finally:
-            self._pausing -= 1
+            self._paused_count -= 1
 
-    async def _wait_for_room(self, item: Item) -> Replica:
+    async def _wait_for_capacity(self, item: Item) -> Replica:
         upstream = item.call.profile.upstream
         waiting = self._waiting.setdefault(upstream, deque())
         item.waiter = Deferred(lambda _: waiting.remove(item))
@@ -124,13 +126,13 @@
         still running. The nested call only sets a flag: with many such items in a row, recursion
         would exceed the interpreter's limit.
         """
-        self._start_again = True
+        self._restart_pending = True
         if self._starting:
             return
         self._starting = True
         try:
-            while self._start_again:
-                self._start_again = False
+            while self._restart_pending:
+                self._restart_pending = False
                 for upstream in list(self._waiting):
                     self._start_upstream(upstream)
         finally:
@@ -139,7 +141,7 @@
     def _start_upstream(self, upstream: str) -> None:
         waiting = self._waiting[upstream]
         for item in list(waiting):
-            if self._roomiest(upstream, frozenset()) is None:
+            if self._most_free_replica(upstream, frozenset()) is None:
                 return
             replica = self._replica_for(item)
             if replica is not None and item in waiting:
@@ -160,19 +162,19 @@
         upstream = item.call.profile.upstream
         now = self._deps.clock.now()
         usable = self._usable(upstream, now)
-        if now >= item.avoid_until_ms or all(one.id in item.excluded for one in usable):
+        if now >= item.avoid_until_ms or all(replica.id in item.excluded for replica in usable):
             item.excluded = frozenset()
-        return self._roomiest(upstream, item.excluded)
+        return self._most_free_replica(upstream, item.excluded)
 
-    def _roomiest(self, upstream: str, excluded: frozenset[str]) -> Replica | None:
+    def _most_free_replica(self, upstream: str, excluded: frozenset[str]) -> Replica | None:
         deps = self._deps
         now = deps.clock.now()
         best: Replica | None = None
-        most = 0
+        most_free = 0
         for replica in self._usable(upstream, now):
             free = deps.share.room(replica.id, deps.book, now)
-            if free > most and replica.id not in excluded:
-                best, most = replica, free
+            if free > most_free and replica.id not in excluded:
+                best, most_free = replica, free
         return best
 
     def _usable(self, upstream: str, now: int) -> list[Replica]:
@@ -185,21 +187,23 @@
         may_run_again = item.call.profile.idempotent or not item.maybe_sent
         check_send(self._deps.book, replica, item.call.call_id, may_run_again, now)
         item.sends += 1
-        item.gave_way = False
+        item.preempted = False
         self._deps.outliers.on_start(replica.id, now)
         call = self._call(item, now)
-        verdict = False
+        outlier_reported = False
         try:
-            sent = await item.send(lambda: self._deps.upstreams.send(replica, call, item.receive))
-            verdict = isinstance(sent, Ok) or _blames(item, sent.err_value)
+            result = await item.send(lambda: self._deps.upstreams.send(replica, call, item.receive))
+            outlier_reported = isinstance(result, Ok) or _counts_against_replica(
+                item, result.err_value
+            )
         finally:
-            if not verdict:
+            if not outlier_reported:
                 self._deps.outliers.on_dropped(replica.id)
-        if isinstance(sent, Err) and rejection(sent.err_value) is None:
-            item.maybe_sent = item.maybe_sent or sent.err_value.sent is Sent.MAYBE
-        self._deps.crashes.sent(item.call.call_id, item.call.work, replica, sent, now)
-        self._learn(item, replica, sent)
-        return sent
+        if isinstance(result, Err) and rejection(result.err_value) is None:
+            item.maybe_sent = item.maybe_sent or result.err_value.sent is Sent.MAYBE
+        self._deps.crashes.sent(item.call.call_id, item.call.work, replica, result, now)
+        self._report_result(item, replica, result)
+        return result
 
     def _release(self, item: Item, replica: Replica) -> None:
         running = self._running[replica.id]
@@ -208,7 +212,7 @@
             del self._running[replica.id]
         self._deps.book.on_done(replica.id, True, self._deps.clock.now())
         self._deps.uses_changed()
-        self._room_grew()
+        self._on_capacity_grown()
 
     def _call(self, item: Item, now: int) -> Call:
         call = item.call
@@ -222,19 +226,19 @@
             content_type="application/json",
             stream=item.generates(),
             # An item past its due time is still run, because it must end with a result.
-            due_ms=now + max(left_ms, MIN_ITEM_MS),
+            due_ms=now + max(left_ms, MIN_ITEM_TIMEOUT_MS),
             fresh=item.fresh,
             plain=not item.generates(),
         )
 
-    def _learn(self, item: Item, replica: Replica, sent: Result[Reply, Failure]) -> None:
+    def _report_result(self, item: Item, replica: Replica, result: Result[Reply, Failure]) -> None:
         now = self._deps.clock.now()
-        if isinstance(sent, Ok):
+        if isinstance(result, Ok):
             self._deps.outliers.on_end(replica.id, True, None, now)
-            if sent.ok_value.load is not None:
-                self._deps.book.on_report(replica.id, sent.ok_value.load)
+            if result.ok_value.load is not None:
+                self._deps.book.on_report(replica.id, result.ok_value.load)
             return
-        if _blames(item, sent.err_value):
+        if _counts_against_replica(item, result.err_value):
             self._deps.outliers.on_end(replica.id, False, None, now)
 
     def _after_failure(self, item: Item, failure: Failure) -> Retry | GiveUp:
@@ -249,7 +253,7 @@
             call.profile.idempotent,
             item.failures,
             call.profile.retry,
-            now + MIN_ITEM_MS,
+            now + MIN_ITEM_TIMEOUT_MS,
             now,
             self._deps.budget,
             call.profile.upstream,
@@ -263,7 +267,7 @@
         # A replica that fails at once always has the most free slots and would attract every item.
         if decision.exclude:
             item.excluded = item.excluded | {replica.id}
-            item.avoid_until_ms = self._deps.clock.now() + decision.after_ms + AVOID_MS
+            item.avoid_until_ms = self._deps.clock.now() + decision.after_ms + AVOID_FAILED_MS
         if decision.after_ms:
             await self._pause(decision.after_ms)
 
@@ -275,18 +279,20 @@
         now = self._deps.clock.now()
         count = self._deps.share.to_yield(replica_id, self._deps.book, now)
         if count > 0:
-            self._give_up(items, count)
+            self._preempt(items, count)
 
-    def _give_up(self, items: list[Item], count: int) -> None:
+    def _preempt(self, items: list[Item], count: int) -> None:
         """Preempt the streams with the fewest tokens, which lose the least work."""
         # Streams already cancelled still count as open, and must not be counted twice.
-        count -= sum(1 for item in items if item.gave_way)
-        able = [item for item in items if item.may_give_way()]
-        for item in sorted(able, key=lambda one: len(one.parts))[: max(0, count)]:
+        count -= sum(1 for item in items if item.preempted)
+        preemptible = [item for item in items if item.may_be_preempted()]
+        for item in sorted(preemptible, key=lambda candidate: len(candidate.parts))[
+            : max(0, count)
+        ]:
             self._deps.metrics.batch_yields.inc()
-            item.give_way()
+            item.preempt()
 
-    def _room_grew(self) -> None:
+    def _on_capacity_grown(self) -> None:
         self._start_waiting()
         for call in self._watchers:
             call()
@@ -302,7 +308,7 @@
             self._keep_ticking()
         for replica_id in list(self._running):
             self.before_online_send(replica_id)
-        self._room_grew()
+        self._on_capacity_grown()
 
     def close(self) -> None:
         """Stop the timer."""
@@ -311,9 +317,9 @@
             self._timer.cancel()
 
 
-def _no_longer_allowed() -> Refusal:
+def _not_allowed_refusal() -> Refusal:
     return not_run(ErrorKind.CANCELLED, "the item may no longer run")
 
 
-def _blames(item: Item, failure: Failure) -> bool:
-    return not item.gave_way and blames_replica(failure)
+def _counts_against_replica(item: Item, failure: Failure) -> bool:
+    return not item.preempted and blames_replica(failure)
--- a/papayapier/dispatch/lost_sends.py
+++ b/papayapier/dispatch/lost_sends.py
@@ -12,9 +12,9 @@
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
 
 # 64 bits: among a million requests at once, the probability of a collision is 3 in 10^8.
-DIGEST_BYTES: Final = 8
+FINGERPRINT_BYTES: Final = 8
 # Failures of a call whose replica ends: its connection is reset, or nothing more arrives.
-LOST: Final = frozenset({FailureKind.CUT, FailureKind.SILENT, FailureKind.DUE})
+LOSS_KINDS: Final = frozenset({FailureKind.CUT, FailureKind.SILENT, FailureKind.DUE})
 
 
 def name_work(method: str, host: str, target: str, body: bytes, team: str = "") -> str:
@@ -23,23 +23,23 @@
     Equal requests of two teams differ, so that losses under one team's requests do not quarantine
     the other team's.
     """
-    place = f"{method}\n{host}\n{target}\n{team}\n"
-    digest = hashlib.blake2b(place.encode(), digest_size=DIGEST_BYTES)
+    header = f"{method}\n{host}\n{target}\n{team}\n"
+    digest = hashlib.blake2b(header.encode(), digest_size=FINGERPRINT_BYTES)
     digest.update(body)
     return digest.hexdigest()
 
 
 def is_lost(failure: Failure) -> bool:
     """Return whether a send may have reached its replica and ended without an answer from it."""
-    return failure.sent is Sent.MAYBE and failure.kind in LOST
+    return failure.sent is Sent.MAYBE and failure.kind in LOSS_KINDS
 
 
-def note_lost(request_id: str, work: str, replica: Replica, failure: Failure) -> None:
+def log_lost_send(request_id: str, fingerprint: str, replica: Replica, failure: Failure) -> None:
     """Log a lost send, so that the sends of one request can be found across instances."""
     events.emit(
         events.SEND_LOST,
         request=request_id,
-        work=work,
+        work=fingerprint,
         replica=replica.id,
         kind=failure.kind.value,
         reason=failure.reason,
--- a/papayapier/dispatch/online.py
+++ b/papayapier/dispatch/online.py
@@ -5,7 +5,7 @@
 from result import Err, Result
 
 from papayapier.dispatch.attempts import send_until_answered
-from papayapier.dispatch.start_queue import Ask, StartQueue
+from papayapier.dispatch.start_queue import StartQueue, StartRequest
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -15,10 +15,10 @@
     from papayapier.upstream.api import Reply
 
 # Longer than a claim usually takes, but too short to be noticeable for a request.
-CLAIM_HOLDS_SLOT_MS: Final = 50
+CLAIM_RESERVATION_MS: Final = 50
 
 
-class _Claiming:
+class _ClaimReservations:
     """Count the slots reserved for admitted requests whose claims are being written.
 
     A claim takes some milliseconds, during which the slot does not yet count as used. Without
@@ -29,35 +29,35 @@
     """
 
     def __init__(self) -> None:
-        self._began: dict[str, dict[int, int]] = {}
+        self._began_ms: dict[str, dict[int, int]] = {}
 
     def add(self, upstream: str, ticket: int, now: int) -> None:
-        self._began.setdefault(upstream, {})[ticket] = now
+        self._began_ms.setdefault(upstream, {})[ticket] = now
 
     def remove(self, upstream: str, ticket: int) -> None:
-        self._began[upstream].pop(ticket, None)
+        self._began_ms[upstream].pop(ticket, None)
 
     def count(self, upstream: str, now: int) -> int:
-        began = self._began.get(upstream)
-        while began:
-            oldest = next(iter(began))
-            if now < began[oldest] + CLAIM_HOLDS_SLOT_MS:
-                return len(began)
-            del began[oldest]
+        began_ms = self._began_ms.get(upstream)
+        while began_ms:
+            oldest = next(iter(began_ms))
+            if now < began_ms[oldest] + CLAIM_RESERVATION_MS:
+                return len(began_ms)
+            del began_ms[oldest]
         return 0
 
 
 class OnlineDispatch:
     """Own the queued and running online requests of one instance.
 
-    make_room is called with the replica before each send.
+    preempt_batch is called with the replica before each send.
     """
 
-    def __init__(self, deps: "DispatchDeps", make_room: "Callable[[str], None]") -> None:
+    def __init__(self, deps: "DispatchDeps", preempt_batch: "Callable[[str], None]") -> None:
         self._deps = deps
-        self._make_room = make_room
-        self._claiming = _Claiming()
-        self._queue = StartQueue(deps, self._claiming.count)
+        self._preempt_batch = preempt_batch
+        self._reservations = _ClaimReservations()
+        self._queue = StartQueue(deps, self._reservations.count)
 
     def under_way(self) -> int:
         """Return how many requests are queued or running."""
@@ -79,28 +79,28 @@
         request unsent.
         """
 
-        held = self._deps.crashes.refusal(req.call_id, req.work)
-        if held is not None:
-            return Err(held)
+        quarantine_refusal = self._deps.crashes.refusal(req.call_id, req.fingerprint)
+        if quarantine_refusal is not None:
+            return Err(quarantine_refusal)
 
         async def send() -> "Result[Reply, Refusal]":
             if claim is not None:
                 claimed = await self._claim(req.profile.upstream, claim)
                 if isinstance(claimed, Err):
                     return claimed
-            return await send_until_answered(self._deps, req, on_token, self._make_room)
+            return await send_until_answered(self._deps, req, on_token, self._preempt_batch)
 
-        return await self._queue.run(Ask(req.profile, req.caller, req.due_ms), send)
+        return await self._queue.run(StartRequest(req.profile, req.caller, req.due_ms), send)
 
     async def _claim(
         self, upstream: str, claim: "Callable[[], Awaitable[Result[None, Refusal]]]"
     ) -> "Result[None, Refusal]":
         ticket = self._queue.take_ticket()
-        self._claiming.add(upstream, ticket, self._deps.clock.now())
+        self._reservations.add(upstream, ticket, self._deps.clock.now())
         try:
             return await claim()
         finally:
-            self._claiming.remove(upstream, ticket)
+            self._reservations.remove(upstream, ticket)
 
     def pump(self) -> None:
         """Start the requests that can start now, and refuse those that would be late."""
--- a/papayapier/dispatch/truth.py
+++ b/papayapier/dispatch/outcome_checks.py
@@ -19,7 +19,7 @@
     check(replica in usable, Promise.LEAVING_IDLE, call=call_id, replica=replica.id)
 
 
-def make_true(refusal: Refusal, maybe_sent: bool) -> Refusal:
+def correct_outcome(refusal: Refusal, maybe_sent: bool) -> Refusal:
     """Set the outcome of a refusal to unknown if an earlier send may have run.
 
     The code that refuses knows of one send at most. Without this, a request whose first send was
--- a/papayapier/dispatch/passed_streams.py
+++ b/papayapier/dispatch/passed_streams.py
@@ -10,7 +10,7 @@
     from papayapier.upstream.exchange import Head
 
 
-class Reader(Protocol):
+class CallerStream(Protocol):
     """Describe the caller's side of a streamed answer."""
 
     def begin(self, answer: "Head") -> None:
@@ -23,16 +23,16 @@
 class PassedStream:
     """Relay one stream; a replica that resumes it must begin after the last event passed on."""
 
-    __slots__ = ("_cutter", "_reader", "_resumed", "began_ms", "declared", "started")
+    __slots__ = ("_caller_stream", "_cutter", "_resumed", "declared", "first_data_ms", "started")
 
-    def __init__(self, reader: Reader, last_event: int, resumable: bool) -> None:
-        self._reader = reader
+    def __init__(self, caller_stream: CallerStream, last_event: int, resumable: bool) -> None:
+        self._caller_stream = caller_stream
         self._cutter = EventCutter(last_event)
         # The next event is the first from a replica that was asked to resume the stream.
         self._resumed = resumable and last_event != NO_EVENT
         self.started = False
         self.declared = False
-        self.began_ms = 0
+        self.first_data_ms = 0
 
     def last_event(self) -> int:
         return self._cutter.last_id
@@ -40,27 +40,27 @@
     def restart(self) -> None:
         self._cutter.restart()
         self._resumed = self._cutter.last_id != NO_EVENT
-        self.began_ms = 0
+        self.first_data_ms = 0
 
     def on_head(self, head: "Head") -> None:
         if not self.started:
             self.started = True
-            self._reader.begin(head)
+            self._caller_stream.begin(head)
 
     def on_data(self, data: bytes, now_ms: int) -> Fault | None:
-        self.began_ms = self.began_ms or now_ms
-        last = self._cutter.last_id
-        whole = self._cutter.feed(data)
-        if whole is None:
+        self.first_data_ms = self.first_data_ms or now_ms
+        previous_id = self._cutter.last_id
+        complete_events = self._cutter.feed(data)
+        if complete_events is None:
             return Fault(FailureKind.BROKEN, "an event is too long")
-        if not whole:
+        if not complete_events:
             return None
-        first = first_id(whole) if self._resumed else NO_EVENT
-        if first not in (NO_EVENT, last + 1):
-            self._cutter.last_id = last
-            return Fault(FailureKind.BROKEN, f"event {first} came after {last}")
+        first_event_id = first_id(complete_events) if self._resumed else NO_EVENT
+        if first_event_id not in (NO_EVENT, previous_id + 1):
+            self._cutter.last_id = previous_id
+            return Fault(FailureKind.BROKEN, f"event {first_event_id} came after {previous_id}")
         self._resumed = False
-        self._reader.write(whole)
+        self._caller_stream.write(complete_events)
         return None
 
     def on_end(self, declared: bool) -> Fault | None:
@@ -70,5 +70,5 @@
             # A killed process closes its connections just like one that has completed its answer.
             return Fault(FailureKind.CUT, "the connection closed within an event of the stream")
         if rest:
-            self._reader.write(rest)
+            self._caller_stream.write(rest)
         return None
--- a/papayapier/dispatch/again.py
+++ b/papayapier/dispatch/retrying.py
@@ -15,15 +15,15 @@
 
     from papayapier.clock import Clock
     from papayapier.config.profiles import Profile
-    from papayapier.dispatch.crash_watch import CrashWatch, Work
+    from papayapier.dispatch.crash_watch import CrashWatch, GetFingerprint
     from papayapier.metrics import Metrics
     from papayapier.policy.loads import LoadBook
     from papayapier.policy.retries import RetryBudget
 
-NONE_EXCLUDED: Final[frozenset[str]] = frozenset()
+NO_EXCLUDED_REPLICAS: Final[frozenset[str]] = frozenset()
 
 
-class AgainDeps(Protocol):
+class RetryDeps(Protocol):
     """Describe what retries depend on."""
 
     @property
@@ -51,26 +51,33 @@
         """Return the metrics."""
 
 
-class Tries:
+class SendHistory:
     """Track the sends of one request; maybe_sent says that one of them may have run.
 
-    After turn_by_ms the request no longer waits for send windows.
+    After window_deadline_ms the request no longer waits for send windows.
     """
 
-    __slots__ = ("excluded", "fresh", "made", "maybe_sent", "rejections", "turn_by_ms")
+    __slots__ = (
+        "excluded",
+        "fresh",
+        "maybe_sent",
+        "rejections",
+        "send_count",
+        "window_deadline_ms",
+    )
 
     def __init__(self, fresh: bool) -> None:
-        self.made = 0
+        self.send_count = 0
         # Sends that are confirmed not to have run.
         self.rejections = 0
-        self.excluded = NONE_EXCLUDED
+        self.excluded = NO_EXCLUDED_REPLICAS
         # The replica may have closed a pooled connection without our noticing. A retry is then
         # safe only for idempotent requests, so all others use a new connection.
         self.fresh = fresh
         self.maybe_sent = False
-        self.turn_by_ms: int | None = None
+        self.window_deadline_ms: int | None = None
 
-    def note(self, failure: Failure) -> Sent:
+    def record_failure(self, failure: Failure) -> Sent:
         """Record a failed send and return whether an earlier one may have run."""
         earlier = Sent.MAYBE if self.maybe_sent else Sent.NO
         if failure.sent is Sent.MAYBE:
@@ -80,8 +87,8 @@
         return earlier
 
 
-def decide_again(
-    deps: AgainDeps,
+def decide_retry(
+    deps: RetryDeps,
     profile: "Profile",
     due_ms: int,
     replica: Replica,
@@ -105,63 +112,73 @@
     )
 
 
-async def before_again(
-    deps: AgainDeps,
+async def prepare_retry(
+    deps: RetryDeps,
     profile: "Profile",
     replica: Replica,
     retry: Retry,
-    tries: Tries,
-    apart_ms: int,
+    history: SendHistory,
+    spacing_ms: int,
 ) -> None:
-    """Exclude the failed replica and pause for the longer of the retry delay and apart_ms."""
-    tries.fresh = True
+    """Exclude the failed replica and pause for the longer of the retry delay and spacing_ms."""
+    history.fresh = True
     if retry.exclude:
-        tries.excluded |= {replica.id}
+        history.excluded |= {replica.id}
     deps.metrics.retries.labels(profile.upstream).inc()
-    pause_ms = max(retry.after_ms, apart_ms)
+    pause_ms = max(retry.after_ms, spacing_ms)
     if pause_ms:
         await deps.clock.sleep(pause_ms)
 
 
-def apart_ms(deps: AgainDeps, work: "Work", failure: Failure, due_ms: int) -> int:
+def retry_spacing_ms(
+    deps: RetryDeps, get_fingerprint: "GetFingerprint", failure: Failure, due_ms: int
+) -> int:
     """Return the pause before retrying a request under which two replicas were lost, in ms.
 
     At most half of the remaining time is spent waiting; the rest is left for the send itself.
     """
     if failure.kind is not FailureKind.CUT:
         return 0
-    least_ms = deps.crashes.apart_ms(work)
+    least_ms = deps.crashes.retry_spacing_ms(get_fingerprint)
     if not least_ms:
         return 0
     left_ms = max(0, due_ms - deps.clock.now())
     return min(round(least_ms * deps.rand.uniform(1, 2)), left_ms // 2)
 
 
-async def wait_for_turn(
-    deps: AgainDeps, request_id: str, work: "Work", tries: Tries, due_ms: int
+async def wait_for_send_window(
+    deps: RetryDeps,
+    request_id: str,
+    get_fingerprint: "GetFingerprint",
+    history: SendHistory,
+    due_ms: int,
 ) -> None:
     """Wait while another suspect request of the same replica losses has the send window.
 
     At most half of the remaining time is spent waiting; the rest is left for the sends.
     """
-    wait_ms = deps.crashes.turn_ms(work)
-    if wait_ms and tries.turn_by_ms is None:
+    wait_ms = deps.crashes.send_window_wait_ms(get_fingerprint)
+    if wait_ms and history.window_deadline_ms is None:
         now = deps.clock.now()
-        tries.turn_by_ms = now + max(0, due_ms - now) // 2
-        rivals = deps.crashes.rivals(work)
+        history.window_deadline_ms = now + max(0, due_ms - now) // 2
+        suspects = deps.crashes.suspects(get_fingerprint)
         events.emit(
-            events.TURN_AWAITED, request=request_id, work=work(), rivals=rivals, wait_ms=wait_ms
+            events.TURN_AWAITED,
+            request=request_id,
+            work=get_fingerprint(),
+            rivals=suspects,
+            wait_ms=wait_ms,
         )
-    while wait_ms and not _waited_enough(deps, tries):
-        assert tries.turn_by_ms is not None
-        await deps.clock.sleep(min(wait_ms, tries.turn_by_ms - deps.clock.now()))
-        wait_ms = deps.crashes.turn_ms(work)
+    while wait_ms and not _wait_expired(deps, history):
+        assert history.window_deadline_ms is not None
+        await deps.clock.sleep(min(wait_ms, history.window_deadline_ms - deps.clock.now()))
+        wait_ms = deps.crashes.send_window_wait_ms(get_fingerprint)
 
 
-def may_send(deps: AgainDeps, work: "Work", tries: Tries) -> bool:
+def may_send(deps: RetryDeps, get_fingerprint: "GetFingerprint", history: SendHistory) -> bool:
     """Return whether a request with a chosen replica may be sent now."""
-    return deps.crashes.take_turn(work) or _waited_enough(deps, tries)
+    return deps.crashes.take_send_window(get_fingerprint) or _wait_expired(deps, history)
 
 
-def _waited_enough(deps: AgainDeps, tries: Tries) -> bool:
-    return tries.turn_by_ms is not None and deps.clock.now() >= tries.turn_by_ms
+def _wait_expired(deps: RetryDeps, history: SendHistory) -> bool:
+    return history.window_deadline_ms is not None and deps.clock.now() >= history.window_deadline_ms
--- a/papayapier/dispatch/start_queue.py
+++ b/papayapier/dispatch/start_queue.py
@@ -31,13 +31,13 @@
 T = TypeVar("T")
 
 TICK_MS: Final = 10
-ONE_REQUEST: Final = 1.0
-NOT_LISTED_RETRY_MS: Final = 1_000
+REQUEST_COST: Final = 1.0
+NO_REPLICA_RETRY_MS: Final = 1_000
 
 Admission = Result[None, Refusal]
 
 
-class Ask(NamedTuple):
+class StartRequest(NamedTuple):
     """Describe a request that waits to start; after due_ms it is refused.
 
     With rank None, the rank of the profile applies.
@@ -76,7 +76,7 @@
 class _Waiter(NamedTuple):
     """Hold the waiting request of one ticket."""
 
-    fired: Deferred[Admission]
+    admission: Deferred[Admission]
     profile: str
 
 
@@ -114,67 +114,67 @@
 
     async def run(
         self,
-        ask: Ask,
-        work: "Callable[[], Awaitable[Result[T, Refusal]]]",
-        learn: bool = True,
+        request: StartRequest,
+        run_request: "Callable[[], Awaitable[Result[T, Refusal]]]",
+        learn_duration: bool = True,
     ) -> Result[T, Refusal]:
-        """Run work once it is admitted, or return its refusal.
+        """Call run_request once the request is admitted, or return its refusal.
 
         learn adds the duration of the run to the estimate for later waits, which is right where
         due_ms is the due time of the complete answer.
         """
-        admitted = await self._admit(ask)
+        admitted = await self._admit(request)
         if isinstance(admitted, Err):
             return admitted
-        upstream = ask.profile.upstream
-        started = self._deps.clock.now()
-        self._deps.queue.on_started(upstream, ONE_REQUEST, started)
+        upstream = request.profile.upstream
+        started_ms = self._deps.clock.now()
+        self._deps.queue.on_started(upstream, REQUEST_COST, started_ms)
         self._running += 1
-        self._callers.running(ask.profile, ask.caller, 1)
-        learnt = ""
+        self._callers.running(request.profile, request.caller, 1)
+        learnt_profile = ""
         try:
-            ended = await work()
-            if learn and isinstance(ended, Ok):
-                learnt = ask.profile.name
-            return ended
+            result = await run_request()
+            if learn_duration and isinstance(result, Ok):
+                learnt_profile = request.profile.name
+            return result
         finally:
             self._running -= 1
-            self._callers.running(ask.profile, ask.caller, -1)
+            self._callers.running(request.profile, request.caller, -1)
             now = self._deps.clock.now()
-            self._deps.queue.on_ended(upstream, ONE_REQUEST, started, now, learnt)
+            self._deps.queue.on_ended(upstream, REQUEST_COST, started_ms, now, learnt_profile)
             self.pump()
 
-    async def _admit(self, ask: Ask) -> Admission:
+    async def _admit(self, request: StartRequest) -> Admission:
         now = self._deps.clock.now()
-        refusal = self._at_once_refused(ask, now)
+        refusal = self._immediate_refusal(request, now)
         if refusal is not None:
             return Err(refusal)
-        waiting = self._waiting(ask, now)
+        waiting = self._waiting(request, now)
         offered = self._deps.queue.offer(waiting, now)
         if isinstance(offered, Err):
             return offered
         ticket = waiting.ticket
         waiter: Deferred[Admission] = Deferred(lambda _: self._leave(ticket))
-        self._waiters[ticket] = _Waiter(waiter, ask.profile.name)
-        self._callers.queued(ask.profile, ask.caller, 1)
+        self._waiters[ticket] = _Waiter(waiter, request.profile.name)
+        self._callers.queued(request.profile, request.caller, 1)
         try:
             self.pump()
             admitted = await waiter
         finally:
-            self._callers.queued(ask.profile, ask.caller, -1)
+            self._callers.queued(request.profile, request.caller, -1)
         waited_s = (self._deps.clock.now() - now) / MS_PER_S
-        self._deps.metrics.queue_wait.labels(ask.profile.name).observe(waited_s)
+        self._deps.metrics.queue_wait.labels(request.profile.name).observe(waited_s)
         return admitted
 
-    def _at_once_refused(self, ask: Ask, now: int) -> Refusal | None:
-        if now >= ask.due_ms:
+    def _immediate_refusal(self, request: StartRequest, now: int) -> Refusal | None:
+        if now >= request.due_ms:
             return not_run(ErrorKind.DEADLINE, "the due time has passed")
-        upstream = ask.profile.upstream
+        upstream = request.profile.upstream
         if not self._deps.book.usable(upstream, now):
             # Waiting for a replica that is not listed would only use up the time until due_ms.
             reason = f"upstream {upstream} has no usable replica"
-            return not_run(ErrorKind.NO_UPSTREAM, reason, NOT_LISTED_RETRY_MS)
-        return self._callers.refusal(ask.profile, ask.caller)
+            return not_run(ErrorKind.NO_UPSTREAM, reason, NO_REPLICA_RETRY_MS)
+        return self._callers.refusal(request.profile, request.caller)
 
     def take_ticket(self) -> int:
         """Return a new unique ticket number."""
@@ -182,15 +182,15 @@
         self._next_ticket += 1
         return ticket
 
-    def _waiting(self, ask: Ask, now: int) -> Waiting:
+    def _waiting(self, request: StartRequest, now: int) -> Waiting:
         return Waiting(
             ticket=self.take_ticket(),
-            caller=ask.caller,
-            upstream=ask.profile.upstream,
-            profile=ask.profile.name,
-            rank=RANKS[ask.profile.urgency] if ask.rank is None else ask.rank,
-            due_ms=ask.due_ms,
-            cost=ONE_REQUEST,
+            caller=request.caller,
+            upstream=request.profile.upstream,
+            profile=request.profile.name,
+            rank=RANKS[request.profile.urgency] if request.rank is None else request.rank,
+            due_ms=request.due_ms,
+            cost=REQUEST_COST,
             enqueued_ms=now,
         )
 
@@ -217,14 +217,14 @@
             waiter = self._waiters.pop(waiting.ticket, None)
             check(waiter is not None, Promise.NOT_RUN_TRUE, ticket=waiting.ticket)
             if waiter is not None:
-                waiter.fired.callback(Err(_late(waiting, now)))
+                waiter.admission.callback(Err(_expired_refusal(waiting, now)))
 
     def _start_ready(self) -> None:
         while self._waiters:
             waiting = self._deps.queue.take(self._deps.clock.now(), self._can_start)
             if waiting is None:
                 return
-            self._waiters.pop(waiting.ticket).fired.callback(Ok(None))
+            self._waiters.pop(waiting.ticket).admission.callback(Ok(None))
 
     def _can_start(self, upstream: str) -> bool:
         """Return whether the replicas could start one more online request now."""
@@ -232,7 +232,7 @@
             return True
         now = self._deps.clock.now()
         free = free_calls(self._deps.book, self._deps.outliers, upstream, now)
-        return free >= self._reserved(upstream, now) + ONE_REQUEST
+        return free >= self._reserved(upstream, now) + REQUEST_COST
 
     def _keep_ticking(self) -> None:
         if self._timer is None and self._waiters:
@@ -248,7 +248,7 @@
             self._timer.cancel()
 
 
-def _late(waiting: Waiting, now: int) -> Refusal:
+def _expired_refusal(waiting: Waiting, now: int) -> Refusal:
     if now >= waiting.due_ms:
         return not_run(ErrorKind.DEADLINE, "the due time has passed in the queue")
     reason = "the wait would pass the due time"
--- a/papayapier/entry/forward_routes.py
+++ b/papayapier/entry/forward_routes.py
@@ -14,7 +14,7 @@
 from papayapier.config.teams import Team, name_of
 from papayapier.dispatch.forward_state import RawRequest
 from papayapier.dispatch.forwarding import forward
-from papayapier.dispatch.start_queue import Ask, StartQueue
+from papayapier.dispatch.start_queue import StartQueue, StartRequest
 from papayapier.entry.raw_refusals import RefusalDeps, count_refusal, refuse_raw
 from papayapier.errors import ErrorKind, Refusal, not_run
 from papayapier.invariants import Promise, check
@@ -186,7 +186,7 @@
         refuse_raw(routes.refusals, request, route.name, read.err_value)
         return
     req = read.ok_value
-    held = routes.forward.crashes.refusal(req.request_id, req.work)
+    held = routes.forward.crashes.refusal(req.request_id, req.fingerprint)
     if held is not None:
         refuse_raw(routes.refusals, request, route.name, held, req.due_ms)
         return
@@ -216,14 +216,14 @@
         return allowed
     # From now on: who had to wait for a grant is not refused for that.
     due_ms = min(req.due_ms, routes.clock.now() + wait_limit_ms(req.objective_ms))
-    ask = Ask(req.profile, req.caller(), due_ms, req.rank)
-    return await routes.queue.run(ask, work, learn=False)
+    ask = StartRequest(req.profile, req.caller(), due_ms, req.rank)
+    return await routes.queue.run(ask, work, learn_duration=False)
 
 
 async def _allowed(routes: ForwardRoutes, req: RawRequest, asker: Team) -> Result[None, Refusal]:
     """Ask for a team's allowance, again where a refusal would be the last word or is not sure."""
     while True:
-        done = await routes.allow(asker, req.returned)
+        done = await routes.allow(asker, req.is_retry)
         if isinstance(done, Ok):
             return done
         wait_ms = _ask_again_ms(routes, req, done.err_value)
@@ -238,7 +238,7 @@
     Nobody grants for a moment: a caller that may not come again waits. Just after a start those
     that grant begin with little, and all that came meanwhile comes at once.
     """
-    if refusal.kind is ErrorKind.NOT_GRANTED and not req.may_return:
+    if refusal.kind is ErrorKind.NOT_GRANTED and not req.may_retry:
         wait_ms, until_ms = GRANT_LOOK_MS, req.due_ms
     elif refusal.kind is ErrorKind.OVER_ALLOWANCE:
         wait_ms, until_ms = refusal.retry_after_ms, min(req.due_ms, routes.starting_until_ms)
@@ -282,8 +282,8 @@
             team=name_of(asker),
             rank=rank,
             objective_ms=route.objective_ms,
-            returned=returned,
-            may_return=not returned and now >= routes.starting_until_ms,
+            is_retry=returned,
+            may_retry=not returned and now >= routes.starting_until_ms,
         )
     )
 
--- a/tests/test_forward_routes.py
+++ b/tests/test_forward_routes.py
@@ -128,8 +128,8 @@
             pass
 
         req = cast(Any, Req())
-        req.returned, req.due_ms = returned, self.began + due_ms
-        req.may_return = not returned and self.clock.now() >= self.starting_until_ms
+        req.is_retry, req.due_ms = returned, self.began + due_ms
+        req.may_retry = not returned and self.clock.now() >= self.starting_until_ms
         ends: list[Result[None, Refusal]] = []
         asking = _allowed(cast(Any, self), req, Team("yard", 5, 5))
         Deferred.fromCoroutine(cast(Any, asking)).addCallback(ends.append)
@@ -180,12 +180,12 @@
     asked: list[Any] = []
 
     class Queue:
-        async def run(self, ask: Any, _work: Any, learn: bool) -> Result[None, Refusal]:
-            asked.append((ask.due_ms - granting.clock.now(), learn))
+        async def run(self, ask: Any, _work: Any, learn_duration: bool) -> Result[None, Refusal]:
+            asked.append((ask.due_ms - granting.clock.now(), learn_duration))
             return Ok(None)
 
     class Req:
-        returned, may_return, objective_ms, rank, profile = True, False, 400, 0, None
+        is_retry, may_retry, objective_ms, rank, profile = True, False, 400, 0, None
         due_ms = granting.began + 5_000
 
         def caller(self) -> str:
