--- a/papayapier/entry/answers.py
+++ b/papayapier/entry/answers.py
@@ -1,4 +1,4 @@
-"""Write answers and refusals to HTTP requests, in one form for callers and operators."""
+"""Write answers and refusals to HTTP requests, in the same form for callers and operators."""
 
 from typing import TYPE_CHECKING, Final, NamedTuple
 
@@ -13,7 +13,7 @@
 
 
 class ErrorBody(NamedTuple):
-    """Tell a caller what was refused; outcome is "not_run" or "unknown"."""
+    """Describe why a request was refused; outcome is "not_run" or "unknown"."""
 
     kind: str
     outcome: str
@@ -22,7 +22,7 @@
 
 
 class RefusalBody(NamedTuple):
-    """Wrap the error as OpenAI-style clients expect it."""
+    """Wrap the error in the form that OpenAI-style clients expect."""
 
     error: ErrorBody
 
@@ -41,7 +41,7 @@
     if answer.retry:
         seconds = max(1, -(-refusal.retry_after_ms // MS_PER_S))
         request.setHeader(b"Retry-After", str(seconds).encode())
-    # A client library that repeats by status alone must not repeat what may have run.
+    # Stops client libraries that retry by status alone from repeating a request that may have run.
     if refusal.outcome is Outcome.UNKNOWN:
         request.setHeader(b"X-Should-Retry", b"false")
     return refusal_body(refusal)
@@ -55,6 +55,6 @@
 
 
 def whole_body(request: "WebRequest", body: bytes) -> bytes:
-    """State the length of a body, so that its reader sees when it was cut short."""
+    """Set the Content-Length of a body, so that its reader detects truncation; return the body."""
     request.setHeader(b"Content-Length", str(len(body)).encode())
     return body
--- a/papayapier/entry/batch_bodies.py
+++ b/papayapier/entry/batch_bodies.py
@@ -1,6 +1,6 @@
-"""Shape files and batch jobs as OpenAI-style clients expect them.
+"""Define the JSON bodies of files and batch jobs that OpenAI-style clients expect.
 
-Fields of our own come after the known ones; a client that does not know them skips them.
+Fields that the OpenAI API does not have come last; clients skip unknown fields.
 """
 
 from typing import Final, NamedTuple
@@ -22,7 +22,7 @@
 
 
 class CreateBatch(NamedTuple):
-    """Hold the body of a request for a job; profile may also be in a header or metadata."""
+    """Hold the body of a request to create a job; the profile is in a header or the metadata."""
 
     input_file_id: str
     endpoint: str
@@ -45,7 +45,7 @@
 
 
 class DeletedBody(NamedTuple):
-    """Tell that a file is deleted."""
+    """Confirm that a file is deleted."""
 
     id: str
     object: str = "file"
@@ -53,7 +53,7 @@
 
 
 class Counts(NamedTuple):
-    """Count a job's items; those that have not ended are in none but total."""
+    """Count a job's items by state; unfinished items are counted in total only."""
 
     total: int
     completed: int
@@ -119,7 +119,7 @@
 
 
 def output_body(file_id: str, output: OutputFile) -> FileBody:
-    """Describe the results or errors of a job as a file; its size is not known beforehand."""
+    """Describe the results or errors of a job as a file; its size is not known in advance."""
     record = output.job.record
     tally = record.tally
     return FileBody(
@@ -134,7 +134,7 @@
 
 
 def batch_list(jobs: list[FoundJob], limit: int) -> BatchList:
-    """List jobs; one more than the limit says that there are further ones."""
+    """List jobs; a job beyond the limit means that there are more."""
     data = [batch_body(job) for job in jobs[:limit]]
     first = data[0].id if data else None
     last = data[-1].id if data else None
--- a/papayapier/entry/batch_routes.py
+++ b/papayapier/entry/batch_routes.py
@@ -1,4 +1,4 @@
-"""Serve callers' files and batch jobs over HTTP, in the shapes of OpenAI-style clients."""
+"""Serve callers' files and batch jobs over HTTP, in the form that OpenAI-style clients expect."""
 
 from collections.abc import AsyncIterator, Callable
 from datetime import datetime
@@ -87,7 +87,7 @@
 
 
 class _Routes:
-    """Answer the requests of each route."""
+    """Handle the requests of each route."""
 
     def __init__(
         self, batch: Batch, auth: "CallerAuth", refusing: Callable[[], Refusal | None]
@@ -257,7 +257,7 @@
 
 
 def _due_ms(text: str) -> int | None:
-    """Return a stated due time, 0 when there is none, or None when it is not understood."""
+    """Parse a due time; return 0 if it is empty and None if it is invalid."""
     if not text:
         return 0
     if text.isdigit():
--- a/papayapier/entry/callers.py
+++ b/papayapier/entry/callers.py
@@ -1,4 +1,4 @@
-"""Tell who is calling, by key or by name."""
+"""Identify callers, by key or by name."""
 
 from collections.abc import Callable
 from functools import lru_cache
@@ -27,12 +27,12 @@
 
 @lru_cache
 def _ring(entries: "tuple[KeyEntry, ...]") -> KeyRing[str]:
-    """Make the ring of a list once; of two entries with one key the first counts."""
+    """Build and cache the key ring of a list; of two entries with one key, the first counts."""
     return KeyRing((bytes.fromhex(one.key_sha256), one.name) for one in reversed(entries))
 
 
 def caller_auth(entries: "tuple[KeyEntry, ...]") -> CallerAuth:
-    """Make the check of callers; with no keys listed, callers name themselves."""
+    """Return the function that identifies callers; with no keys listed, callers name themselves."""
 
     def by_name(request: "WebRequest") -> Result[str, Refusal]:
         name = request.getHeader("x-papayapier-caller") or ANONYMOUS
--- a/papayapier/entry/chat.py
+++ b/papayapier/entry/chat.py
@@ -1,7 +1,7 @@
 """Write a generated answer to the caller, as one JSON body or as a stream of events.
 
-Upstream events are passed through as they came, because decoding and encoding each token
-again would be most of an instance's processor time.
+Upstream events are passed through unchanged, because decoding and re-encoding each token would
+take most of an instance's processor time.
 """
 
 from typing import TYPE_CHECKING, Final, TypedDict
@@ -24,19 +24,19 @@
 COMPLETIONS_PATH: Final = "/v1/completions"
 STREAM_TYPE: Final = b"text/event-stream"
 STREAM_END: Final = b"data: [DONE]\n\n"
-# Beyond what the transport and the kernel hold; some thousand tokens.
+# In addition to the buffers of the transport and the kernel; some thousand tokens.
 MAX_UNREAD_BYTES: Final = 256_000
 
 
 class ChatMessage(TypedDict):
-    """Hold the answer of a chat."""
+    """Hold the message of a chat answer."""
 
     role: str
     content: str
 
 
 class ChatChoice(TypedDict):
-    """Hold the one choice of a chat answer."""
+    """Hold the single choice of a chat answer."""
 
     index: int
     message: ChatMessage
@@ -44,7 +44,7 @@
 
 
 class TextChoice(TypedDict):
-    """Hold the one choice of a completion."""
+    """Hold the single choice of a completion."""
 
     index: int
     text: str
@@ -52,11 +52,11 @@
 
 
 class Delta(TypedDict):
-    """Hold the piece of a chat stream, which is empty in the last event."""
+    """Hold the delta of a chat stream, which is empty in the last event."""
 
 
 class ChatEnd(TypedDict):
-    """Hold the one choice of the event that ends a chat stream."""
+    """Hold the single choice of the event that ends a chat stream."""
 
     index: int
     delta: Delta
@@ -70,7 +70,7 @@
 
 
 class Completion(TypedDict):
-    """Hold a whole answer, or the event that ends a stream, in the OpenAI form."""
+    """Hold a complete answer, or the event that ends a stream, in the OpenAI form."""
 
     id: str
     model: str
@@ -91,7 +91,7 @@
 
 
 class ChatAnswer:
-    """Own the caller's side of one generated answer."""
+    """Write one generated answer to its caller."""
 
     __slots__ = ("_last", "_model", "_now", "_path", "_reader", "_request", "_stream", "first_ms")
 
@@ -129,11 +129,11 @@
         return _Reader(self._request)
 
     def started(self) -> bool:
-        """Tell whether a part of the answer has gone out."""
+        """Return whether part of the answer has been sent."""
         return self._reader is not None
 
     def finish(self, call_id: str, reply: "Reply") -> bytes:
-        """End the answer; the end mark tells the caller that it is whole."""
+        """Return the last bytes of the answer; [DONE] marks a stream as complete."""
         if not self._stream:
             self._request.setHeader(b"Content-Type", JSON_TYPE)
             return whole_body(self._request, msgspec.json.encode(self._whole(call_id, reply)))
@@ -142,7 +142,7 @@
         self._reader.end()
         if _says_finish(self._last):
             return STREAM_END
-        # An engine may tell the reason in an event without a token, which is not passed on.
+        # An engine may send the finish reason in an event without a token, which is not passed on.
         return b"data: " + msgspec.json.encode(self._end(call_id, reply)) + b"\n\n" + STREAM_END
 
     def _whole(self, call_id: str, reply: "Reply") -> Completion:
@@ -171,7 +171,7 @@
         return Completion(id=call_id, model=self._model, choices=[choice], usage=usage, object=kind)
 
     def break_off(self, refusal: "Refusal") -> bytes:
-        """End a stream that has begun, without its end mark and with the reason."""
+        """End a stream that has begun with the refusal and without [DONE]."""
         if self._reader is not None:
             self._reader.end()
         return b"data: " + refusal_body(refusal) + b"\n\n"
@@ -186,12 +186,11 @@
 
 @implementer(IPushProducer)
 class _Reader:
-    """Write to a caller, as long as it reads.
+    """Write a stream to a caller, and disconnect it if it falls too far behind.
 
-    A generation can't be slowed down to the pace of its caller. What a caller that stops
-    reading does not take would pile up in this process's memory; it shows as a process that
-    grows with the number of stalled callers. So the connection of a caller that is too far
-    behind is closed, which also cancels its work at the upstream.
+    Generation cannot be slowed down to the pace of its caller, so the unread bytes of stalled
+    callers would accumulate in this process's memory. Closing the connection also cancels the
+    request at the upstream.
     """
 
     def __init__(self, request: "WebRequest") -> None:
--- a/papayapier/entry/forward_routes.py
+++ b/papayapier/entry/forward_routes.py
@@ -33,20 +33,20 @@
     from papayapier.metrics import Metrics
     from papayapier.upstream.exchange import Head
 
-# The library's own annotations of these are incomplete.
+# Twisted's annotations of this class are incomplete.
 _Resource: Any = Resource
 
-# A caller that does not read its stream: beyond what transport and kernel hold by themselves.
+# Limit of unsent bytes for a caller that does not read, beyond what the kernel buffers.
 MAX_UNREAD_BYTES: Final = 256_000
-# Between two looks for somebody who grants; a look costs up to two silent ones.
+# Pause between two requests for an allowance; each costs up to two unanswered messages.
 GRANT_LOOK_MS: Final = 50
 
 
 class Names(NamedTuple):
-    """Name the headers that a request may carry, as the platform does.
+    """Define the platform's names of the request headers.
 
-    shown_keys returns where a caller shows its key, of_team sets the name of its team in place of
-    that.
+    shown_keys returns the headers in which a caller may send its key; of_team replaces them by the
+    name of the caller's team.
     """
 
     request_id: str
@@ -59,9 +59,9 @@
 
 
 class JobCalls(NamedTuple):
-    """Serve batch jobs: submit takes a request on a job's route, of a team.
+    """Hold the handlers of batch jobs; submit accepts a job from a team on a job route.
 
-    called returns the call on a job that a request on any path makes, or None; perform runs it.
+    called parses a request on any path as a call on a job, or returns None; perform runs the call.
     """
 
     submit: "Callable[[Any, Route, str], Awaitable[None]]"
@@ -70,11 +70,11 @@
 
 
 class ForwardRoutes(NamedTuple):
-    """Group what the routes need; table returns None while no configuration is known.
+    """Group the dependencies of the routes; table returns None while there is no configuration.
 
-    known waits, just after a start, until there is something to route by. allow tells whether a
-    team may send one more request. Until starting_until_ms whoever grants may not be known yet, and
-    callers may have waited for this start, or come from others that did not answer.
+    known waits, just after a start, until requests can be routed. allow returns whether a team may
+    send one more request. Until starting_until_ms the granter may not be known yet, and callers may
+    have waited for this start or come from other instances that did not answer.
     """
 
     clock: "Clock"
@@ -93,7 +93,7 @@
 
 
 class ForwardResource(_Resource):  # type: ignore[misc]
-    """Take every request of the callers' address."""
+    """Handle every request on the callers' address."""
 
     isLeaf = True  # noqa: N815
 
@@ -102,7 +102,7 @@
         self._routes = routes
 
     def render(self, request: Any) -> Any:
-        """Serve one request; its caller's leaving cancels what is done for it."""
+        """Serve one request, and cancel it when its caller disconnects."""
         request.log_id = request.getHeader(self._routes.names.request_id) or ""
         work = Deferred.fromCoroutine(_serve(self._routes, request))
         request.notifyFinish().addErrback(_caller_gone, request, work)
@@ -111,10 +111,10 @@
 
 
 def _caller_gone(_why: object, request: Any, work: Deferred[None]) -> None:
-    """Stop what is done for a caller that has gone, where stopping is of use.
+    """Cancel the request of a caller that has disconnected, unless it must complete.
 
-    A call on a job is seen through: a record whose write was begun must be settled, and its
-    caller asks again elsewhere.
+    A call on a job completes without its caller: a record whose write has begun must be settled,
+    and the caller may retry at another instance.
     """
     request.gone = True
     if not request.see_through:
@@ -135,7 +135,7 @@
         traceback=failure.getTraceback(),
     )
     if not request.gone:
-        # Anything written now would pass for a part of the replica's answer.
+        # Anything written now would look like part of the replica's answer.
         request.channel.transport.abortConnection()
 
 
@@ -210,18 +210,18 @@
     asker: Team | None,
     work: "Callable[[], Awaitable[Result[Answered, Refusal]]]",
 ) -> Result[Answered, Refusal]:
-    """Do the work of a request when its team may send it and its turn has come."""
+    """Run a request once its team may send it and the queue admits it."""
     allowed = Ok(None) if asker is None else await _allowed(routes, req, asker)
     if isinstance(allowed, Err):
         return allowed
-    # From now on: who had to wait for a grant is not refused for that.
+    # Counts from now, so that a request is not refused because it waited for a grant.
     due_ms = min(req.due_ms, routes.clock.now() + wait_limit_ms(req.objective_ms))
     ask = StartRequest(req.profile, req.caller(), due_ms, req.rank)
     return await routes.queue.run(ask, work, learn_duration=False)
 
 
 async def _allowed(routes: ForwardRoutes, req: RawRequest, asker: Team) -> Result[None, Refusal]:
-    """Ask for a team's allowance, again where a refusal would be the last word or is not sure."""
+    """Request a team's allowance; retry where a refusal would be final or is unconfirmed."""
     while True:
         done = await routes.allow(asker, req.is_retry)
         if isinstance(done, Ok):
@@ -233,10 +233,10 @@
 
 
 def _ask_again_ms(routes: ForwardRoutes, req: RawRequest, refusal: Refusal) -> int:
-    """Return when to ask again for a team's allowance, in ms; 0 for a refusal that stands.
+    """Return the delay before an allowance is requested again, in ms; 0 if the refusal is final.
 
-    Nobody grants for a moment: a caller that may not come again waits. Just after a start those
-    that grant begin with little, and all that came meanwhile comes at once.
+    While no granter answers, a request whose caller may not retry waits. Just after a start,
+    granters begin with small allowances while all delayed requests arrive at once.
     """
     if refusal.kind is ErrorKind.NOT_GRANTED and not req.may_retry:
         wait_ms, until_ms = GRANT_LOOK_MS, req.due_ms
@@ -295,12 +295,12 @@
 
 
 def _shared_prompt(parts: str | None) -> str:
-    """Return the first part of a prompt, which many requests share."""
+    """Return the first part of the prompt header, which many requests share."""
     return (parts or "").partition(":")[0]
 
 
 class _Reader:
-    """Write a stream to its caller as it comes."""
+    """Write a stream to its caller as it arrives."""
 
     def __init__(self, routes: ForwardRoutes, request: Any, req: RawRequest) -> None:
         self._routes = routes
@@ -334,14 +334,14 @@
 ) -> None:
     name = req.profile.name
     if request.gone:
-        # Its caller left while the answer's last word was on its way.
+        # The caller disconnected while the end of the answer was on its way.
         events.emit(events.CALLER_GONE, request=req.request_id, profile=name)
         return
     begun = reader is not None and reader.started
     if isinstance(done, Ok):
         _finish_answer(routes, request, req, done.ok_value, begun)
     elif begun:
-        # A stream cut short must not look whole: no last chunk, the connection ends.
+        # A truncated stream must not look complete: abort the connection without a last chunk.
         count_refusal(routes.refusals, req.request_id, name, done.err_value)
         request.channel.transport.abortConnection()
     else:
@@ -355,7 +355,7 @@
     answer: Answered,
     begun: bool,
 ) -> None:
-    """End an answer whose stream has been passed on, or write one of which nothing has."""
+    """End an answer that was streamed, or write one of which nothing has been sent yet."""
     fits = isinstance(answer, PassedOn) == begun
     check(fits, Promise.ANSWER_OWN, request=req.request_id, status=answer.status)
     if not fits:
--- a/papayapier/entry/job_routes.py
+++ b/papayapier/entry/job_routes.py
@@ -1,4 +1,4 @@
-"""Serve the callers' calls on batch jobs that are kept in the platform's store."""
+"""Serve callers' requests on batch jobs, which are stored in the platform's store."""
 
 from typing import TYPE_CHECKING, Any, Final, NamedTuple
 
@@ -15,7 +15,7 @@
     from papayapier.jobs.desk import JobDesk
     from papayapier.jobs.records import JobItem
 
-# Time left for the answer of a submission after its write was settled.
+# Time reserved for sending the answer to a submission after its write is settled.
 ANSWER_MS: Final = 200
 DEFAULT_TIME_MS: Final = 2_000
 END_MS: Final = 2_500
@@ -23,7 +23,7 @@
 
 
 class Answer(NamedTuple):
-    """Hold the body of a good answer."""
+    """Hold a successful answer."""
 
     body: bytes
     content_type: bytes = JSON_TYPE
@@ -31,9 +31,9 @@
 
 
 class JobWire(NamedTuple):
-    """Group how the platform spells the calls.
+    """Group the functions that parse and run the platform's calls on jobs.
 
-    called returns the call that a request makes on a job, or None; perform runs one for a team.
+    called parses a request as a call on a job, or returns None; perform runs a call for a team.
     """
 
     request_id: str
@@ -43,7 +43,7 @@
 
 
 class JobRoutes(NamedTuple):
-    """Group what the routes need; refuse writes a refusal."""
+    """Handle requests on jobs; refuse writes a refusal."""
 
     clock: "Clock"
     desk: "JobDesk"
@@ -51,7 +51,7 @@
     refuse: "Callable[[Any, str, Refusal], None]"
 
     async def submit(self, request: Any, route: "Route", team: str) -> None:
-        """Take a job of a team."""
+        """Accept a job from a team."""
         job_id = request.getHeader(self.wire.request_id) or ""
         items = self.wire.read_items(request.content.read())
         if not job_id or isinstance(items, Err):
--- a/papayapier/entry/online_routes.py
+++ b/papayapier/entry/online_routes.py
@@ -1,8 +1,8 @@
 """Serve callers' online requests: chat, completions, models and plain services.
 
-A request keeps one identity (its call id) from here to the upstream. It is made from the
-caller and the Idempotency-Key when there is one, so that the same work sent again through
-another instance is recognised; otherwise it is drawn at random.
+A request has one call id from here to the upstream. It is derived from the caller and the
+Idempotency-Key if there is one, so that a retry through another instance is recognised;
+otherwise it is random.
 """
 
 import uuid
@@ -37,7 +37,7 @@
 
 
 class OnlineDeps(NamedTuple):
-    """Group what the online routes need; run takes the request, its key and a token callback."""
+    """Group the dependencies of the online routes; run gets the request, its key and a callback."""
 
     clock: "Clock"
     metrics: "Metrics"
@@ -50,7 +50,7 @@
 
 
 class _Head(NamedTuple):
-    """Hold what the headers of a request say."""
+    """Hold the parsed headers of a request."""
 
     caller: str
     profile: "Profile"
@@ -60,7 +60,7 @@
 
 
 class ModelEntry(NamedTuple):
-    """Name one model in the OpenAI-style list."""
+    """Describe one model in the OpenAI-style list."""
 
     id: str
     object: str = "model"
@@ -117,9 +117,9 @@
 
 
 def _mismatch(deps: OnlineDeps, profile: "Profile", model: str) -> Refusal | None:
-    """Refuse a request whose profile belongs to another upstream than its model.
+    """Return the refusal if the profile belongs to another upstream than the model, or None.
 
-    A model that is no upstream's name may be an adapter, which only the engine knows.
+    A model that is not the name of an upstream may be an adapter, which only the engine knows.
     """
     if model == profile.upstream or model not in deps.upstream_names():
         return None
@@ -149,7 +149,7 @@
 
 
 def _service_path(request: "WebRequest", name: str) -> str:
-    """Return what follows the service's name, with the query as it came."""
+    """Return the path after the service's name, with the query unchanged."""
     uri: str = request.uri.decode("ascii", "replace")
     rest = uri[len(SERVICES) + len(name) :]
     return rest if rest.startswith("/") else "/" + rest
@@ -197,7 +197,7 @@
 
 
 def _due_ms(deps: OnlineDeps, request: "WebRequest", profile: "Profile") -> Result[int, Refusal]:
-    """Return when the answer is due: the caller may ask for less time than the profile."""
+    """Return when the answer is due; a caller may request less time than the profile allows."""
     now = deps.clock.now()
     stated = request.getHeader("x-papayapier-due-ms")
     if stated is None:
@@ -209,12 +209,12 @@
 
 
 def _request_id(request: "WebRequest", call_id: str) -> bytes:
-    """Return the caller's own name of the request as it came, or ours."""
+    """Return the caller's X-Request-Id unchanged, or the call id."""
     return (request.getHeader("x-request-id") or call_id).encode("latin-1")
 
 
 def is_number(text: str) -> bool:
-    """Tell whether a header is a whole number; isdigit alone also takes a superscript."""
+    """Return whether a header is a whole number; isdigit alone also accepts superscripts."""
     return text.isascii() and text.isdigit()
 
 
@@ -246,7 +246,7 @@
 
 
 def _no_token(_token: "Token") -> None:
-    """Drop a token; the answer of a plain service has none."""
+    """Ignore a token; answers of plain services have none."""
 
 
 def _caller_gone(deps: OnlineDeps, req: OnlineRequest) -> None:
--- a/papayapier/entry/operator_auth.py
+++ b/papayapier/entry/operator_auth.py
@@ -1,7 +1,7 @@
-"""Tell which operator is calling.
+"""Authenticate operators.
 
-Operators act for callers on batch jobs: there the caller whose jobs are meant is named in a
-header, which an operator's key makes trustworthy.
+On batch routes an operator acts for a caller, who is named in a header. The header is trusted
+because the operator is authenticated.
 """
 
 import ipaddress
@@ -25,9 +25,9 @@
 
 
 def operator_auth(operators: "tuple[KeyEntry, ...]") -> OperatorAuth:
-    """Make the check of operators; with none listed, only this machine's calls pass.
+    """Return the check of operators; with none listed, only local connections are accepted.
 
-    A key goes nowhere but into the comparison: not into a log, not into the trail.
+    Keys are only compared, and never logged or written to the audit trail.
     """
 
     def check(request: "WebRequest") -> Result[str, Refusal]:
@@ -45,7 +45,7 @@
 
 
 def job_auth(operators: "tuple[KeyEntry, ...]") -> "CallerAuth":
-    """Make the check for batch routes on the operators' address; it returns the caller meant."""
+    """Return the check for batch routes on the operators' address, which returns the caller."""
     check = operator_auth(operators)
     named_caller = caller_auth(())
 
@@ -57,8 +57,10 @@
 
 
 def no_new_work() -> Refusal:
-    """Refuse new work on the operators' address."""
-    return not_run(ErrorKind.BAD_REQUEST, "new work goes to the callers' address")
+    """Refuse new files and jobs on the operators' address."""
+    return not_run(
+        ErrorKind.BAD_REQUEST, "new files and jobs are accepted only on the callers' address"
+    )
 
 
 def _is_local(request: "WebRequest") -> bool:
--- a/papayapier/entry/operator_bodies.py
+++ b/papayapier/entry/operator_bodies.py
@@ -8,7 +8,7 @@
 
 
 class ProfileChangeBody(NamedTuple):
-    """Ask for a change of a profile."""
+    """Request a change of a profile."""
 
     profile: Any
     based_on: int
@@ -18,7 +18,7 @@
 
 
 class UpstreamChangeBody(NamedTuple):
-    """Ask for a change of an upstream's wanted state."""
+    """Request a change of an upstream's desired state."""
 
     upstream: Any
     based_on: int
@@ -28,7 +28,7 @@
 
 
 class DeleteBody(NamedTuple):
-    """Ask for a delete."""
+    """Request a deletion."""
 
     based_on: int
     reason: str
@@ -37,19 +37,19 @@
 
 
 class ProfileCheckBody(NamedTuple):
-    """Ask for a check of a profile."""
+    """Request a check of a profile."""
 
     profile: Any
 
 
 class UpstreamCheckBody(NamedTuple):
-    """Ask for a check of an upstream's wanted state."""
+    """Request a check of an upstream's desired state."""
 
     upstream: Any
 
 
 class ItemBody(NamedTuple):
-    """Show one object in force; document is the profile or upstream."""
+    """Show one active object; document is the profile or upstream."""
 
     name: str
     version: int
@@ -57,7 +57,7 @@
 
 
 class ListBody(NamedTuple):
-    """Show all objects of a kind in force on the instance that answers."""
+    """Show all objects of a kind that are active on the answering instance."""
 
     version: int
     items: list[ItemBody]
@@ -73,7 +73,7 @@
 
 
 class AcceptedBody(NamedTuple):
-    """Show an accepted change; repeated when an earlier call had been accepted."""
+    """Show an accepted change; repeated if an earlier call with its change id was accepted."""
 
     name: str
     version: int
@@ -83,7 +83,7 @@
 
 
 class WinnerBody(NamedTuple):
-    """Show the change that is in force in place of the refused one."""
+    """Show the active change that conflicts with the refused one."""
 
     version: int
     change: AuditEntry
@@ -98,7 +98,7 @@
 
 
 class AuditLineBody(NamedTuple):
-    """Show one audit entry with its object and the version it got."""
+    """Show one audit entry with its object and the resulting version."""
 
     kind: str
     name: str
@@ -107,16 +107,16 @@
 
 
 class AuditBody(NamedTuple):
-    """Show the chosen part of the trail, newest first."""
+    """Show the selected part of the audit trail, newest first."""
 
     lines: list[AuditLineBody]
 
 
 class InstanceStatus(NamedTuple):
-    """Show one instance as the answering one knows it.
+    """Show one instance as the answering instance knows it.
 
-    heard_ms_ago is 0 for the answering instance itself. agrees tells whether it had the
-    same configuration, object for object, when last heard from.
+    heard_ms_ago is the age of its last heartbeat, and 0 for the answering instance itself. agrees
+    says whether its configuration was identical, object for object, at that heartbeat.
     """
 
     id: str
@@ -131,13 +131,13 @@
 
 
 class Status(NamedTuple):
-    """Show every known instance with its version in force, and which one is behind."""
+    """Show every known instance with its active configuration version."""
 
     instance: str
     instances: list[InstanceStatus]
 
     def slowest(self) -> InstanceStatus:
-        """Return the instance with the lowest version in force."""
+        """Return the instance that is furthest behind: not in agreement, then lowest version."""
         return min(self.instances, key=lambda one: (one.agrees, one.config_version))
 
 
--- a/papayapier/entry/operator_routes.py
+++ b/papayapier/entry/operator_routes.py
@@ -1,7 +1,7 @@
-"""Serve the operators' API: profiles, upstreams' wanted state, audit trail and status.
+"""Serve the operators' API: profiles, upstreams' desired state, audit trail and status.
 
-It listens on an address of its own, so that no caller can reach it by mistake. Without
-operators in the settings only callers on this machine are accepted.
+It listens on a separate address, so that callers cannot reach it by mistake. Without operators
+in the settings, only connections from this machine are accepted.
 """
 
 from typing import TYPE_CHECKING, Any, Final, NamedTuple, TypeVar
@@ -44,7 +44,7 @@
 
 
 class OperatorDeps(NamedTuple):
-    """Group what the operators' routes need; without orders the route for them is left out."""
+    """Group the dependencies of the routes; without orders there is no route for them."""
 
     config: "Config"
     operators: "tuple[KeyEntry, ...]"
@@ -53,7 +53,7 @@
 
 
 class _Routes(NamedTuple):
-    """Group what each route works with."""
+    """Group what each route depends on."""
 
     config: "Config"
     auth: "OperatorAuth"
@@ -135,7 +135,7 @@
     kind, name = subject
     wanted = book.profile(name) if kind == PROFILES else book.upstream(name)
     if wanted is None:
-        why = f"{kind} has nothing called {name}"
+        why = f"{kind}: {name} does not exist"
         return refuse(request, not_run(ErrorKind.NOT_FOUND, why))
     version = book.version_of(subject.key)
     return reply_json(request, bodies.ItemBody(name, version, wanted))
@@ -207,7 +207,7 @@
         return refuse(request, not_run(ErrorKind.BAD_REQUEST, chosen.err_value))
     found = await routes.config.audit(chosen.ok_value)
     if isinstance(found, Err):
-        why = f"the trail cannot be read: {found.err_value.value}"
+        why = f"the audit trail cannot be read: {found.err_value.value}"
         return refuse(request, not_run(ErrorKind.STORE_UNAVAILABLE, why))
     lines = [bodies.AuditLineBody(*line) for line in found.ok_value]
     return reply_json(request, bodies.AuditBody(lines))
--- a/papayapier/entry/raw_refusals.py
+++ b/papayapier/entry/raw_refusals.py
@@ -1,4 +1,4 @@
-"""Refuse a forwarded request with a status that is true of what has become of it."""
+"""Refuse a forwarded request with a status that states correctly whether it may have run."""
 
 import random
 from typing import Any, Final, NamedTuple
@@ -10,15 +10,15 @@
 from papayapier.policy.waiting import retry_after_ms
 
 TEXT: Final = b"text/plain"
-# Those that no return helps against; every other refusal of what has not run is a 503.
+# Statuses of refusals that a retry cannot help; every other not_run refusal is a 503.
 PLAIN_STATUSES: Final = frozenset({400, 401, 404, 409, 413})
-# Work that ends replicas is refused again however soon it comes, and whoever places calls dates
-# each return by itself; all other returns are spread here.
+# Refusals whose retry time is sent as it is: quarantined requests are refused until the quarantine
+# ends, and placers spread the retries themselves. All other retry times are spread here.
 OWN_RETURNS: Final = frozenset({ErrorKind.ENDS_REPLICAS, ErrorKind.NO_ROOM})
 
 
 class RefusalDeps(NamedTuple):
-    """Group what a refusal needs; the headers are named as the platform does."""
+    """Group the dependencies of refusals, with the platform's header names."""
 
     clock: Clock
     rand: random.Random
@@ -30,7 +30,7 @@
 def refuse_raw(
     deps: RefusalDeps, request: Any, profile: str, refusal: Refusal, due_ms: int | None = None
 ) -> None:
-    """Answer a refusal with the status that states truly whether the request may have run."""
+    """Write a refusal, with a status that states correctly whether the request may have run."""
     if refusal.kind is ErrorKind.CANCELLED or request.gone:
         return
     request_id = request.getHeader(deps.request_id) or ""
@@ -39,7 +39,7 @@
     request.setResponseCode(status)
     request.setHeader(b"Content-Type", TEXT)
     if status == 429:
-        # When there is room for this team; returns are spread by whoever says so.
+        # The team's allowance has capacity then; the granter has already spread the retries.
         _come_again(deps, request, refusal.retry_after_ms)
     if status == 503:
         left_ms = due_ms - deps.clock.now() if due_ms is not None else 0
@@ -68,7 +68,7 @@
 
 
 def count_refusal(deps: RefusalDeps, request_id: str, profile: str, refusal: Refusal) -> None:
-    """Log a refusal, and count it by its reason."""
+    """Log a refusal, and count it by kind."""
     deps.metrics.requests.labels(profile, "refused").inc()
     deps.metrics.refusals.labels(refusal.kind.value, refusal.outcome.value).inc()
     events.emit(
--- a/papayapier/entry/site.py
+++ b/papayapier/entry/site.py
@@ -1,9 +1,9 @@
-"""Serve HTTP connections within bounds, and close them without cutting anything off.
+"""Serve HTTP connections within limits, and close them without truncating answers.
 
-twisted.web keeps a whole request body before any route runs, and knows nothing of a planned
-stop. This site refuses a body that is too large while it is still coming, answers what goes
-wrong outside the routes in the same JSON form as they do, and counts its connections, so
-that a planned stop can wait for each answer to have left this process.
+twisted.web buffers a complete request body before any route runs, and does not support a planned
+stop. This site refuses a body that is too large while it is still arriving, answers errors outside
+the routes in the same JSON form as the routes, and tracks its connections, so that a planned stop
+can wait until every answer has been sent.
 """
 
 import tempfile
@@ -33,25 +33,25 @@
 STREAM_TYPE: Final = "text/event-stream"
 MEMORY_RETRY_MS: Final = 1_000
 
-# Returns the largest body that a path takes.
+# Returns the maximum body size of a path, in bytes.
 BodyLimit = Callable[[bytes], int]
 
-# The library's own annotations of these are incomplete.
+# Twisted's annotations of these classes are incomplete.
 _Channel: Any = HTTPChannel
 _Request: Any = Request
 _Site: Any = Site
 
 
 class BoundedRequest(_Request):  # type: ignore[misc]
-    """Take a request body up to a limit, and refuse the rest of it unread."""
+    """Receive a request body up to a limit, and refuse a larger one without reading the rest."""
 
-    # The library would add a type of its own to an answer that states none.
+    # Twisted would add its default type to an answer without a Content-Type.
     defaultContentType = None  # noqa: N815
-    # The caller has closed its connection; nothing may be written any more.
+    # The caller has closed its connection; nothing more may be written.
     gone = False
-    # The id by which log lines name the request, where its route knows one.
+    # The request id for log lines, if the route knows one.
     log_id = ""
-    # What is done for the request goes on without its caller.
+    # The request runs to completion even if its caller disconnects.
     see_through = False
     _limit = 0
     _taken = 0
@@ -60,11 +60,11 @@
     _site: Any = None
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Choose where the body is kept, before any of it has come."""
+        """Choose where the body is stored, before any of it has arrived."""
         self._site = self.channel.site
         self._limit = self._site.body_limit(self.channel.path())
         if length is not None and length > self._limit:
-            # Else the library would still ask for the body, after the answer.
+            # Otherwise twisted would still request the body, after the answer.
             self.requestHeaders.removeHeader(b"Expect")
             self._refuse_body(self._too_large())
             return
@@ -78,7 +78,7 @@
             self.content = tempfile.SpooledTemporaryFile(MEMORY_BODY_BYTES)  # noqa: SIM115
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Take a part of the body."""
+        """Store a part of the body."""
         if self._refused:
             return
         self._taken += len(data)
@@ -92,27 +92,27 @@
         self.content.write(data)
 
     def take_body(self) -> bytes:
-        """Return the body and hold it here no longer; it counts until the request has ended."""
+        """Return the body and release it here; it counts as buffered until the request finishes."""
         body: bytes = self.content.read()
         self.content.close()
         self.content = BytesIO()
         return body
 
     def finish(self) -> None:
-        """End the answer; what its body took is free."""
+        """Finish the answer, and stop counting its body as buffered."""
         super().finish()
         self._count(-self._counted)
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
-        """Take that the caller is gone; what its body took is free."""
+        """Handle the disconnect of the caller, and stop counting its body as buffered."""
         super().connectionLost(reason)
         self._count(-self._counted)
 
     def write_now(self, data: bytes) -> None:
-        """Write a part of a streamed answer, and hand it to the kernel at once if it takes it.
+        """Write a part of a streamed answer, and pass it to the kernel at once if possible.
 
-        The library writes when the reactor next comes round, which costs two changes of the
-        poll set and an event of its own for each token of each stream.
+        Twisted would write in the next iteration of the reactor, which costs two changes of the
+        poll set and one event for each token of each stream.
         """
         if self.chunked and not self._disconnected:
             self.channel.send_now(b"%x\r\n%b\r\n" % (len(data), data))
@@ -120,7 +120,7 @@
             self.write(data)
 
     def process(self) -> None:
-        """Pass the request on to its route, once it has come whole."""
+        """Pass the complete request to its route."""
         try:
             unquote_to_bytes(self.path).decode()
         except UnicodeDecodeError:
@@ -129,7 +129,7 @@
         super().process()
 
     def processingFailed(self, reason: Failure) -> None:  # noqa: N802
-        """Answer a request whose route has raised, and log why."""
+        """Answer a request whose route raised an exception, and log the exception."""
         events.emit(
             events.REQUEST_CRASHED,
             request=self.log_id,
@@ -137,8 +137,8 @@
             error=repr(reason.value),
             traceback=reason.getTraceback(),
         )
-        # How far the route had come is not known, so neither is whether the work has run.
-        refusal = unknown(ErrorKind.INTERNAL, "the instance failed on this request")
+        # How far the route got is unknown, so it is also unknown whether the request has run.
+        refusal = unknown(ErrorKind.INTERNAL, "an internal error occurred while the request ran")
         if not self.startedWriting:
             self._answer(refusal)
         elif self._streams_events():
@@ -147,7 +147,7 @@
             self.write(b"data: " + refusal_body(refusal) + b"\n\n")
             self.finish()
         else:
-            # A body cut short must not look whole.
+            # A truncated body must not look complete.
             self.loseConnection()
 
     def _streams_events(self) -> bool:
@@ -172,12 +172,12 @@
 
 
 def _no_memory() -> Refusal:
-    reason = "the instance holds as many bytes as it may"
+    reason = "the instance has reached its limit of buffered bytes"
     return not_run(ErrorKind.NO_MEMORY, reason, MEMORY_RETRY_MS)
 
 
 class Connection(_Channel):  # type: ignore[misc]
-    """Serve one connection, and know whether it is idle."""
+    """Serve one connection, and detect whether it is idle."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -187,7 +187,7 @@
         self._abort_timer: Any = None
 
     def path(self) -> bytes:
-        """Return the path of the request whose head has just come."""
+        """Return the path of the request whose head has just arrived."""
         target: bytes = self._path
         return target.partition(b"?")[0]
 
@@ -200,15 +200,15 @@
         if self._abort_timer is not None:
             self._abort_timer.cancel()
             self._abort_timer = None
-        # First the requests are told, so that what they leave is done when this is not counted.
+        # The requests are notified first, so that they are cleaned up before this is not counted.
         super().connectionLost(reason)
         self.site.connections.discard(self)
         self.site.held.on_gone(id(self))
 
     def drop_rest(self, request: BoundedRequest) -> None:
-        """Drop what the caller still sends; the answer that follows is the last one.
+        """Discard what the caller still sends; the next answer is the last on this connection.
 
-        The request has not come whole, so what the answer needs of it is set here.
+        The request is incomplete, so the attributes that the answer needs are set here.
         """
         request.method = self._command
         request.uri = request.path = self._path
@@ -227,7 +227,7 @@
     def writeHeaders(  # noqa: N802
         self, version: bytes, code: bytes, reason: bytes, headers: Headers
     ) -> None:
-        """Write the head of an answer; while leaving, it is the last on its connection."""
+        """Write the head of an answer; during a planned stop it is the last on its connection."""
         self._served = True
         if self.site.leaving or self._dropping:
             headers.setRawHeaders(b"Connection", [b"close"])
@@ -235,29 +235,29 @@
         super().writeHeaders(version, code, reason, headers)
 
     def send_now(self, data: bytes) -> None:
-        """Send some bytes, without waiting for the reactor unless others wait already."""
+        """Send bytes without waiting for the reactor, unless others are already queued."""
         transport = self.transport
         sent = 0
         if not (transport.dataBuffer or transport._tempDataBuffer):
             sent = transport.writeSomeData(data)
         if sent == len(data):
             return
-        # A failed connection is left for the reactor to find, as with every other write.
+        # The reactor detects a failed connection, as with every other write.
         rest = data[sent:] if isinstance(sent, int) and sent > 0 else data
         transport.write(rest)
 
     def unsent(self) -> int:
-        """Return how many bytes wait here for the caller to read."""
+        """Return how many bytes are buffered here until the caller reads them."""
         transport = self.transport
         return int(len(transport.dataBuffer) + transport._tempDataLen)
 
     def loseConnection(self) -> None:  # noqa: N802
         """Close once everything written has been sent; abort if that takes too long.
 
-        When a connection with unread bytes is closed, the kernel resets it, and the caller
-        may lose the answer that was on its way. A caller that is still sending its body when
-        it is refused would see a reset connection in place of the refusal. So only the
-        sending side is closed then, and what comes is read and dropped for some time.
+        The kernel resets a connection that is closed with unread bytes, and the caller may lose
+        an answer in transit. A caller that is still sending its body when it is refused would
+        see a reset connection instead of the refusal. So only the sending side is closed then,
+        and incoming bytes are read and discarded for some time.
         """
         if self._abort_timer is not None:
             return
@@ -274,9 +274,10 @@
         self.transport.abortConnection()
 
     def close_if_idle(self) -> None:
-        """Close the connection if no request is on it, not even one still unread.
+        """Close the connection if it has no open request and no unread bytes.
 
-        On a new connection the first request may be a moment behind; it is given some looks.
+        The first request of a new connection may arrive a moment later, so a new connection is
+        closed only after several checks.
         """
         if self.requests or self._buffer or not is_quiet(self.transport.getHandle()):
             return
@@ -286,7 +287,7 @@
 
 
 class CountingSite(_Site):  # type: ignore[misc]
-    """Hold the open connections of one listening port."""
+    """Track the open connections of one listening port."""
 
     protocol = Connection
     noisy = False
@@ -297,7 +298,7 @@
             BoundedRequest,
             timeout=IDLE_TIMEOUT_S,
             reactor=reactor,
-            # Forms are read by the route that wants them, in pieces.
+            # The routes that need forms read them in pieces.
             parsePOSTFormSubmission=False,
         )
         self.body_limit = body_limit
@@ -307,23 +308,23 @@
         self.connections: set[Connection] = set()
 
     def log(self, request: object) -> None:
-        """Write no access log: nothing reads it, and events and metrics say what matters."""
+        """Write no access log; events and metrics replace it."""
 
     def set_limits(self, idle_ms: int, header_bytes: int) -> None:
-        """Bound how long new connections may be idle and how large a request's head may be."""
+        """Set the idle timeout of new connections and the maximum size of a request's head."""
         self.timeOut = idle_ms / MS_PER_S
         self.header_bytes = header_bytes
 
     def open_requests(self) -> int:
-        """Return how many requests are being read, run or answered."""
+        """Return how many requests are being received, run or answered."""
         return sum(len(one.requests) for one in self.connections)
 
     def close_idle(self) -> None:
-        """Close the connections that have no request on them."""
+        """Close the connections without requests."""
         for one in list(self.connections):
             one.close_if_idle()
 
     def close_all(self) -> None:
-        """Close every connection at once, whatever is on it."""
+        """Abort every connection at once, also those with open requests."""
         for one in list(self.connections):
             cast(Any, one.transport).abortConnection()
--- a/papayapier/entry/streaming.py
+++ b/papayapier/entry/streaming.py
@@ -1,7 +1,7 @@
-"""Write an answer of any length at the pace at which its reader takes it.
+"""Write an answer of any length at the pace of its reader.
 
-Without this, a result file of hundreds of megabytes would be read from the store as fast as
-the store gives it and wait in this process's memory for a slow reader.
+Without backpressure, a result file of hundreds of megabytes would be read from the store at full
+speed and buffered in memory for a slow reader.
 """
 
 from collections.abc import AsyncIterator
@@ -17,7 +17,7 @@
 
 @implementer(IPushProducer)
 class _Pace:
-    """Follow the transport's wish to pause."""
+    """Pause and resume writing as the transport requests."""
 
     def __init__(self) -> None:
         self.stopped = False
@@ -42,7 +42,7 @@
 
 
 async def write_all(request: "WebRequest", pieces: AsyncIterator[bytes]) -> bool:
-    """Write every piece; False says that the reader went away."""
+    """Write every piece; return False if the reader disconnected."""
     pace = _Pace()
     target: Any = request
     target.registerProducer(pace, True)
@@ -60,6 +60,6 @@
 
 
 def break_off(request: "WebRequest") -> None:
-    """Close the connection, so that an answer cut short is not taken for a whole one."""
+    """Close the connection, so that a truncated answer is not taken for a complete one."""
     target: Any = request
     target.transport.loseConnection()
--- a/papayapier/entry/unread.py
+++ b/papayapier/entry/unread.py
@@ -1,4 +1,4 @@
-"""Watch what callers leave unread, and end those that the process can hold no longer."""
+"""Track the unread bytes of callers, and disconnect callers to bound the buffered bytes."""
 
 from typing import Any, Final
 
@@ -12,7 +12,7 @@
 
 
 class UnreadWatch:
-    """Own the look at one port's connections; a caller that has read all starts anew."""
+    """Check one port's connections regularly; a caller that has read everything starts afresh."""
 
     def __init__(self, clock: Clock, site: CountingSite, held: HeldBytes, metrics: Metrics) -> None:
         self._clock = clock
@@ -23,12 +23,12 @@
         metrics.held_bytes.set_function(held.held)
 
     def start(self) -> None:
-        """Look from now on."""
+        """Start the checks."""
         self._site.held = self._held
         self._timer = self._clock.call_later(REVIEW_MS, self._review)
 
     def close(self) -> None:
-        """Stop looking."""
+        """Stop the checks."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
--- a/papayapier/entry/uploads.py
+++ b/papayapier/entry/uploads.py
@@ -1,9 +1,9 @@
 """Read uploaded files from request bodies in pieces.
 
-twisted.web keeps a request body of 100,000 bytes or more in a temporary file and calls the
-route when it is whole. So memory is bounded here, and an instance needs room for the
-uploads under way in its temporary directory. The site must be made with
-parsePOSTFormSubmission=False: else twisted reads a multipart body into memory as well.
+The site stores request bodies larger than its memory limit for one body in temporary files, and
+the route is called when the body is complete. So memory is bounded here, and the temporary
+directory of an instance needs space for the open uploads. The site must be created with parsePOSTFormSubmission=False; otherwise twisted also
+reads a multipart body into memory.
 """
 
 from typing import TYPE_CHECKING, Final, NamedTuple
@@ -28,7 +28,7 @@
 
 
 class _Part(NamedTuple):
-    """Name the part of a form that is being read."""
+    """Identify the part of a form that is being read."""
 
     name: str
     is_file: bool
@@ -54,7 +54,7 @@
         refusal = await intake.feed(piece)
         if refusal is not None:
             return refusal
-        # Other requests are served between two pieces.
+        # Let other requests be served between two pieces.
         await clock.sleep(0)
     return None
 
@@ -74,7 +74,7 @@
 
 
 class _Form:
-    """Pass the file field of a form on, and check the others."""
+    """Pass on the file field of a form, and check the other fields."""
 
     def __init__(self, intake: FileIntake, boundary: bytes) -> None:
         self._intake = intake
@@ -85,7 +85,7 @@
         self._whole = False
 
     async def feed(self, piece: bytes | None) -> Refusal | None:
-        """Take the next bytes; None marks the end."""
+        """Parse the next bytes; None marks the end."""
         try:
             self._decoder.receive_data(piece)
             return await self._take_events()
@@ -93,9 +93,9 @@
             return not_run(ErrorKind.BAD_REQUEST, f"multipart: {exc}")
 
     def fault(self) -> Refusal | None:
-        """Tell what is missing of the form at its end."""
+        """Return the refusal if the form is incomplete at its end, or None."""
         if not self._whole:
-            return not_run(ErrorKind.BAD_REQUEST, "multipart: the form is cut short")
+            return not_run(ErrorKind.BAD_REQUEST, "multipart: the form is truncated")
         if self._files != 1:
             reason = f"multipart: expected one file, got {self._files}"
             return not_run(ErrorKind.BAD_REQUEST, reason)
--- a/papayapier/entry/web.py
+++ b/papayapier/entry/web.py
@@ -1,6 +1,6 @@
 """Describe the part of a twisted HTTP request that the routes use.
 
-twisted's own IRequest is an interface without types, which the type checker cannot read.
+twisted's own IRequest is a zope interface without types, which the type checker cannot use.
 """
 
 from typing import IO, Any, Protocol
@@ -34,10 +34,10 @@
         """Send a part of a streamed answer without waiting for the reactor."""
 
     def registerProducer(self, producer: object, streaming: bool) -> None:  # noqa: N802
-        """Name who is told that the caller does not keep up."""
+        """Set the producer that is paused while the caller does not keep up."""
 
     def unregisterProducer(self) -> None:  # noqa: N802
-        """Tell that nobody needs to know any more."""
+        """Remove the producer."""
 
     def notifyFinish(self) -> Deferred[None]:  # noqa: N802
         """Return a Deferred that fails when the connection is lost first."""
