--- a/papayapier/entry/batch_routes.py
+++ b/papayapier/entry/batch_routes.py
@@ -17,7 +17,7 @@
 from papayapier.clock import MS_PER_S
 from papayapier.entry import batch_bodies as bodies
 from papayapier.entry.answers import refuse, reply_json
-from papayapier.entry.streaming import break_off, write_all
+from papayapier.entry.streaming import close_incomplete, write_all
 from papayapier.entry.uploads import PURPOSE, read_upload
 from papayapier.errors import ErrorKind, Refusal, not_run
 
@@ -27,11 +27,11 @@
 
 T = TypeVar("T")
 
-JSONL: Final = b"application/jsonl"
-BODY_MOST: Final = 64_000
-LIST_DEFAULT: Final = 20
-LIST_MOST: Final = 100
-NAME_CHARS: Final = 200
+JSONL_TYPE: Final = b"application/jsonl"
+MAX_BODY_BYTES: Final = 64_000
+DEFAULT_LIST_LIMIT: Final = 20
+MAX_LIST_LIMIT: Final = 100
+MAX_NAME_CHARS: Final = 200
 
 
 def add_batch_routes(
@@ -96,21 +96,21 @@
         self._auth = auth
         self._refusing = refusing
 
-    def _new_work(self, request: "WebRequest") -> Result[str, Refusal]:
+    def _authorize_new_work(self, request: "WebRequest") -> Result[str, Refusal]:
         refusal = self._refusing()
         return self._auth(request) if refusal is None else Err(refusal)
 
     async def upload(self, request: "WebRequest") -> bytes:
         """Store an input file."""
-        caller = self._new_work(request)
+        caller = self._authorize_new_work(request)
         if isinstance(caller, Err):
             return refuse(request, caller.err_value)
-        name = (request.getHeader("x-papayapier-filename") or "input.jsonl")[:NAME_CHARS]
+        name = (request.getHeader("x-papayapier-filename") or "input.jsonl")[:MAX_NAME_CHARS]
         intake = self._batch.new_file(caller.ok_value, name, PURPOSE)
         stored = await read_upload(request, self._batch.deps.clock, intake)
         if isinstance(stored, Err):
             await intake.abandon()
-        return _answer(request, stored.map(bodies.file_body))
+        return _write_result(request, stored.map(bodies.file_body))
 
     async def file(self, request: "WebRequest", file_id: str) -> bytes:
         """Describe a file."""
@@ -119,9 +119,11 @@
             return refuse(request, caller.err_value)
         if file_id.startswith((OUTPUT_FILE, ERROR_FILE)):
             output = await self._batch.views.output(caller.ok_value, file_id)
-            return _answer(request, output.map(lambda one: bodies.output_body(file_id, one)))
+            return _write_result(
+                request, output.map(lambda output_file: bodies.output_body(file_id, output_file))
+            )
         file = await self._batch.views.file(caller.ok_value, file_id)
-        return _answer(request, file.map(bodies.file_body))
+        return _write_result(request, file.map(bodies.file_body))
 
     async def delete_file(self, request: "WebRequest", file_id: str) -> bytes:
         """Delete an input file."""
@@ -129,7 +131,9 @@
         if isinstance(caller, Err):
             return refuse(request, caller.err_value)
         deleted = await self._batch.delete_file(caller.ok_value, file_id)
-        return _answer(request, deleted.map(lambda record: bodies.DeletedBody(record.file_id)))
+        return _write_result(
+            request, deleted.map(lambda record: bodies.DeletedBody(record.file_id))
+        )
 
     async def content(self, request: "WebRequest", file_id: str) -> bytes | None:
         """Stream the lines of an input file, of a job's results or of its errors."""
@@ -137,40 +141,40 @@
         if isinstance(caller, Err):
             return refuse(request, caller.err_value)
         views = self._batch.views
-        failed: list[OpenError] = []
+        errors: list[OpenError] = []
         lines: AsyncIterator[bytes]
         if file_id.startswith((OUTPUT_FILE, ERROR_FILE)):
             output = await views.output(caller.ok_value, file_id)
             if isinstance(output, Err):
                 return refuse(request, output.err_value)
-            lines = views.output_lines(output.ok_value, failed.append)
+            lines = views.output_lines(output.ok_value, errors.append)
         else:
             file = await views.file(caller.ok_value, file_id)
             if isinstance(file, Err):
                 return refuse(request, file.err_value)
-            lines = views.input_lines(file.ok_value, failed.append)
-        return await self._stream(request, lines, failed)
+            lines = views.input_lines(file.ok_value, errors.append)
+        return await self._stream(request, lines, errors)
 
     async def _stream(
-        self, request: "WebRequest", lines: AsyncIterator[bytes], failed: list[OpenError]
+        self, request: "WebRequest", lines: AsyncIterator[bytes], errors: list[OpenError]
     ) -> bytes | None:
-        request.setHeader(b"Content-Type", JSONL)
+        request.setHeader(b"Content-Type", JSONL_TYPE)
         await write_all(request, lines)
-        if failed:
-            events.emit(events.OUTPUT_CUT, reason=str(failed[0]))
-            break_off(request)
+        if errors:
+            events.emit(events.OUTPUT_CUT, reason=str(errors[0]))
+            close_incomplete(request)
         return b""
 
     async def create(self, request: "WebRequest") -> bytes:
         """Accept a job."""
-        caller = self._new_work(request)
+        caller = self._authorize_new_work(request)
         if isinstance(caller, Err):
             return refuse(request, caller.err_value)
-        wanted = _job_request(request, caller.ok_value)
-        if isinstance(wanted, Err):
-            return refuse(request, wanted.err_value)
-        found = await self._batch.jobs.accept(wanted.ok_value)
-        return _answer(request, found.map(bodies.batch_body))
+        job_request = _job_request(request, caller.ok_value)
+        if isinstance(job_request, Err):
+            return refuse(request, job_request.err_value)
+        found = await self._batch.jobs.accept(job_request.ok_value)
+        return _write_result(request, found.map(bodies.batch_body))
 
     async def jobs(self, request: "WebRequest") -> bytes:
         """List the caller's jobs, by id."""
@@ -180,10 +184,10 @@
         after = request.args.get(b"after", [b""])[0].decode("ascii", "replace")
         limit = _limit(request.args.get(b"limit", [b""])[0])
         if limit is None:
-            reason = f"limit: expected a number from 1 to {LIST_MOST}"
+            reason = f"limit: expected a number from 1 to {MAX_LIST_LIMIT}"
             return refuse(request, not_run(ErrorKind.BAD_REQUEST, reason))
         found = await self._batch.views.jobs(caller.ok_value, after, limit)
-        return _answer(request, found.map(lambda jobs: bodies.batch_list(jobs, limit)))
+        return _write_result(request, found.map(lambda jobs: bodies.batch_list(jobs, limit)))
 
     async def job(self, request: "WebRequest", job_id: str) -> bytes:
         """Describe a job."""
@@ -191,7 +195,7 @@
         if isinstance(caller, Err):
             return refuse(request, caller.err_value)
         found = await self._batch.views.job(caller.ok_value, job_id)
-        return _answer(request, found.map(bodies.batch_body))
+        return _write_result(request, found.map(bodies.batch_body))
 
     async def cancel(self, request: "WebRequest", job_id: str) -> bytes:
         """Cancel a job."""
@@ -199,7 +203,7 @@
         if isinstance(caller, Err):
             return refuse(request, caller.err_value)
         found = await self._batch.jobs.cancel(caller.ok_value, job_id)
-        return _answer(request, found.map(bodies.batch_body))
+        return _write_result(request, found.map(bodies.batch_body))
 
     async def item(self, request: "WebRequest", job_id: str, custom_id: str) -> bytes:
         """Describe one item of a job."""
@@ -214,22 +218,22 @@
         return reply_json(request, bodies.item_body(custom_id, view.ok_value, line))
 
 
-def _answer(request: "WebRequest", done: Result[T, Refusal]) -> bytes:
-    if isinstance(done, Err):
-        return refuse(request, done.err_value)
-    return reply_json(request, done.ok_value)
+def _write_result(request: "WebRequest", result: Result[T, Refusal]) -> bytes:
+    if isinstance(result, Err):
+        return refuse(request, result.err_value)
+    return reply_json(request, result.ok_value)
 
 
 def _limit(text: bytes) -> int | None:
     if not text:
-        return LIST_DEFAULT
-    if not text.isdigit() or not 1 <= int(text) <= LIST_MOST:
+        return DEFAULT_LIST_LIMIT
+    if not text.isdigit() or not 1 <= int(text) <= MAX_LIST_LIMIT:
         return None
     return int(text)
 
 
 def _job_request(request: "WebRequest", caller: str) -> Result[JobRequest, Refusal]:
-    parsed = codec.from_json(request.content.read(BODY_MOST), bodies.CreateBatch)
+    parsed = codec.from_json(request.content.read(MAX_BODY_BYTES), bodies.CreateBatch)
     if isinstance(parsed, Err):
         return Err(not_run(ErrorKind.BAD_REQUEST, parsed.err_value))
     body = parsed.ok_value
--- a/papayapier/entry/callers.py
+++ b/papayapier/entry/callers.py
@@ -16,10 +16,10 @@
 CallerAuth = Callable[["WebRequest"], Result[str, Refusal]]
 
 ANONYMOUS: Final = "anonymous"
-MAX_NAME: Final = 64
+MAX_NAME_CHARS: Final = 64
 
 
-def holder_of(request: "WebRequest", entries: "tuple[KeyEntry, ...]") -> str | None:
+def key_holder(request: "WebRequest", entries: "tuple[KeyEntry, ...]") -> str | None:
     """Return the name of the holder of the request's key."""
     header = request.getHeader("authorization")
     return _ring(entries).holder([header.encode()]) if header else None
@@ -28,7 +28,7 @@
 @lru_cache
 def _ring(entries: "tuple[KeyEntry, ...]") -> KeyRing[str]:
     """Build and cache the key ring of a list; of two entries with one key, the first counts."""
-    return KeyRing((bytes.fromhex(one.key_sha256), one.name) for one in reversed(entries))
+    return KeyRing((bytes.fromhex(entry.key_sha256), entry.name) for entry in reversed(entries))
 
 
 def caller_auth(entries: "tuple[KeyEntry, ...]") -> CallerAuth:
@@ -36,13 +36,13 @@
 
     def by_name(request: "WebRequest") -> Result[str, Refusal]:
         name = request.getHeader("x-papayapier-caller") or ANONYMOUS
-        if len(name) > MAX_NAME:
-            reason = f"X-Papayapier-Caller: over {MAX_NAME} characters"
+        if len(name) > MAX_NAME_CHARS:
+            reason = f"X-Papayapier-Caller: over {MAX_NAME_CHARS} characters"
             return Err(not_run(ErrorKind.BAD_REQUEST, reason))
         return Ok(name)
 
     def by_key(request: "WebRequest") -> Result[str, Refusal]:
-        holder = holder_of(request, entries)
+        holder = key_holder(request, entries)
         if holder is None:
             return Err(not_run(ErrorKind.UNAUTHORIZED, "Authorization: key missing or not known"))
         return Ok(holder)
--- a/papayapier/entry/chat.py
+++ b/papayapier/entry/chat.py
@@ -93,7 +93,16 @@
 class ChatAnswer:
     """Write one generated answer to its caller."""
 
-    __slots__ = ("_last", "_model", "_now", "_path", "_reader", "_request", "_stream", "first_ms")
+    __slots__ = (
+        "_caller_stream",
+        "_last_event",
+        "_model",
+        "_now",
+        "_path",
+        "_request",
+        "_stream",
+        "first_ms",
+    )
 
     def __init__(
         self,
@@ -108,8 +117,8 @@
         self._model = model
         self._stream = stream
         self._now = now
-        self._reader: _Reader | None = None
-        self._last = b""
+        self._caller_stream: _CallerStream | None = None
+        self._last_event = b""
         self.first_ms = 0
 
     def on_token(self, token: "Token") -> None:
@@ -118,34 +127,38 @@
             self.first_ms = self._now()
         if not self._stream:
             return
-        if self._reader is None:
-            self._reader = self._start()
-        self._last = token.data
-        self._reader.write(b"data: " + token.data + b"\n\n")
+        if self._caller_stream is None:
+            self._caller_stream = self._start()
+        self._last_event = token.data
+        self._caller_stream.write(b"data: " + token.data + b"\n\n")
 
-    def _start(self) -> "_Reader":
+    def _start(self) -> "_CallerStream":
         self._request.setHeader(b"Content-Type", STREAM_TYPE)
         self._request.setHeader(b"Cache-Control", b"no-store")
-        return _Reader(self._request)
+        return _CallerStream(self._request)
 
     def started(self) -> bool:
         """Return whether part of the answer has been sent."""
-        return self._reader is not None
+        return self._caller_stream is not None
 
     def finish(self, call_id: str, reply: "Reply") -> bytes:
         """Return the last bytes of the answer; [DONE] marks a stream as complete."""
         if not self._stream:
             self._request.setHeader(b"Content-Type", JSON_TYPE)
-            return whole_body(self._request, msgspec.json.encode(self._whole(call_id, reply)))
-        if self._reader is None:
-            self._reader = self._start()
-        self._reader.end()
-        if _says_finish(self._last):
+            return whole_body(
+                self._request, msgspec.json.encode(self._complete_answer(call_id, reply))
+            )
+        if self._caller_stream is None:
+            self._caller_stream = self._start()
+        self._caller_stream.end()
+        if _has_finish_reason(self._last_event):
             return STREAM_END
         # An engine may send the finish reason in an event without a token, which is not passed on.
-        return b"data: " + msgspec.json.encode(self._end(call_id, reply)) + b"\n\n" + STREAM_END
+        return (
+            b"data: " + msgspec.json.encode(self._end_event(call_id, reply)) + b"\n\n" + STREAM_END
+        )
 
-    def _whole(self, call_id: str, reply: "Reply") -> Completion:
+    def _complete_answer(self, call_id: str, reply: "Reply") -> Completion:
         kind = "chat.completion" if self._path == CHAT_PATH else "text_completion"
         return self._completion(call_id, reply, self._choice(reply), kind)
 
@@ -156,7 +169,7 @@
             return ChatChoice(index=0, message=message, finish_reason=reason)
         return TextChoice(index=0, text=reply.text, finish_reason=reason)
 
-    def _end(self, call_id: str, reply: "Reply") -> Completion:
+    def _end_event(self, call_id: str, reply: "Reply") -> Completion:
         reason = reply.finish_reason
         if self._path == CHAT_PATH:
             chat_end = ChatEnd(index=0, delta=Delta(), finish_reason=reason)
@@ -170,14 +183,14 @@
         usage = Usage(completion_tokens=reply.tokens)
         return Completion(id=call_id, model=self._model, choices=[choice], usage=usage, object=kind)
 
-    def break_off(self, refusal: "Refusal") -> bytes:
+    def end_incomplete(self, refusal: "Refusal") -> bytes:
         """End a stream that has begun with the refusal and without [DONE]."""
-        if self._reader is not None:
-            self._reader.end()
+        if self._caller_stream is not None:
+            self._caller_stream.end()
         return b"data: " + refusal_body(refusal) + b"\n\n"
 
 
-def _says_finish(event: bytes) -> bool:
+def _has_finish_reason(event: bytes) -> bool:
     if not event:
         return False
     choices = _EVENT.decode(event)["choices"]
@@ -185,7 +198,7 @@
 
 
 @implementer(IPushProducer)
-class _Reader:
+class _CallerStream:
     """Write a stream to a caller, and disconnect it if it falls too far behind.
 
     Generation cannot be slowed down to the pace of its caller, so the unread bytes of stalled
@@ -196,14 +209,14 @@
     def __init__(self, request: "WebRequest") -> None:
         self._request = request
         self._paused = False
-        self._unread = 0
+        self._unread_bytes = 0
         self._open = True
         request.registerProducer(self, True)
 
     def write(self, data: bytes) -> None:
         if self._paused:
-            self._unread += len(data)
-            if self._unread > MAX_UNREAD_BYTES:
+            self._unread_bytes += len(data)
+            if self._unread_bytes > MAX_UNREAD_BYTES:
                 self._close()
         if self._open:
             self._request.write_now(data)
@@ -216,7 +229,7 @@
     def _close(self) -> None:
         if self._open:
             self._open = False
-            events.emit(events.CALLER_SLOW, unread_bytes=self._unread)
+            events.emit(events.CALLER_SLOW, unread_bytes=self._unread_bytes)
             self._request.transport.abortConnection()
 
     def pauseProducing(self) -> None:  # noqa: N802
@@ -224,7 +237,7 @@
 
     def resumeProducing(self) -> None:  # noqa: N802
         self._paused = False
-        self._unread = 0
+        self._unread_bytes = 0
 
     def stopProducing(self) -> None:  # noqa: N802
         self._open = False
--- a/papayapier/entry/forward_routes.py
+++ b/papayapier/entry/forward_routes.py
@@ -39,7 +39,7 @@
 # Limit of unsent bytes for a caller that does not read, beyond what the kernel buffers.
 MAX_UNREAD_BYTES: Final = 256_000
 # Pause between two requests for an allowance; each costs up to two unanswered messages.
-GRANT_LOOK_MS: Final = 50
+GRANT_RETRY_MS: Final = 50
 
 
 class Names(NamedTuple):
@@ -104,24 +104,24 @@
     def render(self, request: Any) -> Any:
         """Serve one request, and cancel it when its caller disconnects."""
         request.log_id = request.getHeader(self._routes.names.request_id) or ""
-        work = Deferred.fromCoroutine(_serve(self._routes, request))
-        request.notifyFinish().addErrback(_caller_gone, request, work)
-        work.addErrback(_failed, request)
+        serving = Deferred.fromCoroutine(_serve(self._routes, request))
+        request.notifyFinish().addErrback(_on_disconnect, request, serving)
+        serving.addErrback(_on_failure, request)
         return NOT_DONE_YET
 
 
-def _caller_gone(_why: object, request: Any, work: Deferred[None]) -> None:
+def _on_disconnect(_why: object, request: Any, serving: Deferred[None]) -> None:
     """Cancel the request of a caller that has disconnected, unless it must complete.
 
     A call on a job completes without its caller: a record whose write has begun must be settled,
     and the caller may retry at another instance.
     """
     request.gone = True
-    if not request.see_through:
-        work.cancel()
+    if not request.detached:
+        serving.cancel()
 
 
-def _failed(failure: Any, request: Any) -> None:
+def _on_failure(failure: Any, request: Any) -> None:
     if failure.check(CancelledError, ConnectionDone, ConnectionLost):
         return
     if not request.gone and not request.startedWriting:
@@ -153,93 +153,95 @@
     host = request.getHeader("host") or ""
     call = routes.jobs.called(request)
     if call is not None:
-        asker = table.asker(table.has_public_jobs(host), _shown_keys(routes, request))
-        if isinstance(asker, Err):
-            refuse_raw(routes.refusals, request, "", asker.err_value)
+        team_result = table.asker(table.has_public_jobs(host), _presented_keys(routes, request))
+        if isinstance(team_result, Err):
+            refuse_raw(routes.refusals, request, "", team_result.err_value)
             return
-        request.see_through = True
-        await routes.jobs.perform(request, call, name_of(asker.ok_value))
+        request.detached = True
+        await routes.jobs.perform(request, call, name_of(team_result.ok_value))
         return
     route = table.find(host, request.path.decode("latin-1"))
     if route is None:
         reason = f"no route for host {host}, configuration {table.cfg.version}"
         refuse_raw(routes.refusals, request, "", not_run(ErrorKind.NOT_FOUND, reason))
         return
-    asker = table.asker(route.public, _shown_keys(routes, request))
-    if isinstance(asker, Err):
-        refuse_raw(routes.refusals, request, route.name, asker.err_value)
+    team_result = table.asker(route.public, _presented_keys(routes, request))
+    if isinstance(team_result, Err):
+        refuse_raw(routes.refusals, request, route.name, team_result.err_value)
     elif route.kind is WorkKind.JOB:
-        request.see_through = True
-        await routes.jobs.submit(request, route, name_of(asker.ok_value))
+        request.detached = True
+        await routes.jobs.submit(request, route, name_of(team_result.ok_value))
     else:
-        await _forward(routes, request, route, asker.ok_value)
+        await _forward(routes, request, route, team_result.ok_value)
 
 
-def _shown_keys(routes: ForwardRoutes, request: Any) -> "Sequence[bytes]":
+def _presented_keys(routes: ForwardRoutes, request: Any) -> "Sequence[bytes]":
     return routes.names.shown_keys(request.requestHeaders)
 
 
-async def _forward(routes: ForwardRoutes, request: Any, route: Route, asker: Team | None) -> None:
+async def _forward(routes: ForwardRoutes, request: Any, route: Route, team: Team | None) -> None:
     now = routes.clock.now()
-    read = _read_request(routes, request, route, asker, now)
-    if isinstance(read, Err):
-        refuse_raw(routes.refusals, request, route.name, read.err_value)
+    parsed = _read_request(routes, request, route, team, now)
+    if isinstance(parsed, Err):
+        refuse_raw(routes.refusals, request, route.name, parsed.err_value)
         return
-    req = read.ok_value
-    held = routes.forward.crashes.refusal(req.request_id, req.fingerprint)
-    if held is not None:
-        refuse_raw(routes.refusals, request, route.name, held, req.due_ms)
+    req = parsed.ok_value
+    quarantine_refusal = routes.forward.crashes.refusal(req.request_id, req.fingerprint)
+    if quarantine_refusal is not None:
+        refuse_raw(routes.refusals, request, route.name, quarantine_refusal, req.due_ms)
         return
-    reader = _Reader(routes, request, req) if req.stream else None
+    caller_stream = _CallerStream(routes, request, req) if req.stream else None
 
-    async def work() -> Result[Answered, Refusal]:
-        return await forward(routes.forward, req, reader)
+    async def send() -> Result[Answered, Refusal]:
+        return await forward(routes.forward, req, caller_stream)
 
     try:
-        done = await _run(routes, req, asker, work)
+        result = await _run(routes, req, team, send)
     except CancelledError:
         routes.metrics.requests.labels(route.name, "gone").inc()
         events.emit(events.CALLER_GONE, request=req.request_id, profile=route.name)
         raise
-    _finish(routes, request, req, done, reader)
+    _finish(routes, request, req, result, caller_stream)
 
 
 async def _run(
     routes: ForwardRoutes,
     req: RawRequest,
-    asker: Team | None,
-    work: "Callable[[], Awaitable[Result[Answered, Refusal]]]",
+    team: Team | None,
+    send: "Callable[[], Awaitable[Result[Answered, Refusal]]]",
 ) -> Result[Answered, Refusal]:
     """Run a request once its team may send it and the queue admits it."""
-    allowed = Ok(None) if asker is None else await _allowed(routes, req, asker)
+    allowed = Ok(None) if team is None else await _request_allowance(routes, req, team)
     if isinstance(allowed, Err):
         return allowed
     # Counts from now, so that a request is not refused because it waited for a grant.
     due_ms = min(req.due_ms, routes.clock.now() + wait_limit_ms(req.objective_ms))
-    ask = StartRequest(req.profile, req.caller(), due_ms, req.rank)
-    return await routes.queue.run(ask, work, learn_duration=False)
+    start_request = StartRequest(req.profile, req.caller(), due_ms, req.rank)
+    return await routes.queue.run(start_request, send, learn_duration=False)
 
 
-async def _allowed(routes: ForwardRoutes, req: RawRequest, asker: Team) -> Result[None, Refusal]:
+async def _request_allowance(
+    routes: ForwardRoutes, req: RawRequest, team: Team
+) -> Result[None, Refusal]:
     """Request a team's allowance; retry where a refusal would be final or is unconfirmed."""
     while True:
-        done = await routes.allow(asker, req.is_retry)
-        if isinstance(done, Ok):
-            return done
-        wait_ms = _ask_again_ms(routes, req, done.err_value)
+        result = await routes.allow(team, req.is_retry)
+        if isinstance(result, Ok):
+            return result
+        wait_ms = _allowance_retry_ms(routes, req, result.err_value)
         if not wait_ms:
-            return done
+            return result
         await routes.clock.sleep(wait_ms)
 
 
-def _ask_again_ms(routes: ForwardRoutes, req: RawRequest, refusal: Refusal) -> int:
+def _allowance_retry_ms(routes: ForwardRoutes, req: RawRequest, refusal: Refusal) -> int:
     """Return the delay before an allowance is requested again, in ms; 0 if the refusal is final.
 
     While no granter answers, a request whose caller may not retry waits. Just after a start,
     granters begin with small allowances while all delayed requests arrive at once.
     """
     if refusal.kind is ErrorKind.NOT_GRANTED and not req.may_retry:
-        wait_ms, until_ms = GRANT_LOOK_MS, req.due_ms
+        wait_ms, until_ms = GRANT_RETRY_MS, req.due_ms
     elif refusal.kind is ErrorKind.OVER_ALLOWANCE:
         wait_ms, until_ms = refusal.retry_after_ms, min(req.due_ms, routes.starting_until_ms)
     else:
@@ -248,24 +250,24 @@
 
 
 def _read_request(
-    routes: ForwardRoutes, request: Any, route: Route, asker: Team | None, now: int
+    routes: ForwardRoutes, request: Any, route: Route, team: Team | None, now: int
 ) -> Result[RawRequest, Refusal]:
     names = routes.names
     request_id = request.getHeader(names.request_id) or ""
     if not request_id:
         return Err(not_run(ErrorKind.BAD_REQUEST, f"{names.request_id}: missing"))
-    left = _number(request.getHeader(names.time_left), route.timeout_ms)
-    if left is None:
+    left_ms = _number(request.getHeader(names.time_left), route.timeout_ms)
+    if left_ms is None:
         return Err(not_run(ErrorKind.BAD_REQUEST, f"{names.time_left}: not whole milliseconds"))
-    limit_ms = min(left, route.timeout_ms) if route.timeout_ms else left
-    last = _number(request.getHeader(names.last_event), NO_EVENT)
-    if last is None:
+    limit_ms = min(left_ms, route.timeout_ms) if route.timeout_ms else left_ms
+    last_id = _number(request.getHeader(names.last_event), NO_EVENT)
+    if last_id is None:
         return Err(not_run(ErrorKind.BAD_REQUEST, f"{names.last_event}: not a number"))
-    returned = has_returned(left, route.timeout_ms)
-    rank = route.rank if asker is None or asker.rank is None else asker.rank
+    is_retry = has_returned(left_ms, route.timeout_ms)
+    rank = route.rank if team is None or team.rank is None else team.rank
     headers = names.end_to_end(request.requestHeaders)
-    if asker is not None:
-        headers = names.of_team(headers, asker.name)
+    if team is not None:
+        headers = names.of_team(headers, team.name)
     return Ok(
         RawRequest(
             request_id=request_id,
@@ -277,13 +279,13 @@
             stream=route.kind is WorkKind.STREAM,
             prompt=_shared_prompt(request.getHeader(names.prompt)) if route.by_prompt else "",
             due_ms=now + limit_ms,
-            last_event=last,
+            last_event=last_id,
             arrived_ms=now,
-            team=name_of(asker),
+            team=name_of(team),
             rank=rank,
             objective_ms=route.objective_ms,
-            is_retry=returned,
-            may_retry=not returned and now >= routes.starting_until_ms,
+            is_retry=is_retry,
+            may_retry=not is_retry and now >= routes.starting_until_ms,
         )
     )
 
@@ -299,7 +301,7 @@
     return (parts or "").partition(":")[0]
 
 
-class _Reader:
+class _CallerStream:
     """Write a stream to its caller as it arrives."""
 
     def __init__(self, routes: ForwardRoutes, request: Any, req: RawRequest) -> None:
@@ -329,23 +331,23 @@
     routes: ForwardRoutes,
     request: Any,
     req: RawRequest,
-    done: Result[Answered, Refusal],
-    reader: _Reader | None,
+    result: Result[Answered, Refusal],
+    caller_stream: _CallerStream | None,
 ) -> None:
     name = req.profile.name
     if request.gone:
         # The caller disconnected while the end of the answer was on its way.
         events.emit(events.CALLER_GONE, request=req.request_id, profile=name)
         return
-    begun = reader is not None and reader.started
-    if isinstance(done, Ok):
-        _finish_answer(routes, request, req, done.ok_value, begun)
-    elif begun:
+    has_begun = caller_stream is not None and caller_stream.started
+    if isinstance(result, Ok):
+        _finish_answer(routes, request, req, result.ok_value, has_begun)
+    elif has_begun:
         # A truncated stream must not look complete: abort the connection without a last chunk.
-        count_refusal(routes.refusals, req.request_id, name, done.err_value)
+        count_refusal(routes.refusals, req.request_id, name, result.err_value)
         request.channel.transport.abortConnection()
     else:
-        refuse_raw(routes.refusals, request, name, done.err_value, req.due_ms)
+        refuse_raw(routes.refusals, request, name, result.err_value, req.due_ms)
 
 
 def _finish_answer(
@@ -353,24 +355,24 @@
     request: Any,
     req: RawRequest,
     answer: Answered,
-    begun: bool,
+    has_begun: bool,
 ) -> None:
     """End an answer that was streamed, or write one of which nothing has been sent yet."""
-    fits = isinstance(answer, PassedOn) == begun
-    check(fits, Promise.ANSWER_OWN, request=req.request_id, status=answer.status)
-    if not fits:
+    is_consistent = isinstance(answer, PassedOn) == has_begun
+    check(is_consistent, Promise.ANSWER_OWN, request=req.request_id, status=answer.status)
+    if not is_consistent:
         request.channel.transport.abortConnection()
         return
     name = req.profile.name
     routes.metrics.requests.labels(name, "answered").inc()
-    took_s = (routes.clock.now() - req.arrived_ms) / MS_PER_S
-    routes.metrics.latency.labels(name).observe(took_s)
+    latency_s = (routes.clock.now() - req.arrived_ms) / MS_PER_S
+    routes.metrics.latency.labels(name).observe(latency_s)
     if isinstance(answer, RawAnswer):
-        _write_whole(routes, request, answer)
+        _write_answer(routes, request, answer)
     request.finish()
 
 
-def _write_whole(routes: ForwardRoutes, request: Any, answer: RawAnswer) -> None:
+def _write_answer(routes: ForwardRoutes, request: Any, answer: RawAnswer) -> None:
     _write_head(routes, request, answer.status, answer.headers)
     request.setHeader(b"Content-Length", str(len(answer.body)).encode())
     request.write(answer.body)
--- a/papayapier/entry/job_routes.py
+++ b/papayapier/entry/job_routes.py
@@ -16,9 +16,9 @@
     from papayapier.jobs.records import JobItem
 
 # Time reserved for sending the answer to a submission after its write is settled.
-ANSWER_MS: Final = 200
-DEFAULT_TIME_MS: Final = 2_000
-END_MS: Final = 2_500
+ANSWER_RESERVE_MS: Final = 200
+DEFAULT_TIMEOUT_MS: Final = 2_000
+CALL_TIMEOUT_MS: Final = 2_500
 ACCEPTED: Final = 202
 
 
@@ -57,27 +57,27 @@
         if not job_id or isinstance(items, Err):
             reason = "the job has no id" if isinstance(items, Ok) else items.err_value
             return self.refuse(request, route.name, not_run(ErrorKind.BAD_REQUEST, reason))
-        limit_ms = route.timeout_ms or DEFAULT_TIME_MS
-        due_ms = self.clock.now() + max(ANSWER_MS, limit_ms - ANSWER_MS)
+        limit_ms = route.timeout_ms or DEFAULT_TIMEOUT_MS
+        due_ms = self.clock.now() + max(ANSWER_RESERVE_MS, limit_ms - ANSWER_RESERVE_MS)
         host = request.getHeader("host") or ""
         path = request.path.decode("latin-1")
-        done = await self.desk.submit(
+        result = await self.desk.submit(
             job_id, host, path, items.ok_value, due_ms, route.objective_ms, team
         )
-        if isinstance(done, Err):
-            return self.refuse(request, route.name, done.err_value)
-        return _write(request, Answer(b"{}", status=ACCEPTED))
+        if isinstance(result, Err):
+            return self.refuse(request, route.name, result.err_value)
+        return _write_answer(request, Answer(b"{}", status=ACCEPTED))
 
     async def perform(self, request: Any, call: Any, team: str) -> None:
         """Run a call on a job for a team."""
-        due_ms = self.clock.now() + END_MS
-        done = await self.wire.perform(self.desk, request, call, team, due_ms)
-        if isinstance(done, Err):
-            return self.refuse(request, "", done.err_value)
-        return _write(request, done.ok_value)
+        due_ms = self.clock.now() + CALL_TIMEOUT_MS
+        result = await self.wire.perform(self.desk, request, call, team, due_ms)
+        if isinstance(result, Err):
+            return self.refuse(request, "", result.err_value)
+        return _write_answer(request, result.ok_value)
 
 
-def _write(request: Any, answer: Answer) -> None:
+def _write_answer(request: Any, answer: Answer) -> None:
     if request.gone:
         return
     request.setResponseCode(answer.status)
--- a/papayapier/entry/online_routes.py
+++ b/papayapier/entry/online_routes.py
@@ -33,7 +33,7 @@
     from papayapier.upstream.api import Reply, Token
 
 DEFAULT_PROFILE: Final = "default"
-SERVICES: Final = "/services/"
+SERVICES_PREFIX: Final = "/services/"
 
 
 class OnlineDeps(NamedTuple):
@@ -49,7 +49,7 @@
     refusing: "Callable[[], Refusal | None]"
 
 
-class _Head(NamedTuple):
+class _ParsedHeaders(NamedTuple):
     """Hold the parsed headers of a request."""
 
     caller: str
@@ -86,37 +86,39 @@
 
     @app.route("/v1/models", methods=["GET"])
     def models(request: "WebRequest") -> bytes:
-        return reply_json(request, ModelList([ModelEntry(n) for n in deps.upstream_names()]))
+        return reply_json(request, ModelList([ModelEntry(name) for name in deps.upstream_names()]))
 
-    @app.route(SERVICES + "<name>", methods=["GET", "POST", "PUT", "DELETE", "PATCH"])
-    @app.route(SERVICES + "<name>/<path:rest>", methods=["GET", "POST", "PUT", "DELETE", "PATCH"])
+    @app.route(SERVICES_PREFIX + "<name>", methods=["GET", "POST", "PUT", "DELETE", "PATCH"])
+    @app.route(
+        SERVICES_PREFIX + "<name>/<path:rest>", methods=["GET", "POST", "PUT", "DELETE", "PATCH"]
+    )
     def service(request: "WebRequest", name: str, rest: str = "") -> Deferred[bytes | None]:
         return Deferred.fromCoroutine(_service(deps, request, name, rest))
 
 
 async def _generate(deps: OnlineDeps, request: "WebRequest", path: str) -> bytes | None:
-    head = _read_head(deps, request)
-    if isinstance(head, Err):
-        return _refused(deps, request, "", head.err_value)
+    headers = _parse_headers(deps, request)
+    if isinstance(headers, Err):
+        return _write_refusal(deps, request, "", headers.err_value)
     body: bytes = request.content.read()
     parsed = parse_generation(body)
     if isinstance(parsed, Err):
         refusal = not_run(ErrorKind.BAD_REQUEST, parsed.err_value)
-        return _refused(deps, request, head.ok_value.profile.name, refusal)
-    mismatch = _mismatch(deps, head.ok_value.profile, parsed.ok_value.model)
-    if mismatch is not None:
-        return _refused(deps, request, head.ok_value.profile.name, mismatch)
+        return _write_refusal(deps, request, headers.ok_value.profile.name, refusal)
+    mismatch_refusal = _model_mismatch(deps, headers.ok_value.profile, parsed.ok_value.model)
+    if mismatch_refusal is not None:
+        return _write_refusal(deps, request, headers.ok_value.profile.name, mismatch_refusal)
     model, stream = parsed.ok_value.model, parsed.ok_value.stream
     answer = ChatAnswer(request, path, model, stream, deps.clock.now)
-    req = _online(head.ok_value, "POST", path, body, "application/json")
+    req = _online_request(headers.ok_value, "POST", path, body, "application/json")
     req = req._replace(generates=True, prefix=parsed.ok_value.prefix)
-    done = await _run(deps, req, head.ok_value.key, answer)
-    if isinstance(done, Err):
-        return _refused(deps, request, req.profile.name, done.err_value, answer)
-    return answer.finish(req.call_id, done.ok_value)
+    result = await _run(deps, req, headers.ok_value.key, answer)
+    if isinstance(result, Err):
+        return _write_refusal(deps, request, req.profile.name, result.err_value, answer)
+    return answer.finish(req.call_id, result.ok_value)
 
 
-def _mismatch(deps: OnlineDeps, profile: "Profile", model: str) -> Refusal | None:
+def _model_mismatch(deps: OnlineDeps, profile: "Profile", model: str) -> Refusal | None:
     """Return the refusal if the profile belongs to another upstream than the model, or None.
 
     A model that is not the name of an upstream may be an adapter, which only the engine knows.
@@ -128,21 +130,21 @@
 
 
 async def _service(deps: OnlineDeps, request: "WebRequest", name: str, rest: str) -> bytes | None:
-    head = _read_head(deps, request)
-    if isinstance(head, Err):
-        return _refused(deps, request, "", head.err_value)
-    profile = head.ok_value.profile
+    headers = _parse_headers(deps, request)
+    if isinstance(headers, Err):
+        return _write_refusal(deps, request, "", headers.err_value)
+    profile = headers.ok_value.profile
     if profile.upstream != name:
         reason = f"profile {profile.name} is for upstream {profile.upstream}, not {name}"
-        return _refused(deps, request, profile.name, not_run(ErrorKind.BAD_REQUEST, reason))
+        return _write_refusal(deps, request, profile.name, not_run(ErrorKind.BAD_REQUEST, reason))
     body: bytes = request.content.read()
     path = _service_path(request, name)
     content_type = request.getHeader("content-type") or "application/octet-stream"
-    req = _online(head.ok_value, request.method.decode(), path, body, content_type)
-    done = await _run(deps, req, head.ok_value.key, None)
-    if isinstance(done, Err):
-        return _refused(deps, request, profile.name, done.err_value)
-    reply = done.ok_value
+    req = _online_request(headers.ok_value, request.method.decode(), path, body, content_type)
+    result = await _run(deps, req, headers.ok_value.key, None)
+    if isinstance(result, Err):
+        return _write_refusal(deps, request, profile.name, result.err_value)
+    reply = result.ok_value
     request.setResponseCode(reply.status)
     request.setHeader(b"Content-Type", reply.content_type.encode())
     return whole_body(request, reply.body)
@@ -151,26 +153,28 @@
 def _service_path(request: "WebRequest", name: str) -> str:
     """Return the path after the service's name, with the query unchanged."""
     uri: str = request.uri.decode("ascii", "replace")
-    rest = uri[len(SERVICES) + len(name) :]
+    rest = uri[len(SERVICES_PREFIX) + len(name) :]
     return rest if rest.startswith("/") else "/" + rest
 
 
-def _online(head: _Head, method: str, path: str, body: bytes, content_type: str) -> OnlineRequest:
+def _online_request(
+    headers: _ParsedHeaders, method: str, path: str, body: bytes, content_type: str
+) -> OnlineRequest:
     return OnlineRequest(
-        call_id=head.call_id,
-        caller=head.caller,
-        profile=head.profile,
+        call_id=headers.call_id,
+        caller=headers.caller,
+        profile=headers.profile,
         method=method,
         path=path,
         body=body,
         content_type=content_type,
         generates=False,
         prefix="",
-        due_ms=head.due_ms,
+        due_ms=headers.due_ms,
     )
 
 
-def _read_head(deps: OnlineDeps, request: "WebRequest") -> Result[_Head, Refusal]:
+def _parse_headers(deps: OnlineDeps, request: "WebRequest") -> Result[_ParsedHeaders, Refusal]:
     refusal = deps.refusing()
     if refusal is not None:
         return Err(refusal)
@@ -193,7 +197,7 @@
     call_id = _call_id(caller.ok_value, key)
     request.setHeader(b"X-Papayapier-Call", call_id.encode())
     request.setHeader(b"X-Request-Id", _request_id(request, call_id))
-    return Ok(_Head(caller.ok_value, profile, key, due.ok_value, call_id))
+    return Ok(_ParsedHeaders(caller.ok_value, profile, key, due.ok_value, call_id))
 
 
 def _due_ms(deps: OnlineDeps, request: "WebRequest", profile: "Profile") -> Result[int, Refusal]:
@@ -227,34 +231,34 @@
 async def _run(
     deps: OnlineDeps, req: OnlineRequest, key: str, answer: ChatAnswer | None
 ) -> Result["Reply", Refusal]:
-    started = deps.clock.now()
+    started_ms = deps.clock.now()
     try:
-        done = await deps.run(req, key, answer.on_token if answer else _no_token)
+        result = await deps.run(req, key, answer.on_token if answer else _ignore_token)
     except CancelledError:
-        _caller_gone(deps, req)
+        _log_disconnect(deps, req)
         raise
-    if isinstance(done, Ok):
-        ended = deps.clock.now()
-        first = (answer.first_ms if answer else 0) or ended
+    if isinstance(result, Ok):
+        finished_ms = deps.clock.now()
+        first_token_ms = (answer.first_ms if answer else 0) or finished_ms
         profile = req.profile.name
         deps.metrics.requests.labels(profile, "answered").inc()
-        deps.metrics.latency.labels(profile).observe((ended - started) / MS_PER_S)
-        deps.metrics.first_token.labels(profile).observe((first - started) / MS_PER_S)
-    elif done.err_value.kind is ErrorKind.CANCELLED:
-        _caller_gone(deps, req)
-    return done
+        deps.metrics.latency.labels(profile).observe((finished_ms - started_ms) / MS_PER_S)
+        deps.metrics.first_token.labels(profile).observe((first_token_ms - started_ms) / MS_PER_S)
+    elif result.err_value.kind is ErrorKind.CANCELLED:
+        _log_disconnect(deps, req)
+    return result
 
 
-def _no_token(_token: "Token") -> None:
+def _ignore_token(_token: "Token") -> None:
     """Ignore a token; answers of plain services have none."""
 
 
-def _caller_gone(deps: OnlineDeps, req: OnlineRequest) -> None:
+def _log_disconnect(deps: OnlineDeps, req: OnlineRequest) -> None:
     deps.metrics.requests.labels(req.profile.name, "gone").inc()
     events.emit(events.CALLER_GONE, call=req.call_id, profile=req.profile.name)
 
 
-def _refused(
+def _write_refusal(
     deps: OnlineDeps,
     request: "WebRequest",
     profile: str,
@@ -264,7 +268,7 @@
     if refusal.kind is not ErrorKind.CANCELLED:
         _count_refusal(deps, profile, refusal)
     if answer is not None and answer.started():
-        return answer.break_off(refusal)
+        return answer.end_incomplete(refusal)
     return whole_body(request, refuse(request, refusal))
 
 
--- a/papayapier/entry/operator_auth.py
+++ b/papayapier/entry/operator_auth.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from papayapier import events
-from papayapier.entry.callers import caller_auth, holder_of
+from papayapier.entry.callers import caller_auth, key_holder
 from papayapier.errors import ErrorKind, Refusal, not_run
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
 
     def check(request: "WebRequest") -> Result[str, Refusal]:
         if operators:
-            name = holder_of(request, operators)
+            name = key_holder(request, operators)
         else:
             name = LOCAL_OPERATOR if _is_local(request) else None
         if name is not None:
@@ -49,11 +49,11 @@
     check = operator_auth(operators)
     named_caller = caller_auth(())
 
-    def caller_meant(request: "WebRequest") -> Result[str, Refusal]:
-        who = check(request)
-        return who if isinstance(who, Err) else named_caller(request)
+    def authenticated_caller(request: "WebRequest") -> Result[str, Refusal]:
+        operator = check(request)
+        return operator if isinstance(operator, Err) else named_caller(request)
 
-    return caller_meant
+    return authenticated_caller
 
 
 def no_new_work() -> Refusal:
--- a/papayapier/entry/operator_routes.py
+++ b/papayapier/entry/operator_routes.py
@@ -30,8 +30,8 @@
 
 T = TypeVar("T")
 
-BODY_MOST: Final = 256_000
-AUDIT_MOST: Final = 10_000
+MAX_BODY_BYTES: Final = 256_000
+MAX_AUDIT_LIMIT: Final = 10_000
 
 CHANGE_BODIES: Final[dict[str, type[Any]]] = {
     PROFILES: bodies.ProfileChangeBody,
@@ -71,9 +71,9 @@
 
     @app.route("/v1/status", methods=["GET"])
     def status(request: "WebRequest") -> bytes:
-        who = routes.auth(request)
-        if isinstance(who, Err):
-            return refuse(request, who.err_value)
+        operator = routes.auth(request)
+        if isinstance(operator, Err):
+            return refuse(request, operator.err_value)
         found = deps.status()
         return reply_json(request, bodies.StatusBody(*found, slowest=found.slowest().id))
 
@@ -83,9 +83,9 @@
 
     @app.route("/v1/orders", methods=["GET"])
     def orders(request: "WebRequest") -> bytes:
-        who = routes.auth(request)
-        if isinstance(who, Err):
-            return refuse(request, who.err_value)
+        operator = routes.auth(request)
+        if isinstance(operator, Err):
+            return refuse(request, operator.err_value)
         return reply_json(request, show_orders())
 
 
@@ -115,36 +115,36 @@
 
 
 def _list(routes: _Routes, request: "WebRequest", kind: str) -> bytes:
-    who = routes.auth(request)
-    if isinstance(who, Err):
-        return refuse(request, who.err_value)
-    book = routes.config.book
-    found = book.profiles() if kind == PROFILES else book.upstreams()
+    operator = routes.auth(request)
+    if isinstance(operator, Err):
+        return refuse(request, operator.err_value)
+    registry = routes.config.book
+    found = registry.profiles() if kind == PROFILES else registry.upstreams()
     items = [
-        bodies.ItemBody(name, book.version_of(Subject(kind, name).key), wanted)
-        for name, wanted in found.items()
+        bodies.ItemBody(name, registry.version_of(Subject(kind, name).key), desired)
+        for name, desired in found.items()
     ]
-    return reply_json(request, bodies.ListBody(book.version(), items))
+    return reply_json(request, bodies.ListBody(registry.version(), items))
 
 
 def _get(routes: _Routes, request: "WebRequest", subject: Subject) -> bytes:
-    who = routes.auth(request)
-    if isinstance(who, Err):
-        return refuse(request, who.err_value)
-    book = routes.config.book
+    operator = routes.auth(request)
+    if isinstance(operator, Err):
+        return refuse(request, operator.err_value)
+    registry = routes.config.book
     kind, name = subject
-    wanted = book.profile(name) if kind == PROFILES else book.upstream(name)
-    if wanted is None:
-        why = f"{kind}: {name} does not exist"
-        return refuse(request, not_run(ErrorKind.NOT_FOUND, why))
-    version = book.version_of(subject.key)
-    return reply_json(request, bodies.ItemBody(name, version, wanted))
+    desired = registry.profile(name) if kind == PROFILES else registry.upstream(name)
+    if desired is None:
+        message = f"{kind}: {name} does not exist"
+        return refuse(request, not_run(ErrorKind.NOT_FOUND, message))
+    version = registry.version_of(subject.key)
+    return reply_json(request, bodies.ItemBody(name, version, desired))
 
 
 def _check(routes: _Routes, request: "WebRequest", kind: str) -> bytes:
-    who = routes.auth(request)
-    if isinstance(who, Err):
-        return refuse(request, who.err_value)
+    operator = routes.auth(request)
+    if isinstance(operator, Err):
+        return refuse(request, operator.err_value)
     body = _body(request, CHECK_BODIES[kind])
     if isinstance(body, Err):
         return refuse(request, body.err_value)
@@ -156,41 +156,43 @@
 
 
 async def _put(routes: _Routes, request: "WebRequest", subject: Subject) -> bytes:
-    who = routes.auth(request)
-    if isinstance(who, Err):
-        return refuse(request, who.err_value)
+    operator = routes.auth(request)
+    if isinstance(operator, Err):
+        return refuse(request, operator.err_value)
     body = _body(request, CHANGE_BODIES[subject.kind])
     if isinstance(body, Err):
         return refuse(request, body.err_value)
     document, based_on, reason, change_id, strand = body.ok_value
     if document is None:
-        why = f"{subject.kind.removesuffix('s')}: is null; use DELETE to delete"
-        return refuse(request, not_run(ErrorKind.BAD_REQUEST, why))
-    change = Change(subject, document, based_on, reason, change_id, who.ok_value, strand)
-    return _answer(request, subject, await routes.config.accept(change))
+        message = f"{subject.kind.removesuffix('s')}: is null; use DELETE to delete"
+        return refuse(request, not_run(ErrorKind.BAD_REQUEST, message))
+    change = Change(subject, document, based_on, reason, change_id, operator.ok_value, strand)
+    return _write_result(request, subject, await routes.config.accept(change))
 
 
 async def _delete(routes: _Routes, request: "WebRequest", subject: Subject) -> bytes:
-    who = routes.auth(request)
-    if isinstance(who, Err):
-        return refuse(request, who.err_value)
+    operator = routes.auth(request)
+    if isinstance(operator, Err):
+        return refuse(request, operator.err_value)
     body = _body(request, bodies.DeleteBody)
     if isinstance(body, Err):
         return refuse(request, body.err_value)
     based_on, reason, change_id, strand = body.ok_value
-    change = Change(subject, None, based_on, reason, change_id, who.ok_value, strand)
-    return _answer(request, subject, await routes.config.accept(change))
+    change = Change(subject, None, based_on, reason, change_id, operator.ok_value, strand)
+    return _write_result(request, subject, await routes.config.accept(change))
 
 
-def _answer(request: "WebRequest", subject: Subject, done: Result[Accepted, Rejected]) -> bytes:
-    match done:
+def _write_result(
+    request: "WebRequest", subject: Subject, result: Result[Accepted, Rejected]
+) -> bytes:
+    match result:
         case Ok(accepted):
             return reply_json(request, bodies.AcceptedBody(subject.name, *accepted))
         case Err(rejected):
-            return _rejected(request, rejected)
+            return _write_rejection(request, rejected)
 
 
-def _rejected(request: "WebRequest", rejected: Rejected) -> bytes:
+def _write_rejection(request: "WebRequest", rejected: Rejected) -> bytes:
     refuse(request, rejected.refusal)
     kind, outcome, reason, retry_after_ms = rejected.refusal
     winner = None if rejected.winner is None else bodies.WinnerBody(*rejected.winner)
@@ -199,38 +201,40 @@
 
 
 async def _audit(routes: _Routes, request: "WebRequest") -> bytes:
-    who = routes.auth(request)
-    if isinstance(who, Err):
-        return refuse(request, who.err_value)
-    chosen = _audit_filter(request)
-    if isinstance(chosen, Err):
-        return refuse(request, not_run(ErrorKind.BAD_REQUEST, chosen.err_value))
-    found = await routes.config.audit(chosen.ok_value)
+    operator = routes.auth(request)
+    if isinstance(operator, Err):
+        return refuse(request, operator.err_value)
+    audit_filter = _audit_filter(request)
+    if isinstance(audit_filter, Err):
+        return refuse(request, not_run(ErrorKind.BAD_REQUEST, audit_filter.err_value))
+    found = await routes.config.audit(audit_filter.ok_value)
     if isinstance(found, Err):
-        why = f"the audit trail cannot be read: {found.err_value.value}"
-        return refuse(request, not_run(ErrorKind.STORE_UNAVAILABLE, why))
+        message = f"the audit trail cannot be read: {found.err_value.value}"
+        return refuse(request, not_run(ErrorKind.STORE_UNAVAILABLE, message))
     lines = [bodies.AuditLineBody(*line) for line in found.ok_value]
     return reply_json(request, bodies.AuditBody(lines))
 
 
 def _audit_filter(request: "WebRequest") -> Result[AuditFilter, str]:
     arguments: dict[bytes, list[bytes]] = request.args
-    given = {key.decode(): values[-1].decode() for key, values in arguments.items()}
-    kind = given.get("kind", "")
-    since = given.get("since", "0")
-    limit = given.get("limit", str(LIMIT_DEFAULT))
+    parameters = {key.decode(): values[-1].decode() for key, values in arguments.items()}
+    kind = parameters.get("kind", "")
+    since = parameters.get("since", "0")
+    limit = parameters.get("limit", str(LIMIT_DEFAULT))
     if kind not in ("", PROFILES, UPSTREAMS):
         return Err(f"kind: expected {PROFILES} or {UPSTREAMS}, got {kind}")
     if not since.isdigit():
         return Err(f"since: expected milliseconds since the epoch, got {since}")
-    if not limit.isdigit() or not 1 <= int(limit) <= AUDIT_MOST:
-        return Err(f"limit: expected 1 to {AUDIT_MOST}, got {limit}")
-    name, who = given.get("name", ""), given.get("who", "")
-    return Ok(AuditFilter(kind, name, who, int(since), int(limit)))
+    if not limit.isdigit() or not 1 <= int(limit) <= MAX_AUDIT_LIMIT:
+        return Err(f"limit: expected 1 to {MAX_AUDIT_LIMIT}, got {limit}")
+    name, operator = parameters.get("name", ""), parameters.get("who", "")
+    return Ok(AuditFilter(kind, name, operator, int(since), int(limit)))
 
 
 def _body(request: "WebRequest", kind: type[T]) -> Result[T, Refusal]:
-    data: bytes = request.content.read(BODY_MOST + 1)
-    if len(data) > BODY_MOST:
-        return Err(not_run(ErrorKind.TOO_LARGE, f"the body is over {BODY_MOST} bytes"))
-    return codec.from_json(data, kind).map_err(lambda why: not_run(ErrorKind.BAD_REQUEST, why))
+    data: bytes = request.content.read(MAX_BODY_BYTES + 1)
+    if len(data) > MAX_BODY_BYTES:
+        return Err(not_run(ErrorKind.TOO_LARGE, f"the body is over {MAX_BODY_BYTES} bytes"))
+    return codec.from_json(data, kind).map_err(
+        lambda message: not_run(ErrorKind.BAD_REQUEST, message)
+    )
--- a/papayapier/entry/raw_refusals.py
+++ b/papayapier/entry/raw_refusals.py
@@ -9,12 +9,12 @@
 from papayapier.metrics import Metrics
 from papayapier.policy.waiting import retry_after_ms
 
-TEXT: Final = b"text/plain"
+TEXT_TYPE: Final = b"text/plain"
 # Statuses of refusals that a retry cannot help; every other not_run refusal is a 503.
-PLAIN_STATUSES: Final = frozenset({400, 401, 404, 409, 413})
+NO_RETRY_STATUSES: Final = frozenset({400, 401, 404, 409, 413})
 # Refusals whose retry time is sent as it is: quarantined requests are refused until the quarantine
 # ends, and placers spread the retries themselves. All other retry times are spread here.
-OWN_RETURNS: Final = frozenset({ErrorKind.ENDS_REPLICAS, ErrorKind.NO_ROOM})
+EXACT_RETRY_KINDS: Final = frozenset({ErrorKind.ENDS_REPLICAS, ErrorKind.NO_ROOM})
 
 
 class RefusalDeps(NamedTuple):
@@ -37,23 +37,23 @@
     count_refusal(deps, request_id, profile, refusal)
     status = raw_status(refusal)
     request.setResponseCode(status)
-    request.setHeader(b"Content-Type", TEXT)
+    request.setHeader(b"Content-Type", TEXT_TYPE)
     if status == 429:
         # The team's allowance has capacity then; the granter has already spread the retries.
-        _come_again(deps, request, refusal.retry_after_ms)
+        _set_retry_after(deps, request, refusal.retry_after_ms)
     if status == 503:
         left_ms = due_ms - deps.clock.now() if due_ms is not None else 0
         after_ms = refusal.retry_after_ms
-        if refusal.kind not in OWN_RETURNS:
+        if refusal.kind not in EXACT_RETRY_KINDS:
             after_ms = retry_after_ms(after_ms, left_ms, deps.rand)
-        _come_again(deps, request, after_ms)
+        _set_retry_after(deps, request, after_ms)
     body = f"{refusal.kind.value}: {refusal.reason}\n".encode()
     request.setHeader(b"Content-Length", str(len(body)).encode())
     request.write(body)
     request.finish()
 
 
-def _come_again(deps: RefusalDeps, request: Any, after_ms: int) -> None:
+def _set_retry_after(deps: RefusalDeps, request: Any, after_ms: int) -> None:
     request.setHeader(deps.retry_after, f"{after_ms / MS_PER_S:.3f}".encode())
 
 
@@ -64,7 +64,7 @@
         return 504 if refusal.kind is ErrorKind.DEADLINE else 502
     if refusal.kind is ErrorKind.OVER_ALLOWANCE:
         return status
-    return status if status in PLAIN_STATUSES else 503
+    return status if status in NO_RETRY_STATUSES else 503
 
 
 def count_refusal(deps: RefusalDeps, request_id: str, profile: str, refusal: Refusal) -> None:
--- a/papayapier/entry/site.py
+++ b/papayapier/entry/site.py
@@ -25,11 +25,11 @@
 from papayapier.sockets import is_quiet
 
 IDLE_TIMEOUT_S: Final = 75
-FLUSH_LIMIT_S: Final = 15
+FLUSH_TIMEOUT_S: Final = 15
 LINGER_S: Final = 5
-NEW_CONNECTION_LOOKS: Final = 20
-HEADER_BYTES: Final = 16_384
-MEMORY_BODY_BYTES: Final = 1_000_000
+NEW_CONNECTION_IDLE_CHECKS: Final = 20
+MAX_HEADER_BYTES: Final = 16_384
+MAX_MEMORY_BODY_BYTES: Final = 1_000_000
 STREAM_TYPE: Final = "text/event-stream"
 MEMORY_RETRY_MS: Final = 1_000
 
@@ -52,10 +52,10 @@
     # The request id for log lines, if the route knows one.
     log_id = ""
     # The request runs to completion even if its caller disconnects.
-    see_through = False
+    detached = False
     _limit = 0
-    _taken = 0
-    _counted = 0
+    _received_bytes = 0
+    _counted_bytes = 0
     _refused = False
     _site: Any = None
 
@@ -72,17 +72,17 @@
             self.requestHeaders.removeHeader(b"Expect")
             self._refuse_body(_no_memory())
             return
-        if length is not None and length <= MEMORY_BODY_BYTES:
+        if length is not None and length <= MAX_MEMORY_BODY_BYTES:
             self.content: IO[bytes] = BytesIO()
         else:
-            self.content = tempfile.SpooledTemporaryFile(MEMORY_BODY_BYTES)  # noqa: SIM115
+            self.content = tempfile.SpooledTemporaryFile(MAX_MEMORY_BODY_BYTES)  # noqa: SIM115
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
         """Store a part of the body."""
         if self._refused:
             return
-        self._taken += len(data)
-        if self._taken > self._limit:
+        self._received_bytes += len(data)
+        if self._received_bytes > self._limit:
             self._refuse_body(self._too_large())
             return
         if not self._site.held.takes(len(data)):
@@ -101,12 +101,12 @@
     def finish(self) -> None:
         """Finish the answer, and stop counting its body as buffered."""
         super().finish()
-        self._count(-self._counted)
+        self._count(-self._counted_bytes)
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
         """Handle the disconnect of the caller, and stop counting its body as buffered."""
         super().connectionLost(reason)
-        self._count(-self._counted)
+        self._count(-self._counted_bytes)
 
     def write_now(self, data: bytes) -> None:
         """Write a part of a streamed answer, and pass it to the kernel at once if possible.
@@ -124,7 +124,7 @@
         try:
             unquote_to_bytes(self.path).decode()
         except UnicodeDecodeError:
-            self._answer(not_run(ErrorKind.BAD_REQUEST, "URL: not in UTF-8"))
+            self._write_refusal(not_run(ErrorKind.BAD_REQUEST, "URL: not in UTF-8"))
             return
         super().process()
 
@@ -140,7 +140,7 @@
         # How far the route got is unknown, so it is also unknown whether the request has run.
         refusal = unknown(ErrorKind.INTERNAL, "an internal error occurred while the request ran")
         if not self.startedWriting:
-            self._answer(refusal)
+            self._write_refusal(refusal)
         elif self._streams_events():
             if self.producer is not None:
                 self.unregisterProducer()
@@ -155,7 +155,7 @@
 
     def _count(self, body_bytes: int) -> None:
         if body_bytes:
-            self._counted += body_bytes
+            self._counted_bytes += body_bytes
             self._site.held.on_body(body_bytes)
 
     def _too_large(self) -> Refusal:
@@ -163,10 +163,10 @@
 
     def _refuse_body(self, refusal: Refusal) -> None:
         self._refused = True
-        self.channel.drop_rest(self)
-        self._answer(refusal)
+        self.channel.discard_rest(self)
+        self._write_refusal(refusal)
 
-    def _answer(self, refusal: Refusal) -> None:
+    def _write_refusal(self, refusal: Refusal) -> None:
         self.write(whole_body(self, refuse(self, refusal)))
         self.finish()
 
@@ -181,9 +181,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._dropping = False
+        self._discarding = False
         self._served = False
-        self._looks = 0
+        self._idle_checks = 0
         self._abort_timer: Any = None
 
     def path(self) -> bytes:
@@ -205,7 +205,7 @@
         self.site.connections.discard(self)
         self.site.held.on_gone(id(self))
 
-    def drop_rest(self, request: BoundedRequest) -> None:
+    def discard_rest(self, request: BoundedRequest) -> None:
         """Discard what the caller still sends; the next answer is the last on this connection.
 
         The request is incomplete, so the attributes that the answer needs are set here.
@@ -213,15 +213,15 @@
         request.method = self._command
         request.uri = request.path = self._path
         request.clientproto = self._version
-        self._dropping = True
+        self._discarding = True
         self.persistent = False
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        if not self._dropping:
+        if not self._discarding:
             super().rawDataReceived(data)
 
     def allContentReceived(self) -> None:  # noqa: N802
-        if not self._dropping:
+        if not self._discarding:
             super().allContentReceived()
 
     def writeHeaders(  # noqa: N802
@@ -229,7 +229,7 @@
     ) -> None:
         """Write the head of an answer; during a planned stop it is the last on its connection."""
         self._served = True
-        if self.site.leaving or self._dropping:
+        if self.site.leaving or self._discarding:
             headers.setRawHeaders(b"Connection", [b"close"])
             self.persistent = False
         super().writeHeaders(version, code, reason, headers)
@@ -261,9 +261,9 @@
         """
         if self._abort_timer is not None:
             return
-        limit_s = LINGER_S if self._dropping else FLUSH_LIMIT_S
-        self._abort_timer = self.site.reactor.callLater(limit_s, self._abort)
-        if self._dropping:
+        timeout_s = LINGER_S if self._discarding else FLUSH_TIMEOUT_S
+        self._abort_timer = self.site.reactor.callLater(timeout_s, self._abort)
+        if self._discarding:
             self.transport.unregisterProducer()
             self.transport.loseWriteConnection()
         else:
@@ -281,8 +281,8 @@
         """
         if self.requests or self._buffer or not is_quiet(self.transport.getHandle()):
             return
-        self._looks += 1
-        if self._served or self._looks > NEW_CONNECTION_LOOKS:
+        self._idle_checks += 1
+        if self._served or self._idle_checks > NEW_CONNECTION_IDLE_CHECKS:
             self.loseConnection()
 
 
@@ -304,7 +304,7 @@
         self.body_limit = body_limit
         self.held = HeldBytes(UNBOUNDED)
         self.leaving = False
-        self.header_bytes = HEADER_BYTES
+        self.header_bytes = MAX_HEADER_BYTES
         self.connections: set[Connection] = set()
 
     def log(self, request: object) -> None:
@@ -317,14 +317,14 @@
 
     def open_requests(self) -> int:
         """Return how many requests are being received, run or answered."""
-        return sum(len(one.requests) for one in self.connections)
+        return sum(len(connection.requests) for connection in self.connections)
 
     def close_idle(self) -> None:
         """Close the connections without requests."""
-        for one in list(self.connections):
-            one.close_if_idle()
+        for connection in list(self.connections):
+            connection.close_if_idle()
 
     def close_all(self) -> None:
         """Abort every connection at once, also those with open requests."""
-        for one in list(self.connections):
-            cast(Any, one.transport).abortConnection()
+        for connection in list(self.connections):
+            cast(Any, connection.transport).abortConnection()
--- a/papayapier/entry/streaming.py
+++ b/papayapier/entry/streaming.py
@@ -16,7 +16,7 @@
 
 
 @implementer(IPushProducer)
-class _Pace:
+class _Backpressure:
     """Pause and resume writing as the transport requests."""
 
     def __init__(self) -> None:
@@ -43,23 +43,23 @@
 
 async def write_all(request: "WebRequest", pieces: AsyncIterator[bytes]) -> bool:
     """Write every piece; return False if the reader disconnected."""
-    pace = _Pace()
+    backpressure = _Backpressure()
     target: Any = request
-    target.registerProducer(pace, True)
+    target.registerProducer(backpressure, True)
     try:
         async for piece in pieces:
-            if piece and not pace.stopped:
+            if piece and not backpressure.stopped:
                 request.write(piece)
-            await pace.ready()
-            if pace.stopped:
+            await backpressure.ready()
+            if backpressure.stopped:
                 return False
         return True
     finally:
-        if not pace.stopped:
+        if not backpressure.stopped:
             target.unregisterProducer()
 
 
-def break_off(request: "WebRequest") -> None:
+def close_incomplete(request: "WebRequest") -> None:
     """Close the connection, so that a truncated answer is not taken for a complete one."""
     target: Any = request
     target.transport.loseConnection()
--- a/papayapier/entry/unread.py
+++ b/papayapier/entry/unread.py
@@ -18,7 +18,7 @@
         self._clock = clock
         self._site = site
         self._held = held
-        self._since: dict[Any, int] = {}
+        self._unread_since_ms: dict[Any, int] = {}
         self._timer: Timer | None = None
         metrics.held_bytes.set_function(held.held)
 
@@ -35,10 +35,19 @@
     def _review(self) -> None:
         self._timer = self._clock.call_later(REVIEW_MS, self._review)
         now = self._clock.now()
-        held_for = {one: size for one in self._site.connections if (size := one.unsent())}
-        self._since = {one: self._since.get(one, now) for one in held_for}
-        by_caller = {id(one): one for one in held_for}
-        unread = (Unread(key, self._since[one], held_for[one]) for key, one in by_caller.items())
+        unsent_bytes = {
+            connection: size
+            for connection in self._site.connections
+            if (size := connection.unsent())
+        }
+        self._unread_since_ms = {
+            connection: self._unread_since_ms.get(connection, now) for connection in unsent_bytes
+        }
+        by_caller = {id(connection): connection for connection in unsent_bytes}
+        unread = (
+            Unread(key, self._unread_since_ms[connection], unsent_bytes[connection])
+            for key, connection in by_caller.items()
+        )
         for given_up in self._held.given_up(unread):
             events.emit(
                 events.CALLER_SLOW,
--- a/papayapier/entry/uploads.py
+++ b/papayapier/entry/uploads.py
@@ -2,8 +2,8 @@
 
 The site stores request bodies larger than its memory limit for one body in temporary files, and
 the route is called when the body is complete. So memory is bounded here, and the temporary
-directory of an instance needs space for the open uploads. The site must be created with parsePOSTFormSubmission=False; otherwise twisted also
-reads a multipart body into memory.
+directory of an instance needs space for the open uploads. The site must be created with
+parsePOSTFormSubmission=False; otherwise twisted also reads a multipart body into memory.
 """
 
 from typing import TYPE_CHECKING, Final, NamedTuple
@@ -21,8 +21,8 @@
     from papayapier.clock import Clock
     from papayapier.entry.web import WebRequest
 
-PIECE_BYTES: Final = 65_536
-FIELD_BYTES: Final = 1_000
+CHUNK_BYTES: Final = 65_536
+MAX_FIELD_BYTES: Final = 1_000
 MULTIPART: Final = "multipart/form-data"
 PURPOSE: Final = "batch"
 
@@ -50,8 +50,8 @@
 
 
 async def _read_body(request: "WebRequest", clock: "Clock", intake: FileIntake) -> Refusal | None:
-    while piece := request.content.read(PIECE_BYTES):
-        refusal = await intake.feed(piece)
+    while chunk := request.content.read(CHUNK_BYTES):
+        refusal = await intake.feed(chunk)
         if refusal is not None:
             return refusal
         # Let other requests be served between two pieces.
@@ -64,12 +64,12 @@
 ) -> Refusal | None:
     form = _Form(intake, boundary)
     while True:
-        piece = request.content.read(PIECE_BYTES)
-        refusal = await form.feed(piece or None)
+        chunk = request.content.read(CHUNK_BYTES)
+        refusal = await form.feed(chunk or None)
         if refusal is not None:
             return refusal
-        if not piece:
-            return form.fault()
+        if not chunk:
+            return form.incomplete_refusal()
         await clock.sleep(0)
 
 
@@ -82,19 +82,19 @@
         self._part = _Part("", False)
         self._field = b""
         self._files = 0
-        self._whole = False
+        self._complete = False
 
-    async def feed(self, piece: bytes | None) -> Refusal | None:
+    async def feed(self, chunk: bytes | None) -> Refusal | None:
         """Parse the next bytes; None marks the end."""
         try:
-            self._decoder.receive_data(piece)
+            self._decoder.receive_data(chunk)
             return await self._take_events()
         except (ValueError, RequestEntityTooLarge) as exc:
             return not_run(ErrorKind.BAD_REQUEST, f"multipart: {exc}")
 
-    def fault(self) -> Refusal | None:
+    def incomplete_refusal(self) -> Refusal | None:
         """Return the refusal if the form is incomplete at its end, or None."""
-        if not self._whole:
+        if not self._complete:
             return not_run(ErrorKind.BAD_REQUEST, "multipart: the form is truncated")
         if self._files != 1:
             reason = f"multipart: expected one file, got {self._files}"
@@ -107,7 +107,7 @@
             if isinstance(event, NeedData):
                 return None
             if isinstance(event, Epilogue):
-                self._whole = True
+                self._complete = True
                 return None
             refusal = None
             if isinstance(event, Field | File):
@@ -128,8 +128,10 @@
         if self._part.is_file:
             return await self._intake.feed(event.data)
         self._field += event.data
-        if len(self._field) > FIELD_BYTES:
-            return not_run(ErrorKind.BAD_REQUEST, f"{self._part.name}: over {FIELD_BYTES} bytes")
+        if len(self._field) > MAX_FIELD_BYTES:
+            return not_run(
+                ErrorKind.BAD_REQUEST, f"{self._part.name}: over {MAX_FIELD_BYTES} bytes"
+            )
         if event.more_data or self._part.name != "purpose":
             return None
         purpose = self._field.decode("utf-8", "replace")
--- a/tests/test_forward_routes.py
+++ b/tests/test_forward_routes.py
@@ -11,7 +11,13 @@
 from papayapier import invariants
 from papayapier.clock import fake_clock
 from papayapier.config.teams import Team
-from papayapier.entry.forward_routes import GRANT_LOOK_MS, _allowed, _failed, _finish, _run
+from papayapier.entry.forward_routes import (
+    GRANT_RETRY_MS,
+    _finish,
+    _on_failure,
+    _request_allowance,
+    _run,
+)
 from papayapier.errors import ErrorKind, Refusal, not_run, unknown
 from papayapier.upstream.raw import Answered, PassedOn, RawAnswer
 from tests.forward_world import ForwardWorld
@@ -82,7 +88,7 @@
     # Symptom: a stream holds an event that no replica made, and ends as if it were whole.
     # Cause: a crash after the first event was answered like one before it.
     request = Request(gone=False, started=True)
-    _failed(Failure(ValueError("x")), request)
+    _on_failure(Failure(ValueError("x")), request)
     assert request.channel is not None
     assert request.channel.transport.aborted
     assert not request.failed
@@ -90,7 +96,7 @@
 
 def test_a_crash_before_the_answer_is_answered() -> None:
     request = Request(gone=False, started=False)
-    _failed(Failure(ValueError("x")), request)
+    _on_failure(Failure(ValueError("x")), request)
     assert len(request.failed) == 1
 
 
@@ -131,10 +137,10 @@
         req.is_retry, req.due_ms = returned, self.began + due_ms
         req.may_retry = not returned and self.clock.now() >= self.starting_until_ms
         ends: list[Result[None, Refusal]] = []
-        asking = _allowed(cast(Any, self), req, Team("yard", 5, 5))
+        asking = _request_allowance(cast(Any, self), req, Team("yard", 5, 5))
         Deferred.fromCoroutine(cast(Any, asking)).addCallback(ends.append)
-        for _ in range(2_000 // GRANT_LOOK_MS):
-            self.time.advance(GRANT_LOOK_MS)
+        for _ in range(2_000 // GRANT_RETRY_MS):
+            self.time.advance(GRANT_RETRY_MS)
         return ends
 
 
@@ -194,6 +200,6 @@
     granting.queue = Queue()  # type: ignore[attr-defined]
     running = _run(cast(Any, granting), cast(Any, Req()), Team("yard", 5, 5), cast(Any, None))
     Deferred.fromCoroutine(cast(Any, running))
-    for _ in range(2_000 // GRANT_LOOK_MS):
-        granting.time.advance(GRANT_LOOK_MS)
+    for _ in range(2_000 // GRANT_RETRY_MS):
+        granting.time.advance(GRANT_RETRY_MS)
     assert asked == [(100, False)]
