--- a/papayapier/entry/operator_bodies.py
+++ b/papayapier/entry/operator_bodies.py
@@ -138,7 +138,7 @@
 
     def slowest(self) -> InstanceStatus:
         """Return the instance that is furthest behind: not in agreement, then lowest version."""
-        return min(self.instances, key=lambda one: (one.agrees, one.config_version))
+        return min(self.instances, key=lambda status: (status.agrees, status.config_version))
 
 
 class StatusBody(NamedTuple):
--- a/papayapier/entry/operator_routes.py
+++ b/papayapier/entry/operator_routes.py
@@ -135,7 +135,7 @@
     kind, name = subject
     desired = registry.profile(name) if kind == PROFILES else registry.upstream(name)
     if desired is None:
-        message = f"{kind}: {name} does not exist"
+        message = f"{kind} has no object named {name}"
         return refuse(request, not_run(ErrorKind.NOT_FOUND, message))
     version = registry.version_of(subject.key)
     return reply_json(request, bodies.ItemBody(name, version, desired))
--- a/papayapier/entry/unread.py
+++ b/papayapier/entry/unread.py
@@ -14,17 +14,19 @@
 class UnreadWatch:
     """Check one port's connections regularly; a caller that has read everything starts afresh."""
 
-    def __init__(self, clock: Clock, site: CountingSite, held: HeldBytes, metrics: Metrics) -> None:
+    def __init__(
+        self, clock: Clock, site: CountingSite, buffered: HeldBytes, metrics: Metrics
+    ) -> None:
         self._clock = clock
         self._site = site
-        self._held = held
+        self._buffered = buffered
         self._unread_since_ms: dict[Any, int] = {}
         self._timer: Timer | None = None
-        metrics.held_bytes.set_function(held.held)
+        metrics.held_bytes.set_function(buffered.held)
 
     def start(self) -> None:
         """Start the checks."""
-        self._site.held = self._held
+        self._site.held = self._buffered
         self._timer = self._clock.call_later(REVIEW_MS, self._review)
 
     def close(self) -> None:
@@ -48,11 +50,11 @@
             Unread(key, self._unread_since_ms[connection], unsent_bytes[connection])
             for key, connection in by_caller.items()
         )
-        for given_up in self._held.given_up(unread):
+        for given_up in self._buffered.given_up(unread):
             events.emit(
                 events.CALLER_SLOW,
                 unread_bytes=given_up.held_bytes,
                 unread_ms=now - given_up.since_ms,
-                held_bytes=self._held.held(),
+                held_bytes=self._buffered.held(),
             )
             by_caller[given_up.caller].transport.abortConnection()
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -1,7 +1,7 @@
 """Run the dispatch of one instance on a fake clock against scripted replicas.
 
-A send to a replica stays open until the test ends it, so that every order of events can be
-played: tokens, answers, failures, cancels, and the passing of time between them.
+A send to a replica stays open until the test finishes it, so that a test can produce any order of
+tokens, answers, failures, cancels and delays.
 """
 
 import json
@@ -42,7 +42,7 @@
 
 CHAT = "/v1/chat/completions"
 BODY = b'{"model":"lm","messages":[{"role":"user","content":"open?"}]}'
-Ended = Result[Reply, Refusal]
+RunResult = Result[Reply, Refusal]
 
 QUESTIONS = Profile("questions", "lm", "normal", 10_000, True, retry=RetryRule(attempts=3))
 GATE = Profile("gate", "gate", "urgent", 2_000, False, retry=RetryRule(attempts=3))
@@ -54,7 +54,7 @@
 
 
 class Send:
-    """Hold one send to a replica; a cancel ends it as the client does."""
+    """Record one send to a replica; a cancel finishes it as the client would."""
 
     def __init__(self, replica: Replica, call: Call, on_token: OnToken) -> None:
         self.replica = replica
@@ -88,18 +88,18 @@
 
 
 class SlotShare(BatchShare):
-    """Leave batch whatever of a replica's slots this instance's online calls do not use."""
+    """Give batch all slots of a replica that this instance's online calls do not use."""
 
     def limit(self, replica_id: str, book: LoadBook, now: int) -> int:
         return max(0, book.slots(replica_id) - book.own(replica_id).online)
 
 
 class World:
-    """Hold the dispatch, and what it has sent."""
+    """Own the dispatch, and record its sends."""
 
     def __init__(self, lm: int = 1, gate: int = 0, slots: int = 1, queued: int = 100) -> None:
         WORLDS.append(self)
-        self._open: list[Deferred[Ended]] = []
+        self._open: list[Deferred[RunResult]] = []
         self.time = fake_clock()
         self.sends: list[Send] = []
         self.slow_cancels = False
@@ -149,14 +149,14 @@
     def list_replicas(self, leaving: Sequence[str] = ()) -> None:
         self.book.on_listed(self.replicas, set(leaving))
         self.outliers.on_listed(self.replicas)
-        self.crashes.on_listed([one.id for one in self.replicas], leaving)
+        self.crashes.on_listed([replica.id for replica in self.replicas], leaving)
 
     def end_replica(self, send: Send) -> None:
-        """End the replica of a send under it; another is listed in its place."""
+        """End the replica of an open send; a new replica is listed in its place."""
         send.fail(FailureKind.CUT)
-        gone = send.replica
-        self.replicas.remove(gone)
-        self.replicas.append(gone._replace(id=f"{gone.id}+"))
+        ended_replica = send.replica
+        self.replicas.remove(ended_replica)
+        self.replicas.append(ended_replica._replace(id=f"{ended_replica.id}+"))
         self.list_replicas()
         self.report()
 
@@ -167,7 +167,7 @@
             self.book.on_report(replica.id, load)
 
     def advance(self, delay_ms: int, step_ms: int = 10) -> None:
-        """Move time on in small steps, as timers that are set anew would see it."""
+        """Advance the time in small steps, so that repeated timers fire at the right times."""
         for _ in range(delay_ms // step_ms):
             self.time.advance(step_ms)
 
@@ -178,7 +178,7 @@
         on_token: OnToken = lambda _: None,
         due_ms: int = 0,
         claim: "Callable[[], Awaitable[Result[None, Refusal]]] | None" = None,
-    ) -> Deferred[Ended]:
+    ) -> Deferred[RunResult]:
         """Run an online request."""
         generates = profile.upstream == "lm"
         due = self.time.clock.now() + (due_ms or profile.due_ms)
@@ -193,48 +193,48 @@
         profile: Profile = NOTES,
         call_id: str = "item",
         allowed: Callable[[], bool] = lambda: True,
-    ) -> Deferred[Ended]:
+    ) -> Deferred[RunResult]:
         """Run a batch item."""
         path = CHAT if profile.upstream == "lm" else "/passes"
         due = self.time.clock.wall() + 3_600_000
         call = ItemCall(call_id, "sulina", profile, "POST", path, BODY, due, allowed)
         return self._started(Deferred.fromCoroutine(self.lanes.run(call)))
 
-    def _started(self, ended: Deferred[Ended]) -> Deferred[Ended]:
-        self._open.append(ended)
-        return ended
+    def _started(self, pending: Deferred[RunResult]) -> Deferred[RunResult]:
+        self._open.append(pending)
+        return pending
 
     def close(self) -> None:
-        """End what a test has left open.
+        """Cancel what a test has left open.
 
-        A coroutine that nobody refers to any more is ended by the garbage collector, at a
-        time of its own, and its errors are then reported as those of another test.
+        Otherwise the garbage collector closes unreferenced coroutines at an arbitrary time, and
+        their errors are reported as those of another test.
         """
         self.slow_cancels = False
-        for ended in self._open:
-            ended.addErrback(lambda _: None)
-            ended.cancel()
+        for pending in self._open:
+            pending.addErrback(lambda _: None)
+            pending.cancel()
         self.online.close()
         self.lanes.close()
 
-    def at_rest(self) -> bool:
-        """Tell whether nothing is queued, running or counted as open."""
+    def is_idle(self) -> bool:
+        """Return whether nothing is queued, running or counted as open."""
         left = self.online.under_way() + self.lanes.under_way() + self.queue.depth()
         return left == 0 and self.book.uses() == []
 
 
-def result(ended: Deferred[Ended]) -> Ended:
-    """Return the result of something that has ended."""
+def result(pending: Deferred[RunResult]) -> RunResult:
+    """Return the result of a finished request or item."""
     got: list[Any] = []
-    ended.addBoth(got.append)
-    assert got, "it has not ended"
+    pending.addBoth(got.append)
+    assert got, "it has not finished"
     assert isinstance(got[0], Ok | Err), got[0]
     return got[0]
 
 
-def outcome(ended: Deferred[Ended]) -> Outcome:
-    """Return what a refusal says of the run."""
-    return result(ended).unwrap_err().outcome
+def outcome(pending: Deferred[RunResult]) -> Outcome:
+    """Return the outcome that a refusal states."""
+    return result(pending).unwrap_err().outcome
 
 
 async def _never(*_: Any) -> Any:
--- a/tests/entry_world.py
+++ b/tests/entry_world.py
@@ -1,4 +1,4 @@
-"""Serve the callers' routes on a loopback port, with scripted work behind them."""
+"""Serve the callers' routes on a loopback port, with scripted answers to requests."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -36,13 +36,13 @@
 
 
 def question(stream: bool = False, **changes: Any) -> bytes:
-    """Write the body of a chat request."""
+    """Return the body of a chat request."""
     body = {"model": "lm", "messages": [{"role": "user", "content": "open?"}], "stream": stream}
     return json.dumps(body | changes).encode()
 
 
 def token(text: str, finish: str | None = None) -> Token:
-    """Make a token as an engine sends it."""
+    """Return a token as an engine sends it."""
     choice = {"index": 0, "delta": {"content": text}, "finish_reason": finish}
     return Token(text, json.dumps({"id": "x", "choices": [choice]}).encode(), 0)
 
@@ -53,7 +53,7 @@
 
 
 class EntryWorld:
-    """Hold the open port, the requests that have come and the events logged."""
+    """Own the open port, and record the received requests and the logged events."""
 
     def __init__(self) -> None:
         self.work: Work = answer
@@ -106,14 +106,14 @@
         return client
 
     async def send(self, request: bytes, until: bytes = b"}") -> RawClient:
-        """Send a request on a new connection, and wait for a text in the answer."""
+        """Send a request on a new connection, and wait until its answer contains a text."""
         client = await self.connect()
         client.write(request)
         await client.until(until)
         return client
 
     async def refused(self, request: bytes) -> tuple[int, Any]:
-        """Send a request that is refused, and return the status and the error."""
+        """Send a request that must be refused, and return the status and the error."""
         client = await self.send(request, b"}}")
         assert b"Content-Type: application/json" in client.received
         return client.status(), client.json()["error"]
--- a/tests/forward_world.py
+++ b/tests/forward_world.py
@@ -30,7 +30,7 @@
 
 
 class Send:
-    """Hold one send to a replica."""
+    """Record one send to a replica."""
 
     def __init__(self, replica: Replica, call: RawCall, taker: StreamTaker | None) -> None:
         self.replica = replica
@@ -39,7 +39,7 @@
         self.done: Deferred[Result[Answered, Failure]] = Deferred(lambda _: self._cancel())
 
     def events(self, *numbers: int) -> None:
-        """Send whole events of a stream."""
+        """Send complete events of a stream."""
         assert self.taker is not None
         self.taker.on_head(Head(200, Headers(), 0))
         for number in numbers:
@@ -64,7 +64,7 @@
 
 
 class Caller:
-    """Take a stream as a caller does."""
+    """Receive a stream like a caller."""
 
     def __init__(self) -> None:
         self.heads = 0
@@ -78,7 +78,7 @@
 
 
 class ForwardWorld:
-    """Hold the parts and the sends that were made."""
+    """Own the dependencies of forwarding, and record the sends."""
 
     def __init__(self, replicas: int = 3, seed: int = 3, time: FakeClock | None = None) -> None:
         self.time = time or fake_clock()
@@ -87,7 +87,7 @@
         self.outliers = Outliers()
         self.replicas = [Replica(f"r{n}", "lm", "h", n, "dc") for n in range(replicas)]
         self.crashes = CrashWatch(self.time.clock, make_metrics(), lambda: True)
-        self._numbers = replicas
+        self._last_number = replicas
         self.list_replicas()
         self.unanswered: list[Replica] = []
         self.deps = ForwardDeps(
@@ -108,7 +108,7 @@
             unanswered=self.unanswered.append,
             fresh=lambda: True,
         )
-        # What a placer decides, if there is one.
+        # The decision of the placer, if there is one.
         self.placed = NOT_PLACED
         self.wanted: list[Wanting] = []
 
@@ -132,35 +132,36 @@
         due_ms: int = 5_000,
         last_event: int = NO_EVENT,
     ) -> list[Ended]:
-        """Forward a request; its end is put into the list returned."""
+        """Forward a request; its result is appended to the returned list."""
         profile = Profile("p", "lm", "urgent", 5_000, idempotent, retry=RetryRule(attempts))
         due = self.time.clock.now() + due_ms
         req = RawRequest(
             "id-1", profile, "POST", "/a", Headers(), body, caller is not None, "", due, last_event
         )
-        ends: list[Ended] = []
-        work: Any = Deferred.fromCoroutine(forward(self.deps, req, caller))
-        work.addCallback(ends.append)
-        return ends
+        results: list[Ended] = []
+        forwarding: Any = Deferred.fromCoroutine(forward(self.deps, req, caller))
+        forwarding.addCallback(results.append)
+        return results
 
     def end_replica(self, send: Send) -> None:
-        """End the replica of a send under it; another is listed in its place.
-
-        Every call that is open there ends with it.
-        """
-        gone = send.replica
-        for one in [one for one in self.sends if one.replica == gone and not one.done.called]:
-            one.fail(FailureKind.CUT, Sent.MAYBE)
-        self.replicas.remove(gone)
-        self._numbers += 1
-        self.replicas.append(Replica(f"r{self._numbers}", "lm", "h", self._numbers, "dc"))
+        """End the replica of an open send and all its open calls; list a new one in its place."""
+        ended_replica = send.replica
+        for open_send in [
+            open_send
+            for open_send in self.sends
+            if open_send.replica == ended_replica and not open_send.done.called
+        ]:
+            open_send.fail(FailureKind.CUT, Sent.MAYBE)
+        self.replicas.remove(ended_replica)
+        self._last_number += 1
+        self.replicas.append(Replica(f"r{self._last_number}", "lm", "h", self._last_number, "dc"))
         self.list_replicas()
 
     def list_replicas(self) -> None:
         self.book.on_listed(self.replicas, ())
         self.outliers.on_listed(self.replicas)
-        self.crashes.on_listed([one.id for one in self.replicas], ())
+        self.crashes.on_listed([replica.id for replica in self.replicas], ())
 
     def open_calls(self) -> int:
-        """Return how many calls the book counts as open."""
+        """Return how many calls count as open."""
         return sum(use.online for use in self.book.uses())
--- a/tests/raw_client.py
+++ b/tests/raw_client.py
@@ -1,4 +1,4 @@
-"""Talk HTTP to a server byte by byte, so that a test can be a caller of any kind."""
+"""Send HTTP to a server byte by byte, so that a test can play any kind of caller."""
 
 import json
 import socket
@@ -11,7 +11,7 @@
 
 
 class RawClient(Protocol):
-    """Hold one connection and everything that has come on it."""
+    """Own one connection, and record everything received on it."""
 
     def __init__(self) -> None:
         self.received = bytearray()
@@ -20,10 +20,10 @@
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         self.received += data
-        for text, seen in list(self._awaited):
+        for text, waiter in list(self._awaited):
             if text in self.received:
-                self._awaited.remove((text, seen))
-                seen.callback(None)
+                self._awaited.remove((text, waiter))
+                waiter.callback(None)
 
     def connectionLost(self, reason: Any = connectionDone) -> None:  # noqa: N802
         self.closed.callback(None)
@@ -31,8 +31,8 @@
 
     def _fail_awaited(self) -> None:
         awaited, self._awaited = self._awaited, []
-        for text, seen in awaited:
-            seen.errback(AssertionError(f"closed before {text!r}: {self.received!r}"))
+        for text, waiter in awaited:
+            waiter.errback(AssertionError(f"closed before {text!r}: {self.received!r}"))
 
     def write(self, data: bytes) -> None:
         transport: Any = self.transport
@@ -43,7 +43,7 @@
         transport.pauseProducing()
 
     def shrink(self) -> None:
-        """Let the kernel hold little for this connection."""
+        """Make the kernel's receive buffer of this connection small."""
         transport: Any = self.transport
         transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
 
@@ -56,16 +56,16 @@
         transport.abortConnection()
 
     def until(self, text: bytes) -> Deferred[None]:
-        """Return a Deferred that fires when a text has come."""
-        seen: Deferred[None] = Deferred()
-        self._awaited.append((text, seen))
+        """Return a Deferred that fires when a text has been received."""
+        waiter: Deferred[None] = Deferred()
+        self._awaited.append((text, waiter))
         self.dataReceived(b"")
         if self.closed.called:
             self._fail_awaited()
-        return seen
+        return waiter
 
     async def until_any(self, *texts: bytes) -> None:
-        """Wait until one of some texts has come, or the connection has closed."""
+        """Wait until one of the texts has been received, or the connection has closed."""
         ended: Deferred[None] = Deferred()
 
         def end(_: object) -> None:
@@ -93,6 +93,6 @@
 
 
 def post(path: str, body: bytes, *headers: str) -> bytes:
-    """Write a POST request."""
+    """Return a POST request."""
     lines = [f"POST {path} HTTP/1.1", "Host: x", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
--- a/tests/raw_server.py
+++ b/tests/raw_server.py
@@ -1,4 +1,4 @@
-"""Serve raw bytes over real sockets, so that a test can send any broken answer."""
+"""Serve raw bytes over real sockets, so that a test can send any malformed answer."""
 
 import socket
 from typing import TYPE_CHECKING, Any, cast
@@ -11,7 +11,7 @@
 
 
 class RawServer(Factory[Any]):
-    """Keep the connections and request heads that a server has seen."""
+    """Record the connections and request heads that a server has received."""
 
     def __init__(self) -> None:
         self.connections: list[RawConnection] = []
@@ -19,7 +19,7 @@
         self.carriers: set[RawConnection] = set()
         self.cancels = 0
         self.answers_cancels = True
-        self.respond: Callable[[RawConnection, bytes], object] = _say_nothing
+        self.respond: Callable[[RawConnection, bytes], object] = _do_not_answer
         self._awaited: list[Deferred[RawConnection]] = []
 
     def buildProtocol(self, addr: object) -> "RawConnection":  # noqa: N802
@@ -28,7 +28,7 @@
         return conn
 
     def next_request(self) -> "Deferred[RawConnection]":
-        """Return a Deferred for the connection of the next request to come."""
+        """Return a Deferred that fires with the connection of the next request."""
         awaited: Deferred[RawConnection] = Deferred()
         self._awaited.append(awaited)
         return awaited
@@ -46,13 +46,13 @@
             deferred.callback(conn)
 
     def answer_with(self, *answers: bytes) -> None:
-        """Answer the next requests with these bytes, one each, then say nothing."""
-        left = list(answers)
-        self.respond = lambda conn, _: conn.write(left.pop(0) if left else b"")
+        """Answer the next requests with one byte string each, and later requests not at all."""
+        remaining = list(answers)
+        self.respond = lambda conn, _: conn.write(remaining.pop(0) if remaining else b"")
 
 
 class RawConnection(Protocol):
-    """Read whole requests, parsed only as far as needed for that."""
+    """Read complete requests, parsed only as far as necessary."""
 
     def __init__(self, server: RawServer) -> None:
         self.closed: Deferred[None] = Deferred()
@@ -63,11 +63,11 @@
         cast(Any, self.transport).write(data)
 
     def write_at_once(self, data: bytes) -> None:
-        """Write so that the bytes are in the client's socket on return."""
+        """Write directly to the socket, so that the client has received the bytes on return."""
         cast(Any, self.transport).getHandle().send(data)
 
     def close_at_once(self) -> None:
-        """Close so that the client's socket knows it on return."""
+        """Shut down the socket, so that the client's socket is closed on return."""
         cast(Any, self.transport).getHandle().shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
@@ -90,13 +90,13 @@
 
 
 def framed(body: bytes, request_id: str = "r1", status: int = 200) -> bytes:
-    """Return an answer with a length."""
+    """Return an answer with a Content-Length."""
     head = f"HTTP/1.1 {status} Fine\r\nX-Request-Id: {request_id}\r\nX-Load: 1/2/3\r\n"
     return f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 def whole(request_id: str = "r1") -> bytes:
-    """Return the body of a whole chat answer."""
+    """Return the body of a complete chat answer."""
     choice = '{"index":0,"message":{"role":"assistant","content":"a b"},"finish_reason":"stop"}'
     usage = '{"prompt_tokens":1,"completion_tokens":2}'
     return f'{{"id":"{request_id}","choices":[{choice}],"usage":{usage}}}'.encode()
@@ -106,7 +106,7 @@
 
 
 def chunked(*parts: bytes, end: bytes = b"0\r\n\r\n", head: bytes = STREAM_HEAD) -> bytes:
-    """Return a streamed answer."""
+    """Return a chunked answer."""
     return head + b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts) + end
 
 
@@ -120,5 +120,5 @@
 DONE = b"data: [DONE]\n\n"
 
 
-def _say_nothing(conn: RawConnection, head: bytes) -> None:
+def _do_not_answer(conn: RawConnection, head: bytes) -> None:
     pass
--- a/tests/test_crashing_work.py
+++ b/tests/test_crashing_work.py
@@ -1,13 +1,10 @@
-"""Test that work which ends the replicas that run it is not sent on and on.
-
-What users saw: nine of nine model replicas ended one after the other, each under the same request,
-which came again and again at every instance; a tenth of all other requests were not served.
-Events: a request reaches a replica, the replica ends and resets all its connections, the caller
-is told that the outcome is unknown; the same work comes again under another request id, at any
-instance, and goes to the next replica.
-Cause: what a send did to its replica was kept for that one request at that one instance.
-Evidence: of 30 works cut off by the nine ends one was at all nine and none other at more than two;
-its nine sends came from six instances, and none of them was sent twice by one request.
+"""Test that a request that crashes its replicas is quarantined.
+
+Guards against a request that is retried under new ids at any instance and crashes one replica after
+the other: nine of nine model replicas ended, and a tenth of all other requests were not served. The
+effect of a send on its replica was known only to that one request at that one instance. Of 30
+requests cut off by the nine crashes, one was at all nine replicas and no other at more than two.
+Its nine sends came from six instances, and no request id was sent twice.
 """
 
 from signal import SIGKILL
@@ -24,13 +21,14 @@
 from tests.jobs_run_world import World as RunWorld
 from tests.site.world import SiteWorld, new_id, pause
 
-# How many replicas one work may end before it is sent no more.
-ENDS_MOST = 3
-# An item is not refused but tried some more times, far apart.
-ITEM_ENDS_MOST = 6
+# How many replica losses quarantine a request.
+MAX_LOSSES = 3
+# An item is retried some more times, with long pauses, before it is refused.
+MAX_ITEM_LOSSES = 6
 
 
-def test_work_that_ends_its_replicas_is_not_sent_for_ever() -> None:
+def test_a_request_that_crashes_its_replicas_is_quarantined() -> None:
+    """Guard against sending a crashing request to one replica after the other."""
     for idempotent in (False, True):
         _send_until_refused(idempotent)
 
@@ -38,18 +36,19 @@
 def _send_until_refused(idempotent: bool) -> None:
     world = ForwardWorld(replicas=4)
     for _ in range(6):
-        ends = world.begin(idempotent, body=b"crash")
-        while not ends:
+        results = world.begin(idempotent, body=b"crash")
+        while not results:
             world.end_replica(world.sends[-1])
             world.time.advance(1_000)
-    assert len(world.sends) == ENDS_MOST
-    assert isinstance(ends[0], Err)
-    refusal = ends[0].err_value
+    assert len(world.sends) == MAX_LOSSES
+    assert isinstance(results[0], Err)
+    refusal = results[0].err_value
     assert refusal.outcome is Outcome.NOT_RUN
     assert refusal.retry_after_ms > 0
 
 
-def test_an_item_that_ends_its_replicas_is_not_sent_for_ever() -> None:
+def test_an_item_that_crashes_its_replicas_is_quarantined() -> None:
+    """Guard against sending a crashing item of a job to one replica after the other."""
     world = RunWorld("lm")
     (item,) = world.job("crash", 1, 600_000).items.values()
     for _ in range(300):
@@ -58,7 +57,7 @@
             world.lose(item, FailureKind.CUT, Sent.MAYBE)
             world.replace("lm")
         world.time.advance(1_000)
-    assert world.sends == ITEM_ENDS_MOST
+    assert world.sends == MAX_ITEM_LOSSES
 
 
 class CrashingSiteTestCase(TestCase):
@@ -70,8 +69,8 @@
     def tearDown(self) -> Any:
         return Deferred.fromCoroutine(self.world.close())
 
-    async def _return(self, number: int) -> int:
-        """Send the work again, at one entry after the other; return the status, 0 for none."""
+    async def _retry(self, number: int) -> int:
+        """Retry the request at one of the entries in turn; return the status, or 0 if none came."""
         port = self.world.callers[f"entry-{number % 2 + 1}"]
         try:
             reply = await self.world.get(port, "/stream/once/crash", X_Request_Id=new_id())
@@ -80,33 +79,32 @@
             return 0
         return reply.status
 
-    async def _returns(self) -> None:
+    async def _check_retries(self) -> None:
         world = self.world
         await world.start(entries=2, keepers=1)
         world.replace_crashed()
-        said = []
+        statuses = []
         for number in range(8):
-            said.append(await self._return(number))
+            statuses.append(await self._retry(number))
             await pause(0.4)
-            # What else is asked meanwhile is served.
-            sound = await world.get(world.callers["entry-1"], f"/stream/again/{number}")
-            assert sound.status == 200
-        assert world.crashed() == ENDS_MOST, said
-        assert said[ENDS_MOST:] == [503] * (8 - ENDS_MOST)
-
-    def test_it_comes_again_at_each_entry(self) -> Any:
-        return Deferred.fromCoroutine(self._returns())
-
-    async def _started_again(self) -> None:
-        # Events: a work has ended three replicas; all processes are killed and start again; the
-        # work comes again. Cause: what is known of it was in memory only.
+            # Other requests are served meanwhile.
+            other_reply = await world.get(world.callers["entry-1"], f"/stream/again/{number}")
+            assert other_reply.status == 200
+        assert world.crashed() == MAX_LOSSES, statuses
+        assert statuses[MAX_LOSSES:] == [503] * (8 - MAX_LOSSES)
+
+    def test_quarantine_applies_at_every_entry(self) -> Any:
+        """Guard against retries at other entries that crash more replicas."""
+        return Deferred.fromCoroutine(self._check_retries())
+
+    async def _check_restart(self) -> None:
         world = self.world
         await world.start(entries=2, keepers=1)
         world.replace_crashed()
-        for number in range(ENDS_MOST):
-            await self._return(number)
+        for number in range(MAX_LOSSES):
+            await self._retry(number)
             await pause(0.4)
-        # A keeper writes what it knows each second.
+        # A keeper stores the known losses every second.
         await pause(1.5)
         for name, child in list(world.children.items()):
             child.signal(SIGKILL)
@@ -115,35 +113,40 @@
         for name in world.callers:
             await world.until_ready(name)
         await pause(1.0)
-        assert [await self._return(number) for number in range(2)] == [503, 503]
-        assert world.crashed() == ENDS_MOST
+        assert [await self._retry(number) for number in range(2)] == [503, 503]
+        assert world.crashed() == MAX_LOSSES
 
-    def test_it_is_known_after_all_have_started_again(self) -> Any:
-        return Deferred.fromCoroutine(self._started_again())
+    def test_quarantine_survives_a_restart_of_all_processes(self) -> Any:
+        """Guard against losses that are only in memory and forgotten when all processes restart."""
+        return Deferred.fromCoroutine(self._check_restart())
 
 
-def test_the_products_own_requests_end_no_more_replicas() -> None:
+def test_a_crashing_request_to_the_openai_api_is_quarantined() -> None:
+    """Guard against sending a crashing OpenAI-style request to one replica after the other."""
     world = World(lm=8, slots=4)
-    ended = None
+    pending = None
     for number in range(6):
-        ended = world.ask(call_id=f"call-{number}")
-        while not ended.called:
+        pending = world.ask(call_id=f"call-{number}")
+        while not pending.called:
             world.end_replica(world.sends[-1])
             world.advance(1_000)
-    assert ended is not None
-    refusal = result(ended).unwrap_err()
+    assert pending is not None
+    refusal = result(pending).unwrap_err()
     assert (refusal.kind, refusal.outcome) == (ErrorKind.ENDS_REPLICAS, Outcome.NOT_RUN)
-    assert len(world.sends) == ENDS_MOST
+    assert len(world.sends) == MAX_LOSSES
+
 
+def test_a_crashing_item_of_the_openai_api_is_quarantined() -> None:
+    """Guard against endless sends of a crashing item of an OpenAI-style batch.
 
-def test_the_products_own_items_are_tried_some_more_times() -> None:
-    # An item is sent by whoever holds its job, one run at a time; each attempt is three sends.
+    Only the owner of its job sends an item, one run at a time, with three sends for each run.
+    """
     world = World(lm=8, slots=1)
     for number in range(4):
-        ended = world.item(call_id=f"item-{number}")
-        while not ended.called:
+        pending = world.item(call_id=f"item-{number}")
+        while not pending.called:
             for send in [send for send in world.sends if not send.done.called]:
                 world.end_replica(send)
             world.advance(1_000)
-    assert result(ended).unwrap_err().kind is ErrorKind.ENDS_REPLICAS
-    assert len(world.sends) == ITEM_ENDS_MOST
+    assert result(pending).unwrap_err().kind is ErrorKind.ENDS_REPLICAS
+    assert len(world.sends) == MAX_ITEM_LOSSES
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -32,7 +32,7 @@
     PASSES,
     QUESTIONS,
     WORLDS,
-    Ended,
+    RunResult,
     World,
     outcome,
     result,
@@ -41,7 +41,7 @@
 
 
 @pytest.fixture(autouse=True)
-def broken_promises_raise() -> Any:
+def raise_on_broken_invariants() -> Any:
     invariants.raise_on_failure(True)
     yield
     invariants.raise_on_failure(False)
@@ -49,13 +49,13 @@
         WORLDS.pop().close()
 
 
-def drop(ended: Deferred[Any]) -> None:
-    """Go away as a caller does; whatever the request still says is for nobody."""
-    ended.addErrback(lambda failure: failure.trap(CancelledError))
-    ended.cancel()
+def disconnect(pending: Deferred[Any]) -> None:
+    """Cancel a request like a caller that disconnects, and ignore its result."""
+    pending.addErrback(lambda failure: failure.trap(CancelledError))
+    pending.cancel()
 
 
-# Truth over several attempts
+# Outcomes over several attempts
 
 
 FAILURES = st.sampled_from(
@@ -75,14 +75,15 @@
 @given(
     failures=st.lists(FAILURES, min_size=3, max_size=3), online=st.booleans(), safe=st.booleans()
 )
-def test_refusal_is_true_about_every_send(
+def test_refusal_outcome_covers_every_send(
     failures: list[tuple[FailureKind, Sent]], online: bool, safe: bool
 ) -> None:
+    """Guard against a refusal as not_run although one of the sends may have run."""
     world = World(lm=3, gate=3)
     if online:
-        ended = world.ask(QUESTIONS if safe else GATE)
+        pending = world.ask(QUESTIONS if safe else GATE)
     else:
-        ended = world.item(NOTES if safe else PASSES)
+        pending = world.item(NOTES if safe else PASSES)
     for number, (kind, sent) in enumerate(failures):
         if len(world.sends) == number:
             break
@@ -90,60 +91,65 @@
         world.advance(1_500)
     used = failures[: len(world.sends)]
     maybe = [sent is Sent.MAYBE for _, sent in used]
-    assert outcome(ended) is (Outcome.UNKNOWN if any(maybe) else Outcome.NOT_RUN)
+    assert outcome(pending) is (Outcome.UNKNOWN if any(maybe) else Outcome.NOT_RUN)
     assert safe or not any(maybe[:-1])
-    assert world.at_rest()
+    assert world.is_idle()
 
 
 def test_rejection_after_a_lost_send_is_unknown() -> None:
-    # Symptom: an item is reported as not run, and the engine's counts show that it ran.
-    # Sequence: the first send breaks off after some tokens; the second is refused with 400,
-    # because this engine does not know resume_text.
-    # Cause: a replica's rejection was passed on as not_run without regard to earlier sends.
+    """Guard against reporting an item as not_run although the engine's counts show that it ran.
+
+    The first send breaks off after some tokens; the second is refused with 400, because the engine
+    does not support resume_text. The rejection was passed on without regard to earlier sends.
+    """
     for begin in (World.ask, World.item):
         world = World(lm=2)
-        ended = begin(world)
+        pending = begin(world)
         world.sends[0].token("we ")
         world.sends[0].fail(FailureKind.CUT)
         world.sends[1].fail(FailureKind.STATUS, status=400)
-        assert outcome(ended) is Outcome.UNKNOWN
+        assert outcome(pending) is Outcome.UNKNOWN
+
 
+def test_preempted_item_may_have_run() -> None:
+    """Guard against reporting an item as not_run although the engine's counts show that it ran.
 
-def test_item_that_gave_way_may_have_run() -> None:
-    # Symptom: an item is reported as not run, and the engine's counts show that it ran.
-    # Sequence: its stream gives way to an online request; before it is resumed its job is
-    # cancelled, or every further connection is refused.
-    # Cause: a send that gave way was not counted among those that may have run.
+    Its stream is preempted by an online request; before it is resumed, its job is cancelled or
+    every further connection is refused. The preempted send was not counted among those that may
+    have run.
+    """
     world = World()
     allowed = [True]
-    ended = world.item(allowed=lambda: allowed[0])
+    pending = world.item(allowed=lambda: allowed[0])
     world.ask()
     allowed[0] = False
     world.sends[1].answer()
     world.advance(20)
-    assert outcome(ended) is Outcome.UNKNOWN
+    assert outcome(pending) is Outcome.UNKNOWN
 
 
-def test_non_idempotent_call_is_sent_again_only_if_it_cannot_have_run() -> None:
+def test_non_idempotent_call_is_retried_only_if_it_cannot_have_run() -> None:
+    """Guard against running a call twice that may run only once."""
     world = World(gate=2)
-    ended = world.ask(GATE)
+    pending = world.ask(GATE)
     world.sends[0].fail(FailureKind.CONNECT, Sent.NO)
     assert world.sends[1].replica != world.sends[0].replica
     assert all(send.call.fresh for send in world.sends)
     world.sends[1].fail(FailureKind.SILENT)
     world.advance(2_000)
     assert len(world.sends) == 2
-    refusal = result(ended).unwrap_err()
+    refusal = result(pending).unwrap_err()
     assert (refusal.kind, refusal.outcome) == (ErrorKind.OUTCOME_UNKNOWN, Outcome.UNKNOWN)
 
 
 # Streams
 
 
-def test_broken_stream_resumes_elsewhere_as_one_stream() -> None:
+def test_broken_stream_resumes_on_another_replica_as_one_stream() -> None:
+    """Guard against lost, repeated or mislabelled tokens when a replica breaks off a stream."""
     world = World(lm=2)
     seen: list[Token] = []
-    ended = world.ask(call_id="abc", on_token=seen.append)
+    pending = world.ask(call_id="abc", on_token=seen.append)
     world.advance(30)
     world.sends[0].token("we ", "open ")
     world.sends[0].fail(FailureKind.CUT)
@@ -153,69 +159,74 @@
     assert (second.body()["resume_text"], second.body()["stream"]) == ("we open ", True)
     second.token("at ", "six")
     second.answer()
-    reply = result(ended).unwrap()
+    reply = result(pending).unwrap()
     assert (reply.text, reply.tokens, reply.first_token_ms) == ("we open at six", 4, 30)
     assert [token.text for token in seen] == ["we ", "open ", "at ", "six"]
     assert all(b'"id": "abc",' in token.data for token in seen)
-    assert world.at_rest()
+    assert world.is_idle()
 
 
-def test_broken_stream_that_may_not_be_repeated_ends_unknown() -> None:
+def test_broken_stream_that_may_not_be_repeated_is_unknown() -> None:
+    """Guard against resuming a stream of a profile that is not idempotent."""
     world = World(lm=2)
-    ended = world.ask(QUESTIONS._replace(idempotent=False))
+    pending = world.ask(QUESTIONS._replace(idempotent=False))
     world.sends[0].token("we ")
     world.sends[0].fail(FailureKind.CUT)
-    assert outcome(ended) is Outcome.UNKNOWN
+    assert outcome(pending) is Outcome.UNKNOWN
     assert len(world.sends) == 1
 
 
-# Callers that go away, and the queue
+# Callers that disconnect, and the queue
 
 
-def test_caller_gone_while_queued_frees_the_ticket() -> None:
+def test_disconnect_while_queued_removes_the_ticket() -> None:
+    """Guard against starting a queued request whose caller has disconnected."""
     world = World()
     running = world.ask(call_id="first")
     queued = world.ask(call_id="second")
     assert world.queue.depth() == 1
-    drop(queued)
+    disconnect(queued)
     assert world.queue.depth() == 0
     world.sends[0].answer()
     assert result(running).is_ok()
     assert len(world.sends) == 1
-    assert world.at_rest()
+    assert world.is_idle()
 
 
-def test_caller_gone_while_running_frees_the_replica() -> None:
+def test_disconnect_while_running_frees_the_replica() -> None:
+    """Guard against a slot that stays taken after the caller has disconnected."""
     world = World()
-    drop_me = world.ask(call_id="first")
+    dropped = world.ask(call_id="first")
     waiting = world.ask(call_id="second")
-    drop(drop_me)
+    disconnect(dropped)
     assert world.sends[0].cancelled
     assert world.sends[1].call.call_id == "second"
     world.sends[1].answer()
     assert result(waiting).is_ok()
-    assert world.at_rest()
+    assert world.is_idle()
 
 
-def test_caller_gone_before_a_retry_is_not_sent_again() -> None:
+def test_disconnect_before_a_retry_prevents_the_retry() -> None:
+    """Guard against retries for a caller that has disconnected."""
     world = World(lm=2)
-    gone = world.ask()
+    dropped = world.ask()
     world.sends[0].fail(FailureKind.STATUS, status=503)
     assert world.online.under_way() == 1
-    drop(gone)
+    disconnect(dropped)
     world.advance(1_000)
     assert len(world.sends) == 1
-    assert world.at_rest()
+    assert world.is_idle()
 
 
 def test_refused_request_has_left_the_queue() -> None:
+    """Guard against starting a request after it was refused as not_run."""
     world = World()
     running = world.ask(call_id="first")
     depths: list[int] = []
 
-    def note(ended: Ended) -> Ended:
+    def note(finished: RunResult) -> RunResult:
         depths.append(world.queue.depth())
-        return ended
+        return finished
 
     late = world.ask(call_id="second", due_ms=100)
     late.addCallback(note)
@@ -226,10 +237,11 @@
     world.advance(300)
     assert result(running).is_ok()
     assert len(world.sends) == 1
-    assert world.at_rest()
+    assert world.is_idle()
 
 
 def test_upstreams_do_not_wait_for_each_other() -> None:
+    """Guard against a busy upstream that delays requests of an idle one."""
     world = World(lm=1, gate=1)
     for number in range(5):
         world.ask(call_id=f"chat-{number}")
@@ -248,18 +260,18 @@
 
 
 def test_upstream_without_replicas_is_refused_at_once() -> None:
-    # Symptom: a request hangs until its due time and is then refused as too late.
-    # Sequence: a profile names an upstream that has no listed replica; a request comes.
-    # Cause: it was queued until its due time, though nothing could start it.
+    """Guard against queueing a request until its due time although no replica is listed."""
     world = World(gate=0)
     refusal = result(world.ask(GATE)).unwrap_err()
     assert (refusal.kind, refusal.outcome) == (ErrorKind.NO_UPSTREAM, Outcome.NOT_RUN)
 
 
 def test_admission_learns_how_long_requests_take() -> None:
-    # Symptom: requests that cannot be answered in time are sent, and end at their due time.
-    # Sequence: requests of a profile take 500 ms each; one with 300 ms left is queued.
-    # Cause: the ends of requests were counted without the profile, so nothing was learnt.
+    """Guard against starting requests that cannot be answered before their due time.
+
+    Requests of a profile take 500 ms each, and one with 300 ms left is queued. The durations were
+    recorded without the profile, so the estimate ignored them.
+    """
     world = World(slots=4)
     for turn in range(10):
         running = [world.ask(call_id=f"slow-{turn}-{number}") for number in range(4)]
@@ -267,7 +279,7 @@
         world.report()
         for send in world.sends[-4:]:
             send.answer(total_ms=500)
-        assert all(result(ended).is_ok() for ended in running)
+        assert all(result(pending).is_ok() for pending in running)
     for number in range(4):
         world.ask(call_id=f"running-{number}")
     hurried = world.ask(call_id="hurried", due_ms=300)
@@ -275,11 +287,12 @@
     assert outcome(hurried) is Outcome.NOT_RUN
 
 
-def test_claims_under_way_hold_the_slots_meant_for_them() -> None:
-    # Symptom: urgent requests wait in an engine behind others though the queue orders them.
-    # Sequence: one slot is free; several requests with keys are queued; each is admitted
-    # while the claims of those before it are being written.
-    # Cause: a request was counted at its replica only when it was sent, after its claim.
+def test_open_claims_reserve_their_slots() -> None:
+    """Guard against admitting several keyed requests for one free slot.
+
+    Each was admitted while the claims of those before it were being written, because a request
+    counted at its replica only when it was sent. Urgent requests then waited in the engine.
+    """
     world = World(gate=1, lm=0)
     claims: list[Deferred[Result[None, Refusal]]] = []
 
@@ -298,13 +311,14 @@
     claims[2].callback(Ok(None))
     world.sends[1].answer()
     assert result(runs[2]).is_ok()
-    assert world.at_rest()
+    assert world.is_idle()
 
 
-def test_slow_claims_hold_up_nobody() -> None:
-    # Symptom: gate checks without keys hang while the platform's store is slow.
-    # Sequence: a request with a key waits long for its claim; one without a key comes.
-    # Cause: a claim would hold its slot for as long as the store takes.
+def test_slow_claims_do_not_block_other_requests() -> None:
+    """Guard against requests without keys that hang while the store is slow.
+
+    A claim must not reserve its slot for as long as the store takes to write it.
+    """
     world = World(gate=1, lm=0)
     never: Deferred[Result[None, Refusal]] = Deferred()
 
@@ -321,23 +335,21 @@
 # Limits of callers
 
 
-def test_callers_limits_bind_each_caller_and_are_given_back() -> None:
-    # Symptom: an operator bounds a caller, and nothing changes.
-    # Sequence: the profile with the limits is accepted; the caller sends more than it may.
-    # Cause: the limits were checked when accepted, and used nowhere.
+def test_caller_limits_apply_to_each_caller_and_are_released() -> None:
+    """Guard against caller limits that are accepted with a profile but not enforced."""
     bound = QUESTIONS._replace(callers=CallerLimits(in_flight=3, queued=1))
     world = World(slots=1)
     asked = [world.ask(bound, call_id=f"chat-{number}") for number in range(3)]
     refusal = result(asked[2]).unwrap_err()
     assert (refusal.kind, refusal.outcome) == (ErrorKind.CALLER_LIMIT, Outcome.NOT_RUN)
     assert "queued" in refusal.reason
-    drop(asked[1])
+    disconnect(asked[1])
     queued = world.ask(bound, call_id="after")
     world.sends[0].answer()
     assert result(asked[0]).is_ok()
     world.sends[1].answer()
     assert result(queued).is_ok()
-    assert world.at_rest()
+    assert world.is_idle()
     tight = QUESTIONS._replace(callers=CallerLimits(in_flight=1))
     running = world.ask(tight, call_id="running")
     assert "under way" in result(world.ask(tight, call_id="more")).unwrap_err().reason
@@ -345,17 +357,18 @@
     assert result(running).is_ok()
 
 
-def test_claim_of_a_crashed_run_has_an_end() -> None:
-    # Symptom: resends wait for a run that is over, and a planned stop for its claim.
-    # Sequence: a keyed request is claimed and sent; its caller leaves; then something raises.
-    # Cause: only a run that returned told its claim how it had ended, and the failure of one
-    # whose caller had gone was dropped.
+def test_claim_of_a_crashed_run_is_finished() -> None:
+    """Guard against resends and planned stops that wait for the claim of a crashed run.
+
+    A keyed request is claimed and sent, its caller disconnects, then an exception is raised. Only a
+    run that returned finished its claim, and the exception was dropped.
+    """
     world = World(lm=0, gate=1)
     kept: list[SavedAnswer] = []
 
     class Scripted(Claims):
         def __init__(self) -> None:
-            """Need nothing."""
+            """Skip the base class, which needs a store."""
 
         async def begin(self, caller: str, key: str, content: bytes, due_ms: int) -> Begun:
             return Ok(New(b"t"))
@@ -368,26 +381,27 @@
     now = world.time.clock.now()
     req = OnlineRequest("abc", "a", GATE, "POST", "/x", b"", "", False, "", now + 1_000)
     with logs.applicationbound():
-        drop(Deferred.fromCoroutine(_as_coroutine(run(req, "key", lambda _: None))))
+        disconnect(Deferred.fromCoroutine(_as_coroutine(run(req, "key", lambda _: None))))
         world.sends[0].done.errback(ZeroDivisionError())
     (answer,) = kept
     assert codec.unpack(answer.body, Refusal).unwrap().outcome is Outcome.UNKNOWN
     assert len(logs.fields(events.REQUEST_CRASHED)) == 1
-    assert world.at_rest()
+    assert world.is_idle()
 
 
-async def _as_coroutine(ended: Awaitable[Ended]) -> Ended:
-    return await ended
+async def _as_coroutine(pending: Awaitable[RunResult]) -> RunResult:
+    return await pending
 
 
 # Replicas that hang
 
 
 def test_hung_replica_leaves_time_for_another() -> None:
-    # Symptom: 23 of 1,065 requests are refused as late and unknown, though eight of nine
-    # replicas are idle.
-    # Sequence: a replica takes requests and says nothing; each waits for all of its time.
-    # Cause: the wait for the first byte was bounded by a setting as long as the due time.
+    """Guard against spending the whole due time waiting for a hung replica.
+
+    With a first-byte timeout as long as the due time, 23 of 1,065 requests were refused as late and
+    unknown although eight of nine replicas were idle.
+    """
     world = World(lm=2, gate=1)
     asked = world.ask(due_ms=9_000)
     assert world.sends[0].call.first_byte_ms == 3_000
@@ -401,13 +415,14 @@
     assert world.sends[2].call.first_byte_ms == 0
     world.sends[2].answer()
     assert result(passed).is_ok()
-    assert world.at_rest()
+    assert world.is_idle()
 
 
 # Replicas that leave
 
 
-def test_leaving_replica_gets_nothing_new() -> None:
+def test_leaving_replica_gets_no_new_sends() -> None:
+    """Guard against online sends, retries and items on a replica that is leaving."""
     world = World(lm=2, slots=2)
     online = [world.ask(call_id=f"chat-{number}") for number in range(2)]
     item = world.item()
@@ -427,14 +442,15 @@
     assert all(result(one).is_ok() for one in online)
     assert outcome(queued) is Outcome.NOT_RUN
     for left in (item, waiting):
-        drop(left)
-    assert world.at_rest()
+        disconnect(left)
+    assert world.is_idle()
 
 
-def test_send_to_a_leaving_replica_is_noticed() -> None:
-    # Symptom: an upstream that was told to leave goes on getting work.
-    # Sequence: the list shows the replica as leaving after it was chosen and before the send.
-    # Cause: anything that lets time pass between choosing a replica and sending to it.
+def test_send_to_a_leaving_replica_breaks_an_invariant() -> None:
+    """Guard against a delay between choosing a replica and sending to it.
+
+    If the replica is listed as leaving in between, it would continue to receive requests.
+    """
     world = World()
     world.online = OnlineDispatch(world.deps, lambda _: world.list_replicas(["lm-0"]))
     broken: list[Any] = []
@@ -444,9 +460,7 @@
 
 
 def test_leaving_replica_is_logged_once() -> None:
-    # Symptom: one replica that leaves fills the log.
-    # Sequence: the record of a leaving replica changes, or it is listed again.
-    # Cause: the event was logged at each change of the record.
+    """Guard against logging the event at each change of a leaving replica's record."""
     logs = LogCatcher()
     policies = Policies(LoadBook(), Outliers(), BatchShare("entry-1"))
     view = FleetView(Place("entry-1", "r", 32), policies, make_metrics())
@@ -466,10 +480,11 @@
 # Batch items
 
 
-def test_online_call_takes_the_slot_of_the_batch_stream_with_the_fewest_tokens() -> None:
-    # Symptom: an online request waits in an engine whose slots batch streams have filled.
-    # Sequence: batch fills a replica; one online request is sent to it.
-    # Cause: what batch must give up was worked out before the online call was counted.
+def test_online_call_preempts_the_batch_stream_with_the_fewest_tokens() -> None:
+    """Guard against an online request that waits in an engine filled with batch streams.
+
+    The number of streams to preempt was computed before the online call was counted.
+    """
     world = World(slots=3)
     items = [world.item(call_id=f"note-{number}") for number in range(3)]
     for send, tokens in zip(world.sends, (2, 1, 3), strict=True):
@@ -486,10 +501,11 @@
     for number in (0, 2, 4):
         world.sends[number].answer()
     assert [result(item).unwrap().text for item in items] == ["x x ", "x y", "x x x "]
-    assert world.at_rest()
+    assert world.is_idle()
 
 
-def test_items_that_may_not_be_repeated_do_not_give_way() -> None:
+def test_items_that_may_not_be_repeated_are_not_preempted() -> None:
+    """Guard against cancelling a send that cannot be resumed."""
     world = World(lm=1, slots=2)
     safe = world.item(call_id="note")
     once = world.item(NOTES._replace(idempotent=False), call_id="once")
@@ -503,13 +519,14 @@
     world.advance(20)
     world.sends[-1].answer()
     assert result(safe).is_ok()
-    assert world.at_rest()
+    assert world.is_idle()
 
 
 def test_slow_cancels_are_not_counted_twice() -> None:
-    # Symptom: one online request costs several batch streams.
-    # Sequence: a stream is cancelled and has not ended yet when the next tick comes.
-    # Cause: the stream still counted as open, and another was cancelled for the same need.
+    """Guard against preempting several batch streams for one online request.
+
+    A cancelled stream that has not finished by the next tick still counts as open.
+    """
     world = World(slots=3)
     world.slow_cancels = True
     for number in range(3):
@@ -522,7 +539,8 @@
     assert sum(send.cancelled for send in world.sends) == 1
 
 
-def test_each_send_asks_whether_it_is_still_allowed() -> None:
+def test_each_send_checks_whether_it_is_still_allowed() -> None:
+    """Guard against sending an item after its job may no longer run."""
     world = World()
     asked: list[int] = []
 
@@ -530,7 +548,7 @@
         asked.append(len(world.sends))
         return len(asked) < 4
 
-    ended = world.item(allowed=allowed)
+    pending = world.item(allowed=allowed)
     world.sends[0].fail(FailureKind.CUT)
     world.sends[1].fail(FailureKind.STATUS, status=503)
     world.advance(100)
@@ -540,55 +558,61 @@
     world.sends[3].answer()
     world.advance(100)
     assert (asked, len(world.sends)) == ([0, 1, 2, 4], 4)
-    assert outcome(ended) is Outcome.UNKNOWN
+    assert outcome(pending) is Outcome.UNKNOWN
 
 
 @pytest.mark.parametrize("slow", [False, True])
-def test_cancelled_items_leave_nothing_behind(slow: bool) -> None:
+def test_cancelled_items_release_everything(slow: bool) -> None:
+    """Guard against slots or queue entries that stay taken after a cancel."""
     world = World(lm=1, slots=1)
     world.slow_cancels = slow
     items = [world.item(call_id=f"note-{number}") for number in range(3)]
-    drop(items[1])
-    drop(items[0])
+    disconnect(items[1])
+    disconnect(items[0])
     assert world.sends[1].call.call_id == "note-2"
-    drop(items[2])
-    assert world.at_rest()
+    disconnect(items[2])
+    assert world.is_idle()
     assert world.lanes.room("lm") == 1
 
 
-def test_cancel_of_an_item_that_gives_way_holds() -> None:
-    # Symptom: tokens are generated for a job after its cancel.
-    # Sequence: a stream is told to give way; before it has ended, its job is cancelled.
-    # Cause: both show as the same CancelledError, and the item was resumed.
+def test_cancel_of_an_item_being_preempted_is_final() -> None:
+    """Guard against generating tokens for a job after its cancel.
+
+    A job is cancelled while one of its streams is being preempted. Both raise the same
+    CancelledError, and the item was resumed.
+    """
     world = World()
     world.slow_cancels = True
     item = world.item()
     world.ask()
-    drop(item)
+    disconnect(item)
     world.slow_cancels = False
     world.sends[1].answer()
     world.advance(100)
     assert len(world.sends) == 2
-    assert world.at_rest()
+    assert world.is_idle()
 
 
-def test_failing_replica_does_not_draw_every_item() -> None:
-    # Symptom: all items of a job fail though one replica of two is well.
-    # Sequence: one replica refuses every connection at once, so it always has the most room.
-    # Cause: the retry of an item did not keep away from the replica that had failed it.
+def test_failing_replica_does_not_attract_every_item() -> None:
+    """Guard against failing all items of a job although one of two replicas is healthy.
+
+    A replica that refuses every connection at once always has the most free slots, and retries did
+    not avoid it.
+    """
     world = World(lm=2, slots=2)
-    ended = world.item()
+    pending = world.item()
     world.sends[0].fail(FailureKind.CONNECT, Sent.NO)
     world.advance(1_500)
     assert [send.replica.id for send in world.sends] == ["lm-0", "lm-1"]
     world.sends[1].answer()
-    assert result(ended).is_ok()
+    assert result(pending).is_ok()
+
 
+def test_free_slots_exclude_ejected_replicas() -> None:
+    """Guard against items that wait at one instance while others have capacity.
 
-def test_items_are_not_handed_over_for_ejected_replicas() -> None:
-    # Symptom: items wait in an instance while others have room for them.
-    # Sequence: a replica is ejected; the instance is asked for its room.
-    # Cause: room() counted the slots of ejected replicas, on which nothing is started.
+    The slots of ejected replicas, on which nothing is started, were counted as free.
+    """
     world = World(lm=3, slots=4)
     assert world.lanes.room("lm") == 12
     for _ in range(5):
@@ -596,14 +620,16 @@
     assert world.lanes.room("lm") == 8
 
 
-def test_many_items_that_may_no_longer_run_end_one_by_one() -> None:
-    # Symptom: RecursionError, and items that never end.
-    # Sequence: hundreds of items wait; their job is cancelled; one slot becomes free.
-    # Cause: each item that ended started the next one from within its own end.
+def test_many_cancelled_items_finish_without_recursion() -> None:
+    """Guard against a RecursionError, and items that never finish.
+
+    Hundreds of items wait, their job is cancelled, and one slot becomes free. Each finished item
+    started the next one from within its own completion.
+    """
     world = World()
     allowed = [True]
     items = [world.item(call_id=f"note-{n}", allowed=lambda: allowed[0]) for n in range(500)]
     allowed[0] = False
     world.sends[0].answer()
     assert all(outcome(item) is Outcome.NOT_RUN for item in items[1:])
-    assert world.at_rest()
+    assert world.is_idle()
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""Test what callers see of the entry over real sockets, with scripted work behind it."""
+"""Test the entry over real sockets, with scripted answers to its requests."""
 
 import re
 import socket
@@ -29,7 +29,8 @@
         self.world = EntryWorld()
         self.addCleanup(lambda: Deferred.fromCoroutine(self.world.stop()))
 
-    def test_refusals_name_what_is_wrong(self) -> Deferred[None]:
+    def test_refusals_name_the_error(self) -> Deferred[None]:
+        """Guard against refusals from which a caller cannot tell what to correct."""
         long_name = "X-Papayapier-Caller: " + "x" * 65
         cases: list[tuple[bytes, int, str, str]] = [
             (post("/v1/chat/completions", question()), 400, "unknown_profile", "X-Papayapier-Pro"),
@@ -71,10 +72,11 @@
         return Deferred.fromCoroutine(run())
 
     def test_large_body_is_refused_unread(self) -> Deferred[None]:
-        # Symptom: an instance's memory or disk fills, and the caller sees a reset connection.
-        # Sequence: a caller announces, or sends in chunks, a body over the limit.
-        # Cause: the library keeps the whole body before any route can look at its length;
-        # closing while the caller still sends makes the kernel drop the answer.
+        """Guard against full memory or disks, and reset connections, by bodies over the limit.
+
+        Twisted buffers the complete body before any route can check its length. If the server
+        closes while the caller is still sending, the kernel discards the answer.
+        """
         head = "POST /services/gate/x HTTP/1.1\r\nHost: x\r\n" + GATE + "\r\n"
         announced = head + f"Content-Length: {BODY_LIMIT + 1}\r\nExpect: 100-continue\r\n\r\n"
         in_chunks = head + "Transfer-Encoding: chunked\r\n\r\n"
@@ -94,7 +96,8 @@
 
         return Deferred.fromCoroutine(run())
 
-    def test_bodies_within_the_limit_arrive_whole(self) -> Deferred[None]:
+    def test_bodies_within_the_limit_arrive_complete(self) -> Deferred[None]:
+        """Guard against truncated bodies and against refusing bodies of the maximum size."""
         part = b"y" * (BODY_LIMIT // 2)
         head = "POST /services/gate/x HTTP/1.1\r\nHost: x\r\n" + GATE + "\r\n"
         in_chunks = (head + "Transfer-Encoding: chunked\r\n\r\n").encode()
@@ -111,12 +114,13 @@
 
         return Deferred.fromCoroutine(run())
 
-    def test_unexpected_exception_is_told_as_unknown(self) -> Deferred[None]:
-        # Symptom: a bare HTML page with status 500, from which nobody learns whether a pass
-        # was issued.
-        # Sequence: something in the instance raises while a request runs, before or after
-        # the stream to the caller has begun.
-        # Cause: the library's own page was sent for every unexpected exception.
+    def test_unexpected_exception_is_reported_as_unknown(self) -> Deferred[None]:
+        """Guard against an answer that does not state whether the request may have run.
+
+        Twisted sends an HTML page with status 500 for every unexpected exception. The exception
+        is raised before or after the stream to the caller has begun.
+        """
+
         async def crash(_req: OnlineRequest, on_token: OnToken) -> Ended:
             if started:
                 on_token(token("a"))
@@ -132,27 +136,28 @@
             assert b'"outcome":"unknown"' in client.received
             assert b"[DONE]" not in client.received
             crashed = self.world.logs.fields(events.REQUEST_CRASHED)
-            assert [one["error"] for one in crashed] == ["ZeroDivisionError()"] * 2
+            assert [fields["error"] for fields in crashed] == ["ZeroDivisionError()"] * 2
 
         started: list[bool] = []
         return Deferred.fromCoroutine(run())
 
-    def test_stream_has_its_end_mark_only_when_whole(self) -> Deferred[None]:
-        ends: list[Ended] = [ANSWER, Err(unknown(ErrorKind.UPSTREAM_FAILED, "it broke off"))]
+    def test_stream_has_its_end_mark_only_when_complete(self) -> Deferred[None]:
+        """Guard against a truncated stream that looks complete."""
+        results: list[Ended] = [ANSWER, Err(unknown(ErrorKind.UPSTREAM_FAILED, "it broke off"))]
 
         async def stream(_req: OnlineRequest, on_token: OnToken) -> Ended:
             on_token(token("a"))
             on_token(token(" b"))
-            return ends.pop(0)
+            return results.pop(0)
 
         async def run() -> None:
             self.world.work = stream
             request = post("/v1/chat/completions", question(stream=True), CHAT)
-            whole = await self.world.send(request, b"0\r\n\r\n")
-            assert b"text/event-stream" in whole.received
-            assert whole.received.count(b"data: {") == 3
-            assert b'"delta":{},"finish_reason":"stop"' in whole.received
-            assert b"data: [DONE]\n\n" in whole.received
+            complete = await self.world.send(request, b"0\r\n\r\n")
+            assert b"text/event-stream" in complete.received
+            assert complete.received.count(b"data: {") == 3
+            assert b'"delta":{},"finish_reason":"stop"' in complete.received
+            assert b"data: [DONE]\n\n" in complete.received
             broken = await self.world.send(request, b"0\r\n\r\n")
             assert broken.received.count(b"data: {") == 3
             assert b'"kind":"upstream_failed","outcome":"unknown"' in broken.received
@@ -160,7 +165,9 @@
 
         return Deferred.fromCoroutine(run())
 
-    def test_end_of_a_stream_is_not_told_twice(self) -> Deferred[None]:
+    def test_finish_reason_is_not_sent_twice(self) -> Deferred[None]:
+        """Guard against a second finish event after that of the engine."""
+
         async def stream(_req: OnlineRequest, on_token: OnToken) -> Ended:
             on_token(token("a", "stop"))
             return ANSWER
@@ -168,16 +175,14 @@
         async def run() -> None:
             self.world.work = stream
             request = post("/v1/chat/completions", question(stream=True), CHAT)
-            whole = await self.world.send(request, b"0\r\n\r\n")
-            assert whole.received.count(b'"stop"') == 1
+            complete = await self.world.send(request, b"0\r\n\r\n")
+            assert complete.received.count(b'"stop"') == 1
 
         return Deferred.fromCoroutine(run())
 
-    def test_caller_that_does_not_read_is_cut_off(self) -> Deferred[None]:
-        # Symptom: an instance grows by the whole answers of callers that read nothing.
-        # Sequence: a caller asks for a stream and stops reading; tokens go on coming.
-        # Cause: what the transport can't send is kept without bound.
-        ended: Deferred[None] = Deferred()
+    def test_caller_that_does_not_read_is_disconnected(self) -> Deferred[None]:
+        """Guard against buffering the answers of callers that stop reading without a bound."""
+        finished: Deferred[None] = Deferred()
         text = token("x" * 1_000)
         written = [0]
 
@@ -188,7 +193,7 @@
                     written[0] += len(text.data)
                     await real_clock().sleep(0)
             finally:
-                ended.callback(None)
+                finished.callback(None)
 
         async def run() -> None:
             self.world.work = stream
@@ -196,7 +201,7 @@
                 post("/v1/chat/completions", question(stream=True), CHAT), b"data:"
             )
             client.stop_reading()
-            await ended
+            await finished
             (slow,) = self.world.logs.fields(events.CALLER_SLOW)
             assert slow["unread_bytes"] <= chat.MAX_UNREAD_BYTES + 2 * len(text.data)
             await self.world.closed()
@@ -204,10 +209,12 @@
 
         return Deferred.fromCoroutine(run())
 
-    def test_slow_caller_gets_its_stream_whole_and_in_order(self) -> Deferred[None]:
-        # Symptom: events of a stream are missing or out of order for slow callers.
-        # Sequence: the kernel takes a part of an event only; more events follow at once.
-        # Cause: bytes sent past the library's buffer must wait for what is in it.
+    def test_slow_caller_gets_its_stream_complete_and_in_order(self) -> Deferred[None]:
+        """Guard against missing or reordered events of a stream for slow callers.
+
+        The kernel accepts only a part of an event, and more events follow at once. Bytes written
+        directly to the socket must wait for those in the transport's buffer.
+        """
         count = 1_500
         paused: Deferred[None] = Deferred()
 
@@ -237,7 +244,8 @@
 
         return Deferred.fromCoroutine(run())
 
-    def test_caller_that_leaves_cancels_its_work(self) -> Deferred[None]:
+    def test_disconnect_of_the_caller_cancels_its_request(self) -> Deferred[None]:
+        """Guard against requests that run for callers that have disconnected."""
         begun: Deferred[None] = Deferred()
         cancelled: Deferred[None] = Deferred()
 
@@ -258,7 +266,9 @@
 
         return Deferred.fromCoroutine(run())
 
-    def test_leaving_instance_refuses_truthfully(self) -> Deferred[None]:
+    def test_leaving_instance_refuses_as_not_run(self) -> Deferred[None]:
+        """Guard against an unknown outcome for requests refused during a planned stop."""
+
         async def run() -> None:
             leaving = not_run(ErrorKind.LEAVING, "the instance is shutting down", 250)
             self.world.refusing = lambda: leaving
--- a/tests/test_forward_routes.py
+++ b/tests/test_forward_routes.py
@@ -1,4 +1,4 @@
-"""Test what a caller's connection carries when a request ends in an odd way."""
+"""Test what a caller receives when a forwarded request ends abnormally."""
 
 from typing import Any, cast
 
@@ -36,7 +36,7 @@
 
 
 class Request:
-    """Stand for a caller's request; channel is None once the connection has ended."""
+    """Replace a twisted request; channel is None once the connection is closed."""
 
     path = b"/a"
     log_id = "id"
@@ -51,42 +51,45 @@
         self.failed.append(failure)
 
 
-class Reader:
+class CallerStream:
     started = True
 
 
 @pytest.mark.parametrize("started", [True, False])
-def test_a_stream_that_breaks_as_its_caller_leaves_is_no_crash(started: bool) -> None:
-    # Symptom: lines of a crashed request with a traceback, though nothing was wrong.
-    # Events: the replica and the caller of a stream are lost at the same moment; the break is
-    # seen first. Cause: the connection to be broken off was not there any more.
+def test_a_stream_that_breaks_as_its_caller_disconnects_is_no_crash(started: bool) -> None:
+    """Guard against logging a crash when a stream loses its replica and its caller together.
+
+    The loss of the replica is detected first, and the connection to be aborted is already closed.
+    """
     request = Request(gone=True, started=started)
     world = ForwardWorld()
     world.begin(idempotent=False)
     refusal = Err(unknown(ErrorKind.UPSTREAM_FAILED, "cut"))
-    _finish(cast(Any, None), request, _req(), cast(Any, refusal), cast(Any, Reader()))
+    _finish(cast(Any, None), request, _req(), cast(Any, refusal), cast(Any, CallerStream()))
     assert not request.failed
 
 
 @pytest.mark.parametrize(
-    ("begun", "answer"), [(True, RawAnswer(500, Headers(), b"failed")), (False, PassedOn(200))]
+    ("has_begun", "answer"), [(True, RawAnswer(500, Headers(), b"failed")), (False, PassedOn(200))]
 )
-def test_an_answer_that_does_not_fit_what_was_sent_breaks_it_off(
-    begun: bool, answer: Answered
+def test_an_answer_that_contradicts_what_was_sent_aborts_the_connection(
+    has_begun: bool, answer: Answered
 ) -> None:
-    # Failure: a stream gets a last chunk though its end is not what ended the request.
+    """Guard against ending a stream with a last chunk although it is not complete."""
     before = invariants.broken_count()
-    request = Request(gone=False, started=begun)
-    reader = cast(Any, Reader()) if begun else None
-    _finish(cast(Any, None), request, _req(), Ok(answer), reader)
+    request = Request(gone=False, started=has_begun)
+    caller_stream = cast(Any, CallerStream()) if has_begun else None
+    _finish(cast(Any, None), request, _req(), Ok(answer), caller_stream)
     assert request.channel is not None
     assert request.channel.transport.aborted
     assert invariants.broken_count() == before + 1
 
 
-def test_a_crash_within_an_answer_breaks_it_off() -> None:
-    # Symptom: a stream holds an event that no replica made, and ends as if it were whole.
-    # Cause: a crash after the first event was answered like one before it.
+def test_a_crash_within_an_answer_aborts_the_connection() -> None:
+    """Guard against a stream with an event of no replica that ends as if it were complete.
+
+    A crash after the first event was answered like one before it.
+    """
     request = Request(gone=False, started=True)
     _on_failure(Failure(ValueError("x")), request)
     assert request.channel is not None
@@ -95,6 +98,7 @@
 
 
 def test_a_crash_before_the_answer_is_answered() -> None:
+    """Guard against a request that gets no answer after a crash."""
     request = Request(gone=False, started=False)
     _on_failure(Failure(ValueError("x")), request)
     assert len(request.failed) == 1
@@ -111,95 +115,103 @@
     return Req
 
 
-class Granting:
-    """Grant from some time on; before it nobody does, or the team is over."""
+class FakeGranter:
+    """Grant allowances from some time on; before it, refuse them with a given kind."""
 
-    def __init__(self, from_ms: int, before: ErrorKind = ErrorKind.NOT_GRANTED) -> None:
+    def __init__(self, from_ms: int, refusal_kind: ErrorKind = ErrorKind.NOT_GRANTED) -> None:
         self.time = fake_clock()
         self.clock = self.time.clock
         self.began = self.clock.now()
         self.starting_until_ms: int = self.began
         self._from_ms = from_ms
-        self._before = before
+        self._refusal_kind = refusal_kind
 
     async def allow(self, _team: Team, _returned: bool) -> Result[None, Refusal]:
         if self.clock.now() >= self.began + self._from_ms:
             return Ok(None)
-        return Err(not_run(self._before, "", 300))
+        return Err(not_run(self._refusal_kind, "", 300))
 
-    def ask(self, returned: bool, due_ms: int = 5_000) -> list[Result[None, Refusal]]:
-        """Ask, let two seconds pass, and return what has been said."""
+    def request_allowance(self, is_retry: bool, due_ms: int = 5_000) -> list[Result[None, Refusal]]:
+        """Request an allowance, let two seconds pass, and return the results."""
 
         class Req:
             pass
 
         req = cast(Any, Req())
-        req.is_retry, req.due_ms = returned, self.began + due_ms
-        req.may_retry = not returned and self.clock.now() >= self.starting_until_ms
-        ends: list[Result[None, Refusal]] = []
+        req.is_retry, req.due_ms = is_retry, self.began + due_ms
+        req.may_retry = not is_retry and self.clock.now() >= self.starting_until_ms
+        results: list[Result[None, Refusal]] = []
         asking = _request_allowance(cast(Any, self), req, Team("yard", 5, 5))
-        Deferred.fromCoroutine(cast(Any, asking)).addCallback(ends.append)
+        Deferred.fromCoroutine(cast(Any, asking)).addCallback(results.append)
         for _ in range(2_000 // GRANT_RETRY_MS):
             self.time.advance(GRANT_RETRY_MS)
-        return ends
+        return results
 
 
-@pytest.mark.parametrize("returned", [True, False])
-def test_nobody_grants_for_a_moment(returned: bool) -> None:
-    # Failure: a caller that has come back is refused for the second time while a granter is
-    # missed, and gets nothing; one that comes first hears at once when to return.
-    ends = Granting(1_000).ask(returned)
-    assert [one.is_ok() for one in ends] == [returned]
+@pytest.mark.parametrize("is_retry", [True, False])
+def test_a_retry_waits_while_no_granter_answers(is_retry: bool) -> None:
+    """Guard against refusing a retry for good while the granter is unavailable.
 
+    A first request, however, is refused at once with the time of its retry.
+    """
+    results = FakeGranter(1_000).request_allowance(is_retry)
+    assert [result.is_ok() for result in results] == [is_retry]
 
-def test_nobody_grants_just_after_a_start() -> None:
-    # Failure: after a loss of all machines each request of a team is refused until the hubs agree.
-    granting = Granting(1_000)
-    granting.starting_until_ms += 2_500
-    assert [one.is_ok() for one in granting.ask(returned=False)] == [True]
 
+def test_a_request_just_after_a_start_waits_for_a_granter() -> None:
+    """Guard against refusing all requests after a loss of all machines until the hubs agree."""
+    granter = FakeGranter(1_000)
+    granter.starting_until_ms += 2_500
+    assert [result.is_ok() for result in granter.request_allowance(is_retry=False)] == [True]
 
-def test_nobody_grants_until_it_is_too_late() -> None:
-    (end,) = Granting(10_000).ask(returned=True, due_ms=700)
-    assert isinstance(end, Err)
-    assert end.err_value.kind is ErrorKind.NOT_GRANTED
 
+def test_a_request_is_refused_when_no_granter_answers_in_time() -> None:
+    """Guard against waiting for a granter beyond the due time."""
+    (result,) = FakeGranter(10_000).request_allowance(is_retry=True, due_ms=700)
+    assert isinstance(result, Err)
+    assert result.err_value.kind is ErrorKind.NOT_GRANTED
 
-def test_who_is_over_its_allowance_is_told_at_once() -> None:
-    (end,) = Granting(10, ErrorKind.OVER_ALLOWANCE).ask(returned=True)
-    assert isinstance(end, Err)
-    assert end.err_value.kind is ErrorKind.OVER_ALLOWANCE
+
+def test_a_team_over_its_allowance_is_refused_at_once() -> None:
+    """Guard against waiting where the granter has refused."""
+    (result,) = FakeGranter(10, ErrorKind.OVER_ALLOWANCE).request_allowance(is_retry=True)
+    assert isinstance(result, Err)
+    assert result.err_value.kind is ErrorKind.OVER_ALLOWANCE
 
 
 @pytest.mark.parametrize(("from_ms", "granted"), [(900, True), (10_000, False)])
-def test_a_small_beginning_of_an_allowance_is_waited_for(from_ms: int, granted: bool) -> None:
-    # Failure: after a loss of all machines what came meanwhile comes at once, and is refused as
-    # beyond an allowance that has just begun; or it is held though that does not change.
-    granting = Granting(from_ms, ErrorKind.OVER_ALLOWANCE)
-    granting.starting_until_ms += 1_500
-    assert [one.is_ok() for one in granting.ask(returned=False)] == [granted]
+def test_a_request_waits_while_a_new_allowance_is_small(from_ms: int, granted: bool) -> None:
+    """Guard against refusing the delayed requests that arrive at once after a loss of all machines.
+
+    Allowances begin small after a start. A request must not wait longer if that does not change.
+    """
+    granter = FakeGranter(from_ms, ErrorKind.OVER_ALLOWANCE)
+    granter.starting_until_ms += 1_500
+    assert [result.is_ok() for result in granter.request_allowance(is_retry=False)] == [granted]
 
 
-def test_who_waited_for_a_grant_is_not_refused_for_that() -> None:
-    # Failure: the time allowed in the queue counts from the arrival, and is over with the grant.
-    granting = Granting(1_000)
-    asked: list[Any] = []
+def test_the_time_in_the_queue_counts_from_the_grant() -> None:
+    """Guard against refusing a request in the queue because it waited for its grant."""
+    granter = FakeGranter(1_000)
+    queued: list[Any] = []
 
     class Queue:
-        async def run(self, ask: Any, _work: Any, learn_duration: bool) -> Result[None, Refusal]:
-            asked.append((ask.due_ms - granting.clock.now(), learn_duration))
+        async def run(
+            self, request: Any, _run_request: Any, learn_duration: bool
+        ) -> Result[None, Refusal]:
+            queued.append((request.due_ms - granter.clock.now(), learn_duration))
             return Ok(None)
 
     class Req:
         is_retry, may_retry, objective_ms, rank, profile = True, False, 400, 0, None
-        due_ms = granting.began + 5_000
+        due_ms = granter.began + 5_000
 
         def caller(self) -> str:
             return "yard"
 
-    granting.queue = Queue()  # type: ignore[attr-defined]
-    running = _run(cast(Any, granting), cast(Any, Req()), Team("yard", 5, 5), cast(Any, None))
+    granter.queue = Queue()  # type: ignore[attr-defined]
+    running = _run(cast(Any, granter), cast(Any, Req()), Team("yard", 5, 5), cast(Any, None))
     Deferred.fromCoroutine(cast(Any, running))
     for _ in range(2_000 // GRANT_RETRY_MS):
-        granting.time.advance(GRANT_RETRY_MS)
-    assert asked == [(100, False)]
+        granter.time.advance(GRANT_RETRY_MS)
+    assert queued == [(100, False)]
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Test that requests are repeated only where they may be, and refused truthfully."""
+"""Test that requests are retried only where allowed, and refused with the right outcome."""
 
 import pytest
 from result import Err, Ok
@@ -26,7 +26,8 @@
 
 
 @pytest.mark.parametrize("replica", ["r0", "r1", "r2"])
-def test_a_request_goes_where_it_is_placed(replica: str) -> None:
+def test_a_request_is_sent_to_the_placed_replica(replica: str) -> None:
+    """Guard against ignoring the decision of the placer."""
     world = ForwardWorld()
     world.placed = Placed(replica)
     world.begin(idempotent=True)
@@ -34,15 +35,15 @@
 
 
 def test_a_placed_replica_that_is_not_listed_here_is_not_used() -> None:
-    # The placer's list may be older, and its replica may have left.
+    """Guard against a send to a removed replica; the placer's list may be older."""
     world = ForwardWorld()
     world.placed = Placed("gone")
     world.begin(idempotent=True)
     assert world.sends[0].replica in world.replicas
 
 
-def test_a_request_whose_work_is_held_while_it_waits_for_a_place_is_not_sent() -> None:
-    # Failure: copies that wait for room end one replica more each, after their work is held.
+def test_a_request_quarantined_while_it_waits_for_placement_is_not_sent() -> None:
+    """Guard against queued copies of a quarantined request that each crash one more replica."""
     world = ForwardWorld()
     waiting: Deferred[Placed] = Deferred()
 
@@ -50,14 +51,14 @@
         return await waiting
 
     world.deps = world.deps._replace(place=place)
-    ends = world.begin(idempotent=True, body=b"crash")
+    results = world.begin(idempotent=True, body=b"crash")
     work = name_work("POST", "", "/a", b"crash")
     world.crashes.on_told([Loss(work, f"gone{n}", 0) for n in range(LOSSES_MOST)], ())
     waiting.callback(Placed("r0"))
     assert not world.sends
-    ended = ends[0]
-    assert isinstance(ended, Err)
-    assert (ended.err_value.kind, ended.err_value.outcome) == (
+    result = results[0]
+    assert isinstance(result, Err)
+    assert (result.err_value.kind, result.err_value.outcome) == (
         ErrorKind.ENDS_REPLICAS,
         Outcome.NOT_RUN,
     )
@@ -65,105 +66,114 @@
 
 @pytest.mark.parametrize(("kind", "sent"), LOST)
 def test_a_request_that_may_run_once_is_sent_once(kind: FailureKind, sent: Sent) -> None:
+    """Guard against retrying a send that may have run, where the route is not idempotent."""
     world = ForwardWorld()
-    ends = world.begin(idempotent=False)
+    results = world.begin(idempotent=False)
     world.sends[0].fail(kind, sent)
     assert len(world.sends) == 1
-    ended = ends[0]
-    assert isinstance(ended, Err)
-    assert ended.err_value.outcome is Outcome.UNKNOWN
+    result = results[0]
+    assert isinstance(result, Err)
+    assert result.err_value.outcome is Outcome.UNKNOWN
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_a_replica_that_did_not_run_it_costs_no_attempt(idempotent: bool) -> None:
-    # Symptom: a request is refused although other replicas are free.
-    # Events: a full replica answers that it did not run the request, where the route allows
-    # one replica. Cause: the answer was counted as a run.
+def test_a_rejection_does_not_count_as_an_attempt(idempotent: bool) -> None:
+    """Guard against refusing a request although other replicas are free.
+
+    A full replica answers that it did not run the request, and the route allows one attempt. The
+    answer was counted as a run.
+    """
     world = ForwardWorld()
-    ends = world.begin(idempotent, attempts=1)
+    results = world.begin(idempotent, attempts=1)
     world.sends[0].fail(FailureKind.STATUS, Sent.NO, 503)
     world.time.advance(100)
     assert len(world.sends) == 2
     assert world.sends[1].replica != world.sends[0].replica
     world.sends[1].answer()
-    assert isinstance(ends[0], Ok)
+    assert isinstance(results[0], Ok)
 
 
 def test_when_all_replicas_reject_the_refusal_is_not_run() -> None:
+    """Guard against an unknown outcome, or endless sends, where no replica ran the request."""
     world = ForwardWorld()
-    ends = world.begin(idempotent=False)
-    while not ends:
+    results = world.begin(idempotent=False)
+    while not results:
         world.sends[-1].fail(FailureKind.STATUS, Sent.NO, 503)
         world.time.advance(1_000)
-    ended = ends[0]
-    assert isinstance(ended, Err)
-    assert ended.err_value.outcome is Outcome.NOT_RUN
+    result = results[0]
+    assert isinstance(result, Err)
+    assert result.err_value.outcome is Outcome.NOT_RUN
     assert len(world.sends) <= 5
 
 
-def test_one_send_of_unknown_fate_makes_the_whole_unknown() -> None:
+def test_one_send_with_unknown_outcome_makes_the_request_unknown() -> None:
+    """Guard against a refusal as not_run although an earlier send may have run."""
     world = ForwardWorld()
-    ends = world.begin(idempotent=True, attempts=2)
+    results = world.begin(idempotent=True, attempts=2)
     world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
     world.time.advance(1_000)
     for _ in range(6):
-        if ends:
+        if results:
             break
         world.sends[-1].fail(FailureKind.CONNECT, Sent.NO)
         world.time.advance(1_000)
-    ended = ends[0]
-    assert isinstance(ended, Err)
-    assert ended.err_value.outcome is Outcome.UNKNOWN
+    result = results[0]
+    assert isinstance(result, Err)
+    assert result.err_value.outcome is Outcome.UNKNOWN
 
 
-def test_a_failed_answer_is_passed_on_when_no_other_replica_does_better() -> None:
+def test_an_error_answer_is_passed_on_when_no_other_replica_succeeds() -> None:
+    """Guard against replacing a replica's own answer by a refusal."""
     world = ForwardWorld()
-    ends = world.begin(idempotent=True, attempts=2)
+    results = world.begin(idempotent=True, attempts=2)
     world.sends[0].answer(500, b"first")
     world.time.advance(1_000)
     world.sends[1].fail(FailureKind.CUT, Sent.MAYBE)
     world.time.advance(1_000)
-    assert ends[0].unwrap().status == 500
+    assert results[0].unwrap().status == 500
 
 
-def test_the_end_of_a_request_says_whose_answer_it_had() -> None:
-    # Failure: the end of a request that got an earlier replica's answer leaves no line.
+def test_the_log_of_a_request_says_whose_answer_it_got() -> None:
+    """Guard against a missing log line where the answer is that of an earlier replica."""
     world = ForwardWorld()
     with LogCatcher().applicationbound() as logs:
         world.begin(idempotent=True, attempts=2)
         world.sends[0].answer(500)
         world.time.advance(1_000)
         world.sends[1].fail(FailureKind.CUT, Sent.MAYBE)
-    (ended,) = logs.fields(events.REQUEST_ENDED)
-    assert (ended["status"], ended["kept"]) == (500, True)
+    (result,) = logs.fields(events.REQUEST_ENDED)
+    assert (result["status"], result["kept"]) == (500, True)
 
 
-def test_a_stream_that_is_sent_again_says_why_and_from_where() -> None:
-    # Failure: nobody can tell from the lines how far a stream had come when its replica broke off.
+def test_the_log_of_a_resumed_stream_says_why_and_from_where() -> None:
+    """Guard against logs that do not show how far a stream got before its replica broke off."""
     world = ForwardWorld()
     with LogCatcher().applicationbound() as logs:
         world.begin(idempotent=True, caller=Caller())
         world.sends[0].events(1, 2)
         world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
         world.time.advance(100)
-    (again,) = logs.fields(events.REQUEST_RETRIED)
-    assert (again["kind"], again["last_event"]) == ("cut", 2)
+    (retried,) = logs.fields(events.REQUEST_RETRIED)
+    assert (retried["kind"], retried["last_event"]) == ("cut", 2)
 
 
-def test_a_failed_answer_to_a_request_that_may_run_once_is_final() -> None:
+def test_an_error_answer_to_a_request_that_may_run_once_is_final() -> None:
+    """Guard against retrying a request that ran and failed, where it may run only once."""
     world = ForwardWorld()
-    ends = world.begin(idempotent=False)
+    results = world.begin(idempotent=False)
     world.sends[0].answer(500, b"failed")
-    assert ends[0] == Ok(RawAnswer(500, Headers(), b"failed"))
+    assert results[0] == Ok(RawAnswer(500, Headers(), b"failed"))
     assert len(world.sends) == 1
 
 
-def test_a_broken_stream_goes_on_elsewhere_after_the_last_whole_event() -> None:
-    # Symptom: pieces of a stream are missing, come twice or are joined.
-    # Events: the replica breaks off within event 3; another one resumes after event 2.
+def test_a_broken_stream_resumes_after_the_last_complete_event() -> None:
+    """Guard against missing, repeated or joined events of a stream.
+
+    The replica breaks off within event 3; another one resumes after event 2.
+    """
     world = ForwardWorld()
     caller = Caller()
-    ends = world.begin(idempotent=True, caller=caller)
+    results = world.begin(idempotent=True, caller=caller)
     world.sends[0].events(1, 2)
     world.sends[0].data(b"id: 3\nda")
     world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
@@ -171,16 +181,16 @@
     assert world.sends[1].replica != world.sends[0].replica
     world.sends[1].events(3, 4)
     world.sends[1].answer()
-    assert isinstance(ends[0], Ok)
+    assert isinstance(results[0], Ok)
     assert caller.heads == 1
     assert caller.body == b"".join(f"id: {n}\ndata: {n}\n\n".encode() for n in (1, 2, 3, 4))
 
 
 @pytest.mark.parametrize("given_up_for", ["attempts", "replicas", "time"])
 def test_a_begun_stream_does_not_end_with_an_earlier_answer(given_up_for: str) -> None:
-    # Failure: a stream that breaks off ends as complete, by an error met before it began.
+    """Guard against a broken stream that looks complete because an earlier error ended it."""
     world = ForwardWorld()
-    ends = world.begin(idempotent=True, caller=Caller(), attempts=3)
+    results = world.begin(idempotent=True, caller=Caller(), attempts=3)
     world.sends[0].answer(500, b"failed")
     world.time.advance(1_000)
     world.sends[1].events(1, 2)
@@ -193,26 +203,27 @@
     world.time.advance(1_000)
     if given_up_for == "attempts":
         world.sends[2].fail(FailureKind.CUT, Sent.MAYBE)
-    assert isinstance(ends[0], Err), ends
+    assert isinstance(results[0], Err), results
 
 
 @pytest.mark.parametrize("status", [400, 404, 422, 500])
-def test_a_begun_stream_does_not_end_with_the_error_of_who_resumes_it(status: int) -> None:
-    # Failure: a stream ends as complete where the replica asked to go on answers with an error.
+def test_a_begun_stream_does_not_end_with_the_error_of_the_resuming_replica(status: int) -> None:
+    """Guard against a broken stream that looks complete because resuming it failed."""
     world = ForwardWorld()
-    ends = world.begin(idempotent=True, caller=Caller(), attempts=2)
+    results = world.begin(idempotent=True, caller=Caller(), attempts=2)
     world.sends[0].events(1, 2)
     world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
     world.time.advance(1_000)
     world.sends[1].answer(status, b"failed")
     world.time.advance(1_000)
-    assert isinstance(ends[0], Err), ends
+    assert isinstance(results[0], Err), results
 
 
-def test_a_stream_goes_on_after_an_error_of_who_resumes_it() -> None:
+def test_a_stream_is_resumed_after_an_error_of_the_resuming_replica() -> None:
+    """Guard against giving up a stream while a third replica could resume it."""
     world = ForwardWorld()
     caller = Caller()
-    ends = world.begin(idempotent=True, caller=caller)
+    results = world.begin(idempotent=True, caller=caller)
     world.sends[0].events(1)
     world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
     world.time.advance(1_000)
@@ -220,13 +231,13 @@
     world.time.advance(1_000)
     world.sends[2].events(2)
     world.sends[2].answer()
-    assert isinstance(ends[0], Ok), ends
+    assert isinstance(results[0], Ok), results
     assert caller.body == b"id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n"
 
 
 @pytest.mark.parametrize("first", [1, 2, 4])
-def test_a_resumed_stream_goes_on_with_the_next_event_or_not_at_all(first: int) -> None:
-    # Failure: pieces come twice or are missing, since a replica goes on at another event.
+def test_a_resumed_stream_continues_with_the_next_event_or_not_at_all(first: int) -> None:
+    """Guard against repeated or missing events when a replica resumes at another event."""
     world = ForwardWorld()
     caller = Caller()
     world.begin(idempotent=True, caller=caller)
@@ -245,10 +256,10 @@
 
 
 @pytest.mark.parametrize("resumable", [True, False])
-def test_only_a_stream_that_may_be_resumed_must_go_on_where_its_caller_asked(
+def test_only_a_resumable_stream_must_start_after_the_callers_last_event(
     resumable: bool,
 ) -> None:
-    # Failure: a replica's own answer is refused, where it need not heed the caller's last event.
+    """Guard against refusing an answer on a route that ignores the caller's last event."""
     world = ForwardWorld()
     world.begin(idempotent=resumable, caller=Caller(), last_event=4)
     taker = world.sends[0].taker
@@ -265,11 +276,13 @@
 
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("crashing_ms", [0, 20, 40])
-def test_what_is_asked_often_is_not_held_for_a_crashing_request(
+def test_a_frequent_request_is_not_quarantined_for_a_crashing_one(
     crashing_ms: int, seed: int
 ) -> None:
-    # Failure: a request that is asked often is held for minutes, because its tries and those of the
-    # one that ends replicas follow each other at once to the same three of few replicas.
+    """Guard against quarantining a frequent, harmless request for minutes.
+
+    Its retries and those of a crashing request go to the same three of few replicas at once.
+    """
     world = ForwardWorld(replicas=2, seed=seed)
     began: dict[int, int] = {}
     sound: list[list[Ended]] = []
@@ -287,12 +300,14 @@
                 world.end_replica(send)
             elif open_ms >= SOUND_MS:
                 send.answer()
-    kinds = {one[0].unwrap_err().kind for one in sound if one and isinstance(one[0], Err)}
+    kinds = {
+        results[0].unwrap_err().kind for results in sound if results and isinstance(results[0], Err)
+    }
     assert ErrorKind.ENDS_REPLICAS not in kinds
 
 
-def test_what_was_answered_lately_is_not_held_where_three_replicas_end_at_once() -> None:
-    # Failure: what many ask is refused for minutes, since it was open beside a crashing request.
+def test_a_recently_answered_request_is_not_quarantined_when_three_replicas_end() -> None:
+    """Guard against quarantining a request that was open beside a crashing one."""
     world = ForwardWorld(replicas=3)
     world.begin(idempotent=True, body=b"sound")
     world.sends[0].answer()
@@ -304,35 +319,38 @@
         world.end_replica(send)
     world.placed = Placed("")
     held = [
-        isinstance(ended, Err) and ended.err_value.kind is ErrorKind.ENDS_REPLICAS
+        isinstance(result, Err) and result.err_value.kind is ErrorKind.ENDS_REPLICAS
         for body in (b"sound", b"crash")
-        for ended in world.begin(idempotent=False, body=body)
+        for result in world.begin(idempotent=False, body=body)
     ]
     assert held == [True], held
 
 
-def test_little_time_is_left_for_a_send_after_the_pause() -> None:
+def test_some_time_is_left_for_a_send_after_the_pause() -> None:
+    """Guard against spending all of the remaining time on the pause before a retry."""
     world = ForwardWorld()
-    ends = world.begin(idempotent=True, due_ms=600)
+    results = world.begin(idempotent=True, due_ms=600)
     for _ in range(LOSSES_MOST - 1):
         world.end_replica(world.sends[-1])
         world.time.advance(100)
     world.time.advance(250)
     world.sends[LOSSES_MOST - 1].answer()
-    assert isinstance(ends[0], Ok)
+    assert isinstance(results[0], Ok)
 
 
 def test_a_broken_stream_that_may_not_be_resumed_ends() -> None:
+    """Guard against resuming a stream whose route is not idempotent."""
     world = ForwardWorld()
     caller = Caller()
-    ends = world.begin(idempotent=False, caller=caller)
+    results = world.begin(idempotent=False, caller=caller)
     world.sends[0].events(1)
     world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
-    assert isinstance(ends[0], Err)
+    assert isinstance(results[0], Err)
     assert len(world.sends) == 1
 
 
 def test_calls_are_counted_as_long_as_they_are_open() -> None:
+    """Guard against a wrong count of open calls, on which placement depends."""
     world = ForwardWorld()
     world.begin(idempotent=True)
     assert world.open_calls() == 1
@@ -340,8 +358,8 @@
     assert world.open_calls() == 0
 
 
-def test_calls_spread_over_replicas_that_peers_use_less() -> None:
-    # Before: an entry weighed its own calls only, and met full replicas while others idled.
+def test_calls_go_to_replicas_that_peers_use_less() -> None:
+    """Guard against an entry that counts its own calls only and chooses full replicas."""
     world = ForwardWorld()
     uses = [ReplicaUse("r0", 6, 0), ReplicaUse("r1", 1, 0), ReplicaUse("r2", 6, 0)]
     world.book.on_peer_uses("peer", uses, world.time.clock.now())
@@ -351,7 +369,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "began", "told"),
+    ("kind", "began", "notified"),
     [
         (FailureKind.SILENT, False, True),
         (FailureKind.CONNECT, False, True),
@@ -361,15 +379,17 @@
         (FailureKind.DUE, False, False),
     ],
 )
-def test_who_places_hears_of_replicas_that_do_not_answer(
-    kind: FailureKind, began: bool, told: bool
+def test_the_placer_is_notified_of_replicas_that_do_not_answer(
+    kind: FailureKind, began: bool, notified: bool
 ) -> None:
-    # Failure: whoever places calls goes on naming a dark replica to all, or one that resets each
-    # connection, and so looks idle.
+    """Guard against a placer that keeps choosing an unreachable replica.
+
+    A replica that resets each connection looks idle to the placer.
+    """
     world = ForwardWorld()
     world.begin(idempotent=True, caller=Caller())
     replica = world.sends[0].replica
     if began:
         world.sends[0].events(1)
     world.sends[0].fail(kind, Sent.MAYBE)
-    assert world.unanswered == ([replica] if told else [])
+    assert world.unanswered == ([replica] if notified else [])
--- a/tests/test_lost_sends.py
+++ b/tests/test_lost_sends.py
@@ -1,15 +1,16 @@
-"""Test which sends count as lost, and that work has one name however it comes."""
+"""Test which sends count as lost, and that retries have the same fingerprint."""
 
 import pytest
 
 from papayapier.dispatch.lost_sends import is_lost, name_work
 from papayapier.upstream.api import Failure, FailureKind, Sent
 
-ASK = ("POST", "site.example", "/ask/1", b"body")
+REQUEST = ("POST", "site.example", "/ask/1", b"body")
 
 
-def test_a_return_has_the_same_name() -> None:
-    assert name_work(*ASK) == name_work(*ASK)
+def test_a_retry_has_the_same_fingerprint() -> None:
+    """Guard against retries that are not recognised as the same request."""
+    assert name_work(*REQUEST) == name_work(*REQUEST)
 
 
 @pytest.mark.parametrize(
@@ -21,8 +22,9 @@
         ("POST", "site.example", "/ask/1", b"bodies"),
     ],
 )
-def test_other_work_has_another_name(other: tuple[str, str, str, bytes]) -> None:
-    assert name_work(*other) != name_work(*ASK)
+def test_another_request_has_another_fingerprint(other: tuple[str, str, str, bytes]) -> None:
+    """Guard against quarantining a request for the losses of another."""
+    assert name_work(*other) != name_work(*REQUEST)
 
 
 @pytest.mark.parametrize(
@@ -34,11 +36,12 @@
         # Nothing can have reached the replica.
         (FailureKind.CUT, Sent.NO, False),
         (FailureKind.CONNECT, Sent.NO, False),
-        # The replica has spoken, or the caller has left.
+        # The replica answered, or the caller disconnected.
         (FailureKind.BROKEN, Sent.MAYBE, False),
         (FailureKind.STATUS, Sent.MAYBE, False),
         (FailureKind.CANCELLED, Sent.MAYBE, False),
     ],
 )
 def test_which_sends_are_lost(kind: FailureKind, sent: Sent, lost: bool) -> None:
+    """Guard against losses that are missed, or counted although no replica can have ended."""
     assert is_lost(Failure(kind, sent, "why")) is lost
