--- a/papayapier/entry/forward_routes.py
+++ b/papayapier/entry/forward_routes.py
@@ -116,7 +116,7 @@
     A call on a job completes without its caller: a record whose write has begun must be settled,
     and the caller may retry at another instance.
     """
-    request.gone = True
+    request.is_disconnected = True
     if not request.detached:
         serving.cancel()
 
@@ -124,7 +124,7 @@
 def _on_failure(failure: Any, request: Any) -> None:
     if failure.check(CancelledError, ConnectionDone, ConnectionLost):
         return
-    if not request.gone and not request.startedWriting:
+    if not request.is_disconnected and not request.startedWriting:
         request.processingFailed(failure)
         return
     events.emit(
@@ -134,7 +134,7 @@
         error=repr(failure.value),
         traceback=failure.getTraceback(),
     )
-    if not request.gone:
+    if not request.is_disconnected:
         # Anything written now would look like part of the replica's answer.
         request.channel.transport.abortConnection()
 
@@ -335,7 +335,7 @@
     caller_stream: _CallerStream | None,
 ) -> None:
     name = req.profile.name
-    if request.gone:
+    if request.is_disconnected:
         # The caller disconnected while the end of the answer was on its way.
         events.emit(events.CALLER_GONE, request=req.request_id, profile=name)
         return
--- a/papayapier/entry/job_routes.py
+++ b/papayapier/entry/job_routes.py
@@ -78,7 +78,7 @@
 
 
 def _write_answer(request: Any, answer: Answer) -> None:
-    if request.gone:
+    if request.is_disconnected:
         return
     request.setResponseCode(answer.status)
     request.setHeader(b"Content-Type", answer.content_type)
--- a/papayapier/entry/online_routes.py
+++ b/papayapier/entry/online_routes.py
@@ -86,7 +86,9 @@
 
     @app.route("/v1/models", methods=["GET"])
     def models(request: "WebRequest") -> bytes:
-        return reply_json(request, ModelList([ModelEntry(name) for name in deps.upstream_names()]))
+        return reply_json(
+            request, ModelList([ModelEntry(upstream) for upstream in deps.upstream_names()])
+        )
 
     @app.route(SERVICES_PREFIX + "<name>", methods=["GET", "POST", "PUT", "DELETE", "PATCH"])
     @app.route(
--- a/papayapier/entry/site.py
+++ b/papayapier/entry/site.py
@@ -48,7 +48,7 @@
     # Twisted would add its default type to an answer without a Content-Type.
     defaultContentType = None  # noqa: N815
     # The caller has closed its connection; nothing more may be written.
-    gone = False
+    is_disconnected = False
     # The request id for log lines, if the route knows one.
     log_id = ""
     # The request runs to completion even if its caller disconnects.
--- a/tests/entry_world.py
+++ b/tests/entry_world.py
@@ -57,7 +57,7 @@
 
     def __init__(self) -> None:
         self.work: Work = answer
-        self.asked: list[OnlineRequest] = []
+        self.requests: list[OnlineRequest] = []
         self.refusing: Callable[[], Refusal | None] = lambda: None
         app = Klein()
         add_online_routes(
@@ -96,7 +96,7 @@
             await real_clock().sleep(1)
 
     async def _run(self, req: OnlineRequest, _key: str, on_token: OnToken) -> Ended:
-        self.asked.append(req)
+        self.requests.append(req)
         return await self.work(req, on_token)
 
     async def connect(self) -> RawClient:
--- a/tests/forward_world.py
+++ b/tests/forward_world.py
@@ -110,10 +110,10 @@
         )
         # The decision of the placer, if there is one.
         self.placed = NOT_PLACED
-        self.wanted: list[Wanting] = []
+        self.placement_requests: list[Wanting] = []
 
     async def _place(self, _req: RouteRequest, wanting: Wanting) -> Placed:
-        self.wanted.append(wanting)
+        self.placement_requests.append(wanting)
         return self.placed
 
     async def _send(
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -67,7 +67,7 @@
                 got, error = await self.world.refused(request)
                 assert (got, error["kind"], error["outcome"]) == (status, kind, "not_run"), error
                 assert error["reason"].startswith(reason) or reason in error["reason"], error
-            assert self.world.asked == []
+            assert self.world.requests == []
 
         return Deferred.fromCoroutine(run())
 
@@ -91,7 +91,7 @@
                 for _ in range(200):
                     client.write(part)
                 await client.closed
-            assert self.world.asked == []
+            assert self.world.requests == []
             assert self.world.site.open_requests() == 0
 
         return Deferred.fromCoroutine(run())
@@ -109,8 +109,8 @@
             client.received.clear()
             client.write(post("/services/gate/x?a=%20b", part + part, GATE))
             await client.until(b'{"ok":1}')
-            assert [req.body for req in self.world.asked] == [part + part] * 2
-            assert self.world.asked[1].path == "/x?a=%20b"
+            assert [req.body for req in self.world.requests] == [part + part] * 2
+            assert self.world.requests[1].path == "/x?a=%20b"
 
         return Deferred.fromCoroutine(run())
 
@@ -136,7 +136,7 @@
             assert b'"outcome":"unknown"' in client.received
             assert b"[DONE]" not in client.received
             crashed = self.world.logs.fields(events.REQUEST_CRASHED)
-            assert [fields["error"] for fields in crashed] == ["ZeroDivisionError()"] * 2
+            assert [event["error"] for event in crashed] == ["ZeroDivisionError()"] * 2
 
         started: list[bool] = []
         return Deferred.fromCoroutine(run())
--- a/tests/test_forward_routes.py
+++ b/tests/test_forward_routes.py
@@ -41,10 +41,10 @@
     path = b"/a"
     log_id = "id"
 
-    def __init__(self, gone: bool, started: bool) -> None:
-        self.gone = gone
+    def __init__(self, is_disconnected: bool, started: bool) -> None:
+        self.is_disconnected = is_disconnected
         self.startedWriting = started
-        self.channel = None if gone else Channel()
+        self.channel = None if is_disconnected else Channel()
         self.failed: list[Failure] = []
 
     def processingFailed(self, failure: Failure) -> None:  # noqa: N802
@@ -61,7 +61,7 @@
 
     The loss of the replica is detected first, and the connection to be aborted is already closed.
     """
-    request = Request(gone=True, started=started)
+    request = Request(is_disconnected=True, started=started)
     world = ForwardWorld()
     world.begin(idempotent=False)
     refusal = Err(unknown(ErrorKind.UPSTREAM_FAILED, "cut"))
@@ -77,7 +77,7 @@
 ) -> None:
     """Guard against ending a stream with a last chunk although it is not complete."""
     before = invariants.broken_count()
-    request = Request(gone=False, started=has_begun)
+    request = Request(is_disconnected=False, started=has_begun)
     caller_stream = cast(Any, CallerStream()) if has_begun else None
     _finish(cast(Any, None), request, _req(), Ok(answer), caller_stream)
     assert request.channel is not None
@@ -90,7 +90,7 @@
 
     A crash after the first event was answered like one before it.
     """
-    request = Request(gone=False, started=True)
+    request = Request(is_disconnected=False, started=True)
     _on_failure(Failure(ValueError("x")), request)
     assert request.channel is not None
     assert request.channel.transport.aborted
@@ -99,7 +99,7 @@
 
 def test_a_crash_before_the_answer_is_answered() -> None:
     """Guard against a request that gets no answer after a crash."""
-    request = Request(gone=False, started=False)
+    request = Request(is_disconnected=False, started=False)
     _on_failure(Failure(ValueError("x")), request)
     assert len(request.failed) == 1
 
