--- a/papayapier/dispatch/items.py
+++ b/papayapier/dispatch/items.py
@@ -1,4 +1,4 @@
-"""Hold one batch item from hand-over to its end, over all its sends."""
+"""Hold the state of one batch item over all its sends."""
 
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING
@@ -12,14 +12,14 @@
 if TYPE_CHECKING:
     from papayapier.batch.api import ItemCall
 
-Ended = Result[Reply, Failure]
+SendResult = Result[Reply, Failure]
 
 
 class Item:
-    """Keep what an item has sent and received.
+    """Track what an item has sent and received.
 
-    gave_way says that its last send was cancelled in favour of online requests, and not by
-    whoever handed it over.
+    preempted says that its last send was cancelled in favour of online requests, and not because
+    its job was cancelled.
     """
 
     __slots__ = (
@@ -30,9 +30,9 @@
         "excluded",
         "failures",
         "fresh",
-        "gave_way",
         "maybe_sent",
         "parts",
+        "preempted",
         "sends",
         "waiter",
     )
@@ -46,65 +46,65 @@
         self.excluded: frozenset[str] = frozenset()
         self.avoid_until_ms = 0
         self.maybe_sent = False
-        self.gave_way = False
+        self.preempted = False
         self.waiter: Deferred[Replica] | None = None
-        self._sending: Deferred[Ended] | None = None
+        self._sending: Deferred[SendResult] | None = None
         self._cancelled = False
 
     def generates(self) -> bool:
-        """Tell whether the item is a call to a model engine."""
+        """Return whether the item is a call to a model engine."""
         return self.call.path in ENGINE_PATHS
 
     def body(self) -> bytes:
-        """Return the body of the next send, which goes on after the tokens received."""
+        """Return the body of the next send, which resumes after the tokens received."""
         if not self.generates():
             return self.call.body
         return streaming_body(self.call.body, "".join(self.parts))
 
     def receive(self, token: Token) -> None:
-        """Keep a token."""
+        """Store a token."""
         self.parts.append(token.text)
 
-    def joined(self, reply: Reply) -> Reply:
-        """Make one answer of the parts that several sends gave."""
+    def join_parts(self, reply: Reply) -> Reply:
+        """Join the text received over several sends into one answer."""
         if self.sends == 1 or not self.parts:
             return reply
         return reply._replace(text="".join(self.parts), tokens=len(self.parts))
 
-    def may_give_way(self) -> bool:
-        """Tell whether the item runs, and can be stopped and resumed."""
-        if self._sending is None or self.gave_way:
+    def may_be_preempted(self) -> bool:
+        """Return whether the item is running, and can be cancelled and resumed."""
+        if self._sending is None or self.preempted:
             return False
         return self.call.profile.idempotent and self.generates()
 
-    def give_way(self) -> None:
-        """Stop the send under way; it ends as a failure of kind CANCELLED."""
+    def preempt(self) -> None:
+        """Cancel the open send; its result is a failure of kind CANCELLED."""
         assert self._sending is not None
-        self.gave_way = True
+        self.preempted = True
         self._sending.cancel()
 
-    async def send(self, begin: Callable[[], Awaitable[Ended]]) -> Ended:
-        """Wait for a send, and tell who has cancelled it if somebody did.
+    async def send(self, begin: Callable[[], Awaitable[SendResult]]) -> SendResult:
+        """Wait for a send, and distinguish preemption from the cancel of the job.
 
-        The send is awaited through a second Deferred. Were it awaited directly, the cancel
-        of a job would look the same as giving way, and the item of a cancelled job would be
-        resumed; it shows as tokens generated for a job after its cancel.
+        The send is awaited through a second Deferred. If it were awaited directly, the cancel
+        of a job would look like a preemption and its item would be resumed, so that tokens were
+        generated for a job after its cancel.
         """
-        sending: Deferred[Ended] = Deferred.fromCoroutine(_as_coroutine(begin))
-        waiting: Deferred[Ended] = Deferred(lambda _: self._cancel())
+        sending: Deferred[SendResult] = Deferred.fromCoroutine(_as_coroutine(begin))
+        waiting: Deferred[SendResult] = Deferred(lambda _: self._cancel())
         self._sending = sending
         sending.addBoth(waiting.callback)
         try:
-            ended = await waiting
+            result = await waiting
         except CancelledError:
-            if self._cancelled or not self.gave_way:
+            if self._cancelled or not self.preempted:
                 raise
-            ended = Err(Failure(FailureKind.CANCELLED, Sent.MAYBE, "gave way"))
+            result = Err(Failure(FailureKind.CANCELLED, Sent.MAYBE, "preempted by online calls"))
         finally:
             self._sending = None
         if self._cancelled:
-            self.gave_way = False
-        return ended
+            self.preempted = False
+        return result
 
     def _cancel(self) -> None:
         self._cancelled = True
@@ -112,5 +112,5 @@
             self._sending.cancel()
 
 
-async def _as_coroutine(begin: Callable[[], Awaitable[Ended]]) -> Ended:
+async def _as_coroutine(begin: Callable[[], Awaitable[SendResult]]) -> SendResult:
     return await begin()
--- /dev/null
+++ b/papayapier/dispatch/retrying.py
@@ -0,0 +1,184 @@
+"""Track the sends of one request and decide whether it is retried.
+
+Shared by attempts (requests to the OpenAI-style API) and forwarding (requests passed on unchanged):
+they relay different answers, but the rules for retries and for the reported outcome are the same.
+"""
+
+from typing import TYPE_CHECKING, Final, Protocol
+
+from papayapier import events
+from papayapier.policy.retries import GiveUp, Retry, decide, failed_at
+from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
+
+if TYPE_CHECKING:
+    import random
+
+    from papayapier.clock import Clock
+    from papayapier.config.profiles import Profile
+    from papayapier.dispatch.crash_watch import CrashWatch, GetFingerprint
+    from papayapier.metrics import Metrics
+    from papayapier.policy.loads import LoadBook
+    from papayapier.policy.retries import RetryBudget
+
+NO_EXCLUDED_REPLICAS: Final[frozenset[str]] = frozenset()
+
+
+class RetryDeps(Protocol):
+    """Describe what retries depend on."""
+
+    @property
+    def clock(self) -> "Clock":
+        """Return the clock."""
+
+    @property
+    def rand(self) -> "random.Random":
+        """Return the random source that spreads the pauses."""
+
+    @property
+    def book(self) -> "LoadBook":
+        """Return the known replicas and their slots."""
+
+    @property
+    def crashes(self) -> "CrashWatch":
+        """Return the tracker of requests under which replicas are lost."""
+
+    @property
+    def budget(self) -> "RetryBudget":
+        """Return the budget that bounds retries."""
+
+    @property
+    def metrics(self) -> "Metrics":
+        """Return the metrics."""
+
+
+class SendHistory:
+    """Track the sends of one request; maybe_sent says that one of them may have run.
+
+    After window_deadline_ms the request no longer waits for send windows.
+    """
+
+    __slots__ = (
+        "excluded",
+        "fresh",
+        "maybe_sent",
+        "rejections",
+        "send_count",
+        "window_deadline_ms",
+    )
+
+    def __init__(self, fresh: bool) -> None:
+        self.send_count = 0
+        # Sends that are confirmed not to have run.
+        self.rejections = 0
+        self.excluded = NO_EXCLUDED_REPLICAS
+        # The replica may have closed a pooled connection without our noticing. A retry is then
+        # safe only for idempotent requests, so all others use a new connection.
+        self.fresh = fresh
+        self.maybe_sent = False
+        self.window_deadline_ms: int | None = None
+
+    def record_failure(self, failure: Failure) -> Sent:
+        """Record a failed send and return whether an earlier one may have run."""
+        earlier = Sent.MAYBE if self.maybe_sent else Sent.NO
+        if failure.sent is Sent.MAYBE:
+            self.maybe_sent = True
+        else:
+            self.rejections += 1
+        return earlier
+
+
+def decide_retry(
+    deps: RetryDeps,
+    profile: "Profile",
+    due_ms: int,
+    replica: Replica,
+    failure: Failure,
+    earlier: Sent,
+    counted: int,
+) -> Retry | GiveUp:
+    """Decide what follows a failed send; counted sends use up the allowed attempts."""
+    return decide(
+        failure,
+        profile.idempotent,
+        counted,
+        profile.retry,
+        due_ms,
+        deps.clock.now(),
+        deps.budget,
+        profile.upstream,
+        deps.rand,
+        earlier,
+        failed_at(deps.book, replica),
+    )
+
+
+async def prepare_retry(
+    deps: RetryDeps,
+    profile: "Profile",
+    replica: Replica,
+    retry: Retry,
+    history: SendHistory,
+    spacing_ms: int,
+) -> None:
+    """Exclude the failed replica and pause for the longer of the retry delay and spacing_ms."""
+    history.fresh = True
+    if retry.exclude:
+        history.excluded |= {replica.id}
+    deps.metrics.retries.labels(profile.upstream).inc()
+    pause_ms = max(retry.after_ms, spacing_ms)
+    if pause_ms:
+        await deps.clock.sleep(pause_ms)
+
+
+def retry_spacing_ms(
+    deps: RetryDeps, get_fingerprint: "GetFingerprint", failure: Failure, due_ms: int
+) -> int:
+    """Return the pause before retrying a request under which two replicas were lost, in ms.
+
+    At most half of the remaining time is spent waiting; the rest is left for the send itself.
+    """
+    if failure.kind is not FailureKind.CUT:
+        return 0
+    least_ms = deps.crashes.retry_spacing_ms(get_fingerprint)
+    if not least_ms:
+        return 0
+    left_ms = max(0, due_ms - deps.clock.now())
+    return min(round(least_ms * deps.rand.uniform(1, 2)), left_ms // 2)
+
+
+async def wait_for_send_window(
+    deps: RetryDeps,
+    request_id: str,
+    get_fingerprint: "GetFingerprint",
+    history: SendHistory,
+    due_ms: int,
+) -> None:
+    """Wait while another suspect request of the same replica losses has the send window.
+
+    At most half of the remaining time is spent waiting; the rest is left for the sends.
+    """
+    wait_ms = deps.crashes.send_window_wait_ms(get_fingerprint)
+    if wait_ms and history.window_deadline_ms is None:
+        now = deps.clock.now()
+        history.window_deadline_ms = now + max(0, due_ms - now) // 2
+        suspects = deps.crashes.suspects(get_fingerprint)
+        events.emit(
+            events.TURN_AWAITED,
+            request=request_id,
+            work=get_fingerprint(),
+            rivals=suspects,
+            wait_ms=wait_ms,
+        )
+    while wait_ms and not _wait_expired(deps, history):
+        assert history.window_deadline_ms is not None
+        await deps.clock.sleep(min(wait_ms, history.window_deadline_ms - deps.clock.now()))
+        wait_ms = deps.crashes.send_window_wait_ms(get_fingerprint)
+
+
+def may_send(deps: RetryDeps, get_fingerprint: "GetFingerprint", history: SendHistory) -> bool:
+    """Return whether a request with a chosen replica may be sent now."""
+    return deps.crashes.take_send_window(get_fingerprint) or _wait_expired(deps, history)
+
+
+def _wait_expired(deps: RetryDeps, history: SendHistory) -> bool:
+    return history.window_deadline_ms is not None and deps.clock.now() >= history.window_deadline_ms
--- a/papayapier/dispatch/start_queue.py
+++ b/papayapier/dispatch/start_queue.py
@@ -1,8 +1,8 @@
-"""Let requests wait until a replica can run them, in the order the admission policy gives.
+"""Queue requests until a replica can run them, in the order of the admission policy.
 
-A request waits on a Deferred of its own. Whatever ends the wait (start, refusal, caller gone)
-first takes the ticket out of the queue, so that "not run" cannot be contradicted by a later
-start.
+A request waits on a Deferred of its own. Whatever ends the wait (start, refusal, disconnect of
+the caller) first removes the ticket from the queue, so that a request refused as not_run cannot
+be started later.
 """
 
 from typing import TYPE_CHECKING, Final, NamedTuple, Protocol, TypeVar
@@ -31,16 +31,16 @@
 T = TypeVar("T")
 
 TICK_MS: Final = 10
-ONE_REQUEST: Final = 1.0
-NOT_LISTED_RETRY_MS: Final = 1_000
+REQUEST_COST: Final = 1.0
+NO_REPLICA_RETRY_MS: Final = 1_000
 
 Admission = Result[None, Refusal]
 
 
-class Ask(NamedTuple):
-    """Describe who asks to start; due_ms is when waiting has lost its sense.
+class StartRequest(NamedTuple):
+    """Describe a request that waits to start; after due_ms it is refused.
 
-    rank None leaves that of the profile.
+    With rank None, the rank of the profile applies.
     """
 
     profile: "Profile"
@@ -50,41 +50,41 @@
 
 
 class QueueDeps(Protocol):
-    """Describe what a queue works with."""
+    """Describe what a queue depends on."""
 
     @property
     def clock(self) -> "Clock":
-        """Tell the time."""
+        """Return the clock."""
 
     @property
     def queue(self) -> "AdmissionQueue":
-        """Decide the order and who is refused."""
+        """Return the policy that decides the order and the refusals."""
 
     @property
     def book(self) -> "LoadBook":
-        """Know the load of the replicas."""
+        """Return the load of the replicas."""
 
     @property
     def outliers(self) -> "Outliers":
-        """Know the replicas out of use."""
+        """Return the ejected replicas."""
 
     @property
     def metrics(self) -> "Metrics":
-        """Count."""
+        """Return the metrics."""
 
 
 class _Waiter(NamedTuple):
-    """Hold who waits for one ticket."""
+    """Hold the waiting request of one ticket."""
 
-    fired: Deferred[Admission]
+    admission: Deferred[Admission]
     profile: str
 
 
 class StartQueue:
     """Own the queued and running online requests of one instance.
 
-    reserved tells how many starts at an upstream are decided and not yet seen in the book,
-    elsewhere whether requests of an upstream wait for their turn at a peer.
+    reserved returns how many starts at an upstream are decided but not yet counted as open calls;
+    elsewhere returns whether requests of an upstream are queued at a peer instead.
     """
 
     def __init__(
@@ -114,93 +114,93 @@
 
     async def run(
         self,
-        ask: Ask,
-        work: "Callable[[], Awaitable[Result[T, Refusal]]]",
-        learn: bool = True,
+        request: StartRequest,
+        run_request: "Callable[[], Awaitable[Result[T, Refusal]]]",
+        learn_duration: bool = True,
     ) -> Result[T, Refusal]:
-        """Run work when its turn has come, or return the refusal it gets.
+        """Call run_request once the request is admitted, or return its refusal.
 
-        learn takes the run's duration into account when later waits are judged, which suits
-        asks whose due_ms is that of the whole answer.
+        learn adds the duration of the run to the estimate for later waits, which is right where
+        due_ms is the due time of the complete answer.
         """
-        admitted = await self._admit(ask)
+        admitted = await self._admit(request)
         if isinstance(admitted, Err):
             return admitted
-        upstream = ask.profile.upstream
-        started = self._deps.clock.now()
-        self._deps.queue.on_started(upstream, ONE_REQUEST, started)
+        upstream = request.profile.upstream
+        started_ms = self._deps.clock.now()
+        self._deps.queue.on_started(upstream, REQUEST_COST, started_ms)
         self._running += 1
-        self._callers.running(ask.profile, ask.caller, 1)
-        learnt = ""
+        self._callers.running(request.profile, request.caller, 1)
+        learnt_profile = ""
         try:
-            ended = await work()
-            if learn and isinstance(ended, Ok):
-                learnt = ask.profile.name
-            return ended
+            result = await run_request()
+            if learn_duration and isinstance(result, Ok):
+                learnt_profile = request.profile.name
+            return result
         finally:
             self._running -= 1
-            self._callers.running(ask.profile, ask.caller, -1)
+            self._callers.running(request.profile, request.caller, -1)
             now = self._deps.clock.now()
-            self._deps.queue.on_ended(upstream, ONE_REQUEST, started, now, learnt)
+            self._deps.queue.on_ended(upstream, REQUEST_COST, started_ms, now, learnt_profile)
             self.pump()
 
-    async def _admit(self, ask: Ask) -> Admission:
+    async def _admit(self, request: StartRequest) -> Admission:
         now = self._deps.clock.now()
-        refusal = self._at_once_refused(ask, now)
+        refusal = self._immediate_refusal(request, now)
         if refusal is not None:
             return Err(refusal)
-        waiting = self._waiting(ask, now)
+        waiting = self._waiting(request, now)
         offered = self._deps.queue.offer(waiting, now)
         if isinstance(offered, Err):
             return offered
         ticket = waiting.ticket
         waiter: Deferred[Admission] = Deferred(lambda _: self._leave(ticket))
-        self._waiters[ticket] = _Waiter(waiter, ask.profile.name)
-        self._callers.queued(ask.profile, ask.caller, 1)
+        self._waiters[ticket] = _Waiter(waiter, request.profile.name)
+        self._callers.queued(request.profile, request.caller, 1)
         try:
             self.pump()
             admitted = await waiter
         finally:
-            self._callers.queued(ask.profile, ask.caller, -1)
+            self._callers.queued(request.profile, request.caller, -1)
         waited_s = (self._deps.clock.now() - now) / MS_PER_S
-        self._deps.metrics.queue_wait.labels(ask.profile.name).observe(waited_s)
+        self._deps.metrics.queue_wait.labels(request.profile.name).observe(waited_s)
         return admitted
 
-    def _at_once_refused(self, ask: Ask, now: int) -> Refusal | None:
-        if now >= ask.due_ms:
+    def _immediate_refusal(self, request: StartRequest, now: int) -> Refusal | None:
+        if now >= request.due_ms:
             return not_run(ErrorKind.DEADLINE, "the due time has passed")
-        upstream = ask.profile.upstream
+        upstream = request.profile.upstream
         if not self._deps.book.usable(upstream, now):
-            # Waiting for a replica that is not there would only use up the due time.
+            # Waiting for a replica that is not listed would only use up the time until due_ms.
             reason = f"upstream {upstream} has no usable replica"
-            return not_run(ErrorKind.NO_UPSTREAM, reason, NOT_LISTED_RETRY_MS)
-        return self._callers.refusal(ask.profile, ask.caller)
+            return not_run(ErrorKind.NO_UPSTREAM, reason, NO_REPLICA_RETRY_MS)
+        return self._callers.refusal(request.profile, request.caller)
 
     def take_ticket(self) -> int:
-        """Return a number that no other ticket has."""
+        """Return a new unique ticket number."""
         ticket = self._next_ticket
         self._next_ticket += 1
         return ticket
 
-    def _waiting(self, ask: Ask, now: int) -> Waiting:
+    def _waiting(self, request: StartRequest, now: int) -> Waiting:
         return Waiting(
             ticket=self.take_ticket(),
-            caller=ask.caller,
-            upstream=ask.profile.upstream,
-            profile=ask.profile.name,
-            rank=RANKS[ask.profile.urgency] if ask.rank is None else ask.rank,
-            due_ms=ask.due_ms,
-            cost=ONE_REQUEST,
+            caller=request.caller,
+            upstream=request.profile.upstream,
+            profile=request.profile.name,
+            rank=RANKS[request.profile.urgency] if request.rank is None else request.rank,
+            due_ms=request.due_ms,
+            cost=REQUEST_COST,
             enqueued_ms=now,
         )
 
     def _leave(self, ticket: int) -> None:
-        """Take a request whose caller has gone out of the queue."""
+        """Remove a request whose caller has disconnected from the queue."""
         self._deps.queue.leave(ticket)
         self._waiters.pop(ticket, None)
 
     def pump(self) -> None:
-        """Start and refuse whatever can be started or must be refused now."""
+        """Start the requests that can start now, and refuse those that would be late."""
         if self._pumping or not self._waiters:
             return
         self._pumping = True
@@ -217,22 +217,22 @@
             waiter = self._waiters.pop(waiting.ticket, None)
             check(waiter is not None, Promise.NOT_RUN_TRUE, ticket=waiting.ticket)
             if waiter is not None:
-                waiter.fired.callback(Err(_late(waiting, now)))
+                waiter.admission.callback(Err(_expired_refusal(waiting, now)))
 
     def _start_ready(self) -> None:
         while self._waiters:
             waiting = self._deps.queue.take(self._deps.clock.now(), self._can_start)
             if waiting is None:
                 return
-            self._waiters.pop(waiting.ticket).fired.callback(Ok(None))
+            self._waiters.pop(waiting.ticket).admission.callback(Ok(None))
 
     def _can_start(self, upstream: str) -> bool:
-        """Tell whether the replicas could run one more online request at once."""
+        """Return whether the replicas could start one more online request now."""
         if self._elsewhere(upstream):
             return True
         now = self._deps.clock.now()
         free = free_calls(self._deps.book, self._deps.outliers, upstream, now)
-        return free >= self._reserved(upstream, now) + ONE_REQUEST
+        return free >= self._reserved(upstream, now) + REQUEST_COST
 
     def _keep_ticking(self) -> None:
         if self._timer is None and self._waiters:
@@ -248,7 +248,7 @@
             self._timer.cancel()
 
 
-def _late(waiting: Waiting, now: int) -> Refusal:
+def _expired_refusal(waiting: Waiting, now: int) -> Refusal:
     if now >= waiting.due_ms:
         return not_run(ErrorKind.DEADLINE, "the due time has passed in the queue")
     reason = "the wait would pass the due time"
--- a/papayapier/entry/chat.py
+++ b/papayapier/entry/chat.py
@@ -1,7 +1,7 @@
 """Write a generated answer to the caller, as one JSON body or as a stream of events.
 
-Upstream events are passed through as they came, because decoding and encoding each token
-again would be most of an instance's processor time.
+Upstream events are passed through unchanged, because decoding and re-encoding each token would
+take most of an instance's processor time.
 """
 
 from typing import TYPE_CHECKING, Final, TypedDict
@@ -24,19 +24,19 @@
 COMPLETIONS_PATH: Final = "/v1/completions"
 STREAM_TYPE: Final = b"text/event-stream"
 STREAM_END: Final = b"data: [DONE]\n\n"
-# Beyond what the transport and the kernel hold; some thousand tokens.
+# In addition to the buffers of the transport and the kernel; some thousand tokens.
 MAX_UNREAD_BYTES: Final = 256_000
 
 
 class ChatMessage(TypedDict):
-    """Hold the answer of a chat."""
+    """Hold the message of a chat answer."""
 
     role: str
     content: str
 
 
 class ChatChoice(TypedDict):
-    """Hold the one choice of a chat answer."""
+    """Hold the single choice of a chat answer."""
 
     index: int
     message: ChatMessage
@@ -44,7 +44,7 @@
 
 
 class TextChoice(TypedDict):
-    """Hold the one choice of a completion."""
+    """Hold the single choice of a completion."""
 
     index: int
     text: str
@@ -52,11 +52,11 @@
 
 
 class Delta(TypedDict):
-    """Hold the piece of a chat stream, which is empty in the last event."""
+    """Hold the delta of a chat stream, which is empty in the last event."""
 
 
 class ChatEnd(TypedDict):
-    """Hold the one choice of the event that ends a chat stream."""
+    """Hold the single choice of the event that ends a chat stream."""
 
     index: int
     delta: Delta
@@ -70,7 +70,7 @@
 
 
 class Completion(TypedDict):
-    """Hold a whole answer, or the event that ends a stream, in the OpenAI form."""
+    """Hold a complete answer, or the event that ends a stream, in the OpenAI form."""
 
     id: str
     model: str
@@ -91,9 +91,18 @@
 
 
 class ChatAnswer:
-    """Own the caller's side of one generated answer."""
-
-    __slots__ = ("_last", "_model", "_now", "_path", "_reader", "_request", "_stream", "first_ms")
+    """Write one generated answer to its caller."""
+
+    __slots__ = (
+        "_caller_stream",
+        "_last_event",
+        "_model",
+        "_now",
+        "_path",
+        "_request",
+        "_stream",
+        "first_ms",
+    )
 
     def __init__(
         self,
@@ -108,8 +117,8 @@
         self._model = model
         self._stream = stream
         self._now = now
-        self._reader: _Reader | None = None
-        self._last = b""
+        self._caller_stream: _CallerStream | None = None
+        self._last_event = b""
         self.first_ms = 0
 
     def on_token(self, token: "Token") -> None:
@@ -118,34 +127,38 @@
             self.first_ms = self._now()
         if not self._stream:
             return
-        if self._reader is None:
-            self._reader = self._start()
-        self._last = token.data
-        self._reader.write(b"data: " + token.data + b"\n\n")
+        if self._caller_stream is None:
+            self._caller_stream = self._start()
+        self._last_event = token.data
+        self._caller_stream.write(b"data: " + token.data + b"\n\n")
 
-    def _start(self) -> "_Reader":
+    def _start(self) -> "_CallerStream":
         self._request.setHeader(b"Content-Type", STREAM_TYPE)
         self._request.setHeader(b"Cache-Control", b"no-store")
-        return _Reader(self._request)
+        return _CallerStream(self._request)
 
     def started(self) -> bool:
-        """Tell whether a part of the answer has gone out."""
-        return self._reader is not None
+        """Return whether part of the answer has been sent."""
+        return self._caller_stream is not None
 
     def finish(self, call_id: str, reply: "Reply") -> bytes:
-        """End the answer; the end mark tells the caller that it is whole."""
+        """Return the last bytes of the answer; [DONE] marks a stream as complete."""
         if not self._stream:
             self._request.setHeader(b"Content-Type", JSON_TYPE)
-            return whole_body(self._request, msgspec.json.encode(self._whole(call_id, reply)))
-        if self._reader is None:
-            self._reader = self._start()
-        self._reader.end()
-        if _says_finish(self._last):
+            return whole_body(
+                self._request, msgspec.json.encode(self._complete_answer(call_id, reply))
+            )
+        if self._caller_stream is None:
+            self._caller_stream = self._start()
+        self._caller_stream.end()
+        if _has_finish_reason(self._last_event):
             return STREAM_END
-        # An engine may tell the reason in an event without a token, which is not passed on.
-        return b"data: " + msgspec.json.encode(self._end(call_id, reply)) + b"\n\n" + STREAM_END
+        # An engine may send the finish reason in an event without a token, which is not passed on.
+        return (
+            b"data: " + msgspec.json.encode(self._end_event(call_id, reply)) + b"\n\n" + STREAM_END
+        )
 
-    def _whole(self, call_id: str, reply: "Reply") -> Completion:
+    def _complete_answer(self, call_id: str, reply: "Reply") -> Completion:
         kind = "chat.completion" if self._path == CHAT_PATH else "text_completion"
         return self._completion(call_id, reply, self._choice(reply), kind)
 
@@ -156,7 +169,7 @@
             return ChatChoice(index=0, message=message, finish_reason=reason)
         return TextChoice(index=0, text=reply.text, finish_reason=reason)
 
-    def _end(self, call_id: str, reply: "Reply") -> Completion:
+    def _end_event(self, call_id: str, reply: "Reply") -> Completion:
         reason = reply.finish_reason
         if self._path == CHAT_PATH:
             chat_end = ChatEnd(index=0, delta=Delta(), finish_reason=reason)
@@ -170,14 +183,14 @@
         usage = Usage(completion_tokens=reply.tokens)
         return Completion(id=call_id, model=self._model, choices=[choice], usage=usage, object=kind)
 
-    def break_off(self, refusal: "Refusal") -> bytes:
-        """End a stream that has begun, without its end mark and with the reason."""
-        if self._reader is not None:
-            self._reader.end()
+    def end_incomplete(self, refusal: "Refusal") -> bytes:
+        """End a stream that has begun with the refusal and without [DONE]."""
+        if self._caller_stream is not None:
+            self._caller_stream.end()
         return b"data: " + refusal_body(refusal) + b"\n\n"
 
 
-def _says_finish(event: bytes) -> bool:
+def _has_finish_reason(event: bytes) -> bool:
     if not event:
         return False
     choices = _EVENT.decode(event)["choices"]
@@ -185,26 +198,25 @@
 
 
 @implementer(IPushProducer)
-class _Reader:
-    """Write to a caller, as long as it reads.
+class _CallerStream:
+    """Write a stream to a caller, and disconnect it if it falls too far behind.
 
-    A generation can't be slowed down to the pace of its caller. What a caller that stops
-    reading does not take would pile up in this process's memory; it shows as a process that
-    grows with the number of stalled callers. So the connection of a caller that is too far
-    behind is closed, which also cancels its work at the upstream.
+    Generation cannot be slowed down to the pace of its caller, so the unread bytes of stalled
+    callers would accumulate in this process's memory. Closing the connection also cancels the
+    request at the upstream.
     """
 
     def __init__(self, request: "WebRequest") -> None:
         self._request = request
         self._paused = False
-        self._unread = 0
+        self._unread_bytes = 0
         self._open = True
         request.registerProducer(self, True)
 
     def write(self, data: bytes) -> None:
         if self._paused:
-            self._unread += len(data)
-            if self._unread > MAX_UNREAD_BYTES:
+            self._unread_bytes += len(data)
+            if self._unread_bytes > MAX_UNREAD_BYTES:
                 self._close()
         if self._open:
             self._request.write_now(data)
@@ -217,7 +229,7 @@
     def _close(self) -> None:
         if self._open:
             self._open = False
-            events.emit(events.CALLER_SLOW, unread_bytes=self._unread)
+            events.emit(events.CALLER_SLOW, unread_bytes=self._unread_bytes)
             self._request.transport.abortConnection()
 
     def pauseProducing(self) -> None:  # noqa: N802
@@ -225,7 +237,7 @@
 
     def resumeProducing(self) -> None:  # noqa: N802
         self._paused = False
-        self._unread = 0
+        self._unread_bytes = 0
 
     def stopProducing(self) -> None:  # noqa: N802
         self._open = False
--- a/papayapier/entry/job_routes.py
+++ b/papayapier/entry/job_routes.py
@@ -1,4 +1,4 @@
-"""Serve the callers' calls on batch jobs that are kept in the platform's store."""
+"""Serve callers' requests on batch jobs, which are stored in the platform's store."""
 
 from typing import TYPE_CHECKING, Any, Final, NamedTuple
 
@@ -15,15 +15,15 @@
     from papayapier.jobs.desk import JobDesk
     from papayapier.jobs.records import JobItem
 
-# Time left for the answer of a submission after its write was settled.
-ANSWER_MS: Final = 200
-DEFAULT_TIME_MS: Final = 2_000
-END_MS: Final = 2_500
+# Time reserved for sending the answer to a submission after its write is settled.
+ANSWER_RESERVE_MS: Final = 200
+DEFAULT_TIMEOUT_MS: Final = 2_000
+CALL_TIMEOUT_MS: Final = 2_500
 ACCEPTED: Final = 202
 
 
 class Answer(NamedTuple):
-    """Hold the body of a good answer."""
+    """Hold a successful answer."""
 
     body: bytes
     content_type: bytes = JSON_TYPE
@@ -31,9 +31,9 @@
 
 
 class JobWire(NamedTuple):
-    """Group how the platform spells the calls.
+    """Group the functions that parse and run the platform's calls on jobs.
 
-    called returns the call that a request makes on a job, or None; perform runs one for a team.
+    called parses a request as a call on a job, or returns None; perform runs a call for a team.
     """
 
     request_id: str
@@ -43,7 +43,7 @@
 
 
 class JobRoutes(NamedTuple):
-    """Group what the routes need; refuse writes a refusal."""
+    """Handle requests on jobs; refuse writes a refusal."""
 
     clock: "Clock"
     desk: "JobDesk"
@@ -51,34 +51,34 @@
     refuse: "Callable[[Any, str, Refusal], None]"
 
     async def submit(self, request: Any, route: "Route", team: str) -> None:
-        """Take a job of a team."""
+        """Accept a job from a team."""
         job_id = request.getHeader(self.wire.request_id) or ""
         items = self.wire.read_items(request.content.read())
         if not job_id or isinstance(items, Err):
             reason = "the job has no id" if isinstance(items, Ok) else items.err_value
             return self.refuse(request, route.name, not_run(ErrorKind.BAD_REQUEST, reason))
-        limit_ms = route.timeout_ms or DEFAULT_TIME_MS
-        due_ms = self.clock.now() + max(ANSWER_MS, limit_ms - ANSWER_MS)
+        limit_ms = route.timeout_ms or DEFAULT_TIMEOUT_MS
+        due_ms = self.clock.now() + max(ANSWER_RESERVE_MS, limit_ms - ANSWER_RESERVE_MS)
         host = request.getHeader("host") or ""
         path = request.path.decode("latin-1")
-        done = await self.desk.submit(
+        result = await self.desk.submit(
             job_id, host, path, items.ok_value, due_ms, route.objective_ms, team
         )
-        if isinstance(done, Err):
-            return self.refuse(request, route.name, done.err_value)
-        return _write(request, Answer(b"{}", status=ACCEPTED))
+        if isinstance(result, Err):
+            return self.refuse(request, route.name, result.err_value)
+        return _write_answer(request, Answer(b"{}", status=ACCEPTED))
 
     async def perform(self, request: Any, call: Any, team: str) -> None:
         """Run a call on a job for a team."""
-        due_ms = self.clock.now() + END_MS
-        done = await self.wire.perform(self.desk, request, call, team, due_ms)
-        if isinstance(done, Err):
-            return self.refuse(request, "", done.err_value)
-        return _write(request, done.ok_value)
+        due_ms = self.clock.now() + CALL_TIMEOUT_MS
+        result = await self.wire.perform(self.desk, request, call, team, due_ms)
+        if isinstance(result, Err):
+            return self.refuse(request, "", result.err_value)
+        return _write_answer(request, result.ok_value)
 
 
-def _write(request: Any, answer: Answer) -> None:
-    if request.gone:
+def _write_answer(request: Any, answer: Answer) -> None:
+    if request.is_disconnected:
         return
     request.setResponseCode(answer.status)
     request.setHeader(b"Content-Type", answer.content_type)
--- a/papayapier/entry/operator_auth.py
+++ b/papayapier/entry/operator_auth.py
@@ -1,7 +1,7 @@
-"""Tell which operator is calling.
+"""Authenticate operators.
 
-Operators act for callers on batch jobs: there the caller whose jobs are meant is named in a
-header, which an operator's key makes trustworthy.
+On batch routes an operator acts for a caller, who is named in a header. The header is trusted
+because the operator is authenticated.
 """
 
 import ipaddress
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from papayapier import events
-from papayapier.entry.callers import caller_auth, holder_of
+from papayapier.entry.callers import caller_auth, key_holder
 from papayapier.errors import ErrorKind, Refusal, not_run
 
 if TYPE_CHECKING:
@@ -25,14 +25,14 @@
 
 
 def operator_auth(operators: "tuple[KeyEntry, ...]") -> OperatorAuth:
-    """Make the check of operators; with none listed, only this machine's calls pass.
+    """Return the check of operators; with none listed, only local connections are accepted.
 
-    A key goes nowhere but into the comparison: not into a log, not into the trail.
+    Keys are only compared, and never logged or written to the audit trail.
     """
 
     def check(request: "WebRequest") -> Result[str, Refusal]:
         if operators:
-            name = holder_of(request, operators)
+            name = key_holder(request, operators)
         else:
             name = LOCAL_OPERATOR if _is_local(request) else None
         if name is not None:
@@ -45,20 +45,22 @@
 
 
 def job_auth(operators: "tuple[KeyEntry, ...]") -> "CallerAuth":
-    """Make the check for batch routes on the operators' address; it returns the caller meant."""
+    """Return the check for batch routes on the operators' address, which returns the caller."""
     check = operator_auth(operators)
     named_caller = caller_auth(())
 
-    def caller_meant(request: "WebRequest") -> Result[str, Refusal]:
-        who = check(request)
-        return who if isinstance(who, Err) else named_caller(request)
+    def authenticated_caller(request: "WebRequest") -> Result[str, Refusal]:
+        operator = check(request)
+        return operator if isinstance(operator, Err) else named_caller(request)
 
-    return caller_meant
+    return authenticated_caller
 
 
 def no_new_work() -> Refusal:
-    """Refuse new work on the operators' address."""
-    return not_run(ErrorKind.BAD_REQUEST, "new work goes to the callers' address")
+    """Refuse new files and jobs on the operators' address."""
+    return not_run(
+        ErrorKind.BAD_REQUEST, "new files and jobs are accepted only on the callers' address"
+    )
 
 
 def _is_local(request: "WebRequest") -> bool:
--- a/papayapier/entry/streaming.py
+++ b/papayapier/entry/streaming.py
@@ -1,7 +1,7 @@
-"""Write an answer of any length at the pace at which its reader takes it.
+"""Write an answer of any length at the pace of its reader.
 
-Without this, a result file of hundreds of megabytes would be read from the store as fast as
-the store gives it and wait in this process's memory for a slow reader.
+Without backpressure, a result file of hundreds of megabytes would be read from the store at full
+speed and buffered in memory for a slow reader.
 """
 
 from collections.abc import AsyncIterator
@@ -16,8 +16,8 @@
 
 
 @implementer(IPushProducer)
-class _Pace:
-    """Follow the transport's wish to pause."""
+class _Backpressure:
+    """Pause and resume writing as the transport requests."""
 
     def __init__(self) -> None:
         self.stopped = False
@@ -42,24 +42,24 @@
 
 
 async def write_all(request: "WebRequest", pieces: AsyncIterator[bytes]) -> bool:
-    """Write every piece; False says that the reader went away."""
-    pace = _Pace()
+    """Write every piece; return False if the reader disconnected."""
+    backpressure = _Backpressure()
     target: Any = request
-    target.registerProducer(pace, True)
+    target.registerProducer(backpressure, True)
     try:
         async for piece in pieces:
-            if piece and not pace.stopped:
+            if piece and not backpressure.stopped:
                 request.write(piece)
-            await pace.ready()
-            if pace.stopped:
+            await backpressure.ready()
+            if backpressure.stopped:
                 return False
         return True
     finally:
-        if not pace.stopped:
+        if not backpressure.stopped:
             target.unregisterProducer()
 
 
-def break_off(request: "WebRequest") -> None:
-    """Close the connection, so that an answer cut short is not taken for a whole one."""
+def close_incomplete(request: "WebRequest") -> None:
+    """Close the connection, so that a truncated answer is not taken for a complete one."""
     target: Any = request
     target.transport.loseConnection()
