--- a/papayapier/node/base.py
+++ b/papayapier/node/base.py
@@ -12,11 +12,12 @@
 from papayapier.dispatch.crash_watch import CrashWatch
 from papayapier.jobs.news import GroupsTold
 from papayapier.metrics import Metrics, make_metrics
-from papayapier.node.calls_heard import follow_calls, follow_totals
 from papayapier.node.large_fleet import LargeFleet
 from papayapier.node.mirrors import MirrorDeps, Way, answer_from, through_hubs
-from papayapier.node.place_answers import Placer, PlacerDeps
-from papayapier.node.placing import PlacingDeps
+from papayapier.node.outage_tracker import StoreReturn
+from papayapier.node.peer_calls import follow_calls, follow_totals
+from papayapier.node.placement import PlacingDeps
+from papayapier.node.placer import Placer, PlacerDeps
 from papayapier.node.processes import (
     NODES,
     NodeList,
@@ -33,7 +34,6 @@
 )
 from papayapier.node.settings import NodeSettings
 from papayapier.node.store_relay import RelayDeps, answer_peers, relayed
-from papayapier.node.store_return import StoreReturn
 from papayapier.peer.hub import Identity, PeerHub
 from papayapier.peer.loss_news import LossNews, LossNewsDeps
 from papayapier.peer.messages import CallsTold, ConfigPush, Heartbeat, Message
--- a/papayapier/node/command.py
+++ b/papayapier/node/command.py
@@ -10,7 +10,7 @@
 from typing import Any, Final, cast
 
 from papayapier.exits import EXIT_FAILED, EXIT_USAGE
-from papayapier.node.early import EarlySocket, listen_early
+from papayapier.node.caller_socket import EarlySocket, listen_early
 
 NODE_COMMANDS: Final = {
     "entry": "run one entry on the users' platform",
--- a/papayapier/node/entry.py
+++ b/papayapier/node/entry.py
@@ -29,11 +29,11 @@
 from papayapier.listen import BODY_BYTES, Listening, adopt, listen_resource, make_body_limit
 from papayapier.node.allowances import AskDeps, allowing
 from papayapier.node.base import Followed, NodeBase, close_base, follow_common, make_base
-from papayapier.node.early import EarlySocket
+from papayapier.node.caller_socket import EarlySocket
 from papayapier.node.health import HealthResource
 from papayapier.node.job_reading import reading
 from papayapier.node.keeping import KeepingDeps, keep
-from papayapier.node.placing import asking, holds_for, telling_unanswered
+from papayapier.node.placement import asking, holds_for, telling_unanswered
 from papayapier.node.processes import Role
 from papayapier.node.settings import NodeSettings, split_address
 from papayapier.peer.messages import Heartbeat, JobChanged
--- a/papayapier/node/mirrors.py
+++ b/papayapier/node/mirrors.py
@@ -18,7 +18,7 @@
 
 from papayapier import events
 from papayapier.clock import Clock
-from papayapier.node.store_tells import (
+from papayapier.node.store_messages import (
     changes_told,
     listing_told,
     read_told,
--- a/papayapier/node/run.py
+++ b/papayapier/node/run.py
@@ -12,7 +12,7 @@
 from papayapier.clock import Clock, real_clock
 from papayapier.logs import start_bounded_logs
 from papayapier.node import settings
-from papayapier.node.early import EarlySocket
+from papayapier.node.caller_socket import EarlySocket
 from papayapier.node.processes import Role
 from papayapier.node.settings import NodeSettings
 from papayapier.serve import Program, Running, run_program
--- a/papayapier/node/store_relay.py
+++ b/papayapier/node/store_relay.py
@@ -20,7 +20,7 @@
 
 from papayapier import events
 from papayapier.clock import Clock
-from papayapier.node.store_tells import (
+from papayapier.node.store_messages import (
     changes_told,
     listing_told,
     read_told,
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -7,8 +7,8 @@
 from papayapier.clock import fake_clock
 from papayapier.config.route_table import RouteTable
 from papayapier.node.large_fleet import LargeFleet
+from papayapier.node.outage_tracker import StoreReturn
 from papayapier.node.processes import NodeList
-from papayapier.node.store_return import StoreReturn
 from papayapier.peer.messages import NEVER_AWAY
 from papayapier.policy.totals import SHARERS, sharers_of
 from papayapier.store.api import Change
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -23,7 +23,7 @@
     through_hubs,
     watchers,
 )
-from papayapier.node.store_tells import listing_told, told_listing
+from papayapier.node.store_messages import listing_told, told_listing
 from papayapier.peer import wire
 from papayapier.peer.messages import NEVER_AWAY, Message, MirrorAsk, StoreTell
 from papayapier.peer.questions import PeerError
--- a/tests/test_placing.py
+++ b/tests/test_placement.py
@@ -9,8 +9,8 @@
 from twisted.internet.defer import Deferred
 
 from papayapier.clock import fake_clock
-from papayapier.node.calls_heard import TOLD_STANDS_MS, follow_calls, follow_totals
-from papayapier.node.placing import PASSED_OVER_MS, PlacingDeps, asking
+from papayapier.node.peer_calls import TOLD_STANDS_MS, follow_calls, follow_totals
+from papayapier.node.placement import PASSED_OVER_MS, PlacingDeps, asking
 from papayapier.node.processes import LISTED_MS, NODES, NodeList, NodeRecord, Role, is_written
 from papayapier.peer.messages import CallsTold, Heartbeat, Message
 from papayapier.peer.placing_messages import PlaceTell
--- a/tests/test_place_answers.py
+++ b/tests/test_placer.py
@@ -11,14 +11,14 @@
 from papayapier.clock import fake_clock
 from papayapier.errors import ErrorKind, Outcome
 from papayapier.metrics import make_metrics
-from papayapier.node.place_answers import HELD_AFTER_MS, HELD_MS, LOOK_MS, Placer, PlacerDeps
-from papayapier.node.placing import (
+from papayapier.node.placement import (
     ANSWER_MS,
     ASKS_MOST,
     PlacingDeps,
     asking,
     holds_for,
 )
+from papayapier.node.placer import HELD_AFTER_MS, HELD_MS, LOOK_MS, Placer, PlacerDeps
 from papayapier.peer.messages import Message
 from papayapier.peer.placing_messages import PlaceAsk, PlaceLeft, PlaceTell, Unanswered
 from papayapier.peer.questions import PeerError, Questions
