--- a/papayapier/node/base.py
+++ b/papayapier/node/base.py
@@ -13,27 +13,27 @@
 from papayapier.jobs.news import GroupsTold
 from papayapier.metrics import Metrics, make_metrics
 from papayapier.node.large_fleet import LargeFleet
-from papayapier.node.mirrors import MirrorDeps, Way, answer_from, through_hubs
-from papayapier.node.outage_tracker import StoreReturn
-from papayapier.node.peer_calls import follow_calls, follow_totals
-from papayapier.node.placement import PlacingDeps
+from papayapier.node.mirrors import MirrorDeps, StoreSource, serve_mirrors, with_hub_mirrors
+from papayapier.node.outage_tracker import OutageTracker
+from papayapier.node.peer_calls import track_peer_calls, track_totals
+from papayapier.node.placement import PlacementDeps
 from papayapier.node.placer import Placer, PlacerDeps
 from papayapier.node.processes import (
-    NODES,
+    NODES_PREFIX,
     NodeList,
     NodeRecord,
     Role,
-    is_written,
-    write_down,
+    is_registered,
+    register_node,
 )
 from papayapier.node.replica_list import (
     ListedReplica,
     ReplicaList,
     ReplicaListDeps,
-    list_is_sure,
+    is_list_current,
 )
 from papayapier.node.settings import NodeSettings
-from papayapier.node.store_relay import RelayDeps, answer_peers, relayed
+from papayapier.node.store_relay import RelayDeps, serve_store_calls, with_relay
 from papayapier.peer.hub import Identity, PeerHub
 from papayapier.peer.loss_news import LossNews, LossNewsDeps
 from papayapier.peer.messages import CallsTold, ConfigPush, Heartbeat, Message
@@ -55,7 +55,7 @@
 BOOT_BITS: Final = 48
 # Time from the notification that a call has ended until the next call starts in its slot: receive,
 # choose, reply and send on a new connection, in processes that have half a core each.
-TURN_ROUND_MS: Final = 80
+CALL_TURNAROUND_MS: Final = 80
 # The store may take this much longer to answer than the requested wait.
 MIRROR_MARGIN_MS: Final = 1_000
 
@@ -72,13 +72,13 @@
     raw_store: Store
     budget: Budget
     drain: Drain
-    book: LoadBook
+    load_tracker: LoadBook
     outliers: Outliers
     crashes: CrashWatch
     routing: RoutingBook
     replicas: ReplicaList
-    news: GroupsTold
-    store_return: StoreReturn
+    group_notifications: GroupsTold
+    outage_tracker: OutageTracker
     nodes: NodeList
     hub: PeerHub
     links: Links
@@ -86,8 +86,8 @@
     # Returns the store, called directly or relayed through a peer.
     view: Callable[[Priority], Store]
     loss_news: LossNews
-    through: MirrorDeps
-    placing: PlacingDeps
+    mirror_deps: MirrorDeps
+    placement_deps: PlacementDeps
     placer: Placer
     # Whether batch may run here at a replica for which only totals of calls are received.
     uses_by_totals: Callable[[str], bool]
@@ -107,67 +107,81 @@
     raw_store = platform_store(reactor, clock, platform, metrics)
     budget = make_budget(raw_store, clock, rand, platform)
     drain = Drain(DrainPlan(cfg.stop.balancer_lag_ms, cfg.stop.limit_ms()))
-    book = LoadBook()
+    load_tracker = LoadBook()
     outliers = Outliers()
     routing = RoutingBook(CONFIG_KEY, read_configuration)
-    news = GroupsTold()
+    group_notifications = GroupsTold()
     boot = rand.getrandbits(BOOT_BITS)
 
-    def heartbeat() -> Heartbeat:
-        uses = tuple(book.uses())
-        beat = Heartbeat(cfg.instance.id, boot, drain.state(), routing.version(), uses)
+    def make_heartbeat() -> Heartbeat:
+        uses = tuple(load_tracker.uses())
+        message = Heartbeat(cfg.instance.id, boot, drain.state(), routing.version(), uses)
         if role is Role.ENTRY:
-            return beat
+            return message
         now = clock.now()
-        beat = beat._replace(groups_told=news.count(now))
+        message = message._replace(groups_told=group_notifications.count(now))
         if hub.plan().full_mesh:
-            return beat
+            return message
         if cfg.instance.id not in hub.plan().hubs:
-            return beat._replace(words=news.last(now))
-        totals = totals_of(book, fleet.hubs(), cfg.instance.id)
-        return beat._replace(totals=totals, words=news.last(now))
+            return message._replace(words=group_notifications.last(now))
+        totals = totals_of(load_tracker, fleet.hubs(), cfg.instance.id)
+        return message._replace(totals=totals, words=group_notifications.last(now))
 
     def on_replicas(listed: list[ListedReplica]) -> None:
-        replicas = [one.replica for one in listed]
-        slots = {one.replica.id: one.slots for one in listed if one.slots}
-        book.on_listed(replicas, {one.replica.id for one in listed if one.leaving}, slots)
+        replicas = [entry.replica for entry in listed]
+        slots = {entry.replica.id: entry.slots for entry in listed if entry.slots}
+        load_tracker.on_listed(
+            replicas, {entry.replica.id for entry in listed if entry.leaving}, slots
+        )
         outliers.on_listed(replicas)
         crashes.on_listed(
-            [one.id for one in replicas], [one.replica.id for one in listed if one.leaving]
+            [replica.id for replica in replicas],
+            [entry.replica.id for entry in listed if entry.leaving],
         )
         fleet.on_replicas(replicas)
-        placer.on_listed(frozenset(one.id for one in replicas))
+        placer.on_listed(frozenset(replica.id for replica in replicas))
 
-    def concerned(changed: Collection[str]) -> Collection[str]:
-        return fleet.concerned(changed)
+    def concerned_keepers(changed: Collection[str]) -> Collection[str]:
+        return fleet.concerned_keepers(changed)
 
     def soon(call: Callable[[], None]) -> object:
         return clock.call_later(0, call)
 
     own = cfg.instance
     me = Identity(own.id, boot, own.host, own.data_centre, own.region, role is Role.KEEPER)
-    hub = PeerHub(reactor, clock, cfg.peer, me, heartbeat, metrics, rand, concerned)
-    nodes = NodeList(hub.set_members, soon, own.id, lambda: _write_down(base))
+    hub = PeerHub(reactor, clock, cfg.peer, me, make_heartbeat, metrics, rand, concerned_keepers)
+    nodes = NodeList(hub.set_members, soon, own.id, lambda: _register(base))
     fleet = LargeFleet(nodes, hub.live, lambda: hub.plan().hubs, hub.vouched, routing.table)
     listening = hub.start()
     if isinstance(listening, Err):
         return listening
     links = Links(reactor, clock, cfg.upstream)
-    store_return = StoreReturn(clock, budget)
-    crashes = CrashWatch(clock, metrics, lambda: list_is_sure(store_return.back_ms(), clock.now()))
+    outage_tracker = OutageTracker(clock, budget)
+    crashes = CrashWatch(
+        clock, metrics, lambda: is_list_current(outage_tracker.last_return_ms(), clock.now())
+    )
     replicas = ReplicaList(
         ReplicaListDeps(
-            clock, REPLICAS_PREFIX, read_replica, store_return.back_ms, on_replicas, soon
+            clock, REPLICAS_PREFIX, read_replica, outage_tracker.last_return_ms, on_replicas, soon
         )
     )
-    send = RawDeps(links, read_facts, book.on_report, replicas.on_moved, metrics)
+    send = RawDeps(links, read_facts, load_tracker.on_report, replicas.on_moved, metrics)
     relay = RelayDeps(clock, rand, hub, lambda: budget.down_since() is not None)
-    placing = PlacingDeps(
-        clock, rand, hub, book, outliers, fleet.hubs, lambda: fleet.parts, cfg.placing.queue
+    placement_deps = PlacementDeps(
+        clock,
+        rand,
+        hub,
+        load_tracker,
+        outliers,
+        fleet.hubs,
+        lambda: fleet.partitions,
+        cfg.placing.queue,
     )
-    empty_ms = cfg.peer.early_ms + TURN_ROUND_MS
+    empty_ms = cfg.peer.early_ms + CALL_TURNAROUND_MS
     placer = Placer(
-        PlacerDeps(clock, rand, hub, book, outliers, lambda: fleet.parts, metrics, empty_ms)
+        PlacerDeps(
+            clock, rand, hub, load_tracker, outliers, lambda: fleet.partitions, metrics, empty_ms
+        )
     )
     loss_news = LossNews(LossNewsDeps(clock, hub, crashes, own.id, fleet.hubs))
     mirrors: dict[str, Mirror] = {}
@@ -181,21 +195,23 @@
         raw_store=raw_store,
         budget=budget,
         drain=drain,
-        book=book,
+        load_tracker=load_tracker,
         outliers=outliers,
         crashes=crashes,
         routing=routing,
         replicas=replicas,
-        news=news,
-        store_return=store_return,
+        group_notifications=group_notifications,
+        outage_tracker=outage_tracker,
         nodes=nodes,
         hub=hub,
         links=links,
         send=make_raw_send(send),
-        view=lambda priority: relayed(budget.view(priority), relay),
+        view=lambda priority: with_relay(budget.view(priority), relay),
         loss_news=loss_news,
-        through=MirrorDeps(hub, own.id, fleet.hubs, store_return.on_told, clock, nodes.count),
-        placing=placing,
+        mirror_deps=MirrorDeps(
+            hub, own.id, fleet.hubs, outage_tracker.on_reported, clock, nodes.count
+        ),
+        placement_deps=placement_deps,
         placer=placer,
         uses_by_totals=lambda replica: fleet.uses_by_totals(replica, own.id),
         mirrors=mirrors,
@@ -203,12 +219,12 @@
         tasks=[],
     )
     placer.start()
-    answer_from(hub, mirrors, store_return.ms_ago)
+    serve_mirrors(hub, mirrors, outage_tracker.ms_since_return)
     _subscribe(base, role)
     return Ok(base)
 
 
-class Haste(NamedTuple):
+class FollowUrgency(NamedTuple):
     """Set how soon changes under a prefix must be known.
 
     slowness multiplies the wait of a watch and the poll interval; gather_ms is the pause after each
@@ -220,23 +236,23 @@
 
 
 # Configuration: few changes, in force everywhere within two seconds.
-AT_ONCE: Final = Haste(1, 0)
+FOLLOW_IMMEDIATELY: Final = FollowUrgency(1, 0)
 # Replicas: a leaving replica must get no new calls after two seconds. Replicas that have just
 # started change their entries with each heartbeat, about once a second each.
-IN_A_SECOND: Final = Haste(1, 800)
+FOLLOW_WITHIN_A_SECOND: Final = FollowUrgency(1, 800)
 # Jobs: a few arrive per second, and the delay counts towards their due time.
-SOON: Final = Haste(1, 300)
+FOLLOW_SOON: Final = FollowUrgency(1, 300)
 # Processes and retirements: hundreds may change at once after a power loss, and no work waits for
 # a single change.
-SLOWLY: Final = Haste(3, 1_500)
+FOLLOW_SLOWLY: Final = FollowUrgency(3, 1_500)
 
 
 def follow(
     base: NodeBase,
     prefix: str,
     on_change: Callable[[Change], None],
-    haste: Haste,
-    matters: Matters = always,
+    urgency: FollowUrgency,
+    is_relevant: Matters = always,
 ) -> Follower:
     """Start to follow the objects under a prefix.
 
@@ -244,27 +260,27 @@
     """
     cfg = base.cfg
     pace = FollowPace(
-        cfg.follow.watch_ms * haste.slowness,
-        cfg.follow.poll_ms * haste.slowness,
+        cfg.follow.watch_ms * urgency.slowness,
+        cfg.follow.poll_ms * urgency.slowness,
         cfg.store.longest_pause_ms,
-        haste.gather_ms,
+        urgency.gather_ms,
     )
-    way = Way()
-    patient = prefix == REPLICAS_PREFIX
-    store = through_hubs(base.view(Priority.CONFIG), base.through, way, patient)
+    source = StoreSource()
+    wait_for_watcher = prefix == REPLICAS_PREFIX
+    store = with_hub_mirrors(base.view(Priority.CONFIG), base.mirror_deps, source, wait_for_watcher)
     if base.role is Role.KEEPER:
-        lasting_ms = pace.watch_ms + pace.gather_ms + MIRROR_MARGIN_MS
-        mirror = Mirror(base.clock, lasting_ms, matters)
+        valid_ms = pace.watch_ms + pace.gather_ms + MIRROR_MARGIN_MS
+        mirror = Mirror(base.clock, valid_ms, is_relevant)
         base.mirrors[prefix] = mirror
-        tell_both = _both(on_change, mirror.on_change)
+        notify_both = _call_both(on_change, mirror.on_change)
         follower = Follower(
             store,
             base.clock,
             base.rand,
             prefix,
-            tell_both,
+            notify_both,
             pace,
-            lambda reached: mirror.on_reached(reached, way.direct),
+            lambda reached: mirror.on_reached(reached, source.direct),
         )
     else:
         follower = Follower(store, base.clock, base.rand, prefix, on_change, pace)
@@ -273,14 +289,14 @@
     return follower
 
 
-def _both(
+def _call_both(
     first: Callable[[Change], None], second: Callable[[Change], None]
 ) -> Callable[[Change], None]:
-    def tell(change: Change) -> None:
+    def notify(change: Change) -> None:
         first(change)
         second(change)
 
-    return tell
+    return notify
 
 
 class Followed(NamedTuple):
@@ -293,26 +309,26 @@
 def follow_common(base: NodeBase, role: Role) -> Followed:
     """Follow configuration, replicas and processes, and register this process in the store."""
     followed = Followed(
-        follow(base, CONFIG_PREFIX, base.routing.on_change, AT_ONCE),
-        follow(base, REPLICAS_PREFIX, base.replicas.on_change, IN_A_SECOND, says_other),
+        follow(base, CONFIG_PREFIX, base.routing.on_change, FOLLOW_IMMEDIATELY),
+        follow(base, REPLICAS_PREFIX, base.replicas.on_change, FOLLOW_WITHIN_A_SECOND, says_other),
     )
-    listed = follow(base, NODES, base.nodes.on_change, SLOWLY)
-    _write_down(base, lambda: listed.listed_ms is not None)
+    listed = follow(base, NODES_PREFIX, base.nodes.on_change, FOLLOW_SLOWLY)
+    _register(base, lambda: listed.listed_ms is not None)
     probe = Deferred.fromCoroutine(_probe_store(base))
     probe.addErrback(report_failure, "probe")
     base.tasks.append(probe)
     return followed
 
 
-def _write_down(base: NodeBase, listed: Callable[[], bool] = lambda: True) -> None:
+def _register(base: NodeBase, listed: Callable[[], bool] = lambda: True) -> None:
     """Register this process in the store, at its start and after others have marked it lost."""
     own = base.cfg.instance
     record = NodeRecord(base.role, own.host, base.cfg.peer.port, own.data_centre, own.region)
     store = base.view(Priority.LEASE)
 
     async def write() -> None:
-        if not await is_written(base.clock, base.nodes, own.id, record, listed):
-            await write_down(store, base.clock, base.rand, own.id, record)
+        if not await is_registered(base.clock, base.nodes, own.id, record, listed):
+            await register_node(store, base.clock, base.rand, own.id, record)
 
     task = Deferred.fromCoroutine(write())
     task.addErrback(report_failure, "write down")
@@ -345,29 +361,29 @@
     """Subscribe to peers' messages, and broadcast each new configuration."""
     hub = base.hub
 
-    def on_uses(peer_id: str, beat: Heartbeat) -> None:
+    def on_uses(peer_id: str, heartbeat: Heartbeat) -> None:
         # In a large fleet an entry uses the totals that hubs send, which include the hubs' own
         # calls. Processing both from 15 hubs took a tenth of an idle entry's processor time.
         by_totals = role is Role.ENTRY and not hub.plan().full_mesh
         if not (by_totals and peer_id in base.nodes.with_role(Role.KEEPER)):
-            base.book.on_peer_uses(peer_id, beat.uses, base.clock.now())
+            base.load_tracker.on_peer_uses(peer_id, heartbeat.uses, base.clock.now())
 
     hub.subscribe(Heartbeat, on_uses)
     if role is Role.ENTRY:
-        follow_totals(hub, base.book)
+        track_totals(hub, base.load_tracker)
     else:
-        follow_totals(hub, base.book, base.uses_by_totals)
-    base.tasks.append(follow_calls(hub, base.book, base.clock))
-    hub.subscribe(Heartbeat, lambda _peer, _beat: base.placer.on_calls())
-    hub.subscribe(CallsTold, lambda _peer, _told: base.placer.on_calls())
-    answer_peers(hub, base.budget.view(Priority.BULK))
+        track_totals(hub, base.load_tracker, base.uses_by_totals)
+    base.tasks.append(track_peer_calls(hub, base.load_tracker, base.clock))
+    hub.subscribe(Heartbeat, lambda _peer, _heartbeat: base.placer.on_calls())
+    hub.subscribe(CallsTold, lambda _peer, _message: base.placer.on_calls())
+    serve_store_calls(hub, base.budget.view(Priority.BULK))
     live = set(hub.live())
 
     def on_peers() -> None:
         nonlocal live
         now_live = set(hub.live())
-        for gone in live - now_live:
-            base.book.on_peer_gone(gone)
+        for departed in live - now_live:
+            base.load_tracker.on_peer_gone(departed)
         live = now_live
 
     def on_push(peer_id: str, message: Message) -> None:
--- a/papayapier/node/caller_socket.py
+++ b/papayapier/node/caller_socket.py
@@ -10,10 +10,10 @@
 
 BACKLOG: Final = 1024
 
-EarlySocket = socket.socket
+CallerSocket = socket.socket
 
 
-def listen_early(address: str) -> EarlySocket:
+def listen_for_callers(address: str) -> CallerSocket:
     """Open a listening socket at IP:PORT; raise OSError or ValueError if that fails."""
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/papayapier/node/command.py
+++ b/papayapier/node/command.py
@@ -10,7 +10,7 @@
 from typing import Any, Final, cast
 
 from papayapier.exits import EXIT_FAILED, EXIT_USAGE
-from papayapier.node.caller_socket import EarlySocket, listen_early
+from papayapier.node.caller_socket import CallerSocket, listen_for_callers
 
 NODE_COMMANDS: Final = {
     "entry": "run one entry on the users' platform",
@@ -34,7 +34,7 @@
             )
 
 
-def _leave_out_tls() -> None:
+def _skip_tls_imports() -> None:
     """Prevent the import of the TLS libraries: nothing on the platform speaks TLS.
 
     Twisted imports them wherever they are installed, which takes a fifth of the start time of a
@@ -44,14 +44,14 @@
 
 
 def _run(options: argparse.Namespace) -> int:
-    opened: EarlySocket | None = None
+    callers_socket: CallerSocket | None = None
     if options.callers:
         try:
-            opened = listen_early(options.callers)
+            callers_socket = listen_for_callers(options.callers)
         except (OSError, ValueError) as exc:
             print(f"papayapier: --callers: {exc}", file=sys.stderr)
             return EXIT_FAILED
-    _leave_out_tls()
+    _skip_tls_imports()
     # Objects created by imports live as long as the process; collecting garbage meanwhile takes
     # 65 ms of 500. The collector is enabled once the process has started (serve.py).
     gc.disable()
@@ -65,4 +65,4 @@
     if isinstance(loaded, Err):
         print(f"papayapier: {loaded.err_value}", file=sys.stderr)
         return EXIT_USAGE
-    return run_node(Role(options.role), options.settings, loaded.ok_value, opened)
+    return run_node(Role(options.role), options.settings, loaded.ok_value, callers_socket)
--- a/papayapier/node/entry.py
+++ b/papayapier/node/entry.py
@@ -27,13 +27,13 @@
 from papayapier.jobs.owners import able_now
 from papayapier.jobs.records import JobRecord
 from papayapier.listen import BODY_BYTES, Listening, adopt, listen_resource, make_body_limit
-from papayapier.node.allowances import AskDeps, allowing
+from papayapier.node.allowances import AllowanceDeps, make_allow
 from papayapier.node.base import Followed, NodeBase, close_base, follow_common, make_base
-from papayapier.node.caller_socket import EarlySocket
+from papayapier.node.caller_socket import CallerSocket
 from papayapier.node.health import HealthResource
-from papayapier.node.job_reading import reading
+from papayapier.node.job_reading import make_job_reader
 from papayapier.node.keeping import KeepingDeps, keep
-from papayapier.node.placement import asking, holds_for, telling_unanswered
+from papayapier.node.placement import make_place, make_report_unanswered, queues_at_hub
 from papayapier.node.processes import Role
 from papayapier.node.settings import NodeSettings, split_address
 from papayapier.peer.messages import Heartbeat, JobChanged
@@ -48,8 +48,8 @@
 LEAVING_RETRY_MS: Final = 250
 DEFAULT_BODY_BYTES: Final = 4_194_304
 # Configuration and replicas arrive about 30 ms after a start, if the store answers.
-FIRST_KNOWLEDGE_MS: Final = 1_000
-LOOK_MS: Final = 10
+MAX_STARTUP_WAIT_MS: Final = 1_000
+POLL_MS: Final = 10
 # After a loss of all machines the hubs agree within this time on which instances are live.
 STARTING_MS: Final = 2_500
 # Keepers write stored jobs back every half second at most, one call each, and start in about half
@@ -98,7 +98,7 @@
         self._was_ready = False
         self._began_ms = base.clock.now()
 
-    def why_not(self) -> str:
+    def not_ready_reason(self) -> str:
         reason = self._reason()
         if self._was_ready != (not reason):
             self._was_ready = not reason
@@ -114,7 +114,7 @@
             return "no replica is known yet"
         return ""
 
-    async def known(self) -> None:
+    async def wait_until_routable(self) -> None:
         """Wait, only just after the start, until requests can be routed.
 
         Connections that were accepted during the imports deliver requests immediately; refusing
@@ -124,26 +124,26 @@
         with each start.
         """
         clock = self._base.clock
-        while clock.now() < self._began_ms + FIRST_KNOWLEDGE_MS:
-            if not self._reason() and self._placed() and self._caught_up():
+        while clock.now() < self._began_ms + MAX_STARTUP_WAIT_MS:
+            if not self._reason() and self._placer_known() and self._losses_known():
                 return
-            await clock.sleep(LOOK_MS)
+            await clock.sleep(POLL_MS)
 
-    def _caught_up(self) -> bool:
+    def _losses_known(self) -> bool:
         """Return whether earlier replica losses are known, or no other process can know of any."""
         processes = self._base.nodes.count()
         return processes == 1 or (bool(processes) and self._base.loss_news.caught_up())
 
-    def _placed(self) -> bool:
+    def _placer_known(self) -> bool:
         """Return whether a hub is known that places calls, or each instance places its own."""
-        if not self._base.placing.queue:
+        if not self._base.placement_deps.queue:
             return True
         processes = self._base.nodes.count()
         return bool(processes) and (
-            processes <= self._base.cfg.peer.full_mesh or bool(self._base.placing.hubs())
+            processes <= self._base.cfg.peer.full_mesh or bool(self._base.placement_deps.hubs())
         )
 
-    def refusing(self) -> Refusal | None:
+    def current_refusal(self) -> Refusal | None:
         """Return the refusal that new requests get, if any."""
         if self._base.drain.accepts():
             return None
@@ -155,7 +155,7 @@
     clock: Clock,
     cfg: NodeSettings,
     rand: random.Random,
-    early: EarlySocket | None = None,
+    callers_socket: CallerSocket | None = None,
 ) -> Result[Entry, str]:
     """Start an entry, or return the reason why it cannot start.
 
@@ -170,27 +170,31 @@
     followed = follow_common(base, Role.ENTRY)
     readiness = _Readiness(base, followed)
     forward = _forward_deps(base)
-    queue = StartQueue(forward, elsewhere=partial(holds_for, base.placing))
+    queue = StartQueue(forward, elsewhere=partial(queues_at_hub, base.placement_deps))
     routes = _routes(base, forward, queue, readiness)
-    health = HealthResource(readiness.why_not, base.metrics)
-    callers = split_address(cfg.listen.callers)
-    ready = split_address(cfg.listen.readiness)
+    health = HealthResource(readiness.not_ready_reason, base.metrics)
+    callers_address = split_address(cfg.listen.callers)
+    readiness_address = split_address(cfg.listen.readiness)
     resource = ForwardResource(routes)
-    opened: Result[Listening, str]
-    if early is not None:
-        opened = Ok(adopt(reactor, resource, early, _body_limit(base)))
+    callers_listening: Result[Listening, str]
+    if callers_socket is not None:
+        callers_listening = Ok(adopt(reactor, resource, callers_socket, _body_limit(base)))
     else:
-        opened = listen_resource(reactor, resource, "listen.callers", *callers, _body_limit(base))
-    limit = make_body_limit(BODY_BYTES)
-    asked = listen_resource(reactor, health, "listen.readiness", *ready, limit)
-    for one in (opened, asked):
-        if isinstance(one, Err):
+        callers_listening = listen_resource(
+            reactor, resource, "listen.callers", *callers_address, _body_limit(base)
+        )
+    max_body_bytes = make_body_limit(BODY_BYTES)
+    readiness_listening = listen_resource(
+        reactor, health, "listen.readiness", *readiness_address, max_body_bytes
+    )
+    for listening_result in (callers_listening, readiness_listening):
+        if isinstance(listening_result, Err):
             await close_base(base)
-            return one
-    listening = (opened.unwrap(), asked.unwrap())
-    base.routing.watch(lambda table: _bound_callers(listening[0], table))
-    held = HeldBytes(cfg.memory.held_bytes())
-    unread = UnreadWatch(clock, listening[0].site, held, base.metrics)
+            return listening_result
+    listening = (callers_listening.unwrap(), readiness_listening.unwrap())
+    base.routing.watch(lambda table: _apply_caller_limits(listening[0], table))
+    held_bytes = HeldBytes(cfg.memory.held_bytes())
+    unread = UnreadWatch(clock, listening[0].site, held_bytes, base.metrics)
     unread.start()
     events.emit(events.PROCESS_STARTED, instance=cfg.instance.id, role=Role.ENTRY.value)
     return Ok(Entry(base, followed, queue, listening, unread))
@@ -201,7 +205,7 @@
         clock=base.clock,
         rand=base.rand,
         data_centre=base.cfg.instance.data_centre,
-        book=base.book,
+        book=base.load_tracker,
         outliers=base.outliers,
         crashes=base.crashes,
         queue=AdmissionQueue(base.cfg.max_queued),
@@ -211,8 +215,8 @@
         head=headers.for_replica,
         metrics=base.metrics,
         uses_changed=base.hub.uses_changed,
-        place=asking(base.placing),
-        unanswered=telling_unanswered(base.placing),
+        place=make_place(base.placement_deps),
+        unanswered=make_report_unanswered(base.placement_deps),
         fresh=lambda: base.hub.plan().full_mesh,
     )
 
@@ -220,39 +224,39 @@
 def _routes(
     base: NodeBase, forward: ForwardDeps, queue: StartQueue, readiness: _Readiness
 ) -> ForwardRoutes:
-    heard = GroupsHeard(lambda: base.nodes.with_role(Role.KEEPER), base.hub.live)
+    notifications = GroupsHeard(lambda: base.nodes.with_role(Role.KEEPER), base.hub.live)
 
     def keepers() -> frozenset[str]:
         return base.nodes.with_role(Role.KEEPER) & frozenset(base.hub.live())
 
-    def able(record: JobRecord, running: Sequence[str]) -> Collection[str]:
-        return able_now(base.book, base.routing.table(), running, record)
+    def able_keepers(record: JobRecord, running: Sequence[str]) -> Collection[str]:
+        return able_now(base.load_tracker, base.routing.table(), running, record)
 
-    keeping = KeepingDeps(base.hub, keepers, base.cfg.jobs.copies(), able)
-    desk = JobDesk(
+    keeping = KeepingDeps(base.hub, keepers, base.cfg.jobs.copies(), able_keepers)
+    job_service = JobDesk(
         DeskDeps(
             base.clock,
             base.rand,
             base.view(Priority.CLAIM),
-            heard,
+            notifications,
             keep=partial(keep, keeping),
             store_away=lambda: base.budget.down_since() is not None,
-            settled=partial(_settled, base, base.clock.now()),
-            elsewhere=reading(base.hub, base.clock, keepers),
+            settled=partial(_local_jobs_written, base, base.clock.now()),
+            elsewhere=make_job_reader(base.hub, base.clock, keepers),
         )
     )
 
-    def on_job(peer_id: str, told: JobChanged) -> None:
-        heard.on_word(peer_id, told.number)
-        desk.on_groups(told.job_id, told.version)
+    def on_job_changed(peer_id: str, message: JobChanged) -> None:
+        notifications.on_word(peer_id, message.number)
+        job_service.on_groups(message.job_id, message.version)
 
-    def on_beat(peer_id: str, beat: Heartbeat) -> None:
-        heard.on_heartbeat(peer_id, beat, base.clock.now())
-        for word in beat.words:
-            desk.on_groups(word.job_id, word.groups)
+    def on_heartbeat(peer_id: str, heartbeat: Heartbeat) -> None:
+        notifications.on_heartbeat(peer_id, heartbeat, base.clock.now())
+        for notification in heartbeat.words:
+            job_service.on_groups(notification.job_id, notification.groups)
 
-    base.hub.subscribe(JobChanged, on_job)
-    base.hub.subscribe(Heartbeat, on_beat)
+    base.hub.subscribe(JobChanged, on_job_changed)
+    base.hub.subscribe(Heartbeat, on_heartbeat)
     wire = JobWire(
         headers.REQUEST_ID.decode(), job_calls.read_items, job_calls.called, job_calls.perform
     )
@@ -260,7 +264,7 @@
     refusals = RefusalDeps(base.clock, base.rand, base.metrics, request_id, headers.RETRY_AFTER)
     jobs = JobRoutes(
         base.clock,
-        desk,
+        job_service,
         wire,
         partial(refuse_raw, refusals),
     )
@@ -279,13 +283,13 @@
             of_team=headers.of_team,
         ),
         table=base.routing.table,
-        refusing=readiness.refusing,
+        refusing=readiness.current_refusal,
         starting_until_ms=base.clock.now() + STARTING_MS,
-        known=readiness.known,
+        known=readiness.wait_until_routable,
         queue=queue,
         forward=forward,
-        allow=allowing(
-            AskDeps(
+        allow=make_allow(
+            AllowanceDeps(
                 base.hub,
                 base.clock,
                 lambda: base.nodes.with_role(Role.KEEPER) & base.hub.vouched(),
@@ -295,14 +299,14 @@
     )
 
 
-def _settled(base: NodeBase, began_ms: int) -> bool:
+def _local_jobs_written(base: NodeBase, began_ms: int) -> bool:
     """Return whether keepers have had time to write locally stored jobs to the store.
 
     A process that has just started does not know whether the store was unreachable before, so its
     own start counts like a return of the store.
     """
-    back = base.store_return.back_ms()
-    return back is not None and base.clock.now() >= max(back, began_ms) + BRINGING_MS
+    back_ms = base.outage_tracker.last_return_ms()
+    return back_ms is not None and base.clock.now() >= max(back_ms, began_ms) + BRINGING_MS
 
 
 def _body_limit(base: NodeBase) -> Any:
@@ -313,6 +317,6 @@
     return limit
 
 
-def _bound_callers(listening: Listening, table: RouteTable) -> None:
+def _apply_caller_limits(listening: Listening, table: RouteTable) -> None:
     """Apply the configured limits on callers' headers and idle connections."""
     listening.site.set_limits(table.cfg.limits.idle_ms, table.cfg.limits.header_bytes)
--- a/papayapier/node/health.py
+++ b/papayapier/node/health.py
@@ -30,16 +30,16 @@
 
     isLeaf = True  # noqa: N815
 
-    def __init__(self, why_not_ready: Callable[[], str], metrics: Metrics) -> None:
+    def __init__(self, not_ready_reason: Callable[[], str], metrics: Metrics) -> None:
         super().__init__()
-        self._why_not_ready = why_not_ready
+        self._not_ready_reason = not_ready_reason
         self._metrics = metrics
 
     def render_GET(self, request: "WebRequest") -> bytes:  # noqa: N802
         if request.path == HEALTH_PATH:
             return reply_json(request, Health(True))
         if request.path in READY_PATHS:
-            reason = self._why_not_ready()
+            reason = self._not_ready_reason()
             return reply_json(request, Health(not reason, reason), 503 if reason else 200)
         if request.path == METRICS_PATH:
             request.setHeader(b"Content-Type", METRICS_TYPE)
--- a/papayapier/node/job_reading.py
+++ b/papayapier/node/job_reading.py
@@ -26,38 +26,40 @@
 # Beyond the requested wait: a round trip to the keeper and one read of the store.
 ANSWER_MS: Final = 300
 # A keeper that did not answer gets no reads for this long; heartbeats detect its loss by then.
-PASSED_OVER_MS: Final = 2_000
+SKIP_SILENT_MS: Final = 2_000
 # Total length of the texts in one reply, far below the maximum frame; callers read again for more.
-ANSWER_CHARS: Final = 500_000
+MAX_ANSWER_CHARS: Final = 500_000
 
 Read = Callable[[str, int, int, str], Awaitable[Page | None]]
 
 
-def reading(hub: PeerHub, clock: Clock, keepers: Callable[[], Collection[str]]) -> Read:
+def make_job_reader(hub: PeerHub, clock: Clock, keepers: Callable[[], Collection[str]]) -> Read:
     """Return the function that reads results through a live keeper; it returns None on failure."""
-    passed_over: dict[str, int] = {}
+    skipped_until: dict[str, int] = {}
 
     async def read(job_id: str, after: int, wait_ms: int, team: str) -> Page | None:
         if hub.plan().full_mesh:
             return None
         now = clock.now()
-        asked = [one for one in keepers() if passed_over.get(one, 0) <= now]
-        if not asked:
+        candidates = [name for name in keepers() if skipped_until.get(name, 0) <= now]
+        if not candidates:
             return None
-        keeper = max(asked, key=lambda one: score(job_id, one))
-        told = await hub.ask(
+        keeper = max(candidates, key=lambda name: score(job_id, name))
+        reply = await hub.ask(
             keeper,
             lambda ask_id: ResultsAsk(ask_id, job_id, after, wait_ms, team),
             wait_ms + ANSWER_MS,
         )
-        if isinstance(told, Err):
-            passed_over[keeper] = clock.now() + PASSED_OVER_MS
+        if isinstance(reply, Err):
+            skipped_until[keeper] = clock.now() + SKIP_SILENT_MS
             return None
-        tell = told.ok_value
-        if not isinstance(tell, ResultsTell) or not tell.known:
+        results_reply = reply.ok_value
+        if not isinstance(results_reply, ResultsTell) or not results_reply.known:
             return None
-        results = [ItemResult(one.id, ItemEnd(one.end), one.text) for one in tell.results]
-        return Page(tell.total, results)
+        results = [
+            ItemResult(name.id, ItemEnd(name.end), name.text) for name in results_reply.results
+        ]
+        return Page(results_reply.total, results)
 
     return read
 
@@ -67,30 +69,32 @@
     return None
 
 
-def answer_reads(hub: PeerHub, desk: JobDesk) -> None:
+def serve_reads(hub: PeerHub, job_service: JobDesk) -> None:
     """Answer entries that request results; a failed read is reported as unknown."""
 
-    async def answer(peer_id: str, ask: ResultsAsk) -> None:
-        page = await desk.results(ask.job_id, ask.after, ask.wait_ms, ask.team)
+    async def answer(peer_id: str, request: ResultsAsk) -> None:
+        page = await job_service.results(
+            request.job_id, request.after, request.wait_ms, request.team
+        )
         if isinstance(page, Ok):
             total, results = page.ok_value
-            hub.tell(peer_id, ResultsTell(ask.ask_id, True, total, _told(results)))
+            hub.tell(peer_id, ResultsTell(request.ask_id, True, total, _first_results(results)))
         else:
-            hub.tell(peer_id, ResultsTell(ask.ask_id, False))
+            hub.tell(peer_id, ResultsTell(request.ask_id, False))
 
-    def on_ask(peer_id: str, ask: ResultsAsk) -> None:
-        done = Deferred.fromCoroutine(answer(peer_id, ask))
+    def on_request(peer_id: str, request: ResultsAsk) -> None:
+        done = Deferred.fromCoroutine(answer(peer_id, request))
         done.addErrback(report_failure, "job reading")
 
-    hub.subscribe(ResultsAsk, on_ask)
+    hub.subscribe(ResultsAsk, on_request)
 
 
-def _told(results: list[ItemResult]) -> tuple[ResultTold, ...]:
-    told: list[ResultTold] = []
+def _first_results(results: list[ItemResult]) -> tuple[ResultTold, ...]:
+    page: list[ResultTold] = []
     chars = 0
-    for one in results:
-        chars += len(one.text)
-        if told and chars > ANSWER_CHARS:
+    for result in results:
+        chars += len(result.text)
+        if page and chars > MAX_ANSWER_CHARS:
             break
-        told.append(ResultTold(one.id, one.end.value, one.text))
-    return tuple(told)
+        page.append(ResultTold(result.id, result.end.value, result.text))
+    return tuple(page)
--- a/papayapier/node/keeper.py
+++ b/papayapier/node/keeper.py
@@ -19,20 +19,20 @@
 from papayapier.jobs.runner import JobRunner, RunnerDeps
 from papayapier.jobs.runs import RunDeps
 from papayapier.jobs.vault import Vault, VaultDeps
-from papayapier.node.allowances import GrantDeps, answer_allowances
+from papayapier.node.allowances import GrantDeps, serve_allowances
 from papayapier.node.base import (
-    SLOWLY,
-    SOON,
+    FOLLOW_SLOWLY,
+    FOLLOW_SOON,
     NodeBase,
     close_base,
     follow,
     follow_common,
     make_base,
 )
-from papayapier.node.job_reading import answer_reads, read_here
-from papayapier.node.keeping import answer_keeping, in_threads
-from papayapier.node.lost_keepers import write_lost_down
-from papayapier.node.orphans import answer_about_runs, seek_orphans
+from papayapier.node.job_reading import read_here, serve_reads
+from papayapier.node.keeping import run_in_threads, serve_keeping
+from papayapier.node.lost_keepers import mark_lost_keepers
+from papayapier.node.orphans import recover_orphans, serve_run_requests
 from papayapier.node.processes import Role
 from papayapier.node.retirement import Retirement
 from papayapier.node.settings import NodeSettings
@@ -52,10 +52,10 @@
 class Keeper:
     """Hold a running keeper."""
 
-    def __init__(self, base: NodeBase, runner: JobRunner, vault: Vault | None) -> None:
+    def __init__(self, base: NodeBase, runner: JobRunner, local_jobs: Vault | None) -> None:
         self._base = base
         self._runner = runner
-        self._vault = vault
+        self._local_jobs = local_jobs
 
     async def leave(self) -> None:
         """Hand over the jobs, write finished results, and stop."""
@@ -67,8 +67,8 @@
         while base.drain.tick(base.clock.now(), self._runner.unwritten()) != "stopped":
             await base.clock.sleep(LEAVE_TICK_MS)
         self._runner.close()
-        if self._vault is not None:
-            self._vault.close()
+        if self._local_jobs is not None:
+            self._local_jobs.close()
         await close_base(base)
 
 
@@ -81,32 +81,32 @@
         return made
     base = made.ok_value
     me = cfg.instance.id
-    witnesses = Witnesses()
+    reachability = Witnesses()
 
-    def sharing() -> list[str]:
+    def live_keepers() -> list[str]:
         """Return the live keepers; this one is included unless it is leaving and others live."""
-        others = _others_sharing(base, witnesses)
+        others = _other_live_keepers(base, reachability)
         return sorted(others if others and base.drain.state() != "serving" else {*others, me})
 
-    desk = _reading_desk(base, lambda job_id: runner.record(job_id))
-    answer_reads(base.hub, desk)
+    job_service = _make_read_service(base, lambda job_id: runner.record(job_id))
+    serve_reads(base.hub, job_service)
 
-    def tell_groups(job_id: str, groups: int, written: Written | None) -> None:
+    def publish_groups(job_id: str, groups: int, written: Written | None) -> None:
         if written is not None:
-            desk.on_written(job_id, written)
+            job_service.on_written(job_id, written)
         else:
-            desk.on_groups(job_id, groups)
-        word = base.news.word(job_id, groups, clock.now())
+            job_service.on_groups(job_id, groups)
+        notification = base.group_notifications.word(job_id, groups, clock.now())
         # In a large fleet the next heartbeats carry the notification, and readers wait at most half
         # a second for it: a broadcast for each group would be a tenth of all messages.
         if base.hub.plan().full_mesh:
-            base.hub.tell_all(JobChanged(job_id, groups, word.number))
+            base.hub.tell_all(JobChanged(job_id, groups, notification.number))
 
     runs = RunDeps(
         clock=clock,
         rand=rand,
         me=me,
-        book=base.book,
+        book=base.load_tracker,
         outliers=base.outliers,
         crashes=base.crashes,
         send=base.send,
@@ -114,18 +114,24 @@
         of_team=headers.of_team,
         body=job_calls.item_body,
         request_id=headers.REQUEST_ID,
-        sharing=sharing,
+        sharing=live_keepers,
         hidden=lambda: base.hub.silent() & base.nodes.with_role(Role.KEEPER),
         uses_changed=base.hub.uses_changed,
     )
     store = base.view(Priority.BULK)
-    runner = JobRunner(RunnerDeps(runs, store, base.routing.table, tell_groups, base.news))
+    runner = JobRunner(
+        RunnerDeps(runs, store, base.routing.table, publish_groups, base.group_notifications)
+    )
     if cfg.jobs.folder:
         await _start_progress(base, runner)
     base.hub.on_change(runner.review)
-    base.hub.subscribe(Heartbeat, lambda peer, beat: witnesses.on_told(peer, beat.unheard))
+    base.hub.subscribe(
+        Heartbeat, lambda peer, heartbeat: reachability.on_told(peer, heartbeat.unheard)
+    )
     # A peer without open calls takes no slot; slots that it has freed are used in the next round.
-    base.hub.subscribe(Heartbeat, lambda _peer, beat: runner.pump_soon() if beat.uses else None)
+    base.hub.subscribe(
+        Heartbeat, lambda _peer, heartbeat: runner.pump_soon() if heartbeat.uses else None
+    )
     base.hub.subscribe(CallsTold, lambda _peer, _message: runner.pump_soon())
     follow_common(base, Role.KEEPER)
     expiry = Expiry(ExpiryDeps(clock, base.view(Priority.BULK), cfg.jobs.keep_s, runner.has_closed))
@@ -134,33 +140,33 @@
         runner.on_change(change)
         expiry.on_change(change)
 
-    follow(base, JOBS, on_job, SOON)
-    sweeping = Deferred.fromCoroutine(expiry.run())
-    sweeping.addErrback(report_failure, "expiry")
-    base.tasks.append(sweeping)
-    vault = _start_vault(base, runner) if cfg.jobs.folder else None
-    retirement = Retirement(base, runner, vault)
-    follow(base, RETIREMENTS_PREFIX, retirement.on_change, SLOWLY)
+    follow(base, JOBS, on_job, FOLLOW_SOON)
+    expiry_task = Deferred.fromCoroutine(expiry.run())
+    expiry_task.addErrback(report_failure, "expiry")
+    base.tasks.append(expiry_task)
+    local_jobs = _start_local_jobs(base, runner) if cfg.jobs.folder else None
+    retirement = Retirement(base, runner, local_jobs)
+    follow(base, RETIREMENTS_PREFIX, retirement.on_change, FOLLOW_SLOWLY)
     runner.start()
-    _grant(base)
-    _write_lost_down(base)
-    answer_about_runs(base.hub, runner.looks)
-    seeking = Deferred.fromCoroutine(seek_orphans(base.hub, clock, runner.looks))
-    seeking.addErrback(report_failure, "orphans")
-    base.tasks.append(seeking)
+    _serve_allowances(base)
+    _mark_lost_keepers(base)
+    serve_run_requests(base.hub, runner.looks)
+    orphan_search = Deferred.fromCoroutine(recover_orphans(base.hub, clock, runner.looks))
+    orphan_search.addErrback(report_failure, "orphans")
+    base.tasks.append(orphan_search)
     events.emit(events.PROCESS_STARTED, instance=me, role=Role.KEEPER.value)
-    return Ok(Keeper(base, runner, vault))
+    return Ok(Keeper(base, runner, local_jobs))
 
 
-def _write_lost_down(base: NodeBase) -> None:
+def _mark_lost_keepers(base: NodeBase) -> None:
     store, me = base.view(Priority.LEASE), base.cfg.instance.id
-    writing = write_lost_down(base.hub, base.clock, base.nodes, store, me)
+    writing = mark_lost_keepers(base.hub, base.clock, base.nodes, store, me)
     task = Deferred.fromCoroutine(writing)
     task.addErrback(report_failure, "lost keepers")
     base.tasks.append(task)
 
 
-def _grant(base: NodeBase) -> None:
+def _serve_allowances(base: NodeBase) -> None:
     """Grant the allowances of the teams that fall to this keeper."""
     me, clock = base.cfg.instance.id, base.clock
 
@@ -172,7 +178,7 @@
         teams = table.cfg.teams if table is not None else None
         return teams.named(name) if teams is not None else None
 
-    answer_allowances(
+    serve_allowances(
         GrantDeps(
             base.hub,
             clock,
@@ -186,41 +192,41 @@
     )
 
 
-def _others_sharing(base: NodeBase, witnesses: Witnesses) -> frozenset[str]:
+def _other_live_keepers(base: NodeBase, reachability: Witnesses) -> frozenset[str]:
     """Return the other live keepers, by the criterion that all keepers use."""
     keepers = base.nodes.with_role(Role.KEEPER) - {base.cfg.instance.id}
     if not base.hub.plan().full_mesh:
         # Only hubs are connected to all instances. An entry without a connection to a keeper does
         # not notice its loss, so its reachability reports are of no use.
         return keepers & base.hub.vouched()
-    heard = frozenset(base.hub.live())
-    unheard = keepers - heard
-    live = keepers & heard
-    if unheard:
-        entries = base.nodes.with_role(Role.ENTRY) & heard
+    reachable = frozenset(base.hub.live())
+    unreachable = keepers - reachable
+    live = keepers & reachable
+    if unreachable:
+        entries = base.nodes.with_role(Role.ENTRY) & reachable
         # Unreachable from here but reachable from the entries, and not leaving.
-        cut_off = unheard & base.hub.silent()
-        live |= {one for one in cut_off if witnesses.heard(one, entries)}
+        cut_off = unreachable & base.hub.silent()
+        live |= {keeper for keeper in cut_off if reachability.heard(keeper, entries)}
     return live
 
 
-def _reading_desk(base: NodeBase, known: Callable[[str], JobRecord | None]) -> JobDesk:
+def _make_read_service(base: NodeBase, known: Callable[[str], JobRecord | None]) -> JobDesk:
     """Build the job service that entries of a large fleet read from.
 
     It accepts no jobs: they are submitted at entries only.
     """
 
-    async def keep_nothing(_job_id: str, _value: bytes) -> Copies:
+    async def store_nothing(_job_id: str, _value: bytes) -> Copies:
         return NOT_ASKED
 
-    heard = GroupsHeard(lambda: base.nodes.with_role(Role.KEEPER), base.hub.live)
+    notifications = GroupsHeard(lambda: base.nodes.with_role(Role.KEEPER), base.hub.live)
     return JobDesk(
         DeskDeps(
             base.clock,
             base.rand,
             base.view(Priority.CLAIM),
-            heard,
-            keep=keep_nothing,
+            notifications,
+            keep=store_nothing,
             store_away=lambda: base.budget.down_since() is not None,
             settled=lambda: False,
             elsewhere=read_here,
@@ -233,7 +239,7 @@
     """Resume from the progress file of an earlier run, and start to save progress regularly."""
     folder = base.cfg.jobs.folder
     deps = progress.SaverDeps(
-        base.clock, folder, in_threads(base.reactor), runner.progress, base.crashes.snapshot
+        base.clock, folder, run_in_threads(base.reactor), runner.progress, base.crashes.snapshot
     )
     snapshot = await progress.load_soon(deps)
     runner.recall(snapshot.items)
@@ -243,10 +249,10 @@
     base.tasks.append(saving)
 
 
-def _start_vault(base: NodeBase, runner: JobRunner) -> Vault:
+def _start_local_jobs(base: NodeBase, runner: JobRunner) -> Vault:
     """Start to store jobs locally for entries, beginning with those left by an earlier run."""
     cfg = base.cfg
-    vault = Vault(
+    local_jobs = Vault(
         VaultDeps(
             base.clock,
             base.rand,
@@ -254,12 +260,12 @@
             cfg.jobs.folder,
             cfg.jobs.keep_s,
             cfg.store.longest_pause_ms,
-            in_threads(base.reactor),
+            run_in_threads(base.reactor),
             runner.on_held,
         )
     )
-    answer_keeping(base.hub, vault)
-    loading = Deferred.fromCoroutine(vault.start())
+    serve_keeping(base.hub, local_jobs)
+    loading = Deferred.fromCoroutine(local_jobs.start())
     loading.addErrback(report_failure, "vault")
     base.tasks.append(loading)
-    return vault
+    return local_jobs
--- a/papayapier/node/keeping.py
+++ b/papayapier/node/keeping.py
@@ -20,9 +20,9 @@
 from papayapier.store.watch import report_failure
 
 # A healthy disk syncs in a few ms; a hanging disk blocks for seconds.
-ASK_MS: Final = 1_000
+REQUEST_TIMEOUT_MS: Final = 1_000
 # Larger jobs span many objects in the store and take long to write to a disk.
-LARGEST_BYTES: Final = 1_000_000
+MAX_JOB_BYTES: Final = 1_000_000
 
 
 class KeepingDeps(NamedTuple):
@@ -40,58 +40,58 @@
 
 async def keep(deps: KeepingDeps, job_id: str, value: bytes) -> Copies:
     """Request keepers to store a job; return as soon as enough of them have confirmed it."""
-    if len(value) > LARGEST_BYTES:
+    if len(value) > MAX_JOB_BYTES:
         return NOT_ASKED
     keepers = sorted(deps.keepers())
     able = read_record(value).map(lambda record: deps.able(record, keepers)).unwrap_or(())
-    asked = holders(job_id, keepers, deps.copies, able)
-    if not asked:
+    chosen = holders(job_id, keepers, deps.copies, able)
+    if not chosen:
         return NOT_ASKED
-    count = _Count(deps.copies, len(asked))
-    for keeper in asked:
-        task = Deferred.fromCoroutine(_ask(deps.hub, keeper, job_id, value))
-        task.addBoth(count.on_end)
-    return await count.ended
+    counter = _CopyCounter(deps.copies, len(chosen))
+    for keeper in chosen:
+        task = Deferred.fromCoroutine(_request_copy(deps.hub, keeper, job_id, value))
+        task.addBoth(counter.on_outcome)
+    return await counter.done
 
 
-async def _ask(hub: PeerHub, keeper: str, job_id: str, value: bytes) -> bool:
-    told = await hub.ask(keeper, lambda ask_id: KeepAsk(ask_id, job_id, value), ASK_MS)
-    return isinstance(told, Ok) and isinstance(told.ok_value, KeepTell) and told.ok_value.kept
+async def _request_copy(hub: PeerHub, keeper: str, job_id: str, value: bytes) -> bool:
+    reply = await hub.ask(keeper, lambda ask_id: KeepAsk(ask_id, job_id, value), REQUEST_TIMEOUT_MS)
+    return isinstance(reply, Ok) and isinstance(reply.ok_value, KeepTell) and reply.ok_value.kept
 
 
-class _Count:
+class _CopyCounter:
     """Count the keepers that have stored a job, until enough have or all requests are finished."""
 
-    def __init__(self, needed: int, asked: int) -> None:
-        self.held = 0
-        self.ended: Deferred[Copies] = Deferred()
+    def __init__(self, needed: int, requested: int) -> None:
+        self.stored = 0
+        self.done: Deferred[Copies] = Deferred()
         self._needed = needed
-        self._open = asked
-
-    def on_end(self, end: "bool | Failure") -> None:
-        self._open -= 1
-        if isinstance(end, Failure):
-            report_failure(end, "keep")
-        elif end:
-            self.held += 1
-        enough = self.held >= self._needed
-        if not self.ended.called and (enough or not self._open):
+        self._pending = requested
+
+    def on_outcome(self, outcome: "bool | Failure") -> None:
+        self._pending -= 1
+        if isinstance(outcome, Failure):
+            report_failure(outcome, "keep")
+        elif outcome:
+            self.stored += 1
+        enough = self.stored >= self._needed
+        if not self.done.called and (enough or not self._pending):
             # A keeper that did not answer may still have stored the job, and create it later.
-            self.ended.callback(Copies(enough, maybe_held=True, held=self.held))
+            self.done.callback(Copies(enough, maybe_held=True, held=self.stored))
 
 
-def answer_keeping(hub: PeerHub, vault: Vault) -> None:
+def serve_keeping(hub: PeerHub, local_jobs: Vault) -> None:
     """Answer entries that request to store a job on this keeper's disk."""
 
-    def on_ask(peer_id: str, ask: KeepAsk) -> None:
-        done = Deferred.fromCoroutine(vault.keep(KeptJob(ask.job_id, ask.value)))
-        done.addCallback(lambda kept: hub.tell(peer_id, KeepTell(ask.ask_id, kept)))
+    def on_request(peer_id: str, request: KeepAsk) -> None:
+        done = Deferred.fromCoroutine(local_jobs.keep(KeptJob(request.job_id, request.value)))
+        done.addCallback(lambda kept: hub.tell(peer_id, KeepTell(request.ask_id, kept)))
         done.addErrback(report_failure, "keep")
 
-    hub.subscribe(KeepAsk, on_ask)
+    hub.subscribe(KeepAsk, on_request)
 
 
-def in_threads(reactor: Any) -> Callable[[Callable[[], Any]], Deferred[Any]]:
+def run_in_threads(reactor: Any) -> Callable[[Callable[[], Any]], Deferred[Any]]:
     """Return a function that runs a blocking call in the reactor's thread pool."""
 
     def run(call: Callable[[], Any]) -> Deferred[Any]:
--- a/papayapier/node/large_fleet.py
+++ b/papayapier/node/large_fleet.py
@@ -24,7 +24,7 @@
         vouched: Callable[[], Collection[str]],
         table: Callable[[], RouteTable | None],
     ) -> None:
-        self.parts = make_parts(())
+        self.partitions = make_parts(())
         self._nodes = nodes
         self._live = live
         self._chosen = chosen
@@ -33,30 +33,30 @@
 
     def on_replicas(self, replicas: Sequence[Replica]) -> None:
         """Recompute the partitions from the listed replicas."""
-        self.parts = make_parts(replicas)
+        self.partitions = make_parts(replicas)
 
     def hubs(self) -> list[str]:
         """Return the live hubs."""
         live = self._live()
-        return [one for one in self._chosen() if one in live]
+        return [hub for hub in self._chosen() if hub in live]
 
     def _keepers(self) -> list[str]:
         """Return the keepers that share batch work, by the criterion the keepers use."""
         return sorted(self._nodes.with_role(Role.KEEPER).intersection(self._vouched()))
 
-    def concerned(self, replicas: Collection[str]) -> set[str]:
+    def concerned_keepers(self, replicas: Collection[str]) -> set[str]:
         """Return the keepers that share some replicas' batch slots or place their online calls."""
         hubs = self.hubs()
         keepers = self._keepers()
-        found: set[str] = set()
+        concerned_keepers: set[str] = set()
         for replica in replicas:
             if self._may_run_batch(replica):
-                found.update(first_sharers(replica, keepers))
-            key = self.parts.key_of.get(replica)
+                concerned_keepers.update(first_sharers(replica, keepers))
+            key = self.partitions.key_of.get(replica)
             placer = placer_of(key, hubs) if key is not None else None
             if placer is not None:
-                found.add(placer)
-        return found
+                concerned_keepers.add(placer)
+        return concerned_keepers
 
     def uses_by_totals(self, replica: str, keeper: str) -> bool:
         """Return whether a keeper may run batch at a replica whose calls it knows by totals only.
@@ -72,5 +72,5 @@
 
     def _may_run_batch(self, replica_id: str) -> bool:
         table = self._table()
-        upstream = upstream_of(self.parts.key_of.get(replica_id, ""))
+        upstream = upstream_of(self.partitions.key_of.get(replica_id, ""))
         return table is None or upstream in table.job_upstreams
--- a/papayapier/node/lost_keepers.py
+++ b/papayapier/node/lost_keepers.py
@@ -16,11 +16,11 @@
 
 from papayapier import events
 from papayapier.clock import Clock
-from papayapier.node.processes import NODES, NodeList, Role
+from papayapier.node.processes import NODES_PREFIX, NodeList, Role
 from papayapier.peer.hub import PeerHub
 from papayapier.store.api import Store
 
-LOOK_MS: Final = 1_000
+CHECK_INTERVAL_MS: Final = 1_000
 # Longer than a start, including a start after a power loss.
 SILENT_MS: Final = 5_000
 
@@ -29,31 +29,31 @@
     """Track since when keepers are silent, and which are already marked in this silence."""
 
     def __init__(self) -> None:
-        self._since: dict[str, int] = {}
-        self._written: set[str] = set()
+        self._silent_since: dict[str, int] = {}
+        self._marked: set[str] = set()
 
     def due(self, silent: frozenset[str], now: int) -> list[str]:
         """Update the set of silent keepers; return those to mark as lost."""
-        self._since = {one: self._since.get(one, now) for one in silent}
-        self._written &= silent
+        self._silent_since = {keeper: self._silent_since.get(keeper, now) for keeper in silent}
+        self._marked &= silent
         return sorted(
-            one
-            for one, since in self._since.items()
-            if now - since >= SILENT_MS and one not in self._written
+            keeper
+            for keeper, since in self._silent_since.items()
+            if now - since >= SILENT_MS and keeper not in self._marked
         )
 
-    def on_written(self, keeper: str) -> None:
+    def on_marked(self, keeper: str) -> None:
         """Record that a keeper was marked as lost, by this process or another."""
-        self._written.add(keeper)
+        self._marked.add(keeper)
 
 
-async def write_lost_down(
+async def mark_lost_keepers(
     hub: PeerHub, clock: Clock, nodes: NodeList, store: Store, me: str
 ) -> None:
     """Mark lost keepers in the store for as long as this process runs."""
     lost = LostKeepers()
     while True:
-        await clock.sleep(LOOK_MS)
+        await clock.sleep(CHECK_INTERVAL_MS)
         due = lost.due(hub.lost_hubs(), clock.now())
         hubs = hub.plan().hubs
         listed = nodes.with_role(Role.KEEPER)
@@ -65,6 +65,6 @@
                 continue
             record, version = stored
             value = msgspec.json.encode(record._replace(lost=True))
-            done = await store.update(NODES + keeper, value, version)
+            done = await store.update(NODES_PREFIX + keeper, value, version)
             events.emit(events.KEEPER_LOST, keeper=keeper, written=isinstance(done, Ok))
-            lost.on_written(keeper)
+            lost.on_marked(keeper)
--- a/papayapier/node/mirrors.py
+++ b/papayapier/node/mirrors.py
@@ -19,11 +19,11 @@
 from papayapier import events
 from papayapier.clock import Clock
 from papayapier.node.store_messages import (
-    changes_told,
-    listing_told,
-    read_told,
-    told_changes,
-    told_listing,
+    check_reply,
+    decode_changes,
+    decode_listing,
+    encode_changes,
+    encode_listing,
 )
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.messages import NEVER_AWAY, WHOLE, MirrorAsk, StoreTell
@@ -33,22 +33,22 @@
 from papayapier.store.watch import report_failure
 
 # With one hub lost and another disconnected, the third still serves; more would only add watches.
-WATCHERS: Final = 3
+WATCHER_COUNT: Final = 3
 WATCHERS_KEY: Final = "watcher"
 # Beyond the requested wait. A hub answers immediately or at the end of the wait.
 ANSWER_MS: Final = 300
-WHOLE_FROM_START: Final = ""
+FIRST_PAGE: Final = ""
 # A process that has just started reads the list and reaches a hub within this time. Without this
 # wait each of its watches would be a call to the store, three for each start.
-FIRST_HUB_MS: Final = 400
-LOOK_MS: Final = 20
+MAX_HUB_WAIT_MS: Final = 400
+POLL_MS: Final = 20
 # If more processes than this start at once, they do not all list thousands of replicas at the
 # store: the calls would time out and be repeated.
 MANY_PROCESSES: Final = 150
 # Time limits for reading the list of processes, and for a watcher to read the store and answer.
-SIZE_KNOWN_MS: Final = 200
-WATCHER_MS: Final = 2_500
-WHOLE_AGAIN_MS: Final = 150
+MAX_SIZE_WAIT_MS: Final = 200
+MAX_WATCHER_WAIT_MS: Final = 2_500
+LIST_RETRY_MS: Final = 150
 
 
 class MirrorDeps(NamedTuple):
@@ -62,12 +62,12 @@
     hub: PeerHub
     me: str
     hubs: Callable[[], list[str]]
-    store_back: Callable[[int], None]
+    on_store_return: Callable[[int], None]
     clock: Clock | None = None
     listed: Callable[[], int] = lambda: 0
 
 
-class Way:
+class StoreSource:
     """Record whether the last answer came directly from the store or from a hub."""
 
     __slots__ = ("direct",)
@@ -75,7 +75,7 @@
     def __init__(self) -> None:
         self.direct = True
 
-    def take(self, direct: bool, prefix: str) -> None:
+    def record(self, direct: bool, prefix: str) -> None:
         """Record the source of an answer, and log when it changes."""
         if direct != self.direct:
             self.direct = direct
@@ -84,40 +84,46 @@
 
 def watchers(hubs: list[str]) -> list[str]:
     """Return the hubs that watch the store for all processes."""
-    return sorted(hubs, key=lambda one: score(WATCHERS_KEY, one), reverse=True)[:WATCHERS]
+    return sorted(hubs, key=lambda hub: score(WATCHERS_KEY, hub), reverse=True)[:WATCHER_COUNT]
 
 
-def through_hubs(own: Store, deps: MirrorDeps, way: Way, patient: bool = False) -> Store:
+def with_hub_mirrors(
+    own: Store, deps: MirrorDeps, source: StoreSource, wait_for_watcher: bool = False
+) -> Store:
     """Return a Store whose listings and watches use the hubs first, in a large fleet.
 
     With wait_for_watcher the first listing waits for a watcher when many processes start at once.
     """
-    others = _Others(deps)
+    client = _HubClient(deps)
 
     async def list_(prefix: str, after: str, limit: int) -> Result[Listing, StoreError]:
-        if after == WHOLE_FROM_START:
-            told = await (others.ask_first(prefix) if patient else others.ask(prefix, WHOLE, 0))
-            if isinstance(told, Ok):
-                way.take(False, prefix)
-                return Ok(told_listing(told.ok_value))
-        way.take(True, prefix)
+        if after == FIRST_PAGE:
+            reply = await (
+                client.list_at_start(prefix)
+                if wait_for_watcher
+                else client.request_state(prefix, WHOLE, 0)
+            )
+            if isinstance(reply, Ok):
+                source.record(False, prefix)
+                return Ok(decode_listing(reply.ok_value))
+        source.record(True, prefix)
         return await own.list(prefix, after, limit)
 
     async def watch(prefix: str, since: int, wait_ms: int) -> Result[Changes, StoreError]:
-        await others.first_hub()
-        told = await others.ask(prefix, since, wait_ms)
-        way.take(told == Err(StoreError.UNAVAILABLE), prefix)
-        if not way.direct:
-            return told.map(told_changes)
+        await client.wait_for_hub()
+        reply = await client.request_state(prefix, since, wait_ms)
+        source.record(reply == Err(StoreError.UNAVAILABLE), prefix)
+        if not source.direct:
+            return reply.map(decode_changes)
         changes = await own.watch(prefix, since, wait_ms)
         # A concurrent listing may have come from another source meanwhile.
-        way.take(True, prefix)
+        source.record(True, prefix)
         return changes
 
     return own._replace(list=list_, watch=watch)
 
 
-class _Others:
+class _HubClient:
     """Send requests to the watcher that is assigned to this process, while it is reachable."""
 
     def __init__(self, deps: MirrorDeps) -> None:
@@ -125,75 +131,77 @@
         self._waiting: dict[str, list[Deferred[Any]]] = {}
         deps.hub.on_change(self._on_peers)
         clock = deps.clock
-        self._born_ms = 0 if clock is None else clock.now()
-        self._patient_until = 0 if clock is None else clock.now() + FIRST_HUB_MS
+        self._started_ms = 0 if clock is None else clock.now()
+        self._hub_wait_until = 0 if clock is None else clock.now() + MAX_HUB_WAIT_MS
 
-    async def ask_first(self, prefix: str) -> Result[StoreTell, StoreError]:
+    async def list_at_start(self, prefix: str) -> Result[StoreTell, StoreError]:
         """Return a hub's listing; after a start of many processes, wait until a hub has it."""
         clock = self._deps.clock
         while clock is not None and not self._deps.listed():
-            if clock.now() >= self._born_ms + SIZE_KNOWN_MS:
+            if clock.now() >= self._started_ms + MAX_SIZE_WAIT_MS:
                 break
-            await clock.sleep(LOOK_MS)
-        told = await self.ask(prefix, WHOLE, 0)
-        while clock is not None and isinstance(told, Err) and self._waits_for_watcher(clock.now()):
-            await clock.sleep(WHOLE_AGAIN_MS)
-            told = await self.ask(prefix, WHOLE, 0)
-        return told
+            await clock.sleep(POLL_MS)
+        reply = await self.request_state(prefix, WHOLE, 0)
+        while clock is not None and isinstance(reply, Err) and self._waits_for_watcher(clock.now()):
+            await clock.sleep(LIST_RETRY_MS)
+            reply = await self.request_state(prefix, WHOLE, 0)
+        return reply
 
     def _waits_for_watcher(self, now: int) -> bool:
         many = self._deps.listed() > MANY_PROCESSES
         watches = self._deps.me in watchers(self._deps.hubs())
-        return many and not watches and now < self._born_ms + WATCHER_MS
+        return many and not watches and now < self._started_ms + MAX_WATCHER_WAIT_MS
 
-    async def first_hub(self) -> None:
+    async def wait_for_hub(self) -> None:
         """Wait, only just after the start, until a hub or a full mesh is available."""
         clock = self._deps.clock
-        while clock is not None and clock.now() < self._patient_until:
+        while clock is not None and clock.now() < self._hub_wait_until:
             plan = self._deps.hub.plan()
             in_mesh = plan.full_mesh and plan.neighbours
             if in_mesh or self._hub() is not None or self._deps.me in self._deps.hubs():
                 return
-            await clock.sleep(LOOK_MS)
+            await clock.sleep(POLL_MS)
 
-    async def ask(self, prefix: str, since: int, wait_ms: int) -> Result[StoreTell, StoreError]:
+    async def request_state(
+        self, prefix: str, since: int, wait_ms: int
+    ) -> Result[StoreTell, StoreError]:
         """Return a hub's answer, or UNAVAILABLE if there is none."""
         hub_id = self._hub()
         if hub_id is None:
             return Err(StoreError.UNAVAILABLE)
-        asking = Deferred.fromCoroutine(
+        pending = Deferred.fromCoroutine(
             self._deps.hub.ask(
                 hub_id,
                 lambda ask_id: MirrorAsk(ask_id, prefix, since, wait_ms),
                 wait_ms + ANSWER_MS,
             )
         )
-        ended: Deferred[Any] = Deferred()
-        self._waiting.setdefault(hub_id, []).append(ended)
-        asking.addBoth(lambda answer: self._end(hub_id, ended, answer))
+        answered: Deferred[Any] = Deferred()
+        self._waiting.setdefault(hub_id, []).append(answered)
+        pending.addBoth(lambda reply: self._deliver(hub_id, answered, reply))
         try:
-            answer = await ended
+            reply = await answered
         finally:
             # The coroutine may be closing, so nothing may resume it from here on.
-            self._stop_waiting(hub_id, ended)
-            if not asking.called:
-                asking.cancel()
-        if isinstance(answer, Ok) and isinstance(answer.ok_value, StoreTell):
-            if answer.ok_value.back_ms_ago != NEVER_AWAY:
-                self._deps.store_back(answer.ok_value.back_ms_ago)
-            return read_told(answer.ok_value)
+            self._stop_waiting(hub_id, answered)
+            if not pending.called:
+                pending.cancel()
+        if isinstance(reply, Ok) and isinstance(reply.ok_value, StoreTell):
+            if reply.ok_value.back_ms_ago != NEVER_AWAY:
+                self._deps.on_store_return(reply.ok_value.back_ms_ago)
+            return check_reply(reply.ok_value)
         return Err(StoreError.UNAVAILABLE)
 
-    def _end(self, hub_id: str, ended: Deferred[Any], answer: Any) -> None:
+    def _deliver(self, hub_id: str, answered: Deferred[Any], answer: Any) -> None:
         """Deliver an answer to its request, if that is still waiting."""
-        if self._stop_waiting(hub_id, ended):
-            ended.callback(answer)
+        if self._stop_waiting(hub_id, answered):
+            answered.callback(answer)
 
-    def _stop_waiting(self, hub_id: str, ended: Deferred[Any]) -> bool:
+    def _stop_waiting(self, hub_id: str, answered: Deferred[Any]) -> bool:
         waiting = self._waiting[hub_id]
-        if ended not in waiting:
+        if answered not in waiting:
             return False
-        waiting.remove(ended)
+        waiting.remove(answered)
         return True
 
     def _hub(self) -> str | None:
@@ -204,31 +212,31 @@
         chosen = watchers(deps.hubs())
         if deps.me in chosen or not chosen:
             return None
-        return max(chosen, key=lambda one: score(deps.me, one))
+        return max(chosen, key=lambda hub_id: score(deps.me, hub_id))
 
     def _on_peers(self) -> None:
         """Stop waiting for hubs that have become unreachable or are leaving."""
         live = set(self._deps.hub.live())
         for hub_id, waiting in self._waiting.items():
             if hub_id not in live:
-                for ended in list(waiting):
-                    self._end(hub_id, ended, None)
+                for answered in list(waiting):
+                    self._deliver(hub_id, answered, None)
 
 
-def answer_from(hub: PeerHub, mirrors: dict[str, Mirror], back_ms_ago: Callable[[], int]) -> None:
+def serve_mirrors(hub: PeerHub, mirrors: dict[str, Mirror], back_ms_ago: Callable[[], int]) -> None:
     """Answer the processes that follow the store through this hub."""
 
-    def on_ask(peer_id: str, ask: MirrorAsk) -> None:
-        done = Deferred.fromCoroutine(_answer(mirrors.get(ask.prefix), ask))
-        done.addCallback(lambda tell: hub.tell(peer_id, tell._replace(back_ms_ago=back_ms_ago())))
+    def on_request(peer_id: str, request: MirrorAsk) -> None:
+        done = Deferred.fromCoroutine(_answer(mirrors.get(request.prefix), request))
+        done.addCallback(lambda reply: hub.tell(peer_id, reply._replace(back_ms_ago=back_ms_ago())))
         done.addErrback(report_failure, "mirror")
 
-    hub.subscribe(MirrorAsk, on_ask)
+    hub.subscribe(MirrorAsk, on_request)
 
 
-async def _answer(mirror: Mirror | None, ask: MirrorAsk) -> StoreTell:
+async def _answer(mirror: Mirror | None, request: MirrorAsk) -> StoreTell:
     if mirror is None:
-        return StoreTell(ask.ask_id, StoreError.UNAVAILABLE.value)
-    if ask.since == WHOLE:
-        return listing_told(ask.ask_id, mirror.whole())
-    return changes_told(ask.ask_id, await mirror.watch(ask.since, ask.wait_ms))
+        return StoreTell(request.ask_id, StoreError.UNAVAILABLE.value)
+    if request.since == WHOLE:
+        return encode_listing(request.ask_id, mirror.whole())
+    return encode_changes(request.ask_id, await mirror.watch(request.since, request.wait_ms))
--- a/papayapier/node/orphans.py
+++ b/papayapier/node/orphans.py
@@ -13,57 +13,59 @@
 from papayapier.policy.orphans import Answered
 from papayapier.store.watch import report_failure
 
-LOOK_MS: Final = 500
+CHECK_INTERVAL_MS: Final = 500
 # A live owner answers within a few ms; an owner that is busy for longer gets a second request.
 ANSWER_MS: Final = 400
 
 
-def answer_about_runs(hub: PeerHub, looks: JobLooks) -> None:
+def serve_run_requests(hub: PeerHub, job_checks: JobLooks) -> None:
     """Answer peers which jobs this instance runs, and claim one of the jobs that they offer."""
 
-    def on_ask(peer_id: str, ask: RunsAsk) -> None:
-        said = looks.on_asked(peer_id, ask.job_ids, ask.taken)
-        hub.tell(peer_id, RunsTell(ask.ask_id, tuple(said.runs), tuple(said.over)))
+    def on_request(peer_id: str, request: RunsAsk) -> None:
+        status = job_checks.on_asked(peer_id, request.job_ids, request.taken)
+        hub.tell(peer_id, RunsTell(request.ask_id, tuple(status.runs), tuple(status.over)))
 
     def on_offer(peer_id: str, offer: RunsOffer) -> None:
-        job_id = looks.wanted_of(offer.job_ids)
+        job_id = job_checks.wanted_of(offer.job_ids)
         if job_id is not None:
-            task = Deferred.fromCoroutine(_claim(hub, looks, peer_id, job_id))
+            task = Deferred.fromCoroutine(_claim(hub, job_checks, peer_id, job_id))
             task.addErrback(report_failure, "offered jobs")
 
-    hub.subscribe(RunsAsk, on_ask)
+    hub.subscribe(RunsAsk, on_request)
     hub.subscribe(RunsOffer, on_offer)
 
 
-async def seek_orphans(hub: PeerHub, clock: Clock, looks: JobLooks) -> None:
+async def recover_orphans(hub: PeerHub, clock: Clock, job_checks: JobLooks) -> None:
     """Check periodically for jobs that nobody runs, for as long as this instance runs."""
     while True:
-        await clock.sleep(LOOK_MS)
-        for owner, job_ids in looks.asks().items():
-            task = Deferred.fromCoroutine(_ask(hub, looks, owner, tuple(job_ids)))
+        await clock.sleep(CHECK_INTERVAL_MS)
+        for owner, job_ids in job_checks.asks().items():
+            task = Deferred.fromCoroutine(_check_owner(hub, job_checks, owner, tuple(job_ids)))
             task.addErrback(report_failure, "orphans")
-        for peer_id, job_ids in looks.offers().items():
+        for peer_id, job_ids in job_checks.offers().items():
             hub.tell(peer_id, RunsOffer(tuple(job_ids)))
 
 
-async def _ask(hub: PeerHub, looks: JobLooks, owner: str, job_ids: Sequence[str]) -> None:
-    answer = await _answer(hub, owner, job_ids, looks.taken_of(job_ids))
-    looks.on_said(owner, job_ids, answer)
+async def _check_owner(
+    hub: PeerHub, job_checks: JobLooks, owner: str, job_ids: Sequence[str]
+) -> None:
+    answer = await _request_runs(hub, owner, job_ids, job_checks.taken_of(job_ids))
+    job_checks.on_said(owner, job_ids, answer)
 
 
-async def _claim(hub: PeerHub, looks: JobLooks, owner: str, job_id: str) -> None:
-    answer = await _answer(hub, owner, (job_id,), (job_id,))
+async def _claim(hub: PeerHub, job_checks: JobLooks, owner: str, job_id: str) -> None:
+    answer = await _request_runs(hub, owner, (job_id,), (job_id,))
     if answer is not None:
-        looks.on_claimed(owner, job_id, answer)
+        job_checks.on_claimed(owner, job_id, answer)
 
 
-async def _answer(
+async def _request_runs(
     hub: PeerHub, owner: str, job_ids: Sequence[str], taken: Sequence[str]
 ) -> Answered | None:
     """Return an owner's answer about jobs, or None if it does not answer in time."""
-    told = await hub.ask(
+    reply = await hub.ask(
         owner, lambda ask_id: RunsAsk(ask_id, tuple(job_ids), tuple(taken)), ANSWER_MS
     )
-    if not isinstance(told, Ok) or not isinstance(told.ok_value, RunsTell):
+    if not isinstance(reply, Ok) or not isinstance(reply.ok_value, RunsTell):
         return None
-    return Answered(frozenset(told.ok_value.runs), frozenset(told.ok_value.over))
+    return Answered(frozenset(reply.ok_value.runs), frozenset(reply.ok_value.over))
--- a/papayapier/node/outage_tracker.py
+++ b/papayapier/node/outage_tracker.py
@@ -11,27 +11,27 @@
 NEVER: Millis = Millis(0)
 
 
-class StoreReturn:
+class OutageTracker:
     """Hold when the store last returned from an outage."""
 
     def __init__(self, clock: Clock, budget: Budget) -> None:
         self._clock = clock
         self._budget = budget
-        self._told_ms = NEVER
+        self._reported_ms = NEVER
 
-    def back_ms(self) -> int | None:
+    def last_return_ms(self) -> int | None:
         """Return when the store last returned, 0 if it never failed, None while unreachable."""
         if self._budget.down_since() is not None:
             return None
-        return max(self._budget.back_ms() or NEVER, self._told_ms)
+        return max(self._budget.back_ms() or NEVER, self._reported_ms)
 
-    def ms_ago(self) -> int:
+    def ms_since_return(self) -> int:
         """Return how many ms ago the store returned, to report to others; 0 while unreachable."""
-        back = self.back_ms()
-        if back is None:
+        returned_ms = self.last_return_ms()
+        if returned_ms is None:
             return 0
-        return self._clock.now() - back if back else NEVER_AWAY
+        return self._clock.now() - returned_ms if returned_ms else NEVER_AWAY
 
-    def on_told(self, ms_ago: int) -> None:
+    def on_reported(self, ms_since_return: int) -> None:
         """Record a hub's report that the store returned this many ms ago."""
-        self._told_ms = max(self._told_ms, Millis(self._clock.now() - ms_ago))
+        self._reported_ms = max(self._reported_ms, Millis(self._clock.now() - ms_since_return))
--- a/papayapier/node/peer_calls.py
+++ b/papayapier/node/peer_calls.py
@@ -18,55 +18,57 @@
 
 # Open calls are reported again each second. After three missing reports the sender has crashed or
 # has no open calls there.
-TOLD_STANDS_MS: Final = 3_500
+REPORT_TTL_MS: Final = 3_500
 SWEEP_MS: Final = 1_000
 
 
-def follow_calls(hub: PeerHub, book: LoadBook, clock: Clock) -> Deferred[None]:
+def track_peer_calls(hub: PeerHub, load_tracker: LoadBook, clock: Clock) -> Deferred[None]:
     """Record the open calls of CallsTold messages; return the task that expires them."""
-    told: dict[str, int] = {}
+    last_report_ms: dict[str, int] = {}
 
-    def on_told(peer_id: str, message: CallsTold) -> None:
+    def on_calls(peer_id: str, message: CallsTold) -> None:
         now = clock.now()
-        told[peer_id] = now
-        book.on_peer_uses(peer_id, message.uses, now)
+        last_report_ms[peer_id] = now
+        load_tracker.on_peer_uses(peer_id, message.uses, now)
 
-    def on_beat(peer_id: str, _beat: Heartbeat) -> None:
-        told.pop(peer_id, None)
+    def on_heartbeat(peer_id: str, _heartbeat: Heartbeat) -> None:
+        last_report_ms.pop(peer_id, None)
 
-    async def forget() -> None:
+    async def expire() -> None:
         while True:
             await clock.sleep(SWEEP_MS)
-            limit = clock.now() - TOLD_STANDS_MS
-            for peer_id in [one for one, at in told.items() if at < limit]:
-                del told[peer_id]
-                book.on_peer_uses(peer_id, (), clock.now())
-
-    hub.subscribe(CallsTold, on_told)
-    hub.subscribe(Heartbeat, on_beat)
-    task = Deferred.fromCoroutine(forget())
-    task.addErrback(report_failure, "calls heard")
+            oldest_ms = clock.now() - REPORT_TTL_MS
+            for peer_id in [peer for peer, at in last_report_ms.items() if at < oldest_ms]:
+                del last_report_ms[peer_id]
+                load_tracker.on_peer_uses(peer_id, (), clock.now())
+
+    hub.subscribe(CallsTold, on_calls)
+    hub.subscribe(Heartbeat, on_heartbeat)
+    task = Deferred.fromCoroutine(expire())
+    task.addErrback(report_failure, "peer calls")
     return task
 
 
-def follow_totals(
-    hub: PeerHub, book: LoadBook, matters: Callable[[str], bool] = lambda _replica: True
+def track_totals(
+    hub: PeerHub, load_tracker: LoadBook, is_relevant: Callable[[str], bool] = lambda _replica: True
 ) -> None:
     """Record the totals that hubs send, and drop those of instances that are no longer hubs.
 
     is_relevant selects the replicas for which totals are recorded.
     """
-    told: set[str] = set()
+    senders: set[str] = set()
 
-    def on_beat(peer_id: str, beat: Heartbeat) -> None:
+    def on_heartbeat(peer_id: str, heartbeat: Heartbeat) -> None:
         if peer_id in hub.plan().hubs:
-            told.add(peer_id)
-            book.on_totals(peer_id, [use for use in beat.totals if matters(use.replica)])
+            senders.add(peer_id)
+            load_tracker.on_totals(
+                peer_id, [use for use in heartbeat.totals if is_relevant(use.replica)]
+            )
 
     def on_change() -> None:
-        for gone in told.difference(hub.plan().hubs):
-            told.discard(gone)
-            book.on_totals(gone, ())
+        for former_hub in senders.difference(hub.plan().hubs):
+            senders.discard(former_hub)
+            load_tracker.on_totals(former_hub, ())
 
-    hub.subscribe(Heartbeat, on_beat)
+    hub.subscribe(Heartbeat, on_heartbeat)
     hub.on_change(on_change)
--- a/papayapier/node/placement.py
+++ b/papayapier/node/placement.py
@@ -27,15 +27,15 @@
 ANSWER_MS: Final = 40
 # A hub that did not answer gets no requests for this long. Heartbeats detect its loss within two
 # seconds, and without this each call until then would wait in vain.
-PASSED_OVER_MS: Final = 1_000
+SKIP_SILENT_MS: Final = 1_000
 # A request queued at a hub that then becomes silent or leaves is sent once more, to the next hub. A
 # request that was given a replica which is not listed here is sent once more to the same hub.
-ASKS_MOST: Final = 2
+MAX_REQUESTS: Final = 2
 
 Place = Callable[[RouteRequest, Wanting], Awaitable[Placed]]
 
 
-class PlacingDeps(NamedTuple):
+class PlacementDeps(NamedTuple):
     """Hold the dependencies of placement requests.
 
     hubs returns the live hubs, parts the partitions of the replicas. With queue the hub may queue
@@ -45,30 +45,30 @@
     clock: Clock
     rand: random.Random
     hub: PeerHub
-    book: LoadBook
+    load_tracker: LoadBook
     outliers: Outliers
     hubs: Callable[[], list[str]]
     parts: Callable[[], Parts]
     queue: bool = False
 
 
-def holds_for(deps: PlacingDeps, upstream: str) -> bool:
+def queues_at_hub(deps: PlacementDeps, upstream: str) -> bool:
     """Return whether calls of an upstream are queued at a hub instead of at this instance."""
     if not deps.queue or deps.hub.plan().full_mesh:
         return False
     return upstream in deps.parts().keys and bool(deps.hubs())
 
 
-def asking(deps: PlacingDeps) -> Place:
+def make_place(deps: PlacementDeps) -> Place:
     """Return the function that places a call; its result is a replica, a refusal or neither."""
 
-    passed_over: dict[str, Millis] = {}
+    skipped_until: dict[str, Millis] = {}
 
-    def placer(key: str) -> str | None:
+    def next_hub(key: str) -> str | None:
         now = deps.clock.now()
-        for hub_id in [one for one, until in passed_over.items() if until <= now]:
-            del passed_over[hub_id]
-        return placer_of(key, [one for one in deps.hubs() if one not in passed_over])
+        for hub_id in [hub for hub, until in skipped_until.items() if until <= now]:
+            del skipped_until[hub_id]
+        return placer_of(key, [hub for hub in deps.hubs() if hub not in skipped_until])
 
     async def place(req: RouteRequest, wanting: Wanting) -> Placed:
         if deps.hub.plan().full_mesh:
@@ -77,42 +77,44 @@
         if not keys:
             return NOT_PLACED
         key = deps.rand.choice(keys)
-        began = deps.clock.now()
-        for _ in range(ASKS_MOST):
-            hub_id = placer(key)
+        began_ms = deps.clock.now()
+        for _ in range(MAX_REQUESTS):
+            hub_id = next_hub(key)
             if hub_id is None:
                 return NOT_PLACED
-            passed_ms = deps.clock.now() - began
-            ask = _Ask(deps, hub_id, key, req, _later(wanting, passed_ms) if deps.queue else None)
-            told = await ask.answer()
-            if told is None and hub_id not in passed_over:
-                events.emit(events.PLACER_SILENT, hub=hub_id, part=key, held=ask.held)
-            if told is None or told.leaving:
-                passed_over[hub_id] = Millis(deps.clock.now() + PASSED_OVER_MS)
-                if told is None and not ask.held:
+            passed_ms = deps.clock.now() - began_ms
+            request = _PlacementRequest(
+                deps, hub_id, key, req, _after_delay(wanting, passed_ms) if deps.queue else None
+            )
+            reply = await request.answer()
+            if reply is None and hub_id not in skipped_until:
+                events.emit(events.PLACER_SILENT, hub=hub_id, part=key, held=request.queued)
+            if reply is None or reply.leaving:
+                skipped_until[hub_id] = Millis(deps.clock.now() + SKIP_SILENT_MS)
+                if reply is None and not request.queued:
                     return NOT_PLACED
                 continue
-            if not deps.queue or not _is_unknown(deps, req, told):
-                return _placed(told, key, deps.queue)
+            if not deps.queue or not _is_unknown(deps, req, reply):
+                return _placed(reply, key, deps.queue)
             # Either list of replicas is outdated; the resent request excludes the replica.
-            events.emit(events.PLACED_UNKNOWN, hub=hub_id, part=key, replica=told.replica)
-            deps.hub.tell(hub_id, Unanswered(told.replica))
-            req = req._replace(exclude=req.exclude | {told.replica})
+            events.emit(events.PLACED_UNKNOWN, hub=hub_id, part=key, replica=reply.replica)
+            deps.hub.tell(hub_id, Unanswered(reply.replica))
+            req = req._replace(exclude=req.exclude | {reply.replica})
         return NOT_PLACED
 
     return place
 
 
-def _is_unknown(deps: PlacingDeps, req: RouteRequest, told: PlaceTell) -> bool:
-    usable = deps.book.usable(req.upstream, deps.clock.now())
-    return bool(told.replica) and all(one.id != told.replica for one in usable)
+def _is_unknown(deps: PlacementDeps, req: RouteRequest, reply: PlaceTell) -> bool:
+    usable = deps.load_tracker.usable(req.upstream, deps.clock.now())
+    return bool(reply.replica) and all(replica.id != reply.replica for replica in usable)
 
 
-class _Ask:
+class _PlacementRequest:
     """Send the placement request of one call to one hub, and wait for as long as it is queued."""
 
     def __init__(
-        self, deps: PlacingDeps, hub_id: str, key: str, req: RouteRequest, wanting: Wanting | None
+        self, deps: PlacementDeps, hub_id: str, key: str, req: RouteRequest, wanting: Wanting | None
     ) -> None:
         self._deps = deps
         self._hub_id = hub_id
@@ -120,34 +122,34 @@
         self._req = req
         self._wanting = wanting
         self._ask_id = 0
-        self.held = False
+        self.queued = False
 
     async def answer(self) -> PlaceTell | None:
         """Return the final answer, or None if the hub became silent."""
-        waiting = True
+        unfinished = True
         try:
-            told = await self._deps.hub.ask(self._hub_id, self._message, ANSWER_MS)
-            while isinstance(told, Ok) and isinstance(told.ok_value, PlaceTell):
-                if not told.ok_value.held_ms:
-                    waiting = False
-                    return told.ok_value
-                self.held = True
-                wait_ms = told.ok_value.held_ms + ANSWER_MS
-                told = await self._deps.hub.ask_on(self._hub_id, self._ask_id, wait_ms)
+            reply = await self._deps.hub.ask(self._hub_id, self._message, ANSWER_MS)
+            while isinstance(reply, Ok) and isinstance(reply.ok_value, PlaceTell):
+                if not reply.ok_value.held_ms:
+                    unfinished = False
+                    return reply.ok_value
+                self.queued = True
+                wait_ms = reply.ok_value.held_ms + ANSWER_MS
+                reply = await self._deps.hub.ask_on(self._hub_id, self._ask_id, wait_ms)
             return None
         finally:
             # The caller has left, or the request goes to another hub.
-            if waiting and self._wanting is not None:
+            if unfinished and self._wanting is not None:
                 self._deps.hub.tell(self._hub_id, PlaceLeft(self._ask_id))
 
     def _message(self, ask_id: int) -> PlaceAsk:
         self._ask_id = ask_id
         req, wanting = self._req, self._wanting
         shunned = tuple(_shunned(self._deps, req))
-        ask = PlaceAsk(ask_id, self._key, req.prefix, req.data_centre, shunned)
+        message = PlaceAsk(ask_id, self._key, req.prefix, req.data_centre, shunned)
         if wanting is None:
-            return ask
-        return ask._replace(
+            return message
+        return message._replace(
             caller=wanting.caller,
             rank=wanting.rank,
             aim_ms=wanting.aim_ms,
@@ -156,18 +158,18 @@
         )
 
 
-def _shunned(deps: PlacingDeps, req: RouteRequest) -> set[str]:
+def _shunned(deps: PlacementDeps, req: RouteRequest) -> set[str]:
     """Return the replicas to avoid, by the results of calls that this instance has made."""
     now = deps.clock.now()
     shunned = set(req.exclude)
-    for one in deps.book.usable(req.upstream, now):
-        returning = not req.idempotent and deps.outliers.returning(one.id)
-        if returning or deps.outliers.ejected(one.id, now):
-            shunned.add(one.id)
+    for replica in deps.load_tracker.usable(req.upstream, now):
+        returning = not req.idempotent and deps.outliers.returning(replica.id)
+        if returning or deps.outliers.ejected(replica.id, now):
+            shunned.add(replica.id)
     return shunned
 
 
-def _later(wanting: Wanting, passed_ms: int) -> Wanting:
+def _after_delay(wanting: Wanting, passed_ms: int) -> Wanting:
     """Return the remaining times after some time has passed."""
     return wanting._replace(
         aim_ms=max(1, wanting.aim_ms - passed_ms),
@@ -176,17 +178,17 @@
     )
 
 
-def _placed(told: PlaceTell, key: str, has_room: bool) -> Placed:
-    if told.after_ms:
+def _placed(reply: PlaceTell, key: str, has_room: bool) -> Placed:
+    if reply.after_ms:
         reason = f"no replica of {key} has free capacity in time"
-        return Placed(refusal=not_run(ErrorKind.NO_ROOM, reason, told.after_ms))
-    return Placed(told.replica, has_room=has_room and bool(told.replica))
+        return Placed(refusal=not_run(ErrorKind.NO_ROOM, reason, reply.after_ms))
+    return Placed(reply.replica, has_room=has_room and bool(reply.replica))
 
 
-def telling_unanswered(deps: PlacingDeps) -> Callable[[Replica], None]:
+def make_report_unanswered(deps: PlacementDeps) -> Callable[[Replica], None]:
     """Return the function that reports an unresponsive replica to the hub that places there."""
 
-    def tell(replica: Replica) -> None:
+    def report(replica: Replica) -> None:
         key = deps.parts().key_of.get(replica.id)
         if not deps.queue or deps.hub.plan().full_mesh or key is None:
             return
@@ -194,4 +196,4 @@
         if hub_id is not None:
             deps.hub.tell(hub_id, Unanswered(replica.id))
 
-    return tell
+    return report
--- a/papayapier/node/placer.py
+++ b/papayapier/node/placer.py
@@ -25,18 +25,18 @@
 from papayapier.policy.routing import RouteRequest, choose
 from papayapier.policy.shared_blame import SharedBlame
 
-NONE: Final = ""
+NO_REPLICA: Final = ""
 TICK_MS: Final = 8
 # Calls begin and end too often to check all replicas of a partition each time.
-LOOK_MS: Final = 8
+CHECK_DELAY_MS: Final = 8
 # Requests that are answered within this time need no notification. Together with a tick and a round
 # trip it must stay far below the time after which a requester gives up on a silent hub.
-HELD_AFTER_MS: Final = 12
-HELD_MS: Final = 400
+NOTIFY_AFTER_MS: Final = 12
+MIN_NOTIFY_INTERVAL_MS: Final = 400
 # Interval between log lines about one full partition.
-TOLD_AGAIN_MS: Final = 1_000
+LOG_INTERVAL_MS: Final = 1_000
 # In the largest fleet a partition gets 600 requests per second, each of which waits up to 5 s.
-MOST_HELD: Final = 4_000
+MAX_QUEUED: Final = 4_000
 
 
 class PlacerDeps(NamedTuple):
@@ -49,19 +49,19 @@
     clock: Clock
     rand: random.Random
     hub: PeerHub
-    book: LoadBook
+    load_tracker: LoadBook
     outliers: Outliers
     parts: Callable[[], Parts]
     metrics: Metrics
     empty_ms: int
 
 
-class _From(NamedTuple):
+class _Requester(NamedTuple):
     """Identify the requester of a placement, and when the request arrived."""
 
     peer: str
     ask_id: int
-    asked_ms: int
+    requested_ms: int
 
 
 class Placer:
@@ -69,41 +69,43 @@
 
     def __init__(self, deps: PlacerDeps) -> None:
         self._deps = deps
-        self._room = ReplicaRoom(deps.empty_ms)
-        self._blame = SharedBlame()
+        self._replica_capacity = ReplicaRoom(deps.empty_ms)
+        self._unanswered_reports = SharedBlame()
         # Partitions with so many suspect replicas that the reports about them are ignored.
-        self._unblamed: set[str] = set()
-        self._queue = PlaceQueue(MOST_HELD, self._in_use, self._takes, self._choose)
+        self._ignored_reports: set[str] = set()
+        self._queue = PlaceQueue(
+            MAX_QUEUED, self._usable_replicas, self._has_capacity, self._choose
+        )
         self._tickets = count(1)
-        self._from: dict[int, _From] = {}
+        self._requesters: dict[int, _Requester] = {}
         self._ticket_of: dict[tuple[str, int], int] = {}
         # Heap of the times at which queued requests get the next notification, with their tickets.
-        self._words: list[tuple[int, int]] = []
+        self._next_notifications: list[tuple[int, int]] = []
         self._leaving = False
         self._timer: Timer | None = None
-        self._look: Timer | None = None
-        self._full_told: dict[str, int] = {}
+        self._check_timer: Timer | None = None
+        self._next_full_log: dict[str, int] = {}
         deps.metrics.places_held.set_function(self._queue.depth)
 
     def start(self) -> None:
         """Start to answer placement requests."""
-        self._deps.hub.subscribe(PlaceAsk, self._on_ask)
+        self._deps.hub.subscribe(PlaceAsk, self._on_request)
         self._deps.hub.subscribe(PlaceLeft, self._on_left)
         self._deps.hub.subscribe(Unanswered, self._on_unanswered)
         self._deps.hub.on_change(self._on_peers)
 
     def on_listed(self, listed: frozenset[str]) -> None:
         """Drop the state of replicas that are no longer listed."""
-        self._room.on_listed(listed)
-        self._blame.on_listed(listed)
+        self._replica_capacity.on_listed(listed)
+        self._unanswered_reports.on_listed(listed)
 
     def on_calls(self) -> None:
         """Schedule a check for free capacity, because calls have begun or ended."""
-        if self._queue.depth() and self._look is None:
-            self._look = self._deps.clock.call_later(LOOK_MS, self._look_now)
+        if self._queue.depth() and self._check_timer is None:
+            self._check_timer = self._deps.clock.call_later(CHECK_DELAY_MS, self._check_now)
 
-    def _look_now(self) -> None:
-        self._look = None
+    def _check_now(self) -> None:
+        self._check_timer = None
         self._answer()
 
     def waiting(self) -> int:
@@ -113,141 +115,156 @@
     def leave(self) -> None:
         """Redirect queued and future requests to the next hub.
 
-        Let go all at once, they would choose by what each of their instances knows.
+        If all queued requests were dropped at once, each requester would choose a replica by its
+        own state, and together they would overload the replicas.
         """
-        if not self._leaving and self._from:
+        if not self._leaving and self._requesters:
             events.emit(events.PLACES_HANDED_OVER, waiting=self.waiting())
         self._leaving = True
-        for ticket, asker in list(self._from.items()):
+        for ticket, requester in list(self._requesters.items()):
             self._queue.leave(ticket)
-            self._forget(ticket)
-            self._deps.hub.tell(asker.peer, PlaceTell(asker.ask_id, NONE, leaving=True))
+            self._remove(ticket)
+            self._deps.hub.tell(
+                requester.peer, PlaceTell(requester.ask_id, NO_REPLICA, leaving=True)
+            )
 
     def close(self) -> None:
         """Stop."""
-        for timer in (self._timer, self._look):
+        for timer in (self._timer, self._check_timer):
             if timer is not None and timer.active():
                 timer.cancel()
         self.leave()
 
-    def _on_ask(self, peer_id: str, ask: PlaceAsk) -> None:
-        members = self._deps.parts().members.get(ask.part, frozenset())
+    def _on_request(self, peer_id: str, request: PlaceAsk) -> None:
+        members = self._deps.parts().members.get(request.part, frozenset())
         now = self._deps.clock.now()
-        asked = _asked(ask, next(self._tickets))
-        if not members or not ask.aim_ms:
-            chosen = self._choose(asked, members, now) if members else None
-            self._give(peer_id, ask.ask_id, chosen or NONE, now)
+        placement = _to_placement(request, next(self._tickets))
+        if not members or not request.aim_ms:
+            chosen = self._choose(placement, members, now) if members else None
+            self._assign(peer_id, request.ask_id, chosen or NO_REPLICA, now)
             return
         if self._leaving:
-            self._deps.hub.tell(peer_id, PlaceTell(ask.ask_id, NONE, leaving=True))
+            self._deps.hub.tell(peer_id, PlaceTell(request.ask_id, NO_REPLICA, leaving=True))
             return
-        others_wait = self._queue.waiting(ask.part) > 0
-        refused = self._queue.offer(asked, now)
+        others_wait = self._queue.waiting(request.part) > 0
+        refused = self._queue.offer(placement, now)
         if refused is not None:
-            self._refuse(_From(peer_id, ask.ask_id, now), asked, refused.after_ms, 0)
+            self._refuse(_Requester(peer_id, request.ask_id, now), placement, refused.after_ms, 0)
             return
-        asker = _From(peer_id, ask.ask_id, now)
-        self._from[asked.ticket] = asker
-        self._ticket_of[peer_id, ask.ask_id] = asked.ticket
+        requester = _Requester(peer_id, request.ask_id, now)
+        self._requesters[placement.ticket] = requester
+        self._ticket_of[peer_id, request.ask_id] = placement.ticket
         if not others_wait:
             # Otherwise the last check found no capacity, and the next is due within a few ms.
             self._answer()
-        if self._queue.held(asked.ticket):
-            heapq.heappush(self._words, (now + HELD_AFTER_MS, asked.ticket))
-            self._tell_full(ask.part, now)
+        if self._queue.held(placement.ticket):
+            heapq.heappush(self._next_notifications, (now + NOTIFY_AFTER_MS, placement.ticket))
+            self._log_full(request.part, now)
             self._keep_ticking()
 
-    def _on_left(self, peer_id: str, left: PlaceLeft) -> None:
-        ticket = self._ticket_of.get((peer_id, left.ask_id))
+    def _on_left(self, peer_id: str, message: PlaceLeft) -> None:
+        ticket = self._ticket_of.get((peer_id, message.ask_id))
         if ticket is not None:
             self._queue.leave(ticket)
-            self._forget(ticket)
+            self._remove(ticket)
 
-    def _on_unanswered(self, peer_id: str, told: Unanswered) -> None:
-        if self._blame.on_failed(told.replica, peer_id, self._deps.clock.now()):
-            events.emit(events.REPLICA_AVOIDED, replica=told.replica, told_by=peer_id)
+    def _on_unanswered(self, peer_id: str, message: Unanswered) -> None:
+        if self._unanswered_reports.on_failed(message.replica, peer_id, self._deps.clock.now()):
+            events.emit(events.REPLICA_AVOIDED, replica=message.replica, told_by=peer_id)
 
     def _on_peers(self) -> None:
         """Drop the queued requests of unreachable instances."""
-        if not self._from:
+        if not self._requesters:
             return
-        gone = self._deps.hub.silent()
-        for ticket, asker in list(self._from.items()):
-            if asker.peer in gone:
+        unreachable = self._deps.hub.silent()
+        for ticket, requester in list(self._requesters.items()):
+            if requester.peer in unreachable:
                 self._queue.leave(ticket)
-                self._forget(ticket)
+                self._remove(ticket)
 
     def _answer(self) -> None:
         now = self._deps.clock.now()
         for decided in self._queue.decided(now):
-            self._tell(decided, now)
+            self._reply(decided, now)
 
-    def _tell(self, decided: Decided, now: int) -> None:
+    def _reply(self, decided: Decided, now: int) -> None:
         ticket = decided.asked.ticket
-        asker = self._from[ticket]
-        self._forget(ticket)
+        requester = self._requesters[ticket]
+        self._remove(ticket)
         if isinstance(decided, Given):
-            self._give(asker.peer, asker.ask_id, decided.replica, now)
+            self._assign(requester.peer, requester.ask_id, decided.replica, now)
         else:
-            self._refuse(asker, decided.asked, decided.after_ms, decided.waited_ms)
+            self._refuse(requester, decided.asked, decided.after_ms, decided.waited_ms)
 
-    def _give(self, peer_id: str, ask_id: int, replica: str, now: int) -> None:
+    def _assign(self, peer_id: str, ask_id: int, replica: str, now: int) -> None:
         if replica:
-            self._deps.book.on_placed(peer_id, replica, now)
-            self._room.on_given(replica, now)
-            self._blame.on_given(replica, now)
+            self._deps.load_tracker.on_placed(peer_id, replica, now)
+            self._replica_capacity.on_given(replica, now)
+            self._unanswered_reports.on_given(replica, now)
         self._deps.hub.tell(peer_id, PlaceTell(ask_id, replica))
 
-    def _refuse(self, asker: _From, asked: Asked, after_ms: int, waited_ms: int) -> None:
-        self._deps.metrics.places_refused.labels(upstream_of(asked.part)).inc()
+    def _refuse(
+        self, requester: _Requester, placement: Asked, after_ms: int, waited_ms: int
+    ) -> None:
+        self._deps.metrics.places_refused.labels(upstream_of(placement.part)).inc()
         events.emit(
             events.PLACE_REFUSED,
-            part=asked.part,
-            caller=asked.wanting.caller,
-            rank=asked.wanting.rank,
-            asker=asker.peer,
+            part=placement.part,
+            caller=placement.wanting.caller,
+            rank=placement.wanting.rank,
+            asker=requester.peer,
             waited_ms=waited_ms,
-            waiting=self._queue.waiting(asked.part),
+            waiting=self._queue.waiting(placement.part),
             after_ms=after_ms,
         )
-        self._deps.hub.tell(asker.peer, PlaceTell(asker.ask_id, NONE, 0, after_ms))
-
-    def _forget(self, ticket: int) -> None:
-        asker = self._from.pop(ticket)
-        del self._ticket_of[asker.peer, asker.ask_id]
-
-    def _in_use(self, part: str, now: int) -> frozenset[str]:
-        members = self._deps.parts().members.get(part, frozenset())
-        usable = [one.id for one in self._deps.book.usable(upstream_of(part), now)]
-        found = frozenset(members.intersection(usable))
+        self._deps.hub.tell(requester.peer, PlaceTell(requester.ask_id, NO_REPLICA, 0, after_ms))
+
+    def _remove(self, ticket: int) -> None:
+        requester = self._requesters.pop(ticket)
+        del self._ticket_of[requester.peer, requester.ask_id]
+
+    def _usable_replicas(self, partition: str, now: int) -> frozenset[str]:
+        members = self._deps.parts().members.get(partition, frozenset())
+        usable = [
+            replica.id for replica in self._deps.load_tracker.usable(upstream_of(partition), now)
+        ]
+        usable_members = frozenset(members.intersection(usable))
         # If all replicas are ejected, it is better to try one than to wait.
-        in_use = frozenset(one for one in found if not self._deps.outliers.ejected(one, now))
-        kept = frozenset(one for one in in_use if not self._blame.avoided(one, now))
+        in_use = frozenset(
+            replica for replica in usable_members if not self._deps.outliers.ejected(replica, now)
+        )
+        not_avoided = frozenset(
+            replica for replica in in_use if not self._unanswered_reports.avoided(replica, now)
+        )
         # If most replicas look faulty, overload or the network is the more likely cause.
-        if 2 * len(kept) < len(found):
-            self._unblamed.add(part)
-            return in_use or found
-        self._unblamed.discard(part)
-        return kept
-
-    def _takes(self, replica: str, now: int) -> bool:
-        heeded = self._deps.parts().key_of.get(replica) not in self._unblamed
-        if heeded and self._blame.avoided(replica, now):
+        if 2 * len(not_avoided) < len(usable_members):
+            self._ignored_reports.add(partition)
+            return in_use or usable_members
+        self._ignored_reports.discard(partition)
+        return not_avoided
+
+    def _has_capacity(self, replica: str, now: int) -> bool:
+        reports_apply = self._deps.parts().key_of.get(replica) not in self._ignored_reports
+        if reports_apply and self._unanswered_reports.avoided(replica, now):
             return False
-        book = self._deps.book
-        return self._room.takes(replica, book.online_at(replica), book.slots(replica), now)
-
-    def _choose(self, asked: Asked, within: frozenset[str], now: int) -> str | None:
-        req = RouteRequest(
-            upstream_of(asked.part),
-            asked.prompt,
-            asked.data_centre,
-            asked.shunned,
+        load_tracker = self._deps.load_tracker
+        return self._replica_capacity.takes(
+            replica, load_tracker.online_at(replica), load_tracker.slots(replica), now
+        )
+
+    def _choose(self, placement: Asked, within: frozenset[str], now: int) -> str | None:
+        route_request = RouteRequest(
+            upstream_of(placement.part),
+            placement.prompt,
+            placement.data_centre,
+            placement.shunned,
             told=True,
             fresh=True,
             within=within,
         )
-        return choose(self._deps.book, self._deps.outliers, req, self._deps.rand, now)
+        return choose(
+            self._deps.load_tracker, self._deps.outliers, route_request, self._deps.rand, now
+        )
 
     def _keep_ticking(self) -> None:
         if self._timer is None and self._queue.depth():
@@ -255,37 +272,46 @@
 
     def _tick(self) -> None:
         self._timer = None
-        if self._look is None:
+        if self._check_timer is None:
             self._answer()
-        self._tell_held(self._deps.clock.now())
+        self._notify_queued(self._deps.clock.now())
         self._keep_ticking()
 
-    def _tell_held(self, now: int) -> None:
+    def _notify_queued(self, now: int) -> None:
         """Notify the requesters whose requests are still queued."""
-        while self._words and self._words[0][0] <= now:
-            _, ticket = heapq.heappop(self._words)
-            asker = self._from.get(ticket)
-            if asker is None:
+        while self._next_notifications and self._next_notifications[0][0] <= now:
+            _, ticket = heapq.heappop(self._next_notifications)
+            requester = self._requesters.get(ticket)
+            if requester is None:
                 continue
             # The interval doubles, so that a long queue does not cause ever more messages.
-            within_ms = max(HELD_MS, 2 * (now - asker.asked_ms))
-            self._deps.hub.tell(asker.peer, PlaceTell(asker.ask_id, NONE, within_ms))
-            heapq.heappush(self._words, (now + within_ms // 2, ticket))
+            within_ms = max(MIN_NOTIFY_INTERVAL_MS, 2 * (now - requester.requested_ms))
+            self._deps.hub.tell(requester.peer, PlaceTell(requester.ask_id, NO_REPLICA, within_ms))
+            heapq.heappush(self._next_notifications, (now + within_ms // 2, ticket))
 
-    def _tell_full(self, part: str, now: int) -> None:
-        if now < self._full_told.get(part, 0):
+    def _log_full(self, partition: str, now: int) -> None:
+        if now < self._next_full_log.get(partition, 0):
             return
-        self._full_told[part] = now + TOLD_AGAIN_MS
-        members = self._deps.parts().members.get(part, frozenset())
+        self._next_full_log[partition] = now + LOG_INTERVAL_MS
+        members = self._deps.parts().members.get(partition, frozenset())
         events.emit(
             events.PART_FULL,
-            part=part,
-            waiting=self._queue.waiting(part),
+            part=partition,
+            waiting=self._queue.waiting(partition),
             replicas=len(members),
-            calls=sum(self._deps.book.online_at(one) for one in members),
+            calls=sum(self._deps.load_tracker.online_at(replica) for replica in members),
         )
 
 
-def _asked(ask: PlaceAsk, ticket: int) -> Asked:
-    wanting = Wanting(ask.caller, ask.rank, ask.aim_ms, ask.left_ms, ask.return_ms)
-    return Asked(ticket, ask.part, ask.prompt, ask.data_centre, frozenset(ask.shunned), wanting)
+def _to_placement(request: PlaceAsk, ticket: int) -> Asked:
+    wanting = Wanting(
+        request.caller, request.rank, request.aim_ms, request.left_ms, request.return_ms
+    )
+    return Asked(
+        ticket,
+        request.part,
+        request.prompt,
+        request.data_centre,
+        frozenset(request.shunned),
+        wanting,
+    )
--- a/papayapier/node/processes.py
+++ b/papayapier/node/processes.py
@@ -19,12 +19,12 @@
 from papayapier.store.api import ENTRY, LIVE, LOST, Change, Member, Store, StoreError
 from papayapier.store.watch import Pauses
 
-NODES: Final = "papayapier-nodes/"
+NODES_PREFIX: Final = "papayapier-nodes/"
 ANY_VERSION: Final = 0
 # If the store answers, the list is read within a few ms of a start.
-LISTED_MS: Final = 300
-LOOK_MS: Final = 10
-NOBODY: Final[frozenset[str]] = frozenset()
+MAX_LIST_WAIT_MS: Final = 300
+POLL_MS: Final = 10
+NO_NODES: Final[frozenset[str]] = frozenset()
 
 
 class Role(Enum):
@@ -65,9 +65,9 @@
         took half a second of every start with 195 processes. on_lost is called when this process
         itself is marked as lost.
         """
-        self._changed = changed
+        self._on_changed = changed
         self._soon = soon
-        self._telling = False
+        self._notify_scheduled = False
         self._me = me
         self._on_lost = on_lost
         self._nodes: dict[str, NodeRecord] = {}
@@ -77,7 +77,7 @@
 
     def on_change(self, change: Change) -> None:
         """Apply a change of one process's object."""
-        node_id = change.key.removeprefix(NODES)
+        node_id = change.key.removeprefix(NODES_PREFIX)
         if change.deleted:
             self._nodes.pop(node_id, None)
             self._versions.pop(node_id, None)
@@ -97,13 +97,13 @@
         for role in Role:
             ids = (key for key, record in self._nodes.items() if record.role is role)
             self._by_role[role] = frozenset(ids)
-        if not self._telling:
-            self._telling = True
-            self._soon(self._tell)
+        if not self._notify_scheduled:
+            self._notify_scheduled = True
+            self._soon(self._notify)
 
-    def _tell(self) -> None:
-        self._telling = False
-        self._changed(self.members())
+    def _notify(self) -> None:
+        self._notify_scheduled = False
+        self._on_changed(self.members())
 
     def stored(self, node_id: str) -> tuple[NodeRecord, int] | None:
         """Return the stored record of a process and its version."""
@@ -120,7 +120,7 @@
 
     def with_role(self, role: Role) -> frozenset[str]:
         """Return the ids of the processes that have a role."""
-        return self._by_role.get(role, NOBODY)
+        return self._by_role.get(role, NO_NODES)
 
 
 def _member(node_id: str, record: NodeRecord) -> Member:
@@ -138,7 +138,7 @@
     )
 
 
-async def is_written(
+async def is_registered(
     clock: Clock,
     nodes: NodeList,
     node_id: str,
@@ -150,23 +150,23 @@
     Without this check each process would make two writes when all restart: a create that fails and
     an update.
     """
-    give_up_ms = clock.now() + LISTED_MS
-    while not listed() and clock.now() < give_up_ms:
-        await clock.sleep(LOOK_MS)
+    deadline_ms = clock.now() + MAX_LIST_WAIT_MS
+    while not listed() and clock.now() < deadline_ms:
+        await clock.sleep(POLL_MS)
     stored = nodes.stored(node_id)
     return stored is not None and stored[0] == record
 
 
-async def write_down(
+async def register_node(
     store: Store, clock: Clock, rand: random.Random, node_id: str, record: NodeRecord
 ) -> None:
     """Write this process's object, retrying for as long as the store is unreachable."""
     value = msgspec.json.encode(record)
     pauses = Pauses(rand)
     while True:
-        done = await store.create(NODES + node_id, value)
+        done = await store.create(NODES_PREFIX + node_id, value)
         if done == Err(StoreError.CONFLICT):
-            done = await store.update(NODES + node_id, value, ANY_VERSION)
+            done = await store.update(NODES_PREFIX + node_id, value, ANY_VERSION)
         if isinstance(done, Ok):
             return
         await clock.sleep(pauses.next_ms())
--- a/papayapier/node/replica_list.py
+++ b/papayapier/node/replica_list.py
@@ -17,10 +17,10 @@
 from papayapier.upstream.api import Replica
 
 # More entries than this that are added together, as at a start, are logged in one line.
-LINES_MOST: Final = 16
+MAX_LOG_LINES: Final = 16
 # As the platform's documentation states: entries that expired in an outage are back about 2 s after
 # its end.
-RETURN_MS: Final = 2_000
+ENTRIES_BACK_MS: Final = 2_000
 
 
 class ListedReplica(NamedTuple):
@@ -46,14 +46,14 @@
     clock: Clock
     prefix: str
     read: "Callable[[str, bytes], Result[ListedReplica, str]]"
-    store_back_ms: Callable[[], int | None]
+    last_return_ms: Callable[[], int | None]
     changed: Callable[[list[ListedReplica]], None]
     soon: Callable[[Callable[[], None]], object] = lambda call: call()
 
 
-def list_is_sure(back_ms: int | None, now: int) -> bool:
+def is_list_current(back_ms: int | None, now: int) -> bool:
     """Return whether listed replicas are live: not during an outage, nor just after its end."""
-    return back_ms is not None and (not back_ms or now >= back_ms + RETURN_MS)
+    return back_ms is not None and (not back_ms or now >= back_ms + ENTRIES_BACK_MS)
 
 
 class ReplicaList:
@@ -62,9 +62,9 @@
     def __init__(self, deps: ReplicaListDeps) -> None:
         self._deps = deps
         self._listed: dict[str, ListedReplica] = {}
-        self._held: dict[str, int] = {}
-        self._telling = False
-        self._told: list[ListedReplica] = []
+        self._removal_due_ms: dict[str, int] = {}
+        self._notify_scheduled = False
+        self._published: list[ListedReplica] = []
         self._added: list[ListedReplica] = []
 
     def on_change(self, change: Change) -> None:
@@ -73,14 +73,14 @@
         if change.deleted:
             self._on_removed(replica_id)
             return
-        read = self._deps.read(replica_id, change.value)
-        if isinstance(read, Err):
-            self._on_unreadable(replica_id, read.err_value)
+        decoded = self._deps.read(replica_id, change.value)
+        if isinstance(decoded, Err):
+            self._on_unreadable(replica_id, decoded.err_value)
             return
-        listed = read.ok_value
+        listed = decoded.ok_value
         before = self._listed.get(replica_id)
         self._listed[replica_id] = listed
-        self._held.pop(replica_id, None)
+        self._removal_due_ms.pop(replica_id, None)
         if before is None:
             self._added.append(listed)
         elif listed.replica.id != before.replica.id:
@@ -93,7 +93,7 @@
         elif listed.leaving and not before.leaving:
             events.emit(events.REPLICA_LEAVING, replica=replica_id, version=change.version)
         if listed != before:
-            self._tell_soon()
+            self._notify_soon()
 
     def on_moved(self, boot_id: str) -> None:
         """Remove a replica, after an answer showed that another replica has its address now.
@@ -102,10 +102,10 @@
         """
         for replica_id, listed in self._listed.items():
             if listed.replica.id == boot_id:
-                self._held.pop(replica_id, None)
+                self._removal_due_ms.pop(replica_id, None)
                 self._remove(replica_id)
                 # The call that reached the wrong replica chooses another one immediately.
-                self._tell()
+                self._notify()
                 return
 
     def _on_unreadable(self, replica_id: str, reason: str) -> None:
@@ -116,51 +116,53 @@
             reason=reason,
             used_before=replica_id in self._listed,
         )
-        self._held.pop(replica_id, None)
+        self._removal_due_ms.pop(replica_id, None)
         if self._listed.pop(replica_id, None) is not None:
-            self._tell_soon()
+            self._notify_soon()
 
     def listed(self) -> list[ListedReplica]:
         """Return the entries in use, as last passed to changed."""
-        return self._told
+        return self._published
 
     def _on_removed(self, replica_id: str) -> None:
         if replica_id not in self._listed:
             return
         now = self._deps.clock.now()
-        back = self._deps.store_back_ms()
-        if back is None or (back and now < back + RETURN_MS):
-            due = now + RETURN_MS if back is None else back + RETURN_MS
-            self._held[replica_id] = due
-            self._deps.clock.call_later(due - now, lambda: self._end_hold(replica_id))
+        back_ms = self._deps.last_return_ms()
+        if back_ms is None or (back_ms and now < back_ms + ENTRIES_BACK_MS):
+            due_ms = now + ENTRIES_BACK_MS if back_ms is None else back_ms + ENTRIES_BACK_MS
+            self._removal_due_ms[replica_id] = due_ms
+            self._deps.clock.call_later(due_ms - now, lambda: self._end_deferral(replica_id))
             return
         self._remove(replica_id)
 
-    def _end_hold(self, replica_id: str) -> None:
-        due = self._held.get(replica_id)
-        if due is not None and self._deps.clock.now() >= due:
-            del self._held[replica_id]
+    def _end_deferral(self, replica_id: str) -> None:
+        due_ms = self._removal_due_ms.get(replica_id)
+        if due_ms is not None and self._deps.clock.now() >= due_ms:
+            del self._removal_due_ms[replica_id]
             self._remove(replica_id)
 
     def _remove(self, replica_id: str) -> None:
         del self._listed[replica_id]
         events.emit(events.REPLICA_REMOVED, replica=replica_id)
-        self._tell_soon()
+        self._notify_soon()
 
-    def _tell_soon(self) -> None:
+    def _notify_soon(self) -> None:
         """Report all changes of one answer of the store together."""
-        if not self._telling:
-            self._telling = True
-            self._deps.soon(self._tell)
+        if not self._notify_scheduled:
+            self._notify_scheduled = True
+            self._deps.soon(self._notify)
 
-    def _tell(self) -> None:
-        self._telling = False
+    def _notify(self) -> None:
+        self._notify_scheduled = False
         added, self._added = self._added, []
-        if len(added) > LINES_MOST:
+        if len(added) > MAX_LOG_LINES:
             events.emit(events.REPLICAS_ADDED, count=len(added))
         else:
-            for one in added:
-                upstream = one.replica.upstream
-                events.emit(events.REPLICA_ADDED, replica=one.replica.own_name(), upstream=upstream)
-        self._told = list(self._listed.values())
-        self._deps.changed(self._told)
+            for entry in added:
+                upstream = entry.replica.upstream
+                events.emit(
+                    events.REPLICA_ADDED, replica=entry.replica.own_name(), upstream=upstream
+                )
+        self._published = list(self._listed.values())
+        self._deps.changed(self._published)
--- a/papayapier/node/retirement.py
+++ b/papayapier/node/retirement.py
@@ -25,10 +25,10 @@
 class Retirement:
     """Retire this process, at most once."""
 
-    def __init__(self, base: NodeBase, runner: JobRunner, vault: Vault | None) -> None:
+    def __init__(self, base: NodeBase, runner: JobRunner, local_jobs: Vault | None) -> None:
         self._base = base
         self._runner = runner
-        self._vault = vault
+        self._local_jobs = local_jobs
         self._begun = False
 
     def on_change(self, change: Change) -> None:
@@ -37,28 +37,28 @@
         if change.deleted or node_id != self._base.cfg.instance.id or self._begun:
             return
         self._begun = True
-        task = Deferred.fromCoroutine(self._empty(node_id))
+        task = Deferred.fromCoroutine(self._retire(node_id))
         task.addErrback(report_failure, "retirement")
         self._base.tasks.append(task)
 
-    async def _empty(self, node_id: str) -> None:
+    async def _retire(self, node_id: str) -> None:
         base = self._base
         events.emit(events.RETIRING, instance=node_id, running=self._runner.running())
         # Runs stop first: the shares of the replicas are then computed for the remaining keepers.
         self._runner.stop()
-        if self._vault is not None:
-            self._vault.refuse()
+        if self._local_jobs is not None:
+            self._local_jobs.refuse()
         base.drain.leave(base.clock.now())
-        await self._write(node_id, Stage.UNDER_WAY)
-        while self._runner.unwritten() or self._runner.running() or self._holds_jobs():
+        await self._write_status(node_id, Stage.UNDER_WAY)
+        while self._runner.unwritten() or self._runner.running() or self._has_local_jobs():
             await base.clock.sleep(CHECK_MS)
-        await self._write(node_id, Stage.DONE)
+        await self._write_status(node_id, Stage.DONE)
         events.emit(events.RETIRED, instance=node_id)
 
-    def _holds_jobs(self) -> bool:
-        return self._vault is not None and self._vault.pending() > 0
+    def _has_local_jobs(self) -> bool:
+        return self._local_jobs is not None and self._local_jobs.pending() > 0
 
-    async def _write(self, node_id: str, stage: Stage) -> None:
+    async def _write_status(self, node_id: str, stage: Stage) -> None:
         store = self._base.view(Priority.CONFIG)
         pauses = Pauses(self._base.rand)
         while True:
--- a/papayapier/node/run.py
+++ b/papayapier/node/run.py
@@ -12,13 +12,13 @@
 from papayapier.clock import Clock, real_clock
 from papayapier.logs import start_bounded_logs
 from papayapier.node import settings
-from papayapier.node.caller_socket import EarlySocket
+from papayapier.node.caller_socket import CallerSocket
 from papayapier.node.processes import Role
 from papayapier.node.settings import NodeSettings
 from papayapier.serve import Program, Running, run_program
 
 
-def run_node(role: Role, path: Path, cfg: NodeSettings, opened: EarlySocket | None) -> int:
+def run_node(role: Role, path: Path, cfg: NodeSettings, callers_socket: CallerSocket | None) -> int:
     """Run a process until it is asked to stop.
 
     callers_socket is the socket for callers if it is already open.
@@ -30,7 +30,7 @@
         if role is Role.ENTRY:
             from papayapier.node.entry import start_entry
 
-            return await start_entry(reactor, clock, cfg, rand, opened)
+            return await start_entry(reactor, clock, cfg, rand, callers_socket)
         from papayapier.node.keeper import start_keeper
 
         return await start_keeper(reactor, clock, cfg, rand)
--- a/papayapier/node/settings.py
+++ b/papayapier/node/settings.py
@@ -27,7 +27,7 @@
 
 # Divisor of the store's rates, which hold for all processes together: one process may use a quarter
 # of them. The smallest deployment has nine processes; those that get a 429 slow down.
-RATE_PART: Final = 4
+RATE_DIVISOR: Final = 4
 BYTES_PER_MB: Final = 1_000_000
 
 
@@ -55,7 +55,7 @@
     def platform(self) -> PlatformSettings:
         """Return the settings for calls to the store."""
         host, port = split_address(self.address)
-        reads, writes = self.reads_per_s // RATE_PART, self.writes_per_s // RATE_PART
+        reads, writes = self.reads_per_s // RATE_DIVISOR, self.writes_per_s // RATE_DIVISOR
         return PlatformSettings(
             host, port, self.timeout_ms, self.longest_pause_ms, max(1, reads), max(1, writes)
         )
--- a/papayapier/node/store_messages.py
+++ b/papayapier/node/store_messages.py
@@ -15,58 +15,60 @@
 
 # Longer replies are compressed. A few watchers send a listing of thousands of replicas to every
 # process that starts, and its entries are very similar.
-PACKED_FROM_BYTES: Final = 16_000
-PACK_LEVEL: Final = 1
+MIN_COMPRESSED_BYTES: Final = 16_000
+COMPRESSION_LEVEL: Final = 1
 _CHANGES: Final = msgspec.msgpack.Decoder(tuple[StoreChange, ...])
 
 
-def listing_told(ask_id: int, found: Result[Listing, StoreError]) -> StoreTell:
+def encode_listing(ask_id: int, found: Result[Listing, StoreError]) -> StoreTell:
     """Return the message that carries a listing."""
     if isinstance(found, Err):
         return StoreTell(ask_id, found.err_value.value)
     page = found.ok_value
-    objects = tuple(StoreChange(one.key, one.version, False, one.value) for one in page.objects)
+    objects = tuple(
+        StoreChange(entry.key, entry.version, False, entry.value) for entry in page.objects
+    )
     return _with_changes(StoreTell(ask_id, "", version=page.revision, more=page.more), objects)
 
 
-def changes_told(ask_id: int, found: Result[Changes, StoreError]) -> StoreTell:
+def encode_changes(ask_id: int, found: Result[Changes, StoreError]) -> StoreTell:
     """Return the message that carries the changes of a watch."""
     if isinstance(found, Err):
         return StoreTell(ask_id, found.err_value.value)
-    changes = tuple(StoreChange(*one) for one in found.ok_value.changes)
+    changes = tuple(StoreChange(*change) for change in found.ok_value.changes)
     return _with_changes(StoreTell(ask_id, "", version=found.ok_value.revision), changes)
 
 
-def _with_changes(tell: StoreTell, changes: tuple[StoreChange, ...]) -> StoreTell:
-    if sum(len(one.key) + len(one.value) for one in changes) < PACKED_FROM_BYTES:
-        return tell._replace(changes=changes)
-    return tell._replace(packed=_packed(changes))
+def _with_changes(reply: StoreTell, changes: tuple[StoreChange, ...]) -> StoreTell:
+    if sum(len(change.key) + len(change.value) for change in changes) < MIN_COMPRESSED_BYTES:
+        return reply._replace(changes=changes)
+    return reply._replace(packed=_packed(changes))
 
 
 @lru_cache(4)
 def _packed(changes: tuple[StoreChange, ...]) -> bytes:
     """Compress changes; cached, because many processes request the same revision."""
-    return zlib.compress(codec.pack(changes), PACK_LEVEL)
+    return zlib.compress(codec.pack(changes), COMPRESSION_LEVEL)
 
 
-def _changes(told: StoreTell) -> tuple[StoreChange, ...]:
-    return _CHANGES.decode(zlib.decompress(told.packed)) if told.packed else told.changes
+def _changes(reply: StoreTell) -> tuple[StoreChange, ...]:
+    return _CHANGES.decode(zlib.decompress(reply.packed)) if reply.packed else reply.changes
 
 
-def read_told(told: StoreTell) -> Result[StoreTell, StoreError]:
+def check_reply(reply: StoreTell) -> Result[StoreTell, StoreError]:
     """Return a reply to a read or its error; LOST becomes UNAVAILABLE, as a read has no effect."""
-    if not told.error:
-        return Ok(told)
-    error = StoreError(told.error)
+    if not reply.error:
+        return Ok(reply)
+    error = StoreError(reply.error)
     return Err(StoreError.UNAVAILABLE if error is StoreError.LOST else error)
 
 
-def told_listing(told: StoreTell) -> Listing:
+def decode_listing(reply: StoreTell) -> Listing:
     """Return the listing that a message carries."""
-    found = [Entry(one.key, one.version, one.value) for one in _changes(told)]
-    return Listing(found, told.more, told.version)
+    found = [Entry(change.key, change.version, change.value) for change in _changes(reply)]
+    return Listing(found, reply.more, reply.version)
 
 
-def told_changes(told: StoreTell) -> Changes:
+def decode_changes(reply: StoreTell) -> Changes:
     """Return the changes that a message carries."""
-    return Changes([Change(*one) for one in _changes(told)], told.version)
+    return Changes([Change(*change) for change in _changes(reply)], reply.version)
--- a/papayapier/node/store_relay.py
+++ b/papayapier/node/store_relay.py
@@ -21,11 +21,11 @@
 from papayapier import events
 from papayapier.clock import Clock
 from papayapier.node.store_messages import (
-    changes_told,
-    listing_told,
-    read_told,
-    told_changes,
-    told_listing,
+    check_reply,
+    decode_changes,
+    decode_listing,
+    encode_changes,
+    encode_listing,
 )
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.messages import Message, StoreAsk, StoreTell
@@ -35,18 +35,18 @@
 T = TypeVar("T")
 
 # The store answers in about 4 ms, and in 200 ms when it is fifty times slower than usual.
-LATE_MS: Final = 250
-ASK_MS: Final = 1_000
-PEERS_TRIED: Final = 2
+RELAY_AFTER_MS: Final = 250
+REQUEST_TIMEOUT_MS: Final = 1_000
+MAX_PEERS: Final = 2
 
 GET: Final = "get"
 CREATE: Final = "create"
 UPDATE: Final = "update"
 LIST: Final = "list"
 WATCH: Final = "watch"
-ASK_FAILED: Final = StoreTell(0, StoreError.LOST.value)
+UNCERTAIN_REPLY: Final = StoreTell(0, StoreError.LOST.value)
 # No peer was available, so nothing was sent.
-NOBODY: Final = StoreTell(0, StoreError.UNAVAILABLE.value)
+NO_PEER_REPLY: Final = StoreTell(0, StoreError.UNAVAILABLE.value)
 NO_ID: Final = 0
 
 
@@ -62,41 +62,43 @@
     down: Callable[[], bool]
 
 
-def relayed(own: Store, deps: RelayDeps) -> Store:
+def with_relay(own: Store, deps: RelayDeps) -> Store:
     """Return a Store that uses peers when direct calls fail or are late."""
     relay = _Relay(deps)
 
     async def get(key: str) -> Result[Stored, StoreError]:
-        async def ask() -> Result[Stored, StoreError]:
-            told = await relay.ask(StoreAsk(NO_ID, GET, key))
-            return read_told(told).map(lambda tell: Stored(key, tell.version, tell.value))
+        async def relay_call() -> Result[Stored, StoreError]:
+            reply = await relay.send(StoreAsk(NO_ID, GET, key))
+            return check_reply(reply).map(
+                lambda checked: Stored(key, checked.version, checked.value)
+            )
 
-        return await relay.either(lambda: own.get(key), ask)
+        return await relay.race_calls(lambda: own.get(key), relay_call)
 
     async def create(key: str, value: bytes) -> Result[int, StoreError]:
-        async def ask() -> Result[int, StoreError]:
-            return _written(await relay.ask(StoreAsk(NO_ID, CREATE, key, value)))
+        async def relay_call() -> Result[int, StoreError]:
+            return _write_result(await relay.send(StoreAsk(NO_ID, CREATE, key, value)))
 
-        return await relay.either(lambda: own.create(key, value), ask)
+        return await relay.race_calls(lambda: own.create(key, value), relay_call)
 
     async def update(key: str, value: bytes, version: int) -> Result[int, StoreError]:
-        async def ask() -> Result[int, StoreError]:
-            return _written(await relay.ask(StoreAsk(NO_ID, UPDATE, key, value, version)))
+        async def relay_call() -> Result[int, StoreError]:
+            return _write_result(await relay.send(StoreAsk(NO_ID, UPDATE, key, value, version)))
 
-        return await relay.either(lambda: own.update(key, value, version), ask)
+        return await relay.race_calls(lambda: own.update(key, value, version), relay_call)
 
     async def list_(prefix: str, after: str, limit: int) -> Result[Listing, StoreError]:
-        async def ask() -> Result[Listing, StoreError]:
-            told = await relay.ask(StoreAsk(NO_ID, LIST, prefix, after=after))
-            return read_told(told).map(told_listing)
+        async def relay_call() -> Result[Listing, StoreError]:
+            reply = await relay.send(StoreAsk(NO_ID, LIST, prefix, after=after))
+            return check_reply(reply).map(decode_listing)
 
-        return await relay.either(lambda: own.list(prefix, after, limit), ask)
+        return await relay.race_calls(lambda: own.list(prefix, after, limit), relay_call)
 
     async def watch(prefix: str, since: int, wait_ms: int) -> Result[Changes, StoreError]:
         if not deps.down():
             return await own.watch(prefix, since, wait_ms)
-        ask = StoreAsk(NO_ID, WATCH, prefix, version=since, wait_ms=wait_ms)
-        return read_told(await relay.ask(ask, wait_ms)).map(told_changes)
+        call = StoreAsk(NO_ID, WATCH, prefix, version=since, wait_ms=wait_ms)
+        return check_reply(await relay.send(call, wait_ms)).map(decode_changes)
 
     return own._replace(get=get, create=create, update=update, list=list_, watch=watch)
 
@@ -106,50 +108,50 @@
 
     def __init__(self, deps: RelayDeps) -> None:
         self._deps = deps
-        self._good = ""
+        self._last_good_peer = ""
 
-    async def either(
+    async def race_calls(
         self,
         own: Callable[[], Awaitable[Result[T, StoreError]]],
-        ask: Callable[[], Awaitable[Result[T, StoreError]]],
+        relay_call: Callable[[], Awaitable[Result[T, StoreError]]],
     ) -> Result[T, StoreError]:
         """Return the first definite answer of a direct call and a relayed call."""
         race: _Race[T] = _Race()
         race.run(own)
-        timer = self._deps.clock.call_later(LATE_MS, lambda: race.run(ask))
+        timer = self._deps.clock.call_later(RELAY_AFTER_MS, lambda: race.run(relay_call))
         try:
-            ended = await race.ended
+            result = await race.done
         finally:
             if timer.active():
                 timer.cancel()
-        if _definite(ended) or race.runs > 1:
-            return ended
-        return await _after(ended, ask)
+        if _is_definite(result) or race.runs > 1:
+            return result
+        return await _relay_after_failure(result, relay_call)
 
-    async def ask(self, ask: StoreAsk, wait_ms: int = 0) -> StoreTell:
+    async def send(self, call: StoreAsk, wait_ms: int = 0) -> StoreTell:
         """Send a call to peers until one of them has reached the store."""
-        told = NOBODY
-        in_doubt = False
+        last_reply = NO_PEER_REPLY
+        uncertain = False
         for peer_id in self._peers():
             answer = await self._deps.hub.ask(
-                peer_id, lambda ask_id: ask._replace(ask_id=ask_id), ASK_MS + wait_ms
+                peer_id, lambda ask_id: call._replace(ask_id=ask_id), REQUEST_TIMEOUT_MS + wait_ms
             )
             if isinstance(answer, Ok) and isinstance(answer.ok_value, StoreTell):
-                told = answer.ok_value
-                if told.error not in _NOT_REACHED:
-                    self._good = peer_id
-                    return told
-                in_doubt |= told.error == StoreError.LOST.value
+                last_reply = answer.ok_value
+                if last_reply.error not in _NOT_REACHED:
+                    self._last_good_peer = peer_id
+                    return last_reply
+                uncertain |= last_reply.error == StoreError.LOST.value
             else:
                 # A peer that did not answer may still make the call.
-                in_doubt = True
-        return ASK_FAILED if in_doubt else told
+                uncertain = True
+        return UNCERTAIN_REPLY if uncertain else last_reply
 
     def _peers(self) -> list[str]:
-        up = [view.id for view in self._deps.hub.views() if view.up and not view.leaving]
-        self._deps.rand.shuffle(up)
-        up.sort(key=lambda one: one != self._good)
-        return up[:PEERS_TRIED]
+        live = [view.id for view in self._deps.hub.views() if view.up and not view.leaving]
+        self._deps.rand.shuffle(live)
+        live.sort(key=lambda peer_id: peer_id != self._last_good_peer)
+        return live[:MAX_PEERS]
 
 
 _NOT_REACHED: Final = frozenset(
@@ -166,78 +168,84 @@
 
     def __init__(self) -> None:
         self.runs = 0
-        self.ended: Deferred[Result[T, StoreError]] = Deferred()
-        self._open = 0
+        self.done: Deferred[Result[T, StoreError]] = Deferred()
+        self._pending = 0
         self._lost: Result[T, StoreError] | None = None
 
-    def run(self, way: Callable[[], Awaitable[Result[T, StoreError]]]) -> None:
+    def run(self, make_call: Callable[[], Awaitable[Result[T, StoreError]]]) -> None:
         self.runs += 1
-        self._open += 1
-        Deferred.fromCoroutine(_as_coroutine(way)).addBoth(self._on_end)
+        self._pending += 1
+        Deferred.fromCoroutine(_as_coroutine(make_call)).addBoth(self._on_outcome)
 
-    def _on_end(self, end: "Result[T, StoreError] | Failure") -> None:
-        self._open -= 1
-        if isinstance(end, Failure):
-            events.emit(events.STORE_TASK_FAILED, task="relay", reason=repr(end.value))
-            end = Err(StoreError.LOST)
-        if end == Err(StoreError.LOST):
-            self._lost = end
-        if not self.ended.called and (_definite(end) or not self._open):
-            self.ended.callback(end if _definite(end) else self._lost or end)
+    def _on_outcome(self, outcome: "Result[T, StoreError] | Failure") -> None:
+        self._pending -= 1
+        if isinstance(outcome, Failure):
+            events.emit(events.STORE_TASK_FAILED, task="relay", reason=repr(outcome.value))
+            outcome = Err(StoreError.LOST)
+        if outcome == Err(StoreError.LOST):
+            self._lost = outcome
+        if not self.done.called and (_is_definite(outcome) or not self._pending):
+            self.done.callback(outcome if _is_definite(outcome) else self._lost or outcome)
 
 
 async def _as_coroutine(
-    way: Callable[[], Awaitable[Result[T, StoreError]]],
+    make_call: Callable[[], Awaitable[Result[T, StoreError]]],
 ) -> Result[T, StoreError]:
-    return await way()
+    return await make_call()
 
 
-async def _after(
-    first: Result[T, StoreError], ask: Callable[[], Awaitable[Result[T, StoreError]]]
+async def _relay_after_failure(
+    direct_result: Result[T, StoreError], relay_call: Callable[[], Awaitable[Result[T, StoreError]]]
 ) -> Result[T, StoreError]:
     """Relay a call after the direct call has failed; a lost write stays uncertain."""
-    second = await ask()
-    return second if _definite(second) or first != Err(StoreError.LOST) else first
+    relayed_result = await relay_call()
+    return (
+        relayed_result
+        if _is_definite(relayed_result) or direct_result != Err(StoreError.LOST)
+        else direct_result
+    )
 
 
-def _definite(end: Result[T, StoreError]) -> bool:
-    return isinstance(end, Ok) or end.err_value not in (
+def _is_definite(result: Result[T, StoreError]) -> bool:
+    return isinstance(result, Ok) or result.err_value not in (
         StoreError.UNAVAILABLE,
         StoreError.LOST,
         StoreError.LIMITED,
     )
 
 
-def _written(told: StoreTell) -> Result[int, StoreError]:
-    return Err(StoreError(told.error)) if told.error else Ok(told.version)
+def _write_result(reply: StoreTell) -> Result[int, StoreError]:
+    return Err(StoreError(reply.error)) if reply.error else Ok(reply.version)
 
 
-def answer_peers(hub: PeerHub, own: Store) -> None:
+def serve_store_calls(hub: PeerHub, own: Store) -> None:
     """Make store calls for peers, only directly and never through another peer."""
 
-    def on_ask(peer_id: str, ask: StoreAsk) -> None:
-        done = Deferred.fromCoroutine(_perform(own, ask))
-        done.addCallback(lambda tell: hub.tell(peer_id, tell))
+    def on_request(peer_id: str, request: StoreAsk) -> None:
+        done = Deferred.fromCoroutine(_perform(own, request))
+        done.addCallback(lambda reply: hub.tell(peer_id, reply))
         done.addErrback(report_failure, "relay")
 
-    hub.subscribe(StoreAsk, on_ask)
-
-
-async def _perform(own: Store, ask: StoreAsk) -> Message:
-    tell = StoreTell(ask.ask_id, "")
-    if ask.call == GET:
-        got = await own.get(ask.key)
-        if isinstance(got, Ok):
-            return tell._replace(version=got.ok_value.version, value=got.ok_value.value)
-        return tell._replace(error=got.err_value.value)
-    if ask.call == LIST:
-        return listing_told(ask.ask_id, await own.list(ask.key, ask.after, 0))
-    if ask.call == WATCH:
-        return changes_told(ask.ask_id, await own.watch(ask.key, ask.version, ask.wait_ms))
-    if ask.call == CREATE:
-        written = await own.create(ask.key, ask.value)
+    hub.subscribe(StoreAsk, on_request)
+
+
+async def _perform(own: Store, request: StoreAsk) -> Message:
+    reply = StoreTell(request.ask_id, "")
+    if request.call == GET:
+        stored = await own.get(request.key)
+        if isinstance(stored, Ok):
+            return reply._replace(version=stored.ok_value.version, value=stored.ok_value.value)
+        return reply._replace(error=stored.err_value.value)
+    if request.call == LIST:
+        return encode_listing(request.ask_id, await own.list(request.key, request.after, 0))
+    if request.call == WATCH:
+        return encode_changes(
+            request.ask_id, await own.watch(request.key, request.version, request.wait_ms)
+        )
+    if request.call == CREATE:
+        written = await own.create(request.key, request.value)
     else:
-        written = await own.update(ask.key, ask.value, ask.version)
+        written = await own.update(request.key, request.value, request.version)
     if isinstance(written, Err):
-        return tell._replace(error=written.err_value.value)
-    return tell._replace(version=written.ok_value)
+        return reply._replace(error=written.err_value.value)
+    return reply._replace(version=written.ok_value)
--- a/tests/allowance_world.py
+++ b/tests/allowance_world.py
@@ -8,7 +8,7 @@
 from collections import deque
 from typing import Final
 
-from papayapier.node.allowances import ASKS_MAX, PASSED_OVER_MS
+from papayapier.node.allowances import MAX_REQUESTS, SKIP_SILENT_MS
 from papayapier.policy.allowances import (
     RESERVE,
     Bound,
@@ -124,13 +124,13 @@
     def _granted(self, entry: str, team: str, limit: Limit) -> bool:
         waiting = granters(team, self.seen[entry])[: RESERVE + 1]
         asked: set[str] = set()
-        while waiting and len(asked) < ASKS_MAX:
+        while waiting and len(asked) < MAX_REQUESTS:
             keeper = waiting.pop(0)
             if self._passed_over.get((entry, keeper), 0) > self.now or keeper in asked:
                 continue
             asked.add(keeper)
             if not self._reaches(entry, keeper):
-                self._passed_over[entry, keeper] = self.now + PASSED_OVER_MS
+                self._passed_over[entry, keeper] = self.now + SKIP_SILENT_MS
                 continue
             said, other = self._asked(keeper, team, limit)
             if said is Said.NOT_HERE and other:
--- a/tests/keepers_world.py
+++ b/tests/keepers_world.py
@@ -19,7 +19,7 @@
 from papayapier.jobs.runner import JobRunner, RunnerDeps
 from papayapier.jobs.runs import RunDeps
 from papayapier.metrics import make_metrics
-from papayapier.node.orphans import answer_about_runs, seek_orphans
+from papayapier.node.orphans import recover_orphans, serve_run_requests
 from papayapier.peer import wire
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.messages import Message
@@ -129,8 +129,8 @@
         """Begin to run, and to look after the others' jobs."""
         self.runner.start()
         hub = cast(PeerHub, self.hub)
-        answer_about_runs(hub, self.runner.looks)
-        self._seeking = Deferred.fromCoroutine(seek_orphans(hub, self._clock, self.runner.looks))
+        serve_run_requests(hub, self.runner.looks)
+        self._seeking = Deferred.fromCoroutine(recover_orphans(hub, self._clock, self.runner.looks))
 
     def close(self) -> None:
         """End without a word."""
--- a/tests/test_job_reading.py
+++ b/tests/test_job_reading.py
@@ -8,7 +8,12 @@
 from twisted.internet.defer import Deferred
 
 from papayapier.jobs.desk import Page
-from papayapier.node.job_reading import ANSWER_CHARS, PASSED_OVER_MS, answer_reads, reading
+from papayapier.node.job_reading import (
+    MAX_ANSWER_CHARS,
+    SKIP_SILENT_MS,
+    make_job_reader,
+    serve_reads,
+)
 from papayapier.peer.messages import Message, ResultsAsk, ResultsTell
 from papayapier.peer.questions import PeerError
 from papayapier.peer.topology import Plan
@@ -30,7 +35,7 @@
         self._open: Deferred[Message] | None = None
         for name, world in self.desks.items():
             self._name = name
-            answer_reads(cast(Any, self), world.desk)
+            serve_reads(cast(Any, self), world.desk)
 
     def plan(self) -> Plan:
         return Plan(frozenset(), False, self.full_mesh)
@@ -59,7 +64,7 @@
 
     def __init__(self, net: Net, memory: MemoryStore) -> None:
         super().__init__(memory)
-        read = reading(cast(Any, net), self.time.clock, lambda: KEEPERS)
+        read = make_job_reader(cast(Any, net), self.time.clock, lambda: KEEPERS)
         self.desk._deps = self.desk._deps._replace(elsewhere=read)
 
     def read(self, after: int = 0) -> Page:
@@ -103,7 +108,7 @@
     for _ in range(2):
         assert [one.id for one in entry.read().results] == ["a"]
     assert net.asked[1] == first != net.asked[2]
-    entry.time.advance(PASSED_OVER_MS)
+    entry.time.advance(SKIP_SILENT_MS)
     net.silent = set()
     entry.read()
     assert net.asked[-1] == first
@@ -139,7 +144,7 @@
     assert len(entry.read().results) == 3
     told: list[Message] = []
     net.tell = lambda _peer, message: told.append(message) or True  # type: ignore[method-assign,func-returns-value]
-    long = ANSWER_CHARS // 2 + 1
+    long = MAX_ANSWER_CHARS // 2 + 1
     name = net.asked[0]
     view = net.desks[name].desk._views[JOB]
     view.results = [one._replace(text="x" * long) for one in view.results]
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -7,7 +7,7 @@
 from papayapier.clock import fake_clock
 from papayapier.config.route_table import RouteTable
 from papayapier.node.large_fleet import LargeFleet
-from papayapier.node.outage_tracker import StoreReturn
+from papayapier.node.outage_tracker import OutageTracker
 from papayapier.node.processes import NodeList
 from papayapier.peer.messages import NEVER_AWAY
 from papayapier.policy.totals import SHARERS, sharers_of
@@ -46,7 +46,7 @@
 def test_a_change_concerns_few(replica: str, table: Any, most: int) -> None:
     # A replica whose upstream runs no jobs concerns its placer only; while no configuration is
     # known any may run some.
-    concerned = fleet(table).concerned([replica])
+    concerned = fleet(table).concerned_keepers([replica])
     assert 1 <= len(concerned) <= most
     assert concerned <= set(HUBS[1:])
 
@@ -61,11 +61,11 @@
     made.on_replicas([Replica("i-1", "lm", "h", 1, "dc")])
     by_totals = {one for one in keepers if made.uses_by_totals("i-1", one)}
     assert by_totals <= set(sharers_of("i-1", keepers)) - set(keepers[:3])
-    assert by_totals.isdisjoint(made.concerned(["i-1"]))
+    assert by_totals.isdisjoint(made.concerned_keepers(["i-1"]))
 
 
 def test_a_replica_that_is_not_listed_concerns_no_placer() -> None:
-    assert fleet(Table()).concerned(["i-9"]) == set()
+    assert fleet(Table()).concerned_keepers(["i-9"]) == set()
 
 
 class Budget:
@@ -86,11 +86,11 @@
     # tells of their removal.
     time = fake_clock()
     budget = Budget()
-    known = StoreReturn(time.clock, cast(Any, budget))
-    assert (known.back_ms(), known.ms_ago()) == (0, NEVER_AWAY)
+    known = OutageTracker(time.clock, cast(Any, budget))
+    assert (known.last_return_ms(), known.ms_since_return()) == (0, NEVER_AWAY)
     time.advance(5_000)
     now = time.clock.now()
-    known.on_told(1_000)
-    assert (known.back_ms(), known.ms_ago()) == (now - 1_000, 1_000)
+    known.on_reported(1_000)
+    assert (known.last_return_ms(), known.ms_since_return()) == (now - 1_000, 1_000)
     budget.down = now
-    assert (known.back_ms(), known.ms_ago()) == (None, 0)
+    assert (known.last_return_ms(), known.ms_since_return()) == (None, 0)
--- a/tests/test_lost_keepers.py
+++ b/tests/test_lost_keepers.py
@@ -12,8 +12,8 @@
 from twisted.internet.defer import Deferred
 
 from papayapier.clock import fake_clock
-from papayapier.node.lost_keepers import SILENT_MS, LostKeepers, write_lost_down
-from papayapier.node.processes import NODES, NodeList, NodeRecord, Role, write_down
+from papayapier.node.lost_keepers import SILENT_MS, LostKeepers, mark_lost_keepers
+from papayapier.node.processes import NODES_PREFIX, NodeList, NodeRecord, Role, register_node
 from papayapier.store.api import LOST, Change
 from tests.fleet_model import Model
 from tests.jobs_world import MemoryStore
@@ -26,7 +26,7 @@
     assert lost.due(GONE, 0) == []
     assert lost.due(GONE, SILENT_MS - 1) == []
     assert lost.due(GONE, SILENT_MS) == ["k3"]
-    lost.on_written("k3")
+    lost.on_marked("k3")
     assert lost.due(GONE, SILENT_MS + 1_000) == []
     assert lost.due(frozenset(), SILENT_MS + 2_000) == []
     assert lost.due(GONE, SILENT_MS + 3_000) == []
@@ -60,12 +60,14 @@
         self.nodes = NodeList(lambda _: None, me="k3", on_lost=lambda: self.back.append("k3"))
         for name in ("k1", "k2", "k3"):
             record = NodeRecord(Role.KEEPER, "h", 1, "dc", "r")
-            work = write_down(self.memory.store(), self.time.clock, random.Random(1), name, record)
+            work = register_node(
+                self.memory.store(), self.time.clock, random.Random(1), name, record
+            )
             Deferred.fromCoroutine(work)
         self.read()
         hub = Hub(vouched)
         Deferred.fromCoroutine(
-            write_lost_down(cast(Any, hub), self.time.clock, self.nodes, self.memory.store(), me)
+            mark_lost_keepers(cast(Any, hub), self.time.clock, self.nodes, self.memory.store(), me)
         )
 
     def read(self) -> None:
@@ -96,7 +98,7 @@
         world.time.advance(1_000)
     assert world.lost() == ["k3"]
     record = NodeRecord(Role.KEEPER, "h", 1, "dc", "r")
-    world.memory.put(NODES + "k3", msgspec.json.encode(record))
+    world.memory.put(NODES_PREFIX + "k3", msgspec.json.encode(record))
     assert world.lost() == []
 
 
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -13,17 +13,17 @@
 
 from papayapier.clock import fake_clock
 from papayapier.node.mirrors import (
-    FIRST_HUB_MS,
-    LOOK_MS,
-    WATCHERS,
-    WHOLE_AGAIN_MS,
+    LIST_RETRY_MS,
+    MAX_HUB_WAIT_MS,
+    POLL_MS,
+    WATCHER_COUNT,
     MirrorDeps,
-    Way,
-    answer_from,
-    through_hubs,
+    StoreSource,
+    serve_mirrors,
     watchers,
+    with_hub_mirrors,
 )
-from papayapier.node.store_messages import listing_told, told_listing
+from papayapier.node.store_messages import decode_listing, encode_listing
 from papayapier.peer import wire
 from papayapier.peer.messages import NEVER_AWAY, Message, MirrorAsk, StoreTell
 from papayapier.peer.questions import PeerError
@@ -134,7 +134,7 @@
 
     def _start(self, name: str) -> None:
         node = self.net.nodes[name]
-        way = Way()
+        source = StoreSource()
         known = self.known[name] = {}
         deps = MirrorDeps(
             cast(Any, node),
@@ -142,7 +142,7 @@
             lambda: [one for one in node.live() if one in self.hubs],
             self.told_back.append,
         )
-        store = through_hubs(self.platform.store(name), deps, way)
+        store = with_hub_mirrors(self.platform.store(name), deps, source)
         mirror = Mirror(self.time.clock, LASTING_MS)
 
         def on_change(change: Change) -> None:
@@ -153,7 +153,7 @@
             mirror.on_change(change)
 
         if name in self.hubs:
-            answer_from(cast(Any, node), {PREFIX: mirror}, lambda: NEVER_AWAY)
+            serve_mirrors(cast(Any, node), {PREFIX: mirror}, lambda: NEVER_AWAY)
         follower = Follower(
             store,
             self.time.clock,
@@ -161,7 +161,7 @@
             PREFIX,
             on_change,
             PACE,
-            lambda reached: mirror.on_reached(reached, way.direct),
+            lambda reached: mirror.on_reached(reached, source.direct),
         )
         self.followers.append(follower)
         follower.start()
@@ -195,8 +195,8 @@
         fleet.write(f"r{number}")
         fleet.time.advance(200)
         assert fleet.all_know(f"r{number}")
-    assert fleet.platform.calls["watch"] <= WATCHERS * 110
-    assert fleet.platform.calls["list"] <= WATCHERS * 3
+    assert fleet.platform.calls["watch"] <= WATCHER_COUNT * 110
+    assert fleet.platform.calls["list"] <= WATCHER_COUNT * 3
     fleet.close()
 
 
@@ -217,9 +217,9 @@
         lambda _ms: None,
         time.clock,
     )
-    store = through_hubs(platform.store("entry"), deps, Way())
+    store = with_hub_mirrors(platform.store("entry"), deps, StoreSource())
     Deferred.fromCoroutine(cast(Any, store.watch(PREFIX, 0, 1_000)))
-    time.elapse(FIRST_HUB_MS + LOOK_MS)
+    time.elapse(MAX_HUB_WAIT_MS + POLL_MS)
     assert (asked, platform.calls["watch"]) == (["entry"], 0) if known_ms < 1_000 else ([], 1)
 
 
@@ -231,18 +231,18 @@
     net = Net(time)
     node, hub = Node(net, "entry"), Node(net, "hub")
     mirror = Mirror(time.clock, LASTING_MS)
-    answer_from(cast(Any, hub), {PREFIX: mirror}, lambda: NEVER_AWAY)
+    serve_mirrors(cast(Any, hub), {PREFIX: mirror}, lambda: NEVER_AWAY)
     platform = FakePlatform(time.clock)
     deps = MirrorDeps(
         cast(Any, node), "entry", lambda: ["hub"], lambda _ms: None, time.clock, lambda: listed
     )
-    store = through_hubs(platform.store("entry"), deps, Way(), patient=True)
+    store = with_hub_mirrors(platform.store("entry"), deps, StoreSource(), wait_for_watcher=True)
     found: list[Any] = []
     Deferred.fromCoroutine(cast(Any, store.list(PREFIX, "", 100))).addCallback(found.append)
     time.elapse(500)
     mirror.on_change(Change(f"{PREFIX}a", 7, False, b"v"))
     mirror.on_reached(7, True)
-    time.elapse(WHOLE_AGAIN_MS + 50)
+    time.elapse(LIST_RETRY_MS + 50)
     assert platform.calls["list"] == calls
     assert len(found) == 1
 
@@ -250,13 +250,13 @@
 def test_a_long_listing_is_told_compressed_and_whole() -> None:
     value = b'{"service":"lm","address":"10.0.0.%d:8080","zone":"z","slots":8,"state":"ready"}'
     objects = [Entry(f"servers/i-{n:010x}", n, value % n) for n in range(3_000)]
-    told = listing_told(1, Ok(Listing(objects, False, 9)))
-    assert told_listing(told) == Listing(objects, False, 9)
+    told = encode_listing(1, Ok(Listing(objects, False, 9)))
+    assert decode_listing(told) == Listing(objects, False, 9)
     sent = wire.encode("k", told)
     assert len(sent) < sum(len(one.key) + len(one.value) for one in objects) / 4
     read = wire.decode(sent).unwrap().message
     assert isinstance(read, StoreTell)
-    assert told_listing(read).objects == objects
+    assert decode_listing(read).objects == objects
 
 
 def test_a_small_fleet_asks_the_store() -> None:
@@ -446,7 +446,7 @@
         node = Node(net, "entry")
         Node(net, "hub")
         deps = MirrorDeps(cast(Any, node), "entry", lambda: ["hub"], lambda _ms: None)
-        store = through_hubs(FakePlatform(time.clock).store("entry"), deps, Way())
+        store = with_hub_mirrors(FakePlatform(time.clock).store("entry"), deps, StoreSource())
         watch = Deferred.fromCoroutine(cast(Any, store.watch(PREFIX, 0, 1_000)))
         assert node._open
         del time, net, node, deps, store, watch
--- a/tests/test_node_allowances.py
+++ b/tests/test_node_allowances.py
@@ -12,12 +12,12 @@
 from papayapier.errors import ErrorKind, Refusal
 from papayapier.node.allowances import (
     ANSWER_MS,
-    ASKS_MAX,
-    PASSED_OVER_MS,
-    AskDeps,
+    MAX_REQUESTS,
+    SKIP_SILENT_MS,
+    AllowanceDeps,
     GrantDeps,
-    allowing,
-    answer_allowances,
+    make_allow,
+    serve_allowances,
 )
 from papayapier.peer.messages import AllowAsk, AllowTell, Message
 from papayapier.peer.questions import PeerError
@@ -48,9 +48,9 @@
 
 
 def allow(hub: Hub, team: Team = TEAM) -> Result[None, Refusal]:
-    deps = AskDeps(cast(Any, hub), hub.time.clock, lambda: KEEPERS)
+    deps = AllowanceDeps(cast(Any, hub), hub.time.clock, lambda: KEEPERS)
     ends: list[Any] = []
-    Deferred.fromCoroutine(cast(Any, allowing(deps)(team, False))).addCallback(ends.append)
+    Deferred.fromCoroutine(cast(Any, make_allow(deps)(team, False))).addCallback(ends.append)
     return cast(Result[None, Refusal], ends[0])
 
 
@@ -100,7 +100,7 @@
     hub.says = says
     done = allow(hub)
     assert hub.asked == asked
-    assert len(asked) <= ASKS_MAX
+    assert len(asked) <= MAX_REQUESTS
     if isinstance(done, Err):
         assert done.err_value.kind is kind
         assert done.err_value.retry_after_ms > 0
@@ -111,15 +111,15 @@
 def test_a_silent_granter_is_passed_over_and_asked_again() -> None:
     hub = Hub()
     hub.says = {SECOND: said(Said.GRANTED)}
-    deps = AskDeps(cast(Any, hub), hub.time.clock, lambda: KEEPERS)
-    ask = allowing(deps)
+    deps = AllowanceDeps(cast(Any, hub), hub.time.clock, lambda: KEEPERS)
+    ask = make_allow(deps)
     for _ in range(3):
         Deferred.fromCoroutine(cast(Any, ask(TEAM, False)))
     assert hub.asked == [FIRST, SECOND, SECOND, SECOND]
-    hub.time.elapse(PASSED_OVER_MS + 1)
+    hub.time.elapse(SKIP_SILENT_MS + 1)
     Deferred.fromCoroutine(cast(Any, ask(TEAM, False)))
     assert hub.asked[-2:] == [FIRST, SECOND]
-    assert hub.time.clock.now() <= PASSED_OVER_MS + 1 + 2 * ANSWER_MS
+    assert hub.time.clock.now() <= SKIP_SILENT_MS + 1 + 2 * ANSWER_MS
 
 
 class Peers:
@@ -156,7 +156,7 @@
     # the limit that it knows, or the granter is behind.
     time, peers = fake_clock(), Peers()
     bound = Bound(5_000, 0.1, 20)
-    answer_allowances(
+    serve_allowances(
         GrantDeps(
             cast(Any, peers),
             time.clock,
--- a/tests/test_node_entry.py
+++ b/tests/test_node_entry.py
@@ -6,22 +6,22 @@
 from twisted.internet.defer import Deferred
 
 from papayapier.clock import Clock, fake_clock
-from papayapier.node.entry import BRINGING_MS, FIRST_KNOWLEDGE_MS, _Readiness, _settled
+from papayapier.node.entry import BRINGING_MS, MAX_STARTUP_WAIT_MS, _local_jobs_written, _Readiness
 
 STARTED_MS = 50_000
 
 
-class Return:
+class Outages:
     def __init__(self, back: int | None) -> None:
         self._back = back
 
-    def back_ms(self) -> int | None:
+    def last_return_ms(self) -> int | None:
         return self._back
 
 
 class Base(NamedTuple):
     clock: Clock
-    store_return: Return
+    outage_tracker: Outages
 
 
 @pytest.mark.parametrize(
@@ -45,9 +45,9 @@
     # Cause: an entry that has just started does not know that the store was away.
     time = fake_clock()
     time.advance(STARTED_MS - time.clock.now())
-    base = cast(Any, Base(time.clock, Return(back)))
+    base = cast(Any, Base(time.clock, Outages(back)))
     time.advance(after_ms)
-    assert _settled(base, STARTED_MS) is sure
+    assert _local_jobs_written(base, STARTED_MS) is sure
 
 
 class Fleet(NamedTuple):
@@ -84,21 +84,21 @@
         pass
 
     base: Any = Part()
-    for name in ("drain", "routing", "replicas", "placing", "nodes", "cfg", "loss_news"):
+    for name in ("drain", "routing", "replicas", "placement_deps", "nodes", "cfg", "loss_news"):
         setattr(base, name, Part())
     base.clock = time.clock
     base.drain.state = lambda: "serving"
     base.routing.table = lambda: object()
     base.replicas.listed = lambda: [object()]
-    base.placing.queue = fleet.queue
-    base.placing.hubs = lambda: ["hub"] * fleet.hubs
+    base.placement_deps.queue = fleet.queue
+    base.placement_deps.hubs = lambda: ["hub"] * fleet.hubs
     base.loss_news.caught_up = lambda: fleet.told
     base.nodes.count = lambda: fleet.processes
     base.cfg.peer = Part()
     base.cfg.peer.full_mesh = 16
     ended: list[None] = []
-    known = _Readiness(base, cast(Any, None)).known()
+    known = _Readiness(base, cast(Any, None)).wait_until_routable()
     Deferred.fromCoroutine(cast(Any, known)).addCallback(ended.append)
     assert bool(ended) is not waits
-    time.advance(FIRST_KNOWLEDGE_MS)
+    time.advance(MAX_STARTUP_WAIT_MS)
     assert ended
--- a/tests/test_node_start.py
+++ b/tests/test_node_start.py
@@ -7,8 +7,8 @@
 
 CODE = """
 import sys
-from papayapier.node.command import _leave_out_tls
-_leave_out_tls()
+from papayapier.node.command import _skip_tls_imports
+_skip_tls_imports()
 import papayapier.node.run
 import papayapier.node.{role}
 print(*sorted(sys.modules))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,9 +9,16 @@
 from twisted.internet.defer import Deferred
 
 from papayapier.clock import fake_clock
-from papayapier.node.peer_calls import TOLD_STANDS_MS, follow_calls, follow_totals
-from papayapier.node.placement import PASSED_OVER_MS, PlacingDeps, asking
-from papayapier.node.processes import LISTED_MS, NODES, NodeList, NodeRecord, Role, is_written
+from papayapier.node.peer_calls import REPORT_TTL_MS, track_peer_calls, track_totals
+from papayapier.node.placement import SKIP_SILENT_MS, PlacementDeps, make_place
+from papayapier.node.processes import (
+    MAX_LIST_WAIT_MS,
+    NODES_PREFIX,
+    NodeList,
+    NodeRecord,
+    Role,
+    is_registered,
+)
 from papayapier.peer.messages import CallsTold, Heartbeat, Message
 from papayapier.peer.placing_messages import PlaceTell
 from papayapier.peer.questions import PeerError
@@ -64,7 +71,7 @@
     time = fake_clock()
     hub = Hub()
     parts = make_parts([Replica("i-1", "lm", "h", 1, "dc")])
-    deps = PlacingDeps(
+    deps = PlacementDeps(
         time.clock,
         random.Random(1),
         cast(Any, hub),
@@ -73,7 +80,7 @@
         lambda: list(HUBS),
         lambda: parts,
     )
-    place = asking(deps)
+    place = make_place(deps)
 
     def call() -> str | None:
         found: list[Placed] = []
@@ -87,7 +94,7 @@
     assert call() is None
     assert call() == "i-1"
     assert hub.asked[0] == first != hub.asked[1]
-    time.advance(PASSED_OVER_MS)
+    time.advance(SKIP_SILENT_MS)
     hub.silent = set()
     assert call() == "i-1"
     assert hub.asked[-1] == first
@@ -99,10 +106,10 @@
     time = fake_clock()
     hub = Hub()
     book = LoadBook()
-    task = follow_calls(cast(Any, hub), book, time.clock)
+    task = track_peer_calls(cast(Any, hub), book, time.clock)
     hub.hear("entry-1", CallsTold((ReplicaUse("i-1", 2, 0),)))
     assert book.online_at("i-1") == 2
-    time.advance(TOLD_STANDS_MS - 1_000)
+    time.advance(REPORT_TTL_MS - 1_000)
     assert book.online_at("i-1") == 2
     time.advance(2_500)
     assert book.online_at("i-1") == 0
@@ -112,7 +119,7 @@
 def test_totals_of_one_that_is_no_hub_any_more_are_forgotten() -> None:
     hub = Hub()
     book = LoadBook()
-    follow_totals(cast(Any, hub), book)
+    track_totals(cast(Any, hub), book)
     beat = Heartbeat("hub-1", 1, "live", 0, totals=(ReplicaUse("i-1", 3, 0),))
     hub.hear("hub-1", beat)
     hub.hear("keeper-9", beat._replace(totals=(ReplicaUse("i-2", 3, 0),)))
@@ -126,7 +133,7 @@
 def test_totals_are_taken_of_what_matters_only() -> None:
     hub = Hub()
     book = LoadBook()
-    follow_totals(cast(Any, hub), book, lambda replica: replica == "i-2")
+    track_totals(cast(Any, hub), book, lambda replica: replica == "i-2")
     totals = (ReplicaUse("i-1", 3, 0), ReplicaUse("i-2", 4, 0))
     hub.hear("hub-1", Heartbeat("hub-1", 1, "live", 0, totals=totals))
     assert (book.online_at("i-1"), book.online_at("i-2")) == (0, 4)
@@ -156,12 +163,12 @@
     nodes = NodeList(lambda _members: None)
     listed = False
     said: list[bool] = []
-    work = is_written(time.clock, nodes, "e", record, lambda: listed)
+    work = is_registered(time.clock, nodes, "e", record, lambda: listed)
     Deferred.fromCoroutine(work).addCallback(said.append)
-    time.elapse(LISTED_MS - 50)
+    time.elapse(MAX_LIST_WAIT_MS - 50)
     assert said == []
     value = msgspec.json.encode(record._replace(lost=lost))
-    nodes.on_change(Change(NODES + "e", 3, False, value))
+    nodes.on_change(Change(NODES_PREFIX + "e", 3, False, value))
     listed = True
     time.elapse(50)
     assert said == [not lost]
@@ -171,7 +178,7 @@
     time = fake_clock()
     said: list[bool] = []
     record = NodeRecord(Role.ENTRY, "h", 1, "dc", "r")
-    work = is_written(time.clock, NodeList(lambda _members: None), "e", record, lambda: False)
+    work = is_registered(time.clock, NodeList(lambda _members: None), "e", record, lambda: False)
     Deferred.fromCoroutine(work).addCallback(said.append)
-    time.elapse(LISTED_MS + 50)
+    time.elapse(MAX_LIST_WAIT_MS + 50)
     assert said == [False]
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -13,12 +13,18 @@
 from papayapier.metrics import make_metrics
 from papayapier.node.placement import (
     ANSWER_MS,
-    ASKS_MOST,
-    PlacingDeps,
-    asking,
-    holds_for,
+    MAX_REQUESTS,
+    PlacementDeps,
+    make_place,
+    queues_at_hub,
+)
+from papayapier.node.placer import (
+    CHECK_DELAY_MS,
+    MIN_NOTIFY_INTERVAL_MS,
+    NOTIFY_AFTER_MS,
+    Placer,
+    PlacerDeps,
 )
-from papayapier.node.placer import HELD_AFTER_MS, HELD_MS, LOOK_MS, Placer, PlacerDeps
 from papayapier.peer.messages import Message
 from papayapier.peer.placing_messages import PlaceAsk, PlaceLeft, PlaceTell, Unanswered
 from papayapier.peer.questions import PeerError, Questions
@@ -71,7 +77,7 @@
         self.ends["entry"] = self.entry
         book = LoadBook()
         book.on_listed(listed, ())
-        self.deps = PlacingDeps(
+        self.deps = PlacementDeps(
             self.time.clock,
             random.Random(1),
             cast(Any, self.entry),
@@ -81,7 +87,7 @@
             lambda: self.parts,
             True,
         )
-        self.place = asking(self.deps)
+        self.place = make_place(self.deps)
 
     def carry(self, sender: str, to: str, message: Message) -> None:
         self.sent.append((sender, to, message))
@@ -192,7 +198,7 @@
     # seconds, and whoever asks falls back to its own choice.
     wires = Wires(replicas=3)
     gone, kept = wires.replicas[2], wires.replicas[:2]
-    wires.deps.book.on_listed(kept, ())
+    wires.deps.load_tracker.on_listed(kept, ())
     for hub in HUBS:
         busy = tuple(ReplicaUse(one.id, 1, 0) for one in kept)
         wires.books[hub].on_peer_uses("other", busy, wires.time.clock.now())
@@ -209,9 +215,9 @@
 
 def test_a_hub_that_knows_other_replicas_only_is_asked_no_more_than_twice() -> None:
     wires = Wires(replicas=3)
-    wires.deps.book.on_listed([], ())
+    wires.deps.load_tracker.on_listed([], ())
     assert wires.call().ends[0] == NOT_PLACED
-    assert told(wires, PlaceAsk, FIRST) == ASKS_MOST
+    assert told(wires, PlaceAsk, FIRST) == MAX_REQUESTS
 
 
 def test_a_short_wait_costs_no_word_of_its_own() -> None:
@@ -219,10 +225,10 @@
     full(wires)
     before = len(wires.sent)
     call = wires.call()
-    wires.time.advance(HELD_AFTER_MS // 3)
+    wires.time.advance(NOTIFY_AFTER_MS // 3)
     wires.books[FIRST].on_peer_uses("entry", (), wires.time.clock.now())
     wires.placers[FIRST].on_calls()
-    for _ in range(LOOK_MS):
+    for _ in range(CHECK_DELAY_MS):
         wires.time.advance(1)
     assert call.replica == "r0"
     assert len(wires.sent) - before == 2
@@ -251,7 +257,7 @@
     call = wires.call()
     wires.time.advance(ANSWER_MS * 2)
     wires.cut.add(FIRST)
-    wires.time.advance(HELD_MS + 2 * ANSWER_MS)
+    wires.time.advance(MIN_NOTIFY_INTERVAL_MS + 2 * ANSWER_MS)
     assert call.replica is None
     assert any(to == SECOND and isinstance(one, PlaceAsk) for _, to, one in wires.sent)
     wires.ended(SECOND, SLOTS - 1)
@@ -412,8 +418,8 @@
     # Failure: with no placer in touch nobody queues a call.
     wires = Wires()
     deps = wires.deps._replace(queue=queue, hubs=lambda: list(HUBS[:hubs]))
-    assert holds_for(deps, "lm") is held
-    assert holds_for(deps, "not-listed") is False
+    assert queues_at_hub(deps, "lm") is held
+    assert queues_at_hub(deps, "not-listed") is False
 
 
 def test_no_answer_from_a_closed_link_is_no_place() -> None:
--- a/tests/test_replica_list.py
+++ b/tests/test_replica_list.py
@@ -5,7 +5,7 @@
 from papayapier import events
 from papayapier.clock import fake_clock
 from papayapier.node.replica_list import (
-    RETURN_MS,
+    ENTRIES_BACK_MS,
     ListedReplica,
     ReplicaList,
     ReplicaListDeps,
@@ -72,14 +72,14 @@
     assert world.names() == ["a", "b"]
     world.time.advance(500)
     world.change("a", b"ready")
-    world.time.advance(RETURN_MS)
+    world.time.advance(ENTRIES_BACK_MS)
     assert world.names() == ["a"]
 
 
 def test_an_entry_removed_long_after_the_return_is_gone() -> None:
     world = World()
     world.back_ms = world.time.clock.now()
-    world.time.advance(RETURN_MS + 1)
+    world.time.advance(ENTRIES_BACK_MS + 1)
     world.remove("a")
     assert world.names() == ["b"]
 
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -9,7 +9,7 @@
 from twisted.internet.defer import Deferred
 
 from papayapier.clock import fake_clock
-from papayapier.node.store_relay import LATE_MS, RelayDeps, answer_peers, relayed
+from papayapier.node.store_relay import RELAY_AFTER_MS, RelayDeps, serve_store_calls, with_relay
 from papayapier.peer.messages import Message, StoreAsk
 from papayapier.peer.questions import PeerError
 from papayapier.store.api import Store, StoreError
@@ -37,7 +37,7 @@
         self._peers = [View(f"peer-{n}") for n in range(peers)]
         self._handlers: list[Any] = []
         self._told: list[Message] = []
-        answer_peers(cast(Any, self), peer_store)
+        serve_store_calls(cast(Any, self), peer_store)
 
     def views(self) -> list[View]:
         return self._peers
@@ -68,12 +68,12 @@
         self.down = False
         self.hub = Hub(self.shared.store(), peers)
         deps = RelayDeps(self.time.clock, random.Random(1), cast(Any, self.hub), lambda: self.down)
-        self.store = relayed(self.own.store(), deps)
+        self.store = with_relay(self.own.store(), deps)
 
     def end(self, work: Awaitable[Any]) -> Any:
         ends: list[Any] = []
         Deferred.fromCoroutine(cast(Any, work)).addCallback(ends.append)
-        self.time.advance(LATE_MS + 1)
+        self.time.advance(RELAY_AFTER_MS + 1)
         assert ends, "the call has not ended"
         return ends[0]
 
