--- a/papayapier/node/base.py
+++ b/papayapier/node/base.py
@@ -85,12 +85,12 @@
     send: SendRaw
     # Returns the store, called directly or relayed through a peer.
     view: Callable[[Priority], Store]
-    loss_news: LossNews
+    loss_notifications: LossNews
     mirror_deps: MirrorDeps
     placement_deps: PlacementDeps
     placer: Placer
     # Whether batch may run here at a replica for which only totals of calls are received.
-    uses_by_totals: Callable[[str], bool]
+    may_batch_by_totals: Callable[[str], bool]
     # The copies of the store that a hub serves to others, by prefix; empty on other processes.
     mirrors: dict[str, Mirror]
     followers: list[Follower]
@@ -144,13 +144,13 @@
     def concerned_keepers(changed: Collection[str]) -> Collection[str]:
         return fleet.concerned_keepers(changed)
 
-    def soon(call: Callable[[], None]) -> object:
+    def defer(call: Callable[[], None]) -> object:
         return clock.call_later(0, call)
 
     own = cfg.instance
     me = Identity(own.id, boot, own.host, own.data_centre, own.region, role is Role.KEEPER)
     hub = PeerHub(reactor, clock, cfg.peer, me, make_heartbeat, metrics, rand, concerned_keepers)
-    nodes = NodeList(hub.set_members, soon, own.id, lambda: _register(base))
+    nodes = NodeList(hub.set_members, defer, own.id, lambda: _register(base))
     fleet = LargeFleet(nodes, hub.live, lambda: hub.plan().hubs, hub.vouched, routing.table)
     listening = hub.start()
     if isinstance(listening, Err):
@@ -162,7 +162,7 @@
     )
     replicas = ReplicaList(
         ReplicaListDeps(
-            clock, REPLICAS_PREFIX, read_replica, outage_tracker.last_return_ms, on_replicas, soon
+            clock, REPLICAS_PREFIX, read_replica, outage_tracker.last_return_ms, on_replicas, defer
         )
     )
     send = RawDeps(links, read_facts, load_tracker.on_report, replicas.on_moved, metrics)
@@ -177,13 +177,20 @@
         lambda: fleet.partitions,
         cfg.placing.queue,
     )
-    empty_ms = cfg.peer.early_ms + CALL_TURNAROUND_MS
+    turnaround_ms = cfg.peer.early_ms + CALL_TURNAROUND_MS
     placer = Placer(
         PlacerDeps(
-            clock, rand, hub, load_tracker, outliers, lambda: fleet.partitions, metrics, empty_ms
+            clock,
+            rand,
+            hub,
+            load_tracker,
+            outliers,
+            lambda: fleet.partitions,
+            metrics,
+            turnaround_ms,
         )
     )
-    loss_news = LossNews(LossNewsDeps(clock, hub, crashes, own.id, fleet.hubs))
+    loss_notifications = LossNews(LossNewsDeps(clock, hub, crashes, own.id, fleet.hubs))
     mirrors: dict[str, Mirror] = {}
     base = NodeBase(
         reactor=reactor,
@@ -207,13 +214,13 @@
         links=links,
         send=make_raw_send(send),
         view=lambda priority: with_relay(budget.view(priority), relay),
-        loss_news=loss_news,
+        loss_notifications=loss_notifications,
         mirror_deps=MirrorDeps(
             hub, own.id, fleet.hubs, outage_tracker.on_reported, clock, nodes.count
         ),
         placement_deps=placement_deps,
         placer=placer,
-        uses_by_totals=lambda replica: fleet.uses_by_totals(replica, own.id),
+        may_batch_by_totals=lambda replica: fleet.may_batch_by_totals(replica, own.id),
         mirrors=mirrors,
         followers=[],
         tasks=[],
@@ -350,7 +357,7 @@
         task.cancel()
     for follower in base.followers:
         follower.stop()
-    base.loss_news.close()
+    base.loss_notifications.close()
     base.placer.close()
     base.hub.close()
     await base.links.close()
@@ -372,7 +379,7 @@
     if role is Role.ENTRY:
         track_totals(hub, base.load_tracker)
     else:
-        track_totals(hub, base.load_tracker, base.uses_by_totals)
+        track_totals(hub, base.load_tracker, base.may_batch_by_totals)
     base.tasks.append(track_peer_calls(hub, base.load_tracker, base.clock))
     hub.subscribe(Heartbeat, lambda _peer, _heartbeat: base.placer.on_calls())
     hub.subscribe(CallsTold, lambda _peer, _message: base.placer.on_calls())
--- a/papayapier/node/entry.py
+++ b/papayapier/node/entry.py
@@ -132,7 +132,7 @@
     def _losses_known(self) -> bool:
         """Return whether earlier replica losses are known, or no other process can know of any."""
         processes = self._base.nodes.count()
-        return processes == 1 or (bool(processes) and self._base.loss_news.caught_up())
+        return processes == 1 or (bool(processes) and self._base.loss_notifications.caught_up())
 
     def _placer_known(self) -> bool:
         """Return whether a hub is known that places calls, or each instance places its own."""
--- a/papayapier/node/job_reading.py
+++ b/papayapier/node/job_reading.py
@@ -57,7 +57,8 @@
         if not isinstance(results_reply, ResultsTell) or not results_reply.known:
             return None
         results = [
-            ItemResult(name.id, ItemEnd(name.end), name.text) for name in results_reply.results
+            ItemResult(result.id, ItemEnd(result.end), result.text)
+            for result in results_reply.results
         ]
         return Page(results_reply.total, results)
 
--- a/papayapier/node/keeper.py
+++ b/papayapier/node/keeper.py
@@ -243,7 +243,7 @@
     )
     snapshot = await progress.load_soon(deps)
     runner.recall(snapshot.items)
-    base.loss_news.recall(snapshot.losses)
+    base.loss_notifications.recall(snapshot.losses)
     saving = Deferred.fromCoroutine(progress.save_regularly(deps, snapshot.number))
     saving.addErrback(report_failure, "progress")
     base.tasks.append(saving)
--- a/papayapier/node/keeping.py
+++ b/papayapier/node/keeping.py
@@ -1,6 +1,6 @@
 """Store copies of a job on keepers' disks while the store is unreachable.
 
-Entries request the copies with keep(); keepers answer these requests.
+Entries send the requests, and keepers answer them.
 """
 
 from collections.abc import Callable, Collection, Sequence
--- a/papayapier/node/large_fleet.py
+++ b/papayapier/node/large_fleet.py
@@ -48,17 +48,17 @@
         """Return the keepers that share some replicas' batch slots or place their online calls."""
         hubs = self.hubs()
         keepers = self._keepers()
-        concerned_keepers: set[str] = set()
+        found_keepers: set[str] = set()
         for replica in replicas:
             if self._may_run_batch(replica):
-                concerned_keepers.update(first_sharers(replica, keepers))
+                found_keepers.update(first_sharers(replica, keepers))
             key = self.partitions.key_of.get(replica)
             placer = placer_of(key, hubs) if key is not None else None
             if placer is not None:
-                concerned_keepers.add(placer)
-        return concerned_keepers
+                found_keepers.add(placer)
+        return found_keepers
 
-    def uses_by_totals(self, replica: str, keeper: str) -> bool:
+    def may_batch_by_totals(self, replica: str, keeper: str) -> bool:
         """Return whether a keeper may run batch at a replica whose calls it knows by totals only.
 
         A hub receives the calls themselves. Two hubs that used each other's totals would keep
--- a/papayapier/node/mirrors.py
+++ b/papayapier/node/mirrors.py
@@ -56,7 +56,8 @@
 
     hubs returns the live hubs, including this process if it is one. on_store_return is called with
     how many ms ago the store returned, if a hub reports that it was unreachable. With a clock, the
-    first watches of a process wait briefly for a hub. listed returns how many processes are listed.
+    first watches of a process wait briefly for a hub. listed_count returns the number of listed
+    processes.
     """
 
     hub: PeerHub
@@ -64,7 +65,7 @@
     hubs: Callable[[], list[str]]
     on_store_return: Callable[[int], None]
     clock: Clock | None = None
-    listed: Callable[[], int] = lambda: 0
+    listed_count: Callable[[], int] = lambda: 0
 
 
 class StoreSource:
@@ -137,7 +138,7 @@
     async def list_at_start(self, prefix: str) -> Result[StoreTell, StoreError]:
         """Return a hub's listing; after a start of many processes, wait until a hub has it."""
         clock = self._deps.clock
-        while clock is not None and not self._deps.listed():
+        while clock is not None and not self._deps.listed_count():
             if clock.now() >= self._started_ms + MAX_SIZE_WAIT_MS:
                 break
             await clock.sleep(POLL_MS)
@@ -148,7 +149,7 @@
         return reply
 
     def _waits_for_watcher(self, now: int) -> bool:
-        many = self._deps.listed() > MANY_PROCESSES
+        many = self._deps.listed_count() > MANY_PROCESSES
         watches = self._deps.me in watchers(self._deps.hubs())
         return many and not watches and now < self._started_ms + MAX_WATCHER_WAIT_MS
 
@@ -223,12 +224,16 @@
                     self._deliver(hub_id, answered, None)
 
 
-def serve_mirrors(hub: PeerHub, mirrors: dict[str, Mirror], back_ms_ago: Callable[[], int]) -> None:
+def serve_mirrors(
+    hub: PeerHub, mirrors: dict[str, Mirror], ms_since_return: Callable[[], int]
+) -> None:
     """Answer the processes that follow the store through this hub."""
 
     def on_request(peer_id: str, request: MirrorAsk) -> None:
         done = Deferred.fromCoroutine(_answer(mirrors.get(request.prefix), request))
-        done.addCallback(lambda reply: hub.tell(peer_id, reply._replace(back_ms_ago=back_ms_ago())))
+        done.addCallback(
+            lambda reply: hub.tell(peer_id, reply._replace(back_ms_ago=ms_since_return()))
+        )
         done.addErrback(report_failure, "mirror")
 
     hub.subscribe(MirrorAsk, on_request)
--- a/papayapier/node/placement.py
+++ b/papayapier/node/placement.py
@@ -178,11 +178,11 @@
     )
 
 
-def _placed(reply: PlaceTell, key: str, has_room: bool) -> Placed:
+def _placed(reply: PlaceTell, key: str, has_capacity: bool) -> Placed:
     if reply.after_ms:
         reason = f"no replica of {key} has free capacity in time"
         return Placed(refusal=not_run(ErrorKind.NO_ROOM, reason, reply.after_ms))
-    return Placed(reply.replica, has_room=has_room and bool(reply.replica))
+    return Placed(reply.replica, has_room=has_capacity and bool(reply.replica))
 
 
 def make_report_unanswered(deps: PlacementDeps) -> Callable[[Replica], None]:
--- a/papayapier/node/placer.py
+++ b/papayapier/node/placer.py
@@ -42,8 +42,8 @@
 class PlacerDeps(NamedTuple):
     """Hold the dependencies of placement for other instances.
 
-    parts returns the partitions of the replicas. empty_ms is how long a slot stays empty between
-    the calls that are placed there.
+    parts returns the partitions of the replicas. turnaround_ms is how long a slot stays empty
+    between the calls that are placed there.
     """
 
     clock: Clock
@@ -53,7 +53,7 @@
     outliers: Outliers
     parts: Callable[[], Parts]
     metrics: Metrics
-    empty_ms: int
+    turnaround_ms: int
 
 
 class _Requester(NamedTuple):
@@ -69,7 +69,7 @@
 
     def __init__(self, deps: PlacerDeps) -> None:
         self._deps = deps
-        self._replica_capacity = ReplicaRoom(deps.empty_ms)
+        self._replica_capacity = ReplicaRoom(deps.turnaround_ms)
         self._unanswered_reports = SharedBlame()
         # Partitions with so many suspect replicas that the reports about them are ignored.
         self._ignored_reports: set[str] = set()
--- a/papayapier/node/processes.py
+++ b/papayapier/node/processes.py
@@ -28,7 +28,7 @@
 
 
 class Role(Enum):
-    """The role of a process."""
+    """Name the role of a process."""
 
     ENTRY = "entry"
     KEEPER = "keeper"
@@ -54,19 +54,19 @@
     def __init__(
         self,
         changed: Callable[[list[Member]], None],
-        soon: Callable[[Callable[[], None]], object] = lambda call: call(),
+        defer: Callable[[Callable[[], None]], object] = lambda call: call(),
         me: str = "",
         on_lost: Callable[[], object] = lambda: None,
     ) -> None:
         """Make an empty list.
 
-        changed gets all processes after a change. soon defers a call until the current event is
+        changed gets all processes after a change. defer delays a call until the current event is
         processed: a listing reports its objects one by one, and processing all of them each time
         took half a second of every start with 195 processes. on_lost is called when this process
         itself is marked as lost.
         """
         self._on_changed = changed
-        self._soon = soon
+        self._defer = defer
         self._notify_scheduled = False
         self._me = me
         self._on_lost = on_lost
@@ -99,7 +99,7 @@
             self._by_role[role] = frozenset(ids)
         if not self._notify_scheduled:
             self._notify_scheduled = True
-            self._soon(self._notify)
+            self._defer(self._notify)
 
     def _notify(self) -> None:
         self._notify_scheduled = False
--- a/papayapier/node/replica_list.py
+++ b/papayapier/node/replica_list.py
@@ -38,7 +38,7 @@
     """Hold the dependencies of the list.
 
     read decodes an entry. last_return_ms returns when the store last returned, 0 if it was never
-    unreachable, and None while it is unreachable. changed gets the complete list. soon defers a
+    unreachable, and None while it is unreachable. changed gets the complete list. defer delays a
     call until the current event is processed: a listing reports its entries one by one, and
     processing all of them each time takes time in proportion to their number.
     """
@@ -48,12 +48,12 @@
     read: "Callable[[str, bytes], Result[ListedReplica, str]]"
     last_return_ms: Callable[[], int | None]
     changed: Callable[[list[ListedReplica]], None]
-    soon: Callable[[Callable[[], None]], object] = lambda call: call()
+    defer: Callable[[Callable[[], None]], object] = lambda call: call()
 
 
-def is_list_current(back_ms: int | None, now: int) -> bool:
+def is_list_current(returned_ms: int | None, now: int) -> bool:
     """Return whether listed replicas are live: not during an outage, nor just after its end."""
-    return back_ms is not None and (not back_ms or now >= back_ms + ENTRIES_BACK_MS)
+    return returned_ms is not None and (not returned_ms or now >= returned_ms + ENTRIES_BACK_MS)
 
 
 class ReplicaList:
@@ -128,9 +128,9 @@
         if replica_id not in self._listed:
             return
         now = self._deps.clock.now()
-        back_ms = self._deps.last_return_ms()
-        if back_ms is None or (back_ms and now < back_ms + ENTRIES_BACK_MS):
-            due_ms = now + ENTRIES_BACK_MS if back_ms is None else back_ms + ENTRIES_BACK_MS
+        returned_ms = self._deps.last_return_ms()
+        if returned_ms is None or (returned_ms and now < returned_ms + ENTRIES_BACK_MS):
+            due_ms = now + ENTRIES_BACK_MS if returned_ms is None else returned_ms + ENTRIES_BACK_MS
             self._removal_due_ms[replica_id] = due_ms
             self._deps.clock.call_later(due_ms - now, lambda: self._end_deferral(replica_id))
             return
@@ -151,7 +151,7 @@
         """Report all changes of one answer of the store together."""
         if not self._notify_scheduled:
             self._notify_scheduled = True
-            self._deps.soon(self._notify)
+            self._deps.defer(self._notify)
 
     def _notify(self) -> None:
         self._notify_scheduled = False
--- a/papayapier/node/store_relay.py
+++ b/papayapier/node/store_relay.py
@@ -53,13 +53,13 @@
 class RelayDeps(NamedTuple):
     """Hold the dependencies of the relay.
 
-    down returns whether direct calls to the store are known to fail.
+    is_down returns whether direct calls to the store are known to fail.
     """
 
     clock: Clock
     rand: random.Random
     hub: PeerHub
-    down: Callable[[], bool]
+    is_down: Callable[[], bool]
 
 
 def with_relay(own: Store, deps: RelayDeps) -> Store:
@@ -95,7 +95,7 @@
         return await relay.race_calls(lambda: own.list(prefix, after, limit), relay_call)
 
     async def watch(prefix: str, since: int, wait_ms: int) -> Result[Changes, StoreError]:
-        if not deps.down():
+        if not deps.is_down():
             return await own.watch(prefix, since, wait_ms)
         call = StoreAsk(NO_ID, WATCH, prefix, version=since, wait_ms=wait_ms)
         return check_reply(await relay.send(call, wait_ms)).map(decode_changes)
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -28,7 +28,7 @@
     assert set(world.runs.values()) == {1}
     # The keeper that ran a job closes it in the end.
     for job_id in world.jobs:
-        assert any(one.runner.has_closed(job_id) for one in world.keepers.values())
+        assert any(keeper.runner.has_closed(job_id) for keeper in world.keepers.values())
 
 
 def test_jobs_continue_while_replicas_are_removed() -> None:
@@ -72,7 +72,7 @@
 
 def shared_replicas(world: KeepersWorld, keeper: str) -> list[str]:
     """Return the replicas whose slots a keeper shares."""
-    return [one for one in world.listed if keeper in first_sharers(one, world.live)]
+    return [replica for replica in world.listed if keeper in first_sharers(replica, world.live)]
 
 
 @pytest.mark.parametrize(("keepers", "replicas"), [(12, 15), (30, 47)])
@@ -133,7 +133,7 @@
     replica, keeper = rand.choice(world.listed), rand.choice(world.live)
     kind = rand.randrange(7)
     if kind == 0 and len(world.listed) > 1:
-        world.list_replicas([one for one in world.listed if one != replica])
+        world.list_replicas([other for other in world.listed if other != replica])
     elif kind == 1:
         world.list_replicas([*world.listed, f"i-new-{rand.getrandbits(48):012x}"])
     elif kind == 2:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -67,7 +67,7 @@
         nodes, lambda: keepers, lambda: keepers[:3], lambda: keepers, lambda: None
     )
     fleet_state.on_replicas([Replica("i-1", "lm", "h", 1, "dc")])
-    by_totals = {keeper for keeper in keepers if fleet_state.uses_by_totals("i-1", keeper)}
+    by_totals = {keeper for keeper in keepers if fleet_state.may_batch_by_totals("i-1", keeper)}
     assert by_totals <= set(sharers_of("i-1", keepers)) - set(keepers[:3])
     assert by_totals.isdisjoint(fleet_state.concerned_keepers(["i-1"]))
 
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -139,7 +139,7 @@
         deps = MirrorDeps(
             cast(Any, node),
             name,
-            lambda: [name for name in node.live() if name in self.hubs],
+            lambda: [hub for hub in node.live() if hub in self.hubs],
             self.reported_returns.append,
         )
         store = with_hub_mirrors(self.platform.store(name), deps, source)
--- a/tests/test_node_entry.py
+++ b/tests/test_node_entry.py
@@ -89,7 +89,15 @@
         pass
 
     base: Any = Part()
-    for name in ("drain", "routing", "replicas", "placement_deps", "nodes", "cfg", "loss_news"):
+    for name in (
+        "drain",
+        "routing",
+        "replicas",
+        "placement_deps",
+        "nodes",
+        "cfg",
+        "loss_notifications",
+    ):
         setattr(base, name, Part())
     base.clock = time.clock
     base.drain.state = lambda: "serving"
@@ -97,7 +105,7 @@
     base.replicas.listed = lambda: [object()]
     base.placement_deps.queue = fleet.queue
     base.placement_deps.hubs = lambda: ["hub"] * fleet.hubs
-    base.loss_news.caught_up = lambda: fleet.losses_known
+    base.loss_notifications.caught_up = lambda: fleet.losses_known
     base.nodes.count = lambda: fleet.processes
     base.cfg.peer = Part()
     base.cfg.peer.full_mesh = 16
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -40,7 +40,7 @@
 REQ = RouteRequest("lm", "", "dc")
 HUBS = ("hub-1", "hub-2")
 FIRST = placer_of("lm/0", HUBS) or ""
-SECOND = next(one for one in HUBS if one != FIRST)
+SECOND = next(hub for hub in HUBS if hub != FIRST)
 
 
 class Wires:
@@ -178,14 +178,14 @@
 
 
 def count_sent(wires: Wires, kind: type[Message], to: str = "entry") -> int:
-    return sum(isinstance(one, kind) and at == to for _, at, one in wires.sent)
+    return sum(isinstance(message, kind) and at == to for _, at, message in wires.sent)
 
 
 def test_placement_takes_two_messages_with_free_capacity() -> None:
     """Guard against additional messages when a replica has free capacity."""
     wires = Wires()
     assert wires.call().replica == "r0"
-    assert [type(one) for _, _, one in wires.sent] == [PlaceAsk, PlaceTell]
+    assert [type(message) for _, _, message in wires.sent] == [PlaceAsk, PlaceTell]
 
 
 def test_request_waits_until_a_call_ends() -> None:
