--- a/papayapier/node/health.py
+++ b/papayapier/node/health.py
@@ -1,7 +1,7 @@
 """Serve health, readiness and metrics of a process on the platform.
 
-Four fixed paths need no routes: the library for those takes 0.15 s of the imports of each start,
-and after a loss of power all callers wait for the starts.
+The four paths are fixed and need no routing library: importing it would add 0.15 s to each start,
+and after a power loss all callers wait for the starts.
 """
 
 from collections.abc import Callable
@@ -26,20 +26,20 @@
 
 
 class HealthResource(_Resource):  # type: ignore[misc]
-    """Answer the questions whether a process is well and ready, and show its metrics."""
+    """Serve the health and readiness checks and the metrics."""
 
     isLeaf = True  # noqa: N815
 
-    def __init__(self, why_not_ready: Callable[[], str], metrics: Metrics) -> None:
+    def __init__(self, not_ready_reason: Callable[[], str], metrics: Metrics) -> None:
         super().__init__()
-        self._why_not_ready = why_not_ready
+        self._not_ready_reason = not_ready_reason
         self._metrics = metrics
 
     def render_GET(self, request: "WebRequest") -> bytes:  # noqa: N802
         if request.path == HEALTH_PATH:
             return reply_json(request, Health(True))
         if request.path in READY_PATHS:
-            reason = self._why_not_ready()
+            reason = self._not_ready_reason()
             return reply_json(request, Health(not reason, reason), 503 if reason else 200)
         if request.path == METRICS_PATH:
             request.setHeader(b"Content-Type", METRICS_TYPE)
--- a/papayapier/node/large_fleet.py
+++ b/papayapier/node/large_fleet.py
@@ -1,4 +1,4 @@
-"""Know what a large fleet's instances need of each other: the hubs, and whom a call concerns."""
+"""Determine the hubs of a large fleet, and which keepers need to know of a change of calls."""
 
 from collections.abc import Callable, Collection, Sequence
 
@@ -10,10 +10,10 @@
 
 
 class LargeFleet:
-    """Hold the parts of the upstreams.
+    """Hold the partitions of the upstreams.
 
-    live names the instances that are heard and not leaving, chosen those that are to be hubs,
-    vouched those that the hubs take for live.
+    live returns the instances that are reachable and not leaving, chosen those that are selected as
+    hubs, vouched those that the hubs consider live.
     """
 
     def __init__(
@@ -24,7 +24,7 @@
         vouched: Callable[[], Collection[str]],
         table: Callable[[], RouteTable | None],
     ) -> None:
-        self.parts = make_parts(())
+        self.partitions = make_parts(())
         self._nodes = nodes
         self._live = live
         self._chosen = chosen
@@ -32,37 +32,37 @@
         self._table = table
 
     def on_replicas(self, replicas: Sequence[Replica]) -> None:
-        """Take the listed replicas."""
-        self.parts = make_parts(replicas)
+        """Recompute the partitions from the listed replicas."""
+        self.partitions = make_parts(replicas)
 
     def hubs(self) -> list[str]:
         """Return the live hubs."""
         live = self._live()
-        return [one for one in self._chosen() if one in live]
+        return [hub for hub in self._chosen() if hub in live]
 
     def _keepers(self) -> list[str]:
-        """Return the keepers that share the work, by the same word as they go by themselves."""
+        """Return the keepers that share batch work, by the criterion the keepers use."""
         return sorted(self._nodes.with_role(Role.KEEPER).intersection(self._vouched()))
 
-    def concerned(self, replicas: Collection[str]) -> set[str]:
+    def concerned_keepers(self, replicas: Collection[str]) -> set[str]:
         """Return the keepers that share some replicas' batch slots or place their online calls."""
         hubs = self.hubs()
         keepers = self._keepers()
-        found: set[str] = set()
+        found_keepers: set[str] = set()
         for replica in replicas:
             if self._may_run_batch(replica):
-                found.update(first_sharers(replica, keepers))
-            key = self.parts.key_of.get(replica)
+                found_keepers.update(first_sharers(replica, keepers))
+            key = self.partitions.key_of.get(replica)
             placer = placer_of(key, hubs) if key is not None else None
             if placer is not None:
-                found.add(placer)
-        return found
+                found_keepers.add(placer)
+        return found_keepers
 
-    def uses_by_totals(self, replica: str, keeper: str) -> bool:
-        """Tell whether a keeper may run batch at a replica of whose calls it hears by totals.
+    def may_batch_by_totals(self, replica: str, keeper: str) -> bool:
+        """Return whether a keeper may run batch at a replica whose calls it knows by totals only.
 
-        A hub hears of the calls themselves, and two hubs that took each other's totals would tell
-        each other of calls that have ended.
+        A hub receives the calls themselves. Two hubs that used each other's totals would keep
+        reporting calls that have ended to each other.
         """
         if keeper in self._chosen():
             return False
@@ -72,5 +72,5 @@
 
     def _may_run_batch(self, replica_id: str) -> bool:
         table = self._table()
-        upstream = upstream_of(self.parts.key_of.get(replica_id, ""))
+        upstream = upstream_of(self.partitions.key_of.get(replica_id, ""))
         return table is None or upstream in table.job_upstreams
--- a/papayapier/node/processes.py
+++ b/papayapier/node/processes.py
@@ -1,9 +1,9 @@
 """Let the processes of one deployment find each other through the platform's store.
 
-Each writes one object about itself at its start. Who lives is told by heartbeats; but whoever
-starts has heard nobody yet, and would take keepers that are gone for good for owners, hubs and
-granters until it has missed them. So one of the keepers writes down who has been silent for long;
-whoever finds itself written down as lost writes that it is there.
+Each process writes one object about itself at its start. Heartbeats show which processes are live,
+but a process that has just started has received none yet. Until it detected their silence, it would
+take keepers that are gone for good for owners, hubs and granters. So one of the keepers marks
+others as lost after a long silence. A process that finds itself marked as lost registers again.
 """
 
 import random
@@ -19,23 +19,23 @@
 from papayapier.store.api import ENTRY, LIVE, LOST, Change, Member, Store, StoreError
 from papayapier.store.watch import Pauses
 
-NODES: Final = "papayapier-nodes/"
+NODES_PREFIX: Final = "papayapier-nodes/"
 ANY_VERSION: Final = 0
-# The list is there within some ms of a start where the store answers.
-LISTED_MS: Final = 300
-LOOK_MS: Final = 10
-NOBODY: Final[frozenset[str]] = frozenset()
+# If the store answers, the list is read within a few ms of a start.
+MAX_LIST_WAIT_MS: Final = 300
+POLL_MS: Final = 10
+NO_NODES: Final[frozenset[str]] = frozenset()
 
 
 class Role(Enum):
-    """Name what a process does."""
+    """Name the role of a process."""
 
     ENTRY = "entry"
     KEEPER = "keeper"
 
 
 class NodeRecord(NamedTuple):
-    """Hold what a process says of itself; lost is what others say of it."""
+    """Hold what a process registers about itself; lost is set by others."""
 
     role: Role
     host: str
@@ -49,35 +49,35 @@
 
 
 class NodeList:
-    """Hold the processes that have written themselves down."""
+    """Hold the processes that are registered in the store."""
 
     def __init__(
         self,
         changed: Callable[[list[Member]], None],
-        soon: Callable[[Callable[[], None]], object] = lambda call: call(),
+        defer: Callable[[Callable[[], None]], object] = lambda call: call(),
         me: str = "",
         on_lost: Callable[[], object] = lambda: None,
     ) -> None:
-        """Make an empty list; soon makes a call after what is under way.
+        """Make an empty list.
 
-        on_lost is told when this process itself is written down as lost.
-
-        A listing tells its objects one by one, and each look at all of them costs time in
-        proportion to the fleet: with 195 processes half a second of every start.
+        changed gets all processes after a change. defer delays a call until the current event is
+        processed: a listing reports its objects one by one, and processing all of them each time
+        took half a second of every start with 195 processes. on_lost is called when this process
+        itself is marked as lost.
         """
-        self._changed = changed
-        self._soon = soon
-        self._telling = False
+        self._on_changed = changed
+        self._defer = defer
+        self._notify_scheduled = False
         self._me = me
         self._on_lost = on_lost
         self._nodes: dict[str, NodeRecord] = {}
         self._versions: dict[str, int] = {}
-        # Asked for with each message of a peer, so kept ready.
+        # Cached, because it is read for each message of a peer.
         self._by_role: dict[Role, frozenset[str]] = {}
 
     def on_change(self, change: Change) -> None:
-        """Take a change of one object."""
-        node_id = change.key.removeprefix(NODES)
+        """Apply a change of one process's object."""
+        node_id = change.key.removeprefix(NODES_PREFIX)
         if change.deleted:
             self._nodes.pop(node_id, None)
             self._versions.pop(node_id, None)
@@ -89,7 +89,7 @@
                 return
             self._versions[node_id] = change.version
             if self._nodes.get(node_id) == record:
-                # A process that has started again says the same of itself.
+                # A restarted process registers the same record again.
                 return
             self._nodes[node_id] = record
             if record.lost and node_id == self._me:
@@ -97,16 +97,16 @@
         for role in Role:
             ids = (key for key, record in self._nodes.items() if record.role is role)
             self._by_role[role] = frozenset(ids)
-        if not self._telling:
-            self._telling = True
-            self._soon(self._tell)
+        if not self._notify_scheduled:
+            self._notify_scheduled = True
+            self._defer(self._notify)
 
-    def _tell(self) -> None:
-        self._telling = False
-        self._changed(self.members())
+    def _notify(self) -> None:
+        self._notify_scheduled = False
+        self._on_changed(self.members())
 
     def stored(self, node_id: str) -> tuple[NodeRecord, int] | None:
-        """Return what is written of a process, and the version of that."""
+        """Return the stored record of a process and its version."""
         record = self._nodes.get(node_id)
         return None if record is None else (record, self._versions[node_id])
 
@@ -120,7 +120,7 @@
 
     def with_role(self, role: Role) -> frozenset[str]:
         """Return the ids of the processes that have a role."""
-        return self._by_role.get(role, NOBODY)
+        return self._by_role.get(role, NO_NODES)
 
 
 def _member(node_id: str, record: NodeRecord) -> Member:
@@ -138,34 +138,35 @@
     )
 
 
-async def is_written(
+async def is_registered(
     clock: Clock,
     nodes: NodeList,
     node_id: str,
     record: NodeRecord,
     listed: Callable[[], bool],
 ) -> bool:
-    """Tell whether the store says of a process what it would write, as after most starts.
+    """Return whether the store already holds the record of a process, as after most starts.
 
-    A restart of all would else write each of them twice: one create that fails, and an update.
+    Without this check each process would make two writes when all restart: a create that fails and
+    an update.
     """
-    give_up_ms = clock.now() + LISTED_MS
-    while not listed() and clock.now() < give_up_ms:
-        await clock.sleep(LOOK_MS)
+    deadline_ms = clock.now() + MAX_LIST_WAIT_MS
+    while not listed() and clock.now() < deadline_ms:
+        await clock.sleep(POLL_MS)
     stored = nodes.stored(node_id)
     return stored is not None and stored[0] == record
 
 
-async def write_down(
+async def register_node(
     store: Store, clock: Clock, rand: random.Random, node_id: str, record: NodeRecord
 ) -> None:
-    """Write this process's object, however long the store is away."""
+    """Write this process's object, retrying for as long as the store is unreachable."""
     value = msgspec.json.encode(record)
     pauses = Pauses(rand)
     while True:
-        done = await store.create(NODES + node_id, value)
+        done = await store.create(NODES_PREFIX + node_id, value)
         if done == Err(StoreError.CONFLICT):
-            done = await store.update(NODES + node_id, value, ANY_VERSION)
+            done = await store.update(NODES_PREFIX + node_id, value, ANY_VERSION)
         if isinstance(done, Ok):
             return
         await clock.sleep(pauses.next_ms())
--- a/papayapier/node/run.py
+++ b/papayapier/node/run.py
@@ -12,28 +12,31 @@
 from papayapier.clock import Clock, real_clock
 from papayapier.logs import start_bounded_logs
 from papayapier.node import settings
-from papayapier.node.early import EarlySocket
+from papayapier.node.caller_socket import CallerSocket
 from papayapier.node.processes import Role
 from papayapier.node.settings import NodeSettings
 from papayapier.serve import Program, Running, run_program
 
 
-def run_node(role: Role, path: Path, cfg: NodeSettings, opened: EarlySocket | None) -> int:
-    """Run a process until it is told to stop; opened is the callers' port, if it is open."""
+def run_node(role: Role, path: Path, cfg: NodeSettings, callers_socket: CallerSocket | None) -> int:
+    """Run a process until it is asked to stop.
+
+    callers_socket is the socket for callers if it is already open.
+    """
 
     async def start(reactor: Any, clock: Clock, rand: random.Random) -> Result[Running, str]:
-        # Each role imports its own parts only: a keeper has no HTTP server, which is a fifth of
-        # what an entry imports.
+        # Each role imports only what it uses: a keeper has no HTTP server for callers, which is a
+        # fifth of an entry's imports.
         if role is Role.ENTRY:
             from papayapier.node.entry import start_entry
 
-            return await start_entry(reactor, clock, cfg, rand, opened)
+            return await start_entry(reactor, clock, cfg, rand, callers_socket)
         from papayapier.node.keeper import start_keeper
 
         return await start_keeper(reactor, clock, cfg, rand)
 
     def reload() -> None:
-        """Say what has changed; what the process listens on cannot change while it runs."""
+        """Log which settings have changed; the listening sockets cannot change at run time."""
         loaded = settings.load(path)
         if isinstance(loaded, Err):
             events.emit(events.SETTINGS_UNREADABLE, reason=loaded.err_value)
