--- a/papayapier/peer/call_words.py
+++ b/papayapier/peer/call_words.py
@@ -1,7 +1,8 @@
-"""Decide whom changed calls concern, and tell them where no heartbeat does.
+"""Decide which peers need early notice of changed open calls, and notify non-neighbours.
 
 In a large fleet each call that begins or ends would cost a message to every neighbour. So only
-those hear of it at once whom it concerns: who places calls or runs batch at the replica.
+the peers that it concerns are notified early: those that place calls or run batch at the
+replica.
 """
 
 from collections.abc import Callable, Collection, Sequence
@@ -11,33 +12,33 @@
 from papayapier.peer.pacing import changed_replicas, use_distance
 from papayapier.policy.loads import ReplicaUse
 
-# Names the peers that must soon know of changed calls at some replicas.
+# Returns the peers that need early notice of changed calls at some replicas.
 EarlyTo = Callable[[Collection[str]], Collection[str]]
 Tell = Callable[[str, CallsTold], object]
 
 
 class Hearers(NamedTuple):
-    """Name whom an early word goes to: neighbours, and those that are none."""
+    """Hold the peers to notify early: near are neighbours, others are not."""
 
     near: Sequence[str]
     others: Sequence[str]
 
 
 class CallWords:
-    """Own whom this instance has told of its open calls."""
+    """Track the non-neighbours that this instance has notified of its open calls."""
 
     def __init__(self, me: str, early_to: EarlyTo | None, tell: Tell) -> None:
-        """Make the words; without early_to all neighbours hear of each change."""
+        """Start with nobody notified; without early_to each change concerns all neighbours."""
         self._me = me
         self._early_to = early_to
         self._tell = tell
-        # Those that are no neighbours and have been told of open calls.
+        # Peers that are not neighbours and have been notified of open calls.
         self._told: set[str] = set()
 
     def hearers(
         self, neighbours: Sequence[str], full_mesh: bool, before: Heartbeat, after: Heartbeat
     ) -> Hearers:
-        """Return whom to tell: all, or beyond a full mesh those whom the changes concern."""
+        """Return the peers to notify: all in a full mesh, else those that the changes concern."""
         if self._early_to is None or full_mesh:
             return Hearers(neighbours, ())
         concerned = set(self._early_to(changed_replicas(before.uses, after.uses)))
@@ -45,7 +46,7 @@
         return Hearers(near, sorted(concerned.difference(near, (self._me,))))
 
     def tell(self, peer_ids: Sequence[str], uses: tuple[ReplicaUse, ...]) -> None:
-        """Tell some that are no neighbours of all open calls."""
+        """Send all open calls to peers that are not neighbours."""
         self._told.update(peer_ids)
         for peer_id in peer_ids:
             self._tell(peer_id, CallsTold(uses))
@@ -53,9 +54,10 @@
     def tell_again(
         self, neighbours: Sequence[str], full_mesh: bool, uses: tuple[ReplicaUse, ...]
     ) -> None:
-        """Repeat the open calls to those whom they concern, as a lost word would stand for long.
+        """Resend the open calls to the peers that they concern.
 
-        Whoever was told of calls before is told of their end twice.
+        Otherwise a lost notification would leave a peer with outdated calls for long. A peer
+        that was notified of calls before is notified of their end twice.
         """
         if self._early_to is None or full_mesh:
             return
@@ -66,5 +68,5 @@
 
 
 def worth_a_word(before: Heartbeat, after: Heartbeat, early_calls: int) -> bool:
-    """Tell whether so much has changed that peers must soon know."""
+    """Return whether the open calls changed enough for an early notification."""
     return use_distance(before.uses, after.uses) >= early_calls
--- a/papayapier/peer/counts.py
+++ b/papayapier/peer/counts.py
@@ -1,4 +1,4 @@
-"""Count the messages between instances, and tell of frames that are not understood."""
+"""Count the messages between instances, and log frames that cannot be decoded."""
 
 from collections import Counter
 from typing import TYPE_CHECKING, Final
@@ -14,11 +14,11 @@
 
 
 class MessageCounts:
-    """Own the counters of one instance."""
+    """Own one instance's counters of peer messages."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
-        # Looking a counter up by its labels costs more than counting.
+        # Looking up a counter by its labels costs more than incrementing it.
         self._counters: dict[tuple[type[Message], str], tuple[PromCounter, PromCounter]] = {}
         self._refused: Counter[str] = Counter()
 
@@ -36,10 +36,10 @@
         counters[1].inc(size)
 
     def refuse(self, why: str) -> None:
-        """Count a frame that is not understood, and log each reason only once.
+        """Count a frame that cannot be decoded, and log each reason only once.
 
-        During an upgrade a newer release may send kinds that this one does not know, many a
-        second; a line for each would bury every other event.
+        During an upgrade a newer release may send many messages per second of kinds that this
+        one does not know; one log line for each would hide every other event.
         """
         self._metrics.peer_messages.labels(kind="refused", direction="received").inc()
         if why in self._refused or len(self._refused) < MAX_REFUSALS_KEPT:
--- a/papayapier/peer/hub.py
+++ b/papayapier/peer/hub.py
@@ -1,8 +1,8 @@
-"""Talk with the other instances: heartbeats, messages, questions and answers.
+"""Communicate with the other instances: heartbeats, notifications, requests and replies.
 
-The hub owns the sockets and does what the roster decides. Nothing here may harm serving: a
-frame that is not understood is counted and dropped, sending never blocks, queues and the
-bytes of heartbeats are bounded.
+The hub owns the sockets and carries out what the roster decides. Nothing here may impair
+serving: a frame that cannot be decoded is counted and dropped, sending never blocks, and
+queues and the bytes of heartbeats are bounded.
 """
 
 from collections import defaultdict
@@ -51,7 +51,7 @@
 
 
 class Identity(NamedTuple):
-    """Say who this instance is; boot differs at every start of the process."""
+    """Identify this instance; boot differs at every start of the process."""
 
     instance: str
     boot: int
@@ -75,7 +75,7 @@
         rand: Random,
         early_to: EarlyTo | None = None,
     ) -> None:
-        """Make a hub; early_to narrows whom early heartbeats go to, in a large fleet."""
+        """Create a hub; early_to limits the receivers of early heartbeats in a large fleet."""
         self._clock = clock
         self._cfg = cfg
         self._me = me
@@ -106,7 +106,7 @@
         self._closed = False
 
     def start(self) -> Result[int, str]:
-        """Listen for peers and begin to send heartbeats; return the port in use."""
+        """Listen for peers and start to send heartbeats; return the port in use."""
         seal = load_seal(self._cfg.key_file)
         if isinstance(seal, Err):
             return seal
@@ -120,7 +120,7 @@
         return listening
 
     def close(self) -> None:
-        """Close all connections and end every open question."""
+        """Close all connections and fail every open request."""
         self._closed = True
         for timer in self._timers.values():
             if timer.active():
@@ -130,57 +130,57 @@
         self._inbox.close()
 
     def set_members(self, members: Sequence[Member]) -> None:
-        """Take over the entry instances of a new instance list."""
+        """Apply the entry instances of a new instance list."""
         if not self._closed:
             self._apply(self._roster.set_members(members, self._clock.now()))
             self._announce_live()
 
     def introduce(self, members: Sequence[Member]) -> None:
-        """Dial instances that no list has shown, to hear whether they are there."""
+        """Dial instances that no list has contained, to find out whether they exist."""
         if not self._closed:
             self._apply(self._roster.introduce(members, self._clock.now()))
 
     def live(self) -> list[str]:
-        """Return this instance and the live peers that are not leaving, in order."""
+        """Return the sorted ids of this instance and of the live peers that are not leaving."""
         return self._live
 
     def views(self) -> list[PeerView]:
-        """Return what is known of each peer, for the operators."""
+        """Return a view of each peer for the operators."""
         return self._roster.views(self._clock.now())
 
     def silent(self) -> frozenset[str]:
-        """Return the peers that are not heard and have not said that they leave."""
+        """Return the neighbours that are unreachable and have not reported that they leave."""
         return self._roster.silent()
 
     def lost_hubs(self) -> frozenset[str]:
-        """Return the neighbours that may be hubs, are silent and not yet known as lost to all."""
+        """Return the neighbours that may be hubs and are silent, but are not listed as lost."""
         return self._roster.lost_hubs()
 
     def vouched(self) -> frozenset[str]:
-        """Return whom the hubs of a large fleet take for live, of those that may be hubs."""
+        """Return which of the instances that may be hubs are live by a majority of the hubs."""
         return self._vouched
 
     def plan(self) -> Plan:
-        """Return the plan of links; a relay watches the store for its data centre."""
+        """Return the current plan of links; a relay watches the store for its data centre."""
         return self._roster.plan()
 
     def on_change(self, call: Callable[[], None]) -> None:
-        """Call back whenever live() or who the hubs are has changed."""
+        """Call back whenever live(), vouched() or the choice of hubs has changed."""
         self._listeners.append(call)
 
     def subscribe(self, kind: type[Message], handler: Handler) -> None:
-        """Call a handler with the sender and each message of a kind."""
+        """Register a handler that is called with the sender and each message of a kind."""
         self._handlers[kind].append(handler)
 
     def tell(self, peer_id: str, message: Message) -> bool:
-        """Send a message to one peer; return False when it certainly was not sent."""
+        """Send a message to one peer; return False only if it certainly was not sent."""
         now = self._clock.now()
         if not self._links.has(peer_id) and not self._connect_passing(peer_id, now):
             return False
         return self._send(peer_id, self._encode(message), message, now)
 
     def tell_all(self, message: Message) -> None:
-        """Send a message to every neighbour; changes are passed on from there."""
+        """Send a message to every neighbour; neighbours forward changes further."""
         if isinstance(message, ConfigPush | JobChanged):
             self._spreader.note(message)
         self._broadcast(self._links.neighbours(), message)
@@ -188,7 +188,7 @@
     async def ask(
         self, peer_id: str, make_ask: MakeAsk, timeout_ms: int
     ) -> Result[Message, PeerError]:
-        """Send a question made with a fresh ask id, and wait for its answer."""
+        """Send a request built with a new request id, and wait for its reply."""
         if self._closed:
             return Err(PeerError.CLOSED)
         if self._roster.get(peer_id) is None:
@@ -201,13 +201,13 @@
     async def ask_on(
         self, peer_id: str, ask_id: int, timeout_ms: int
     ) -> Result[Message, PeerError]:
-        """Wait for a further answer to a question, whose first one said that more comes."""
+        """Wait for a further reply to a request whose earlier reply announced it."""
         if self._closed:
             return Err(PeerError.CLOSED)
         return await self._questions.wait(ask_id, peer_id, timeout_ms)
 
     def uses_changed(self) -> None:
-        """Consider an early heartbeat, because this instance's open calls have changed."""
+        """Schedule an early heartbeat if needed, as this instance's open calls have changed."""
         if "early" in self._timers or self._closed:
             return
         wait = self._last_sent_at + self._cfg.early_ms - self._clock.now()
@@ -271,7 +271,7 @@
         return heartbeat._replace(unheard=unheard, every_ms=self._pace_ms, gone=gone)
 
     def _beat_to(self, peer_ids: Sequence[str], heartbeat: Heartbeat) -> int:
-        """Send a heartbeat and return its size; it tells each peer whether it was picked."""
+        """Send a heartbeat and return its size; picked is set for each peer."""
         answered = [peer_id for peer_id in peer_ids if not self._roster.picks(peer_id)]
         picked = [peer_id for peer_id in peer_ids if self._roster.picks(peer_id)]
         if answered:
@@ -310,7 +310,7 @@
         return None
 
     def _take(self, sender: str, message: Message, now: Millis) -> None:
-        """Do the hub's own part of a message."""
+        """Process what the hub itself needs of a message."""
         if isinstance(message, Heartbeat):
             self._apply(self._roster.heard(sender, message, now))
         elif isinstance(message, Hello):
@@ -344,7 +344,7 @@
             self._announce_live()
 
     def _redial(self, peer_id: str) -> None:
-        """Open a lasting connection; the heartbeat saves the peer from waiting for the next."""
+        """Open a permanent connection and send a heartbeat at once, ahead of the regular one."""
         address = self._address(peer_id)
         now = self._clock.now()
         if address is not None:
--- a/papayapier/peer/kinds.py
+++ b/papayapier/peer/kinds.py
@@ -1,4 +1,4 @@
-"""Number the kinds of messages; a number never changes its meaning."""
+"""Assign a number to each kind of message; a number never changes its meaning."""
 
 from typing import Final
 
--- a/papayapier/peer/link.py
+++ b/papayapier/peer/link.py
@@ -1,10 +1,10 @@
 """Join pynng sockets to the twisted reactor.
 
-An Inbox is the one listening socket of an instance; an Outbox is the connection to one
-peer. Each direction has a connection of its own: Push0 and Pull0 need no answer, so a slow
-or lost receiver never holds up the sender, and whoever suspects its own direction replaces
-it alone. nng signals through descriptors that the reactor polls, and every call here is
-non-blocking, so no thread of ours is needed.
+An Inbox is the only listening socket of an instance; an Outbox is the connection to one
+peer. Each direction has its own connection: Push0 and Pull0 need no answer, so a slow or
+lost receiver never blocks the sender, and an instance that suspects its outgoing connection
+can replace it alone. nng signals through descriptors that the reactor polls, and every call
+here is non-blocking, so this module needs no thread.
 """
 
 from collections import deque
@@ -36,7 +36,7 @@
 
 
 class Outgoing(NamedTuple):
-    """Hold an encoded frame; of replaceable ones only the newest is kept in a queue."""
+    """Hold an encoded frame; a queue keeps only the newest replaceable frame."""
 
     data: bytes
     replaceable: bool
@@ -57,7 +57,7 @@
         self._ready()
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
-        """Do nothing: the descriptor is nng's and lives until its socket is closed."""
+        """Do nothing: nng owns the descriptor until its socket is closed."""
 
     def logPrefix(self) -> str:  # noqa: N802
         return "peer"
@@ -73,10 +73,10 @@
         self._descriptor: Any = None
 
     def listen(self, host: str, port: int) -> Result[int, str]:
-        """Listen, and return the port in use (the one chosen, when 0 was asked for)."""
+        """Listen and return the port in use; with port 0 the system chooses it."""
         socket = pynng.Pull0(recv_max_size=MAX_FRAME_BYTES, recv_buffer_size=FRAMES_PER_WAKE)
-        # A peer that vanished without closing would leave its connection here for ever;
-        # the descriptors of an instance would run out after many replacements.
+        # The connection of a peer that disappeared without closing it would otherwise stay
+        # open for ever; after many replacements the instance would run out of descriptors.
         socket.tcp_keepalive = True
         try:
             listener = socket.listen(f"tcp://{host}:{port}")
@@ -97,8 +97,8 @@
         self._socket = None
 
     def _read(self) -> None:
-        # A bound per wake: a flood of frames must not keep the reactor from answering
-        # callers. What remains keeps the descriptor readable.
+        # The number of frames per wake-up is bounded so that a flood of frames does not keep
+        # the reactor from answering callers. Unread frames keep the descriptor readable.
         for _ in range(FRAMES_PER_WAKE):
             if self._socket is None:
                 return
@@ -127,7 +127,7 @@
         self._descriptor = _Descriptor(self._socket.send_fd, self._flush)
 
     def send(self, frame: Outgoing) -> bool:
-        """Send or queue a frame; return False when it was refused for lack of room."""
+        """Send or queue a frame; return False if the queue has no capacity for it."""
         if not self._make_room(frame):
             return False
         self._queue.append(frame)
@@ -137,7 +137,7 @@
         return True
 
     def queued(self) -> int:
-        """Return how many frames wait for the connection."""
+        """Return the number of frames queued for the connection."""
         return len(self._queue)
 
     def close(self) -> None:
@@ -177,7 +177,7 @@
         self._wait(False)
 
     def _wait(self, waiting: bool) -> None:
-        """Poll the descriptor only while frames wait: an idle one is always ready."""
+        """Poll the descriptor only while frames are queued: an idle one is always ready."""
         if waiting == self._waiting:
             return
         self._waiting = waiting
@@ -188,5 +188,5 @@
 
 
 def _port_of(listener: Any) -> int:
-    """Return the port of a listener; nng's own text is the one form in host byte order."""
+    """Return a listener's port; only nng's text form of the address has host byte order."""
     return int(str(listener.local_address).rpartition(":")[2])
--- a/papayapier/peer/links.py
+++ b/papayapier/peer/links.py
@@ -1,8 +1,8 @@
-"""Hold the outgoing connections: lasting ones to neighbours, passing ones to others.
+"""Hold the outgoing connections: permanent ones to neighbours, temporary ones to others.
 
-In a bounded topology most instances are no neighbours, but a claim's writer may be any of
-them. A passing connection is opened by the first message and closed when it has not been
-used for a while, so that descriptors stay bounded by what is in use.
+In a bounded topology most instances are not neighbours, but the writer of a claim may be any
+of them. A temporary connection is opened by the first message and closed after it has been
+idle for a while, so that the number of descriptors stays bounded by what is in use.
 """
 
 from collections.abc import Callable
@@ -39,20 +39,20 @@
         self._links: dict[str, _Link] = {}
 
     def neighbours(self) -> list[str]:
-        """Return the peers with a lasting connection."""
+        """Return the peers with a permanent connection."""
         return [peer_id for peer_id, link in self._links.items() if link.lasting]
 
     def connect(self, peer_id: str, address: Address, lasting: bool, now: Millis) -> None:
-        """Open a connection, in place of the one there may be."""
+        """Open a connection, replacing an existing one."""
         self.hang_up(peer_id)
         self._links[peer_id] = _Link(self._dial(address), lasting, now)
 
     def has(self, peer_id: str) -> bool:
-        """Tell whether there is a connection to a peer."""
+        """Return whether there is a connection to a peer."""
         return peer_id in self._links
 
     def send(self, peer_id: str, frame: Outgoing, now: Millis) -> bool:
-        """Send a frame; return False when it certainly was not sent."""
+        """Send a frame; return False only if it certainly was not sent."""
         link = self._links.get(peer_id)
         if link is None or len(frame.data) > MAX_FRAME_BYTES - TAG_BYTES:
             return False
@@ -60,7 +60,7 @@
         return link.outbox.send(frame)
 
     def sweep(self, now: Millis) -> None:
-        """Close the passing connections that are not used any more."""
+        """Close the temporary connections that have been idle too long."""
         for peer_id, link in list(self._links.items()):
             if not link.lasting and now - link.used_at >= PASSING_IDLE_MS:
                 self.hang_up(peer_id)
--- a/papayapier/peer/loss_messages.py
+++ b/papayapier/peer/loss_messages.py
@@ -1,4 +1,4 @@
-"""Define what instances tell each other of work under which replicas were lost."""
+"""Define the messages in which instances report replica losses to each other."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,10 @@
 
 
 class LossesTold(NamedTuple):
-    """Tell of lost replicas, of works answered since a loss, and of some answered before it."""
+    """Report replica losses and the fingerprints of requests that were answered.
+
+    answered lists fingerprints answered since a loss, lately those answered recently before it.
+    """
 
     losses: tuple[Loss, ...]
     answered: tuple[str, ...] = ()
@@ -14,14 +17,17 @@
 
 
 class LatelyAsk(NamedTuple):
-    """Ask which of some works with losses were answered lately; LossesTold says those only."""
+    """Request which of some fingerprints with losses were answered recently.
+
+    The reply is a LossesTold with only those; there is none where no fingerprint was answered.
+    """
 
     works: tuple[str, ...]
 
 
 class LossesAsk(NamedTuple):
-    """Ask for all losses that the receiver knows; the answer is a LossesTold or NoLosses."""
+    """Request all losses that the receiver knows; the reply is LossesTold or NoLosses."""
 
 
 class NoLosses(NamedTuple):
-    """Tell who has asked that no loss is known."""
+    """Answer LossesAsk where the sender knows of no loss."""
--- a/papayapier/peer/loss_news.py
+++ b/papayapier/peer/loss_news.py
@@ -1,17 +1,18 @@
-"""Tell the other instances under which work replicas were lost, and hear it from them.
+"""Share with the other instances which requests caused replica losses.
 
-The same work comes again at any instance, so each must know what the sends of all did. In a small
-fleet everybody hears of each loss from whoever saw it. In a large one the hubs hear of all losses,
-and tell everybody of work that is held: a loss costs a message to each hub, and only work that is
-held, which is rare, one to everybody. Where there are no hubs, what is new is passed on from
+A request that ends replicas may be retried at any instance, so each instance must know the
+outcomes of all sends. Requests are identified by their fingerprint. In a small fleet each
+instance reports its losses to all others. In a large one it reports them to the hubs, and the
+hubs notify everybody of quarantined fingerprints: a loss costs one message to each hub, and only
+a quarantine, which is rare, costs one to everybody. Without hubs, new losses are forwarded from
 neighbour to neighbour.
 
-An instance that starts asks for what is known; without this, each restart would cost three
-replicas more.
+An instance that starts requests the known losses; without this, each restart would cost three
+more replicas.
 
-Who has answered a work just before its losses says so as soon as it hears of one. In a large fleet
-the entries hear of no losses, so one hub asks all of them when it hears of a work's first loss, and
-each hub when a work is held.
+An instance that answered a fingerprint just before its losses reports that as soon as it receives
+one of the losses. In a large fleet the entries receive no losses, so one hub queries all of them
+when it receives a fingerprint's first loss, and each hub does when a fingerprint is quarantined.
 """
 
 from collections import deque
@@ -25,17 +26,17 @@
 from papayapier.policy.crashes import Loss
 from papayapier.policy.rendezvous import score
 
-# All calls that a replica takes with it end within some ms and are told together; a tenth of a
-# second is far below the seconds in which a caller comes again.
+# All calls of a lost replica fail within a few ms and are reported together; a tenth of a second
+# is far below the seconds after which a caller retries.
 GATHER_MS: Final = 100
-# A message is lost when its link is being replaced, and nobody would miss it: each loss is told
-# twice.
+# A message is lost without notice if its link is being replaced, so each loss is reported twice.
 AGAIN_MS: Final = 1_000
-# One end takes some ten calls with it; what is more is told with the next message.
+# A lost replica fails some ten calls; what exceeds this bound goes into the next message.
 MOST_TOLD: Final = 100
-# What comes faster than it is told, a thousand a second, is not one request's doing.
+# Losses that arrive faster than they are sent, a thousand per second, have another cause than a
+# single request.
 MOST_WAITING: Final = 1_000
-# Without hubs this many neighbours are asked at a start: one may not know, another be lost.
+# Without hubs this many neighbours are queried at a start: one may know nothing, another be lost.
 ASKED_MOST: Final = 3
 
 
@@ -43,7 +44,7 @@
 
 
 class LossNewsDeps(NamedTuple):
-    """Group what the news work with; hubs names the live hubs of a large fleet."""
+    """Group what the exchange of losses needs; hubs returns the live hubs of a large fleet."""
 
     clock: Clock
     hub: PeerHub
@@ -53,11 +54,11 @@
 
 
 class LossNews:
-    """Own what is to be told."""
+    """Queue losses and answered fingerprints for the other instances, and process theirs."""
 
     def __init__(self, deps: LossNewsDeps) -> None:
         self._deps = deps
-        # Each with the time at which it was seen.
+        # Each loss with the time at which it was observed.
         self._losses: deque[tuple[Loss, int]] = deque(maxlen=MOST_WAITING)
         self._again: deque[tuple[Loss, int]] = deque(maxlen=MOST_TOLD)
         self._answered: deque[str] = deque(maxlen=MOST_WAITING)
@@ -74,13 +75,13 @@
         deps.hub.on_change(self._ask)
 
     def recall(self, losses: Sequence[Loss]) -> None:
-        """Take what an earlier run of this process knew, and tell it: all may have started anew."""
+        """Restore losses saved by an earlier run and report them, as all may have restarted."""
         fresh = self._deps.watch.on_told(losses, ())
         if fresh:
             self._tell_hearers(LossesTold(tuple(fresh)))
 
     def caught_up(self) -> bool:
-        """Tell whether somebody has told what was known before this process started."""
+        """Return whether a peer has reported the losses known before this process started."""
         return self._heard_some
 
     def close(self) -> None:
@@ -124,7 +125,7 @@
         self._tell_standing(_take(self._again), ())
 
     def _tell_standing(self, losses: list[tuple[Loss, int]], answered: tuple[str, ...]) -> None:
-        """Tell what has not been taken back meanwhile, as where another try was answered."""
+        """Report losses that still stand; a loss is withdrawn if another attempt was answered."""
         now = self._deps.clock.now()
         watch = self._deps.watch
         lately = set(watch.answered_lately({loss.work for loss, _ in losses}))
@@ -156,7 +157,7 @@
             self._deps.hub.tell_all(LossesTold(tuple(self._deps.watch.snapshot({work}))))
             self._deps.hub.tell_all(LatelyAsk((work,)))
         elif self._losses:
-            # Whoever has answered it lately cannot say so before it hears of the losses.
+            # An instance that answered it recently can report that only once it has the losses.
             self._tell_soon(0)
 
     def _on_told(self, peer_id: str, message: LossesTold) -> None:
@@ -166,7 +167,7 @@
         held = {work for work in said if watch.is_held(work)}
         cleared = watch.take_lately(said, peer_id)
         fresh = watch.on_told(message.losses, message.answered)
-        # Also of losses that are told again: the first answer may have been lost.
+        # Also for losses that are reported again: the first reply may have been lost.
         works = {loss.work for loss in message.losses if not loss.lately}
         lately = set(watch.answered_lately(works))
         if self._has_hubs():
@@ -178,7 +179,10 @@
             self._tell_lately(tuple(fresh), tuple(sorted({*cleared, *lately})))
 
     def _ask_lately(self, works: Collection[str]) -> None:
-        """Ask everybody for answers to works with a first loss, as one of the hubs."""
+        """Query everybody for recent answers to fingerprints with a first loss.
+
+        For each fingerprint exactly one hub, the winner of rendezvous hashing, sends the query.
+        """
         if not self._is_hub():
             return
         hubs = self._deps.hub.plan().hubs
@@ -192,7 +196,10 @@
             self._deps.hub.tell(peer_id, LossesTold((), (), tuple(lately)))
 
     def _tell_cleared(self, works: Collection[str], held: Collection[str]) -> None:
-        """Tell the other hubs, and of work that was held everybody, since all were told of that."""
+        """Report cleared fingerprints to the other hubs, and those quarantined to everybody.
+
+        Everybody was notified of a quarantine, so everybody must be notified of its end.
+        """
         if not self._is_hub():
             return
         self._tell_lately((), tuple(sorted(work for work in works if work in held)))
@@ -212,11 +219,12 @@
         self._deps.hub.tell(peer_id, LossesTold(tuple(losses)) if losses else NoLosses())
 
     def _ask(self) -> None:
-        """Ask whoever is heard for the first time and may know what others do not."""
+        """Request the known losses from peers that have become live and may know of others."""
         if self._is_hub() and not self._was_hub:
             self._asked.clear()
         self._was_hub = self._is_hub()
-        # Whoever was not heard for a while is asked again: neither knows what the other has seen.
+        # A peer that was unreachable for a while is queried again: either side may have observed
+        # losses that the other does not know.
         self._asked.intersection_update(self._deps.hub.live())
         for peer_id in sorted(self._knowing() - self._asked):
             self._asked.add(peer_id)
@@ -231,10 +239,10 @@
             return live & set(self._deps.hubs())
         if len(self._asked) >= ASKED_MOST:
             return set()
-        # Not the same few for all of a large fleet.
+        # Choose by hash so that a large fleet does not query the same few instances.
         return set(sorted(live, key=lambda one: -score(self._deps.me, one))[:ASKED_MOST])
 
 
 def _take(waiting: deque[T]) -> list[T]:
-    """Take as much as one message tells."""
+    """Remove and return at most as many entries as one message holds."""
     return [waiting.popleft() for _ in range(min(len(waiting), MOST_TOLD))]
--- a/papayapier/peer/members.py
+++ b/papayapier/peer/members.py
@@ -1,12 +1,14 @@
-"""Ask a peer for the instance list while the platform cannot be read, and answer such asks.
-
-An instance that starts in an outage knows no replica: the platform alone has the list. Its
-peers read it before. So until its own first reading an instance asks each peer that it hears,
-and takes the list with the youngest reading. Lists are passed on with their age, so that a
-restart after another in the same outage still finds one, and an old list stays old. An ask
-names the age and the digest of what the asker has; a peer that has nothing younger, or the
-same, answers with nothing, so that asking again costs little. The digest is needed for that,
-because a list seems younger by the time on the way each time it is passed on.
+"""Exchange the instance list with peers while the platform cannot be read.
+
+An instance that starts during a platform outage knows no replica, because only the platform
+holds the list, but its peers have read the list before. So until its own first successful
+read, an instance requests the list from each peer whose heartbeats arrive, and uses the most
+recently read one. Lists are forwarded with their age, so that an instance that restarts later
+in the same outage still gets one, and an old list stays marked as old. A request carries the
+age and the digest of the list that the requester has; a peer whose list is not newer, or has
+the same digest, replies with an empty list, so that repeated requests cost little. The age
+alone is not enough for that, because the transit time of each forwarding makes a list seem
+newer.
 """
 
 import random
@@ -30,7 +32,7 @@
 
 
 class MembersDeps(NamedTuple):
-    """Group what the exchange needs; tell returns False when a message was not sent."""
+    """Group what the exchange needs; tell sends a message and returns False if it could not."""
 
     clock: Clock
     rand: random.Random
@@ -39,7 +41,7 @@
 
 
 class _Asked(NamedTuple):
-    """Hold the open ask and the parts of its answer that have come."""
+    """Hold the open request and the parts of its reply received so far."""
 
     ask_id: int
     peer: str
@@ -57,7 +59,7 @@
         self._asked_ms: dict[str, int] = {}
 
     def on_peer(self, peer: str, message: Message) -> None:
-        """Take a message from a peer."""
+        """Handle a message from a peer."""
         match message:
             case Heartbeat():
                 self._consider(peer)
@@ -67,7 +69,7 @@
                 self._take(peer, message)
 
     def _consider(self, peer: str) -> None:
-        """Ask a peer that is heard, one at a time, while there is no reading of our own."""
+        """Request the list from a peer, one at a time, until the platform has been read."""
         if self._deps.follower.read_ms is not None:
             self._asked = None
             self._asked_ms.clear()
@@ -101,8 +103,8 @@
         asked.parts.extend(tell.members)
         count = len(asked.parts)
         if count < tell.total <= MAX_MEMBERS:
-            # A part can be lost when the link is replaced between two of them. A list with
-            # a hole would drop members, so it is taken only when all of it is here.
+            # A part can be lost when the link is replaced between two parts. An incomplete
+            # list would drop members, so it is used only once all parts have arrived.
             return
         self._asked = None
         if not 0 < tell.total == count:
--- a/papayapier/peer/messages.py
+++ b/papayapier/peer/messages.py
@@ -1,8 +1,8 @@
 """Define the messages between the system's own instances.
 
-On the wire a message is a msgpack array: the kind's number, the sender, then the array of
-its fields (see wire). Numbers are never reused, and fields are only added at the end with a
-default, so that two releases can run side by side during an upgrade.
+On the wire a message is a msgpack array: the number of its kind, the sender, then the array
+of its fields (see wire). Numbers are never reused, and fields are only added at the end with
+a default, so that two releases can run side by side during an upgrade.
 """
 
 from typing import Final, NamedTuple
@@ -15,7 +15,7 @@
 
 
 class JobWord(NamedTuple):
-    """Tell that a job has so many groups of results; number counts the sender's words."""
+    """Notify how many groups of results a job has; number counts the sender's notifications."""
 
     number: int
     job_id: str
@@ -23,17 +23,18 @@
 
 
 class Heartbeat(NamedTuple):
-    """Tell that the sender lives, what it applies and what it has open.
-
-    boot is drawn at process start, so that a restarted instance is told from a paused one.
-    config_digest shows what config_version cannot: an object missing below the highest.
-    unheard names the peers whose own heartbeats do not arrive at the sender. every_ms is the
-    sender's present pace, by which the receiver judges its silence. totals holds what all
-    instances together have open at the replicas of which a hub tells. groups_told counts the
-    numbered words of this boot, or is NOT_SURE; words are the last ones, where no JobChanged of
-    their own carries them. gone names the instances that may be hubs and that a hub does not
-    hear, or knows to leave: who is no neighbour of theirs hears it from the hubs. picked tells
-    whether the sender picks the receiver by itself, or only answers its pick.
+    """Report that the sender is live, its configuration and its open calls.
+
+    boot is a random number drawn at process start; it distinguishes a restarted instance from a
+    paused one. config_digest detects what config_version cannot: a missing object whose version
+    is below the highest. unheard lists the peers whose heartbeats do not arrive at the sender.
+    every_ms is the sender's current heartbeat interval; the receiver's silence limit depends on
+    it. totals is sent by hubs: the open calls of all instances at each replica reported.
+    groups_told counts the numbered notifications of this boot, or is NOT_SURE; words are the
+    most recent of them, where no separate JobChanged carries them. gone is sent by hubs: the
+    instances that may be hubs and are silent or leaving, for instances that are not their
+    neighbours. picked is true if the sender's own plan includes the receiver, and false if the
+    sender only reciprocates a link that the receiver's plan wants.
     """
 
     instance: str
@@ -51,15 +52,14 @@
     picked: bool = True
 
 
-# In place of a count of words: a write may have taken effect or not.
+# In place of a count of notifications: it is uncertain whether a write took effect.
 NOT_SURE: Final = -1
 
 
 class Hello(NamedTuple):
     """Introduce the sender on a new connection, so that the receiver can dial it.
 
-    picked tells whether the sender picks the receiver by itself, or only answers its pick; hub
-    whether it may be a hub.
+    picked has the same meaning as in Heartbeat; hub says whether the sender may be a hub.
     """
 
     instance: str
@@ -81,9 +81,9 @@
 
 
 class ConfigAsk(NamedTuple):
-    """Ask for configuration objects: those in differing buckets, or all newer ones.
+    """Request configuration objects: those in buckets that differ, or all newer ones.
 
-    buckets holds the asker's digest of each bucket of keys; when empty, newer_than decides.
+    buckets holds the requester's digest of each bucket of keys; if empty, newer_than applies.
     """
 
     ask_id: int
@@ -92,10 +92,10 @@
 
 
 class ConfigTell(NamedTuple):
-    """Answer ConfigAsk, in several parts where it is long.
+    """Answer ConfigAsk, split into several parts if it is long.
 
-    complete tells whether the sender itself has ever had the whole configuration, total how
-    many objects all parts hold.
+    complete says whether the sender itself has ever had the complete configuration; total is
+    the number of objects in all parts.
     """
 
     ask_id: int
@@ -106,7 +106,7 @@
 
 
 class ClaimAsk(NamedTuple):
-    """Ask the writer of a claim what has become of it."""
+    """Request the state of a claim from the instance that wrote it."""
 
     ask_id: int
     key: str
@@ -121,7 +121,7 @@
 
 
 class ShardsReleased(NamedTuple):
-    """Tell peers that leases were given back, so that they need not wait for expiry."""
+    """Notify peers that leases were released, so that they need not wait for expiry."""
 
     shards: list[int]
 
@@ -136,9 +136,10 @@
 
 
 class JobChanged(NamedTuple):
-    """Tell peers to read a job's record again: it is new, cancelled or done.
+    """Notify peers to read a job's record again: it is new, cancelled or done.
 
-    number counts those that the sender tells all by itself; 0 is passed on from peer to peer.
+    number counts the notifications that the sender itself sends to all instances; one with
+    number 0 is forwarded from peer to peer.
     """
 
     job_id: str
@@ -147,11 +148,11 @@
 
 
 class Prune(NamedTuple):
-    """Tell a peer that its copies of changes come later than those of others."""
+    """Notify a peer that its copies of changes arrive later than those of others."""
 
 
 class MembersAsk(NamedTuple):
-    """Ask for an instance list that was read later than the asker's; age -1 is none."""
+    """Request an instance list newer than the requester's; age_ms is -1 if it has none."""
 
     ask_id: int
     age_ms: int
@@ -159,9 +160,9 @@
 
 
 class MembersTell(NamedTuple):
-    """Answer MembersAsk, in several parts where it is long; total counts all parts' members.
+    """Answer MembersAsk, split into several parts if it is long; total counts all members.
 
-    age_ms tells how long ago the list was read from the platform, by whomever it was.
+    age_ms is the time since any instance read this list from the platform.
     """
 
     ask_id: int
@@ -171,10 +172,10 @@
 
 
 class StoreAsk(NamedTuple):
-    """Ask a peer to make one call to the platform's store; call names it.
+    """Request that a peer make one call to the platform's store; call names it.
 
-    For a listing key is the prefix and after the place, for a watch version is the revision
-    and wait_ms how long to wait.
+    For a listing, key is the prefix and after the key to continue from. For a watch, version
+    is the revision and wait_ms the time to wait for changes.
     """
 
     ask_id: int
@@ -187,9 +188,9 @@
 
 
 class MirrorAsk(NamedTuple):
-    """Ask a peer for what it has read of a prefix itself; StoreTell answers.
+    """Request what a peer has read of a prefix itself; the reply is a StoreTell.
 
-    since WHOLE asks for a listing, any other for the changes after that revision.
+    since is WHOLE for a listing, otherwise the revision after which changes are wanted.
     """
 
     ask_id: int
@@ -202,7 +203,7 @@
 
 
 class CallsTold(NamedTuple):
-    """Tell all open calls of the sender to an instance with which it exchanges no heartbeats."""
+    """Report all open calls of the sender to an instance that gets no heartbeats from it."""
 
     uses: tuple[ReplicaUse, ...]
 
@@ -219,8 +220,8 @@
 class StoreTell(NamedTuple):
     """Answer StoreAsk or MirrorAsk.
 
-    error is empty for success, else the name of the store's error. back_ms_ago tells how long
-    ago the store was last away for the sender; NEVER_AWAY where it was not.
+    error is empty on success, else the name of the store's error. back_ms_ago is the time
+    since the store became reachable again for the sender, or NEVER_AWAY.
     """
 
     ask_id: int
@@ -230,7 +231,7 @@
     changes: tuple[StoreChange, ...] = ()
     more: bool = False
     back_ms_ago: int = -1
-    # The changes of a long answer, compressed, in place of changes.
+    # The compressed changes of a long answer; changes is empty then.
     packed: bytes = b""
 
 
@@ -238,7 +239,7 @@
 
 
 class ResultsAsk(NamedTuple):
-    """Ask a keeper for a job's results from a position on; it waits for one if there is none."""
+    """Request a job's results after a position; the keeper waits if there are none yet."""
 
     ask_id: int
     job_id: str
@@ -256,7 +257,7 @@
 
 
 class ResultsTell(NamedTuple):
-    """Answer ResultsAsk; known says that the sender could read the job."""
+    """Answer ResultsAsk; known says whether the sender could read the job."""
 
     ask_id: int
     known: bool
@@ -265,9 +266,10 @@
 
 
 class AllowAsk(NamedTuple):
-    """Ask whether one request of a team lies within its allowance, as the asker knows that.
+    """Request a grant for one request of a team from the team's granter.
 
-    returned says that it was refused before.
+    rate_per_s and burst are the team's allowance as the requester knows it; returned says
+    that the request was refused before and is a retry.
     """
 
     ask_id: int
@@ -278,9 +280,9 @@
 
 
 class AllowTell(NamedTuple):
-    """Answer AllowAsk; said names one of policy.allowances.Said, after_ms when to come again.
+    """Answer AllowAsk; said names a value of policy.allowances.Said.
 
-    ask names who grants, where the sender does not.
+    after_ms is the time after which to retry. ask names the granter if the sender is not it.
     """
 
     ask_id: int
@@ -290,7 +292,7 @@
 
 
 class TakeOverAsk(NamedTuple):
-    """Ask for what is left of a team's allowance; the asker grants from now on."""
+    """Request what is left of a team's allowance; the requester is the granter from now on."""
 
     ask_id: int
     team: str
@@ -299,7 +301,7 @@
 
 
 class TakeOverTell(NamedTuple):
-    """Answer TakeOverAsk; was_first says that the sender has granted until now."""
+    """Answer TakeOverAsk; was_first says whether the sender was the granter until now."""
 
     ask_id: int
     was_first: bool
@@ -307,7 +309,10 @@
 
 
 class KeepAsk(NamedTuple):
-    """Ask a keeper to hold a job on its disk until it is in the store; value is its record."""
+    """Request that a keeper store a job on its disk until the store has it.
+
+    value is the job's record.
+    """
 
     ask_id: int
     job_id: str
@@ -315,7 +320,7 @@
 
 
 class KeepTell(NamedTuple):
-    """Answer KeepAsk; kept says that the job is on the disk, synced."""
+    """Answer KeepAsk; kept says whether the job is written to disk and synced."""
 
     ask_id: int
     kept: bool
--- a/papayapier/peer/pacing.py
+++ b/papayapier/peer/pacing.py
@@ -1,11 +1,12 @@
-"""Decide when a heartbeat goes out, and keep heartbeats within a rate of bytes.
-
-A regular heartbeat is always sent: without it the peers would think this instance dead. Its
-pace falls as neighbours and open calls grow, and it tells its pace, so that nobody takes a
-slow sender for a silent one. An early one, which tells that the open calls changed, is sent
-only while its budget lasts. The budget is a token bucket that holds several seconds' worth,
-because early heartbeats matter in bursts: a few hundred bytes at once make the peers' batch
-work give way tens of milliseconds earlier, while the average stays within the rate.
+"""Decide when heartbeats are sent, and keep them within a rate of bytes.
+
+A regular heartbeat is always sent: without it the peers would take this instance for dead.
+Its interval grows with the number of neighbours and open calls, and it carries the interval,
+so that peers do not take a slow sender for a silent one. An early heartbeat, which reports
+that the open calls changed, is sent only within a byte budget. The budget is a token bucket
+that holds several seconds' worth of bytes, because early heartbeats matter in bursts: a few
+hundred bytes at once make the peers' batch work yield tens of milliseconds earlier, while
+the average stays within the rate.
 """
 
 from collections.abc import Sequence
@@ -16,12 +17,12 @@
 
 BUDGET_SECONDS: Final = 10
 MAX_USES: Final = 32
-# What nng (8) and the TCP and IP headers (52 each way, with the acknowledgement) add.
+# Bytes that nng (8) and the TCP and IP headers (52 each way, with the acknowledgement) add.
 FRAME_OVERHEAD: Final = 112
 
 
 class ByteBudget:
-    """Hold the bytes that may be spent, refilled at a steady rate."""
+    """Implement a token bucket of bytes that is refilled at a constant rate."""
 
     def __init__(self, bytes_per_s: int, now: Millis) -> None:
         self._rate = bytes_per_s
@@ -30,12 +31,12 @@
         self._at = now
 
     def spend(self, count: int, now: Millis) -> None:
-        """Note bytes that were sent; more than are left are repaid before the next early one."""
+        """Subtract sent bytes; a deficit is refilled before the next early heartbeat."""
         self._refill(now)
         self._left = max(self._left - count, -float(self._most))
 
     def has(self, count: int, now: Millis) -> bool:
-        """Tell whether so many bytes are left."""
+        """Return whether at least count bytes are left."""
         self._refill(now)
         return self._left >= count
 
@@ -46,7 +47,7 @@
 
 
 def use_distance(before: Sequence[ReplicaUse], after: Sequence[ReplicaUse]) -> int:
-    """Return by how many online calls two lists of uses differ, summed over the replicas."""
+    """Return the difference in online calls between two lists, summed over the replicas."""
     counts = {use.replica: use.online for use in before}
     moved = 0
     for use in after:
@@ -55,24 +56,24 @@
 
 
 def changed_replicas(before: Sequence[ReplicaUse], after: Sequence[ReplicaUse]) -> frozenset[str]:
-    """Return the replicas at which the online calls of two lists differ."""
+    """Return the replicas whose number of online calls differs between two lists."""
     counts = {use.replica: use.online for use in before}
     changed = {use.replica for use in after if counts.pop(use.replica, 0) != use.online}
     return frozenset(changed | {replica for replica, online in counts.items() if online})
 
 
 def heartbeat_pace(least_ms: int, frame_bytes: int, neighbours: int, bytes_per_s: int) -> int:
-    """Return the time between regular heartbeats that keeps them within a rate of bytes."""
+    """Return the regular heartbeat interval that stays within a rate of bytes."""
     return max(least_ms, wire_bytes(frame_bytes, neighbours) * MS_PER_S // bytes_per_s)
 
 
 def wire_bytes(frame_bytes: int, copies: int) -> int:
-    """Return what copies of a frame take on the network, headers included."""
+    """Return the bytes that copies of a frame take on the network, headers included."""
     return (frame_bytes + FRAME_OVERHEAD) * copies
 
 
 def bound_uses(uses: Sequence[ReplicaUse]) -> tuple[ReplicaUse, ...]:
-    """Return the uses to tell: all of them, or those of the busiest replicas."""
+    """Return the uses to report: all of them, or those of the busiest replicas."""
     if len(uses) <= MAX_USES:
         return tuple(uses)
     return tuple(sorted(uses, key=lambda use: (-use.online, -use.batch, use.replica))[:MAX_USES])
--- a/papayapier/peer/parts.py
+++ b/papayapier/peer/parts.py
@@ -1,4 +1,4 @@
-"""Cut what one frame could not hold into parts of bounded size."""
+"""Split lists that are too long for one frame into parts of bounded size."""
 
 from collections.abc import Callable, Iterable
 from typing import Final, TypeVar
@@ -9,7 +9,7 @@
 
 
 def cut_parts(items: Iterable[T], size_of: Callable[[T], int]) -> list[list[T]]:
-    """Cut items into parts of bounded size; no items are one empty part."""
+    """Split items into parts of bounded size; an empty input gives one empty part."""
     parts: list[list[T]] = [[]]
     filled = 0
     for item in items:
--- a/papayapier/peer/peer_state.py
+++ b/papayapier/peer/peer_state.py
@@ -1,4 +1,4 @@
-"""Keep what is known of one peer, and name what a change of it asks for."""
+"""Hold the state of one peer, and define the steps that follow from its changes."""
 
 from collections.abc import Sequence
 from enum import Enum
@@ -14,19 +14,22 @@
 
 
 class Redial(NamedTuple):
-    """Open a lasting connection to a neighbour, in place of the one there may be."""
+    """Open a permanent connection to a neighbour, replacing an existing one."""
 
     peer_id: str
 
 
 class HangUp(NamedTuple):
-    """Close the connection to a peer that is no neighbour any more."""
+    """Close the connection to a peer that is no longer a neighbour."""
 
     peer_id: str
 
 
 class Change(Enum):
-    """Name what can happen to a peer."""
+    """Name the changes of a peer's state.
+
+    TELLS means that the set of instances that the peer reports as gone has changed.
+    """
 
     UP = "up"
     RESTARTED = "restarted"
@@ -47,7 +50,7 @@
 
 
 class PeerView(NamedTuple):
-    """Show one peer to the rest of the program."""
+    """Describe one peer to the rest of the program."""
 
     id: str
     neighbour: bool
@@ -63,8 +66,9 @@
 class Peer:
     """Hold the state of one peer.
 
-    adopted means that it picked this instance, lost that it has been silent as a neighbour and
-    has not been heard since.
+    picked means that this instance's plan includes the peer, adopted that the peer's plan
+    includes this instance, and lost that it became silent as a neighbour and no heartbeat has
+    arrived since.
     """
 
     __slots__ = (
@@ -89,7 +93,7 @@
         self.picked = False
         self.adopted = False
         self.up = False
-        # Whoever starts anew need not find out again who is gone for good.
+        # An instance that restarts need not detect again that a listed peer is lost.
         self.lost = member.state == LOST
         self.boot = 0
         self.known_at = now
@@ -98,24 +102,25 @@
         self.last: Heartbeat | None = None
 
     def neighbour(self) -> bool:
-        """Tell whether heartbeats are exchanged with this peer."""
+        """Return whether heartbeats are exchanged with this peer."""
         return self.picked or self.adopted
 
     def leaving(self) -> bool:
-        """Tell whether the list or the peer itself says that it is leaving."""
+        """Return whether the list or the peer itself says that it is leaving."""
         said = self.last is not None and self.last.state not in SERVING_STATES
         return said or self.member.state == LEAVING
 
     def silent(self) -> bool:
-        """Tell whether this neighbour is not heard and has not said that it leaves."""
+        """Return whether this neighbour is unreachable and has not reported that it leaves."""
         return self.neighbour() and not self.up and not self.leaving()
 
 
 def serves(peer_id: str, peer: Peer, told: Sequence[frozenset[str]]) -> bool:
-    """Tell whether a peer serves, as far as this instance can know.
+    """Return whether a peer serves, as far as this instance can know.
 
-    Of one that is no neighbour the list is all there is, but where hubs are heard, most of them
-    must not say that it is gone.
+    told holds the set of gone instances that each live hub reports. For a peer that is not a
+    neighbour the list decides, unless it may be a hub and a majority of the live hubs report it
+    as gone.
     """
     if peer.leaving():
         return False
--- a/papayapier/peer/placing_messages.py
+++ b/papayapier/peer/placing_messages.py
@@ -1,14 +1,15 @@
-"""Define what an instance and the hub that places calls tell each other."""
+"""Define the messages between an instance and the hub that places its calls."""
 
 from typing import NamedTuple
 
 
 class PlaceAsk(NamedTuple):
-    """Ask the hub that places a part of an upstream's replicas for one; shunned are not wanted.
+    """Request a replica from the hub that places calls in a partition of an upstream.
 
-    With an aim the ask may be held or refused where no replica has room: caller and rank tell
-    whose it is, aim_ms what is left of the objective, left_ms of the time budget, and return_ms
-    for how long a refusal lets the caller come back in time.
+    part names the partition; the replicas in shunned are not to be chosen. With aim_ms the
+    request may be queued or refused if no replica has capacity: caller and rank identify the
+    caller and its priority, aim_ms is what is left of the latency objective, left_ms what is
+    left of the time budget, and return_ms the time within which a refused caller can retry.
     """
 
     ask_id: int
@@ -24,17 +25,17 @@
 
 
 class PlaceLeft(NamedTuple):
-    """Tell that nobody waits for the answer to a PlaceAsk any longer."""
+    """Cancel a PlaceAsk: nobody waits for its answer any longer."""
 
     ask_id: int
 
 
 class PlaceTell(NamedTuple):
-    """Answer PlaceAsk; replica is empty where there is none.
+    """Answer PlaceAsk; replica is empty if none was chosen.
 
-    held_ms says that the ask waits for its turn, and within what time its next word comes;
-    after_ms that it is refused, and when to come again; leaving that this hub places no calls any
-    more and another one does.
+    held_ms, if not 0, says that the request is queued and that the next reply to it comes within
+    this time; after_ms, if not 0, that it is refused and may be retried after this time; leaving
+    that this hub no longer places calls and another hub does.
     """
 
     ask_id: int
@@ -45,6 +46,6 @@
 
 
 class Unanswered(NamedTuple):
-    """Tell whoever places calls at a replica that it has not answered one."""
+    """Notify the hub that places calls at a replica that the replica left a call unanswered."""
 
     replica: str
--- a/papayapier/peer/questions.py
+++ b/papayapier/peer/questions.py
@@ -1,4 +1,4 @@
-"""Match the answers of peers with the questions they belong to."""
+"""Match the replies of peers with the requests that they answer."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -25,7 +25,7 @@
 ASK_ID_BITS: Final = 32
 
 MakeAsk = Callable[[int], Message]
-# What settles a question; an instance list is taken from whoever tells it.
+# The kinds of replies that complete a request. MembersTell is none: MembersExchange handles it.
 Answer = (
     ConfigTell
     | ClaimTell
@@ -40,7 +40,7 @@
 
 
 class PeerError(Enum):
-    """Name each way in which asking a peer can fail."""
+    """Name each way in which a request to a peer can fail."""
 
     NO_PEER = "no_peer"
     BUSY = "busy"
@@ -55,10 +55,10 @@
 
 
 class Questions:
-    """Hold the questions that wait for their answers.
+    """Hold the requests that wait for their replies.
 
-    Ids start at random, so that an answer meant for an earlier start of this instance, which
-    a peer may still send, matches no question of this one.
+    Ids start at a random number, so that a reply to a request made before a restart of this
+    instance, which a peer may still send, matches no request made after it.
     """
 
     def __init__(self, clock: Clock, rand: Random) -> None:
@@ -67,12 +67,12 @@
         self._open: dict[int, _Question] = {}
 
     def next_id(self) -> int:
-        """Return a fresh id."""
+        """Return a new request id."""
         self._last_id += 1
         return self._last_id
 
     async def wait(self, ask_id: int, peer_id: str, timeout_ms: int) -> Result[Message, PeerError]:
-        """Wait for the answer of a peer to a question that was just sent."""
+        """Wait for a peer's reply to a request that was just sent."""
         timer = self._clock.call_later(
             timeout_ms, lambda: self._end(ask_id, Err(PeerError.TIMEOUT))
         )
@@ -81,7 +81,7 @@
         return await answered
 
     def settle(self, sender: str, message: Message) -> bool:
-        """Give a message to the question it answers; return False if there is none."""
+        """Complete the request that a message answers; return False if there is none."""
         if not isinstance(message, Answer):
             return False
         question = self._open.get(message.ask_id)
@@ -91,7 +91,7 @@
         return True
 
     def close(self) -> None:
-        """End every question without an answer."""
+        """Fail every open request with PeerError.CLOSED."""
         for ask_id in list(self._open):
             self._end(ask_id, Err(PeerError.CLOSED))
 
--- a/papayapier/peer/roster.py
+++ b/papayapier/peer/roster.py
@@ -1,12 +1,12 @@
-"""Keep what is known of the other instances: listed, heard from, silent, leaving.
+"""Track the state of the other instances: listed, live, silent or leaving.
 
 A neighbour is live while its own heartbeats arrive; the instance list, which lags and is
-lost in an outage of the platform, only says whom to dial. So a neighbour that drops out of
-the list while its heartbeats go on is kept: after an outage the list is empty for a moment,
-and an instance that believed it would take itself for the only one and take over everybody's
-work. Of instances that are no neighbours the list is all there is.
+unavailable in an outage of the platform, only says whom to dial. So a neighbour that is
+removed from the list while its heartbeats continue is kept: after an outage the list is
+empty for a moment, and an instance that relied on it would conclude that it is the only one
+and take over all work. For instances that are not neighbours the list is the only source.
 
-This module decides only; the hub owns the sockets.
+This module only makes decisions; the hub owns the sockets.
 """
 
 from collections.abc import Sequence
@@ -50,23 +50,23 @@
         return self._peers.get(peer_id)
 
     def plan(self) -> Plan:
-        """Return the present plan of links."""
+        """Return the current plan of links."""
         return self._plan
 
     def live(self) -> list[str]:
-        """Return this instance and the peers that are live, in order."""
+        """Return the sorted ids of this instance and of the live peers."""
         told = self._told_gone()
         serving = (i for i, peer in self._peers.items() if serves(i, peer, told))
         return sorted([self._me.id, *serving])
 
     def vouched(self, now: Millis) -> frozenset[str]:
-        """Return whom the hubs together take for live, of the instances that may be hubs.
+        """Return which of the instances that may be hubs are live by a majority of the hubs.
 
-        Whoever runs batch must name the same owner of a job as all others do, hubs or not. Only
-        hubs would notice that somebody is gone, so the word of most of them goes before what
-        this instance hears itself.
+        All instances that run batch, hubs or not, must agree on the owner of each job. Only hubs
+        have links to all instances and notice each departure, so the majority of their reports
+        takes precedence over what this instance observes itself.
         """
-        # In a full mesh hubs tell of nobody: there everybody hears everybody.
+        # In a full mesh hubs report nobody: there each instance gets everybody's heartbeats.
         told = [] if self._plan.full_mesh else self._told_gone()
         if not self._plan.full_mesh and self._me.id in self._plan.hubs:
             told.append(frozenset(self.gone(now)))
@@ -85,7 +85,7 @@
         return frozenset(others) | own
 
     def gone(self, now: Millis) -> tuple[str, ...]:
-        """Return the neighbours that may be hubs and are silent or leave, for a hub to tell."""
+        """Return the neighbours that may be hubs and are silent or leaving, for a hub to report."""
         return tuple(
             i
             for i, peer in self._neighbours()
@@ -93,7 +93,7 @@
         )
 
     def lost_hubs(self) -> frozenset[str]:
-        """Return the neighbours that may be hubs, are silent and are not written down as lost."""
+        """Return the neighbours that may be hubs and are silent, but are not listed as lost."""
         return frozenset(
             i
             for i, peer in self._neighbours()
@@ -101,19 +101,19 @@
         )
 
     def unheard(self, now: Millis) -> tuple[str, ...]:
-        """Return the neighbours whose heartbeats are missing although they had time."""
+        """Return the neighbours whose heartbeats have been missing for the silence limit."""
         return tuple(i for i, peer in self._neighbours() if self._is_silent(peer, now))
 
     def silent(self) -> frozenset[str]:
-        """Return the neighbours that are not heard and have not said that they leave."""
+        """Return the neighbours that are unreachable and have not reported that they leave."""
         return frozenset(i for i, peer in self._peers.items() if peer.silent())
 
     def views(self, now: Millis) -> list[PeerView]:
-        """Return what there is to show of each peer."""
+        """Return a view of each peer."""
         return [view_of(peer_id, self._peers[peer_id], now) for peer_id in sorted(self._peers)]
 
     def set_members(self, members: Sequence[Member], now: Millis) -> list[Step]:
-        """Take over a new instance list."""
+        """Apply a new instance list."""
         self._has_list = True
         listed = {m.id: m for m in members if _is_peer(m, self._me.id)}
         steps: list[Step] = []
@@ -125,7 +125,7 @@
         return [*steps, *self._forget_gone(), *self._follow_plan(now)]
 
     def introduce(self, members: Sequence[Member], now: Millis) -> list[Step]:
-        """Learn of instances that the settings name; the next list says whether they stay."""
+        """Add instances named in the settings; the next list decides whether they are kept."""
         steps: list[Step] = []
         for member in members:
             known = self._peers.get(member.id)
@@ -134,7 +134,7 @@
         return [*steps, *self._follow_plan(now)]
 
     def hello(self, hello: Hello, now: Millis) -> list[Step]:
-        """Learn of a peer that dialled this instance as its neighbour.
+        """Handle the Hello of a peer that dialled this instance as its neighbour.
 
         An instance that restarts while the platform is down has no list and could reach
         nobody; the peers that still know its address introduce themselves instead.
@@ -158,11 +158,12 @@
         steps = self._list(member, now)
         if hello.picked:
             steps.extend(self._adopt(member.id, now))
-        # Heard of at different moments by list, a hub would be one for some only.
+        # The list reaches instances at different times; if only it made an instance a hub, some
+        # instances would treat it as a hub before others do.
         return [*steps, *self._follow_plan(now)] if new_hub else steps
 
     def heard(self, sender: str, heartbeat: Heartbeat, now: Millis) -> list[Step]:
-        """Take over a heartbeat."""
+        """Handle a heartbeat and return the steps that it requires."""
         peer = self._peers.get(sender)
         if peer is None:
             return []
@@ -192,13 +193,13 @@
         return steps
 
     def tick(self, now: Millis) -> list[Step]:
-        """Find the neighbours that have fallen silent.
+        """Detect the neighbours that have become silent.
 
-        A connection can go silent for good although both ends live, because something
-        between them has forgotten it. From here that looks like a dead peer. A new
-        connection distinguishes the two and costs little, so it is tried at once and again
-        while the silence lasts. The peer does the same for its own direction, because it
-        reads in our heartbeats that it is not heard.
+        A connection can stop delivering for good although both ends are alive, because a device
+        between them has dropped its state. To this instance that looks like a dead peer. A new
+        connection distinguishes the two and costs little, so one is opened at once and again
+        while the silence lasts. The peer does the same for its own direction, because this
+        instance's heartbeats report that the peer's do not arrive.
         """
         self._notice_pause(now)
         steps: list[Step] = []
@@ -212,12 +213,12 @@
         return [*steps, *self._forget_gone()]
 
     def picks(self, peer_id: str) -> bool:
-        """Tell whether this instance has picked a peer by itself."""
+        """Return whether this instance's own plan includes a peer."""
         peer = self._peers.get(peer_id)
         return peer is not None and peer.picked
 
     def _told_gone(self) -> list[frozenset[str]]:
-        """Return whom each hub that is heard calls gone."""
+        """Return the instances that each live hub reports as gone."""
         hubs = [self._peers[one].last for one in self._plan.hubs if self._is_up(one)]
         return [frozenset(beat.gone) for beat in hubs if beat is not None]
 
@@ -229,10 +230,10 @@
         return [(i, peer) for i, peer in sorted(self._peers.items()) if peer.neighbour()]
 
     def _is_news(self, member: Member) -> bool:
-        """Tell whether the list says something else of a member than it did before.
+        """Return whether the list's record of a member has changed since the last list.
 
-        The list lags. A peer that has restarted elsewhere and said so itself must not be
-        dialled at its old address again each time the old record is read.
+        The list lags. A peer that has restarted elsewhere and has announced its new address
+        must not be dialled at its old one each time the old record is read.
         """
         known = self._peers.get(member.id)
         if known is None:
@@ -259,7 +260,7 @@
         return steps
 
     def _follow_plan(self, now: Millis) -> list[Step]:
-        """Link with the peers that the topology wants now, and leave those it does not."""
+        """Open links to the peers that the topology wants now, and close the other links."""
         places = [_place(peer.member) for peer in self._peers.values() if not peer.leaving()]
         lost = {i for i, peer in self._peers.items() if peer.lost}
         self._plan = make_plan(self._me, places, self._limits, lost)
@@ -276,7 +277,7 @@
         return steps
 
     def _adopt(self, peer_id: str, now: Millis) -> list[Step]:
-        """Answer the pick of a peer: send it heartbeats too."""
+        """Reciprocate the link of a peer that picked this instance: send it heartbeats too."""
         peer = self._peers[peer_id]
         was = peer.neighbour()
         peer.adopted = True
@@ -286,10 +287,11 @@
         return [_redial(peer_id, peer, now)]
 
     def _release(self, peer_id: str) -> list[Step]:
-        """End a link that neither side picks.
+        """Close a link that neither side picks.
 
-        While heartbeats alone kept links, two that had once been linked kept each other for ever:
-        27 links in place of 13 after a start in which the list came piece by piece.
+        If receiving heartbeats were enough to keep a link, two instances once linked would keep
+        the link for ever: 27 links in place of 13 after a start in which the list arrived in
+        several steps.
         """
         peer = self._peers[peer_id]
         if not peer.adopted:
@@ -299,8 +301,8 @@
 
     def _silent(self, peer_id: str, peer: Peer, now: Millis) -> list[Step]:
         if not peer.picked:
-            # It may have died, or only have other neighbours now. Those who pick it will
-            # know, and the instance list follows, where there has been one.
+            # It may have died, or only have other neighbours now. The instances that pick it
+            # find out, and the instance list follows, if one has been received.
             peer.adopted = False
             peer.listed = peer.listed and self._has_list
             return [_part(peer_id, peer)]
@@ -314,10 +316,10 @@
         return steps
 
     def _notice_pause(self, now: Millis) -> None:
-        """Start counting silence anew after this process itself was paused.
+        """Restart the silence timers after this process itself was paused.
 
-        The heartbeats that came meanwhile are still unread. Judged by the clock alone every
-        peer would be down, and this instance would act as the only one until it reads them.
+        The heartbeats that arrived meanwhile are still unread. By the clock alone every peer
+        would be down, and this instance would act as the only one until it reads them.
         """
         if self._ticked_at is not None and now - self._ticked_at >= self._silent_after_ms // 2:
             self._awake_since = now
--- a/papayapier/peer/run_messages.py
+++ b/papayapier/peer/run_messages.py
@@ -1,12 +1,12 @@
-"""Define what instances that run batch ask and offer each other of their jobs."""
+"""Define the messages in which instances that run batch request and offer jobs."""
 
 from typing import NamedTuple
 
 
 class RunsAsk(NamedTuple):
-    """Ask a keeper which of some jobs, that are its own by the asker's view, it runs.
+    """Request which of some jobs a keeper runs; by the requester's view it owns them.
 
-    taken are those of them that the asker runs in its place.
+    taken are those of the jobs that the requester runs in the keeper's place.
     """
 
     ask_id: int
@@ -15,7 +15,7 @@
 
 
 class RunsTell(NamedTuple):
-    """Answer RunsAsk; of the jobs that are over every result is stored, or they were ended."""
+    """Answer RunsAsk; over lists the jobs that have all results stored or were ended."""
 
     ask_id: int
     runs: tuple[str, ...]
@@ -23,6 +23,6 @@
 
 
 class RunsOffer(NamedTuple):
-    """Offer jobs of which the sender can start no item; whoever can asks for one by RunsAsk."""
+    """Offer jobs of which the sender can start no item; a receiver that can sends a RunsAsk."""
 
     job_ids: tuple[str, ...]
--- a/papayapier/peer/seal.py
+++ b/papayapier/peer/seal.py
@@ -1,9 +1,10 @@
-"""Prove that a frame comes from an instance that holds a shared key.
+"""Authenticate frames between instances with a shared key.
 
-A frame is followed by a truncated HMAC-SHA-256 of it. Without one, whoever reaches the peer
-port could announce instances or push configuration. Several keys may be accepted at once,
-so that a key can be replaced instance by instance. Replays are not detected: old versions of
-configuration are refused anyway, and an old heartbeat delays the notice of a loss at most.
+A frame is followed by a truncated HMAC-SHA-256 of it. Without it, anyone who can reach the
+peer port could announce instances or push configuration. Several keys may be accepted at
+once, so that a key can be replaced instance by instance. Replays are not detected: old
+versions of configuration are refused anyway, and a replayed heartbeat can only delay the
+detection of a loss.
 """
 
 import hashlib
@@ -19,7 +20,7 @@
 
 
 class Seal(NamedTuple):
-    """Group the two directions."""
+    """Group the two directions: close signs a frame, open checks and strips the signature."""
 
     close: Callable[[bytes], bytes]
     open: Callable[[bytes], Result[bytes, str]]
@@ -29,7 +30,7 @@
 
 
 def load_seal(key_file: str) -> Result[Seal, str]:
-    """Read the shared keys; without a key file frames are neither signed nor checked."""
+    """Read the shared keys; without a key file, frames are neither signed nor checked."""
     if not key_file:
         return Ok(NO_SEAL)
     try:
@@ -42,7 +43,7 @@
 
 
 def make_seal(keys: Sequence[bytes]) -> Seal:
-    """Sign with the first key and accept every one."""
+    """Return a seal that signs with the first key and accepts every key."""
 
     def close(data: bytes) -> bytes:
         return data + _tag(keys[0], data)
--- a/papayapier/peer/spread.py
+++ b/papayapier/peer/spread.py
@@ -1,11 +1,11 @@
-"""Decide to whom a change is passed on, so that each instance gets about one copy.
-
-In a bounded topology a push reaches only the sender's neighbours, who pass it on. Passed on
-over every link it would arrive as often as an instance has neighbours. So, as epidemic
-broadcast trees do, a link over which a copy came too late is pruned: its other end sends no
-more copies over it. What remains is a tree that the delays themselves have chosen. A lost
-instance breaks the tree; then all links carry copies again and the next change prunes anew.
-What a broken tree lost is found through the digests in the heartbeats, on every link.
+"""Decide which neighbours a change is forwarded to, so that each instance gets about one copy.
+
+In a bounded topology a push reaches only the sender's neighbours, who forward it. Forwarded
+over every link it would arrive once from each neighbour. So, as in epidemic broadcast trees,
+a link that delivers a duplicate is pruned: its other end sends no more copies over it. The
+remaining links form a tree of those with the lowest delays. Losing an instance breaks the
+tree; then all links carry copies again and the next change prunes anew. Changes that did not
+arrive over a broken tree are found through the digests in the heartbeats, on every link.
 """
 
 from collections import OrderedDict
@@ -19,28 +19,28 @@
 
 
 class Verdict(Enum):
-    """Say whether a change was new."""
+    """Say whether a change is new."""
 
     NEW = "new"
     DUPLICATE = "duplicate"
 
 
 class Subject(NamedTuple):
-    """Name what a change is about; of one subject only higher versions are new."""
+    """Identify the object that a change is about; only higher versions of it are new."""
 
     kind: str
     key: str
 
 
 class Spreader:
-    """Hold what has been seen and which links are pruned."""
+    """Track the changes received or sent and the pruned links."""
 
     def __init__(self) -> None:
         self._seen: OrderedDict[Subject, int] = OrderedDict()
         self._pruned: set[str] = set()
 
     def note(self, message: ConfigPush | JobChanged) -> Verdict:
-        """Take note of a change that was received or is being sent."""
+        """Record a change that was received or is being sent."""
         subject = _subject(message)
         if self._seen.get(subject, -1) >= message.version:
             return Verdict.DUPLICATE
@@ -51,15 +51,15 @@
         return Verdict.NEW
 
     def targets(self, neighbours: Collection[str], sender: str) -> list[str]:
-        """Return the neighbours to pass a new change on to."""
+        """Return the neighbours to forward a new change to."""
         return [name for name in neighbours if name != sender and name not in self._pruned]
 
     def prune(self, peer_id: str) -> None:
-        """Send no more copies over the link to a peer that gets them earlier elsewhere."""
+        """Stop sending copies to a peer that gets them earlier from another one."""
         self._pruned.add(peer_id)
 
     def graft(self, peer_id: str) -> None:
-        """Send copies again to a peer that had to ask for a change."""
+        """Resume sending copies to a peer that had to request a change."""
         self._pruned.discard(peer_id)
 
     def reset(self) -> None:
@@ -68,7 +68,7 @@
 
 
 def spreads(message: Message) -> bool:
-    """Tell whether messages of this kind are passed on."""
+    """Return whether messages of this kind are forwarded."""
     return isinstance(message, ConfigPush | JobChanged)
 
 
--- a/papayapier/peer/topology.py
+++ b/papayapier/peer/topology.py
@@ -1,27 +1,27 @@
-"""Decide with whom an instance exchanges heartbeats and pushes.
+"""Decide with which peers an instance exchanges heartbeats and pushes.
 
-A small site is a full mesh: every instance hears every other one directly. A large one
-cannot be, because heartbeats then cost each instance bytes in proportion to the fleet. So
+A small site is a full mesh: every instance has a link to every other one. A large site cannot
+be one, because heartbeats would cost each instance bytes in proportion to the fleet. So
 beyond a bound:
 
 - Inside a data centre each instance picks a few others by rendezvous hashing and keeps a
-  link to those and to whoever picked it. Each picks on its own from the instance list, so no
-  agreement is needed, and a join or loss changes only a few links. A random graph in which
-  everybody picks at least three is connected with high probability.
-- A few relays per data centre, again the winners of rendezvous hashing, are linked with the
-  relays of equal rank in the data centres of their region; and for each rank one data centre
-  of a region is its gateway to the other regions. A rank is a plane of its own, so that two
-  planes have no relay and mostly no gateway in common.
-
-- A few hubs, where there are any, are linked with everybody. They hear of every open call, place
-  online calls and tell the totals (policy/loads.py). Instances that may be hubs are many, and
-  what each instance exchanges with hubs must not grow with the fleet, so a bounded number is
-  chosen by rendezvous hashing. One that is not heard is left out, and the next takes its place;
-  where views differ for a moment, two instances place by themselves and nothing else. What the
-  hubs hear they pass on, so that nobody else needs a link: with links inside data centres too, an
-  entry among 195 instances had eleven in place of five.
-
-The relays also watch the platform's store for their data centre; the others hear from them.
+  link to those and to the instances that picked it. Each picks on its own from the instance
+  list, so no agreement is needed, and a join or loss changes only a few links. A random graph
+  in which each node picks at least three others is connected with high probability.
+- A few relays per data centre, also chosen by rendezvous hashing, are linked with the relays
+  of equal rank in the data centres of their region; and for each rank one data centre of a
+  region is its gateway to the other regions. The relays of each rank form a separate plane, so
+  that two planes have no relay and mostly no gateway in common.
+
+- A few hubs, if instances may be hubs, are linked with everybody. They receive every open call,
+  place online calls and send the totals (policy/loads.py). Many instances may be hubs, and what
+  each instance exchanges with hubs must not grow with the fleet, so a bounded number is chosen by
+  rendezvous hashing. A silent hub is left out, and the next one takes its place; where views
+  differ for a moment, the only effect is that two instances place calls independently. Hubs
+  forward what they receive, so that nobody else needs a link: with links inside data centres too,
+  an entry among 195 instances had eleven links in place of five.
+
+The relays also watch the platform's store for their data centre and notify the others.
 docs/CAPACITY.md compares this with direct watches and with gossip.
 """
 
@@ -31,9 +31,10 @@
 
 from papayapier.policy.rendezvous import score
 
-# One may be lost and one cut off, and three still share the placing of online calls and watch the
+# With one hub lost and one cut off, three still share the placement of online calls and watch the
 # store for all. With 30 hubs among 195 instances, nine of ten messages were heartbeats to and
-# from them: 117 a second an entry by count of paces, where it takes 0.041 of a core in all.
+# from hubs: 117 per second and entry by the heartbeat intervals, and an entry uses 0.041 of a core
+# in all.
 HUBS: Final = 5
 HUB_KEY: Final = "hub"
 RELAY_KEY: Final = "relay"
@@ -41,7 +42,7 @@
 
 
 class Place(NamedTuple):
-    """Say where an instance runs, and whether it may be a hub."""
+    """Describe where an instance runs, and whether it may be a hub."""
 
     id: str
     data_centre: str
@@ -58,7 +59,7 @@
 
 
 class Plan(NamedTuple):
-    """Hold the neighbours that an instance picks, whether it is a relay, and who the hubs are."""
+    """Hold the neighbours that an instance picks, whether it is a relay, and the chosen hubs."""
 
     neighbours: frozenset[str]
     relay: bool
@@ -69,7 +70,7 @@
 def make_plan(
     me: Place, others: Sequence[Place], limits: Limits, silent: Collection[str] = ()
 ) -> Plan:
-    """Pick the neighbours of an instance among all listed ones; silent ones are no hubs."""
+    """Pick the neighbours of an instance among all listed; silent instances are not hubs."""
     hubs = choose_hubs([me, *(place for place in others if place.id not in silent)])
     if len(others) < limits.full_mesh:
         return Plan(frozenset(place.id for place in others), True, True, hubs)
@@ -86,7 +87,10 @@
 
 
 def choose_hubs(places: Sequence[Place]) -> tuple[str, ...]:
-    """Choose the hubs among the instances that may be one, in as many data centres as there are."""
+    """Choose the hubs among the instances that may be hubs.
+
+    The hubs are in as many different data centres as possible.
+    """
     centres = _by_data_centre(place for place in places if place.hub)
     ranked = [
         (rank, -score(HUB_KEY, name), name)
@@ -108,7 +112,7 @@
 
 
 def _relay_links(me: Place, rank: int, centres: Mapping[str, Sequence[Place]]) -> set[str]:
-    """Return the relays of the same rank elsewhere that a relay is linked with."""
+    """Return the relays of the same rank in other data centres that a relay is linked with."""
     regions = defaultdict(set)
     for centre, places in centres.items():
         regions[places[0].region].add(centre)
@@ -125,7 +129,7 @@
 
 
 def _relay_of(centre: str, rank: int, places: Sequence[Place]) -> str:
-    """Return the relay of a rank; a data centre with fewer instances lends its last one."""
+    """Return the relay of a rank; with too few instances the last one serves the rank too."""
     ranked = relays(centre, [place.id for place in places], rank + 1)
     return ranked[-1]
 
--- a/papayapier/peer/wire.py
+++ b/papayapier/peer/wire.py
@@ -2,8 +2,8 @@
 
 A frame is the msgpack array [kind, sender, fields]. msgspec refuses an array with more
 elements than a NamedTuple has fields. During an upgrade a newer release sends such arrays;
-refusing them would make every instance of the other release look dead. So a frame that does
-not fit at once is cut to the fields known here and checked again.
+refusing them would make every instance of the other release look dead. So a frame that fails
+to decode is truncated to the fields known here and checked again.
 """
 
 from typing import Any, Final, NamedTuple, get_args, get_origin, get_type_hints
@@ -26,7 +26,7 @@
 
 
 class _Envelope(msgspec.Struct, array_like=True):
-    """Delay the decoding of the fields; unlike a NamedTuple it permits further elements."""
+    """Defer decoding of the fields; unlike a NamedTuple it permits additional elements."""
 
     kind: int
     sender: str
@@ -39,7 +39,7 @@
 
 
 def decode(data: bytes) -> Result[Frame, str]:
-    """Decode a frame, or say why it is not understood."""
+    """Decode a frame, or return why it cannot be decoded."""
     try:
         envelope = msgspec.msgpack.decode(data, type=_Envelope)
     except msgspec.MsgspecError as exc:
