--- a/papayapier/peer/counts.py
+++ b/papayapier/peer/counts.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from prometheus_client import Counter as PromCounter
 
-MAX_REFUSALS_KEPT: Final = 256
+MAX_REFUSAL_REASONS: Final = 256
 
 
 class MessageCounts:
@@ -35,14 +35,14 @@
         counters[0].inc()
         counters[1].inc(size)
 
-    def refuse(self, why: str) -> None:
+    def count_refused(self, reason: str) -> None:
         """Count a frame that cannot be decoded, and log each reason only once.
 
         During an upgrade a newer release may send many messages per second of kinds that this
         one does not know; one log line for each would hide every other event.
         """
         self._metrics.peer_messages.labels(kind="refused", direction="received").inc()
-        if why in self._refused or len(self._refused) < MAX_REFUSALS_KEPT:
-            self._refused[why] += 1
-        if self._refused[why] == 1:
-            events.emit(events.PEER_REFUSED, why=why)
+        if reason in self._refused or len(self._refused) < MAX_REFUSAL_REASONS:
+            self._refused[reason] += 1
+        if self._refused[reason] == 1:
+            events.emit(events.PEER_REFUSED, why=reason)
--- a/papayapier/peer/spread.py
+++ b/papayapier/peer/forwarding.py
@@ -15,10 +15,10 @@
 
 from papayapier.peer.messages import ConfigPush, JobChanged, Message
 
-REMEMBERED: Final = 4_096
+MAX_SUBJECTS: Final = 4_096
 
 
-class Verdict(Enum):
+class Novelty(Enum):
     """Say whether a change is new."""
 
     NEW = "new"
@@ -32,23 +32,23 @@
     key: str
 
 
-class Spreader:
+class Forwarder:
     """Track the changes received or sent and the pruned links."""
 
     def __init__(self) -> None:
-        self._seen: OrderedDict[Subject, int] = OrderedDict()
+        self._latest_versions: OrderedDict[Subject, int] = OrderedDict()
         self._pruned: set[str] = set()
 
-    def note(self, message: ConfigPush | JobChanged) -> Verdict:
+    def record(self, message: ConfigPush | JobChanged) -> Novelty:
         """Record a change that was received or is being sent."""
         subject = _subject(message)
-        if self._seen.get(subject, -1) >= message.version:
-            return Verdict.DUPLICATE
-        self._seen[subject] = message.version
-        self._seen.move_to_end(subject)
-        if len(self._seen) > REMEMBERED:
-            self._seen.popitem(last=False)
-        return Verdict.NEW
+        if self._latest_versions.get(subject, -1) >= message.version:
+            return Novelty.DUPLICATE
+        self._latest_versions[subject] = message.version
+        self._latest_versions.move_to_end(subject)
+        if len(self._latest_versions) > MAX_SUBJECTS:
+            self._latest_versions.popitem(last=False)
+        return Novelty.NEW
 
     def targets(self, neighbours: Collection[str], sender: str) -> list[str]:
         """Return the neighbours to forward a new change to."""
@@ -67,7 +67,7 @@
         self._pruned.clear()
 
 
-def spreads(message: Message) -> bool:
+def is_forwarded(message: Message) -> bool:
     """Return whether messages of this kind are forwarded."""
     return isinstance(message, ConfigPush | JobChanged)
 
--- a/papayapier/peer/hub.py
+++ b/papayapier/peer/hub.py
@@ -16,8 +16,9 @@
 from papayapier.clock import Clock, Millis, Timer
 from papayapier.metrics import Metrics
 from papayapier.peer import wire
-from papayapier.peer.call_words import CallWords, EarlyTo, worth_a_word
+from papayapier.peer.call_notifications import CallNotifier, EarlyRecipients, is_worth_notifying
 from papayapier.peer.counts import MessageCounts
+from papayapier.peer.forwarding import Forwarder, Novelty
 from papayapier.peer.link import Inbox, Outbox, Outgoing, Poller
 from papayapier.peer.links import Address, Links
 from papayapier.peer.messages import (
@@ -32,19 +33,18 @@
 from papayapier.peer.pacing import (
     ByteBudget,
     bound_uses,
-    heartbeat_pace,
+    heartbeat_interval_ms,
     wire_bytes,
 )
-from papayapier.peer.peer_state import Change, HangUp, Noted, PeerView, Redial, Step
-from papayapier.peer.questions import MakeAsk, PeerError, Questions
+from papayapier.peer.peer_state import Change, Disconnect, PeerChange, PeerView, Redial, Step
+from papayapier.peer.questions import MakeRequest, PeerError, Questions
 from papayapier.peer.roster import Roster
-from papayapier.peer.seal import NO_SEAL, load_seal
-from papayapier.peer.spread import Spreader, Verdict
+from papayapier.peer.signing import NO_SIGNER, load_signer
 from papayapier.peer.topology import Limits, Place, Plan
 from papayapier.settings import PeerSettings
 from papayapier.store.api import Member
 
-PACE_JITTER: Final = 0.1
+INTERVAL_JITTER: Final = 0.1
 TICKS_PER_SILENCE: Final = 4
 
 Handler = Callable[[str, Any], object]
@@ -73,49 +73,49 @@
         heartbeat: Callable[[], Heartbeat],
         metrics: Metrics,
         rand: Random,
-        early_to: EarlyTo | None = None,
+        early_recipients: EarlyRecipients | None = None,
     ) -> None:
-        """Create a hub; early_to limits the receivers of early heartbeats in a large fleet."""
+        """Create a hub; early_recipients limits who gets early heartbeats in a large fleet."""
         self._clock = clock
         self._cfg = cfg
         self._me = me
         self._heartbeat = heartbeat
         self._metrics = metrics
         self._rand = rand
-        self._seal = NO_SEAL
+        self._signer = NO_SIGNER
         place = Place(me.instance, me.data_centre, me.region, me.hub)
         limits = Limits(cfg.full_mesh, cfg.picks, cfg.relays)
         self._roster = Roster(place, limits, cfg.silent_after_ms)
         self._budget = ByteBudget(cfg.early_bytes_per_s, clock.now())
         self._inbox = Inbox(reactor, self._receive)
         self._links = Links(lambda address: Outbox(reactor, address.host, address.port))
-        self._questions = Questions(clock, rand)
-        self._spreader = Spreader()
+        self._open_requests = Questions(clock, rand)
+        self._forwarder = Forwarder()
         self._port = 0
         self._handlers: dict[type[Message], list[Handler]] = defaultdict(list)
         self._listeners: list[Callable[[], None]] = []
         self._live: list[str] = [me.instance]
         self._hubs: tuple[str, ...] = ()
         self._vouched = frozenset({me.instance} if me.hub else ())
-        self._words = CallWords(me.instance, early_to, self.tell)
+        self._call_notifier = CallNotifier(me.instance, early_recipients, self.tell)
         self._counts = MessageCounts(metrics)
         self._last_sent: Heartbeat | None = None
         self._last_sent_at = clock.now()
-        self._pace_ms = cfg.heartbeat_ms
+        self._interval_ms = cfg.heartbeat_ms
         self._timers: dict[str, Timer] = {}
         self._closed = False
 
     def start(self) -> Result[int, str]:
         """Listen for peers and start to send heartbeats; return the port in use."""
-        seal = load_seal(self._cfg.key_file)
-        if isinstance(seal, Err):
-            return seal
-        self._seal = seal.ok_value
+        signer = load_signer(self._cfg.key_file)
+        if isinstance(signer, Err):
+            return signer
+        self._signer = signer.ok_value
         listening = self._inbox.listen(self._me.host, self._cfg.port)
         if isinstance(listening, Err):
             return listening
         self._port = listening.ok_value
-        self._beat()
+        self._send_regular()
         self._tick()
         return listening
 
@@ -125,7 +125,7 @@
         for timer in self._timers.values():
             if timer.active():
                 timer.cancel()
-        self._questions.close()
+        self._open_requests.close()
         self._links.close()
         self._inbox.close()
 
@@ -133,7 +133,7 @@
         """Apply the entry instances of a new instance list."""
         if not self._closed:
             self._apply(self._roster.set_members(members, self._clock.now()))
-            self._announce_live()
+            self._notify_listeners()
 
     def introduce(self, members: Sequence[Member]) -> None:
         """Dial instances that no list has contained, to find out whether they exist."""
@@ -175,28 +175,28 @@
     def tell(self, peer_id: str, message: Message) -> bool:
         """Send a message to one peer; return False only if it certainly was not sent."""
         now = self._clock.now()
-        if not self._links.has(peer_id) and not self._connect_passing(peer_id, now):
+        if not self._links.has(peer_id) and not self._connect_temporary(peer_id, now):
             return False
         return self._send(peer_id, self._encode(message), message, now)
 
     def tell_all(self, message: Message) -> None:
         """Send a message to every neighbour; neighbours forward changes further."""
         if isinstance(message, ConfigPush | JobChanged):
-            self._spreader.note(message)
+            self._forwarder.record(message)
         self._broadcast(self._links.neighbours(), message)
 
     async def ask(
-        self, peer_id: str, make_ask: MakeAsk, timeout_ms: int
+        self, peer_id: str, make_request: MakeRequest, timeout_ms: int
     ) -> Result[Message, PeerError]:
         """Send a request built with a new request id, and wait for its reply."""
         if self._closed:
             return Err(PeerError.CLOSED)
         if self._roster.get(peer_id) is None:
             return Err(PeerError.NO_PEER)
-        ask_id = self._questions.next_id()
-        if not self.tell(peer_id, make_ask(ask_id)):
+        ask_id = self._open_requests.next_id()
+        if not self.tell(peer_id, make_request(ask_id)):
             return Err(PeerError.BUSY)
-        return await self._questions.wait(ask_id, peer_id, timeout_ms)
+        return await self._open_requests.wait(ask_id, peer_id, timeout_ms)
 
     async def ask_on(
         self, peer_id: str, ask_id: int, timeout_ms: int
@@ -204,41 +204,43 @@
         """Wait for a further reply to a request whose earlier reply announced it."""
         if self._closed:
             return Err(PeerError.CLOSED)
-        return await self._questions.wait(ask_id, peer_id, timeout_ms)
+        return await self._open_requests.wait(ask_id, peer_id, timeout_ms)
 
     def uses_changed(self) -> None:
         """Schedule an early heartbeat if needed, as this instance's open calls have changed."""
         if "early" in self._timers or self._closed:
             return
         wait = self._last_sent_at + self._cfg.early_ms - self._clock.now()
-        self._timers["early"] = self._clock.call_later(wait, self._beat_early)
+        self._timers["early"] = self._clock.call_later(wait, self._send_early)
 
     def _tick(self) -> None:
         period = min(self._cfg.heartbeat_ms, self._cfg.silent_after_ms // TICKS_PER_SILENCE)
         self._timers["tick"] = self._clock.call_later(period, self._tick)
         now = self._clock.now()
-        self._links.sweep(now)
+        self._links.close_idle(now)
         self._apply(self._roster.tick(now))
 
-    def _beat(self) -> None:
+    def _send_regular(self) -> None:
         self._send_heartbeat(self._own_heartbeat(), self._clock.now())
-        wait = self._pace_ms * self._rand.uniform(1 - PACE_JITTER, 1 + PACE_JITTER)
-        self._timers["beat"] = self._clock.call_later(wait, self._beat)
+        wait = self._interval_ms * self._rand.uniform(1 - INTERVAL_JITTER, 1 + INTERVAL_JITTER)
+        self._timers["beat"] = self._clock.call_later(wait, self._send_regular)
 
-    def _beat_early(self) -> None:
+    def _send_early(self) -> None:
         del self._timers["early"]
         now = self._clock.now()
         heartbeat = self._own_heartbeat()
         before = self._last_sent or heartbeat._replace(uses=())
-        if not worth_a_word(before, heartbeat, self._cfg.early_calls):
+        if not is_worth_notifying(before, heartbeat, self._cfg.early_calls):
             return
         full_mesh = self._roster.plan().full_mesh
-        near, others = self._words.hearers(self._links.neighbours(), full_mesh, before, heartbeat)
+        near, others = self._call_notifier.recipients(
+            self._links.neighbours(), full_mesh, before, heartbeat
+        )
         cost = wire_bytes(len(self._encode(heartbeat)), len(near) + len(others))
-        if self._budget.has(cost, now):
+        if self._budget.has_bytes(cost, now):
             self._budget.spend(cost, now)
-            self._beat_to(near, self._complete(heartbeat, now))
-            self._words.tell(others, heartbeat.uses)
+            self._send_heartbeat_to(near, self._with_link_state(heartbeat, now))
+            self._call_notifier.send(others, heartbeat.uses)
             self._last_sent = heartbeat
             self._last_sent_at = now
 
@@ -248,14 +250,16 @@
 
     def _send_heartbeat(self, heartbeat: Heartbeat, now: Millis) -> None:
         neighbours = self._links.neighbours()
-        size = self._beat_to(neighbours, self._complete(heartbeat, now))
-        self._words.tell_again(neighbours, self._roster.plan().full_mesh, heartbeat.uses)
-        least_ms = self._least_pace_ms()
-        self._pace_ms = heartbeat_pace(least_ms, size, len(neighbours), self._cfg.bytes_per_s)
+        size = self._send_heartbeat_to(neighbours, self._with_link_state(heartbeat, now))
+        self._call_notifier.resend(neighbours, self._roster.plan().full_mesh, heartbeat.uses)
+        min_ms = self._min_interval_ms()
+        self._interval_ms = heartbeat_interval_ms(
+            min_ms, size, len(neighbours), self._cfg.bytes_per_s
+        )
         self._last_sent = heartbeat
         self._last_sent_at = now
 
-    def _least_pace_ms(self) -> int:
+    def _min_interval_ms(self) -> int:
         plan = self._roster.plan()
         if plan.full_mesh:
             return self._cfg.heartbeat_ms
@@ -265,12 +269,12 @@
         plan = self._roster.plan()
         return not plan.full_mesh and self._me.instance in plan.hubs
 
-    def _complete(self, heartbeat: Heartbeat, now: Millis) -> Heartbeat:
+    def _with_link_state(self, heartbeat: Heartbeat, now: Millis) -> Heartbeat:
         gone = self._roster.gone(now) if self._is_hub() else ()
         unheard = self._roster.unheard(now)
-        return heartbeat._replace(unheard=unheard, every_ms=self._pace_ms, gone=gone)
+        return heartbeat._replace(unheard=unheard, every_ms=self._interval_ms, gone=gone)
 
-    def _beat_to(self, peer_ids: Sequence[str], heartbeat: Heartbeat) -> int:
+    def _send_heartbeat_to(self, peer_ids: Sequence[str], heartbeat: Heartbeat) -> int:
         """Send a heartbeat and return its size; picked is set for each peer."""
         answered = [peer_id for peer_id in peer_ids if not self._roster.picks(peer_id)]
         picked = [peer_id for peer_id in peer_ids if self._roster.picks(peer_id)]
@@ -287,7 +291,7 @@
         return len(data)
 
     def _encode(self, message: Message) -> bytes:
-        return self._seal.close(wire.encode(self._me.instance, message))
+        return self._signer.sign(wire.encode(self._me.instance, message))
 
     def _send(self, peer_id: str, data: bytes, message: Message, now: Millis) -> bool:
         frame = Outgoing(data, replaceable=isinstance(message, Heartbeat))
@@ -297,19 +301,19 @@
         return True
 
     def _receive(self, data: bytes) -> None:
-        opened = self._seal.open(data).and_then(wire.decode)
+        opened = self._signer.verify(data).and_then(wire.decode)
         if isinstance(opened, Err):
-            return self._counts.refuse(opened.err_value)
+            return self._counts.count_refused(opened.err_value)
         sender, message = opened.ok_value
         self._counts.count(message, "received", len(data))
-        self._take(sender, message, self._clock.now())
-        if self._questions.settle(sender, message):
+        self._process(sender, message, self._clock.now())
+        if self._open_requests.settle(sender, message):
             return None
         for handler in self._handlers[type(message)]:
             handler(sender, message)
         return None
 
-    def _take(self, sender: str, message: Message, now: Millis) -> None:
+    def _process(self, sender: str, message: Message, now: Millis) -> None:
         """Process what the hub itself needs of a message."""
         if isinstance(message, Heartbeat):
             self._apply(self._roster.heard(sender, message, now))
@@ -317,31 +321,31 @@
             self._apply(self._roster.hello(message, now))
         elif isinstance(message, ConfigPush | JobChanged):
             if not (isinstance(message, JobChanged) and message.number):
-                self._pass_on(sender, message)
+                self._forward(sender, message)
         elif isinstance(message, ConfigAsk):
-            self._spreader.graft(sender)
+            self._forwarder.graft(sender)
         elif isinstance(message, Prune):
-            self._spreader.prune(sender)
+            self._forwarder.prune(sender)
 
-    def _pass_on(self, sender: str, message: ConfigPush | JobChanged) -> None:
+    def _forward(self, sender: str, message: ConfigPush | JobChanged) -> None:
         if self._roster.plan().full_mesh:
             return
-        if self._spreader.note(message) is Verdict.DUPLICATE:
-            self._spreader.prune(sender)
+        if self._forwarder.record(message) is Novelty.DUPLICATE:
+            self._forwarder.prune(sender)
             self.tell(sender, Prune())
             return
-        self._broadcast(self._spreader.targets(self._links.neighbours(), sender), message)
+        self._broadcast(self._forwarder.targets(self._links.neighbours(), sender), message)
 
     def _apply(self, steps: Sequence[Step]) -> None:
         for step in steps:
             if isinstance(step, Redial):
                 self._redial(step.peer_id)
-            elif isinstance(step, HangUp):
-                self._links.hang_up(step.peer_id)
+            elif isinstance(step, Disconnect):
+                self._links.disconnect(step.peer_id)
             else:
-                self._note(step)
+                self._on_peer_change(step)
         if steps:
-            self._announce_live()
+            self._notify_listeners()
 
     def _redial(self, peer_id: str) -> None:
         """Open a permanent connection and send a heartbeat at once, ahead of the regular one."""
@@ -350,9 +354,9 @@
         if address is not None:
             self._links.connect(peer_id, address, True, now)
             self.tell(peer_id, self._hello(self._roster.picks(peer_id)))
-            self._beat_to([peer_id], self._complete(self._own_heartbeat(), now))
+            self._send_heartbeat_to([peer_id], self._with_link_state(self._own_heartbeat(), now))
 
-    def _connect_passing(self, peer_id: str, now: Millis) -> bool:
+    def _connect_temporary(self, peer_id: str, now: Millis) -> bool:
         address = self._address(peer_id)
         if address is None:
             return False
@@ -368,17 +372,17 @@
         place = (me.host, self._port, me.data_centre, me.region)
         return Hello(me.instance, me.boot, *place, picked, me.hub)
 
-    def _note(self, noted: Noted) -> None:
-        if noted.change is Change.GONE:
-            self._links.hang_up(noted.peer_id)
-        if noted.change in (Change.UP, Change.RESTARTED):
-            events.emit(events.PEER_UP, peer=noted.peer_id, change=noted.change.value)
-        if noted.change in (Change.DOWN, Change.LEAVING):
-            events.emit(events.PEER_DOWN, peer=noted.peer_id, change=noted.change.value)
-        if noted.change in (Change.DOWN, Change.GONE):
-            self._spreader.reset()
-
-    def _announce_live(self) -> None:
+    def _on_peer_change(self, peer_change: PeerChange) -> None:
+        if peer_change.change is Change.REMOVED:
+            self._links.disconnect(peer_change.peer_id)
+        if peer_change.change in (Change.UP, Change.RESTARTED):
+            events.emit(events.PEER_UP, peer=peer_change.peer_id, change=peer_change.change.value)
+        if peer_change.change in (Change.DOWN, Change.LEAVING):
+            events.emit(events.PEER_DOWN, peer=peer_change.peer_id, change=peer_change.change.value)
+        if peer_change.change in (Change.DOWN, Change.REMOVED):
+            self._forwarder.reset()
+
+    def _notify_listeners(self) -> None:
         live = self._roster.live()
         hubs = self._roster.plan().hubs
         vouched = self._roster.vouched(self._clock.now())
--- a/papayapier/peer/links.py
+++ b/papayapier/peer/links.py
@@ -10,9 +10,9 @@
 
 from papayapier.clock import Millis
 from papayapier.peer.link import MAX_FRAME_BYTES, Outbox, Outgoing
-from papayapier.peer.seal import TAG_BYTES
+from papayapier.peer.signing import TAG_BYTES
 
-PASSING_IDLE_MS: Final = 30_000
+TEMPORARY_IDLE_MS: Final = 30_000
 
 
 class Address(NamedTuple):
@@ -23,11 +23,11 @@
 
 
 class _Link:
-    __slots__ = ("lasting", "outbox", "used_at")
+    __slots__ = ("outbox", "permanent", "used_at")
 
-    def __init__(self, outbox: Outbox, lasting: bool, now: Millis) -> None:
+    def __init__(self, outbox: Outbox, permanent: bool, now: Millis) -> None:
         self.outbox = outbox
-        self.lasting = lasting
+        self.permanent = permanent
         self.used_at = now
 
 
@@ -40,12 +40,12 @@
 
     def neighbours(self) -> list[str]:
         """Return the peers with a permanent connection."""
-        return [peer_id for peer_id, link in self._links.items() if link.lasting]
+        return [peer_id for peer_id, link in self._links.items() if link.permanent]
 
-    def connect(self, peer_id: str, address: Address, lasting: bool, now: Millis) -> None:
+    def connect(self, peer_id: str, address: Address, permanent: bool, now: Millis) -> None:
         """Open a connection, replacing an existing one."""
-        self.hang_up(peer_id)
-        self._links[peer_id] = _Link(self._dial(address), lasting, now)
+        self.disconnect(peer_id)
+        self._links[peer_id] = _Link(self._dial(address), permanent, now)
 
     def has(self, peer_id: str) -> bool:
         """Return whether there is a connection to a peer."""
@@ -59,13 +59,13 @@
         link.used_at = now
         return link.outbox.send(frame)
 
-    def sweep(self, now: Millis) -> None:
+    def close_idle(self, now: Millis) -> None:
         """Close the temporary connections that have been idle too long."""
         for peer_id, link in list(self._links.items()):
-            if not link.lasting and now - link.used_at >= PASSING_IDLE_MS:
-                self.hang_up(peer_id)
+            if not link.permanent and now - link.used_at >= TEMPORARY_IDLE_MS:
+                self.disconnect(peer_id)
 
-    def hang_up(self, peer_id: str) -> None:
+    def disconnect(self, peer_id: str) -> None:
         """Close the connection to a peer."""
         link = self._links.pop(peer_id, None)
         if link is not None:
@@ -74,4 +74,4 @@
     def close(self) -> None:
         """Close all connections."""
         for peer_id in list(self._links):
-            self.hang_up(peer_id)
+            self.disconnect(peer_id)
--- a/papayapier/peer/loss_news.py
+++ b/papayapier/peer/loss_news.py
@@ -28,16 +28,16 @@
 
 # All calls of a lost replica fail within a few ms and are reported together; a tenth of a second
 # is far below the seconds after which a caller retries.
-GATHER_MS: Final = 100
+COLLECT_MS: Final = 100
 # A message is lost without notice if its link is being replaced, so each loss is reported twice.
-AGAIN_MS: Final = 1_000
+RESEND_MS: Final = 1_000
 # A lost replica fails some ten calls; what exceeds this bound goes into the next message.
-MOST_TOLD: Final = 100
+MAX_PER_MESSAGE: Final = 100
 # Losses that arrive faster than they are sent, a thousand per second, have another cause than a
 # single request.
-MOST_WAITING: Final = 1_000
+MAX_QUEUED: Final = 1_000
 # Without hubs this many neighbours are queried at a start: one may know nothing, another be lost.
-ASKED_MOST: Final = 3
+MAX_QUERIED: Final = 3
 
 
 T = TypeVar("T")
@@ -59,85 +59,87 @@
     def __init__(self, deps: LossNewsDeps) -> None:
         self._deps = deps
         # Each loss with the time at which it was observed.
-        self._losses: deque[tuple[Loss, int]] = deque(maxlen=MOST_WAITING)
-        self._again: deque[tuple[Loss, int]] = deque(maxlen=MOST_TOLD)
-        self._answered: deque[str] = deque(maxlen=MOST_WAITING)
-        self._asked: set[str] = set()
+        self._losses: deque[tuple[Loss, int]] = deque(maxlen=MAX_QUEUED)
+        self._to_resend: deque[tuple[Loss, int]] = deque(maxlen=MAX_PER_MESSAGE)
+        self._answered: deque[str] = deque(maxlen=MAX_QUEUED)
+        self._queried: set[str] = set()
         self._was_hub = False
-        self._heard_some = False
+        self._has_reply = False
         self._timer: Timer | None = None
-        self._again_timer: Timer | None = None
-        deps.watch.connect(Hearers(self._on_lost, self._on_answered, self._on_held))
-        deps.hub.subscribe(LossesTold, self._on_told)
-        deps.hub.subscribe(LossesAsk, self._on_ask)
-        deps.hub.subscribe(NoLosses, self._on_none)
-        deps.hub.subscribe(LatelyAsk, self._on_lately_ask)
-        deps.hub.on_change(self._ask)
+        self._resend_timer: Timer | None = None
+        deps.watch.connect(Hearers(self._on_replica_lost, self._on_answered, self._on_quarantined))
+        deps.hub.subscribe(LossesTold, self._on_losses_told)
+        deps.hub.subscribe(LossesAsk, self._on_losses_ask)
+        deps.hub.subscribe(NoLosses, self._on_no_losses)
+        deps.hub.subscribe(LatelyAsk, self._on_recent_query)
+        deps.hub.on_change(self._request_losses)
 
     def recall(self, losses: Sequence[Loss]) -> None:
         """Restore losses saved by an earlier run and report them, as all may have restarted."""
-        fresh = self._deps.watch.on_told(losses, ())
-        if fresh:
-            self._tell_hearers(LossesTold(tuple(fresh)))
+        new_losses = self._deps.watch.on_told(losses, ())
+        if new_losses:
+            self._send_to_recipients(LossesTold(tuple(new_losses)))
 
     def caught_up(self) -> bool:
         """Return whether a peer has reported the losses known before this process started."""
-        return self._heard_some
+        return self._has_reply
 
     def close(self) -> None:
         """Stop the timers."""
-        for timer in (self._timer, self._again_timer):
+        for timer in (self._timer, self._resend_timer):
             if timer is not None and timer.active():
                 timer.cancel()
         self._deps.watch.close()
 
-    def _on_lost(self, loss: Loss) -> None:
+    def _on_replica_lost(self, loss: Loss) -> None:
         self._losses.append((loss, self._deps.clock.now()))
-        self._tell_soon()
+        self._schedule_send()
 
-    def _on_answered(self, work: str) -> None:
-        self._answered.append(work)
-        self._tell_soon()
+    def _on_answered(self, fingerprint: str) -> None:
+        self._answered.append(fingerprint)
+        self._schedule_send()
 
-    def _tell_soon(self, wait_ms: int = GATHER_MS) -> None:
+    def _schedule_send(self, wait_ms: int = COLLECT_MS) -> None:
         if self._timer is not None and self._timer.active():
-            if wait_ms == GATHER_MS:
+            if wait_ms == COLLECT_MS:
                 return
             self._timer.cancel()
-        self._timer = self._deps.clock.call_later(wait_ms, self._tell)
-
-    def _tell(self) -> None:
-        losses = _take(self._losses)
-        self._tell_standing(losses, tuple(_take(self._answered)))
-        works = {loss.work for loss, _ in losses}
-        self._ask_lately(works.difference(self._deps.watch.answered_lately(works)))
+        self._timer = self._deps.clock.call_later(wait_ms, self._send_queued)
+
+    def _send_queued(self) -> None:
+        losses = _pop_batch(self._losses)
+        self._send_standing(losses, tuple(_pop_batch(self._answered)))
+        fingerprints = {loss.work for loss, _ in losses}
+        self._query_recent_answers(
+            fingerprints.difference(self._deps.watch.answered_lately(fingerprints))
+        )
         if self._losses or self._answered:
-            self._tell_soon()
+            self._schedule_send()
         if losses:
-            self._again.extend(losses)
-            self._tell_again_later()
+            self._to_resend.extend(losses)
+            self._schedule_resend()
 
-    def _tell_again_later(self) -> None:
-        if self._again_timer is None or not self._again_timer.active():
-            self._again_timer = self._deps.clock.call_later(AGAIN_MS, self._tell_again)
+    def _schedule_resend(self) -> None:
+        if self._resend_timer is None or not self._resend_timer.active():
+            self._resend_timer = self._deps.clock.call_later(RESEND_MS, self._resend)
 
-    def _tell_again(self) -> None:
-        self._tell_standing(_take(self._again), ())
+    def _resend(self) -> None:
+        self._send_standing(_pop_batch(self._to_resend), ())
 
-    def _tell_standing(self, losses: list[tuple[Loss, int]], answered: tuple[str, ...]) -> None:
+    def _send_standing(self, losses: list[tuple[Loss, int]], answered: tuple[str, ...]) -> None:
         """Report losses that still stand; a loss is withdrawn if another attempt was answered."""
         now = self._deps.clock.now()
         watch = self._deps.watch
-        lately = set(watch.answered_lately({loss.work for loss, _ in losses}))
-        stand = tuple(
-            loss._replace(age_ms=now - at, lately=loss.work in lately)
+        recent = set(watch.answered_lately({loss.work for loss, _ in losses}))
+        standing = tuple(
+            loss._replace(age_ms=now - at, lately=loss.work in recent)
             for loss, at in losses
             if watch.stands(loss)
         )
-        if stand or answered:
-            self._tell_hearers(LossesTold(stand, answered))
+        if standing or answered:
+            self._send_to_recipients(LossesTold(standing, answered))
 
-    def _tell_hearers(self, message: LossesTold) -> None:
+    def _send_to_recipients(self, message: LossesTold) -> None:
         if not self._has_hubs():
             self._deps.hub.tell_all(message)
             return
@@ -152,33 +154,38 @@
     def _is_hub(self) -> bool:
         return self._has_hubs() and self._deps.me in self._deps.hub.plan().hubs
 
-    def _on_held(self, work: str) -> None:
+    def _on_quarantined(self, fingerprint: str) -> None:
         if self._is_hub():
-            self._deps.hub.tell_all(LossesTold(tuple(self._deps.watch.snapshot({work}))))
-            self._deps.hub.tell_all(LatelyAsk((work,)))
+            self._deps.hub.tell_all(LossesTold(tuple(self._deps.watch.snapshot({fingerprint}))))
+            self._deps.hub.tell_all(LatelyAsk((fingerprint,)))
         elif self._losses:
             # An instance that answered it recently can report that only once it has the losses.
-            self._tell_soon(0)
+            self._schedule_send(0)
 
-    def _on_told(self, peer_id: str, message: LossesTold) -> None:
-        self._heard_some = self._heard_some or peer_id in self._asked
+    def _on_losses_told(self, peer_id: str, message: LossesTold) -> None:
+        self._has_reply = self._has_reply or peer_id in self._queried
         watch = self._deps.watch
-        said = {*message.lately, *(loss.work for loss in message.losses if loss.lately)}
-        held = {work for work in said if watch.is_held(work)}
-        cleared = watch.take_lately(said, peer_id)
-        fresh = watch.on_told(message.losses, message.answered)
+        answered_recently = {
+            *message.lately,
+            *(loss.work for loss in message.losses if loss.lately),
+        }
+        quarantined = {
+            fingerprint for fingerprint in answered_recently if watch.is_held(fingerprint)
+        }
+        cleared = watch.take_lately(answered_recently, peer_id)
+        new_losses = watch.on_told(message.losses, message.answered)
         # Also for losses that are reported again: the first reply may have been lost.
-        works = {loss.work for loss in message.losses if not loss.lately}
-        lately = set(watch.answered_lately(works))
+        fingerprints = {loss.work for loss in message.losses if not loss.lately}
+        recent = set(watch.answered_lately(fingerprints))
         if self._has_hubs():
-            self._ask_lately(works - lately)
-            self._tell_cleared({*cleared, *lately}, held)
+            self._query_recent_answers(fingerprints - recent)
+            self._report_cleared({*cleared, *recent}, quarantined)
         elif self._deps.hub.plan().full_mesh:
-            self._tell_lately((), tuple(sorted(lately)))
+            self._report_recent((), tuple(sorted(recent)))
         else:
-            self._tell_lately(tuple(fresh), tuple(sorted({*cleared, *lately})))
+            self._report_recent(tuple(new_losses), tuple(sorted({*cleared, *recent})))
 
-    def _ask_lately(self, works: Collection[str]) -> None:
+    def _query_recent_answers(self, fingerprints: Collection[str]) -> None:
         """Query everybody for recent answers to fingerprints with a first loss.
 
         For each fingerprint exactly one hub, the winner of rendezvous hashing, sends the query.
@@ -186,63 +193,74 @@
         if not self._is_hub():
             return
         hubs = self._deps.hub.plan().hubs
-        mine = [one for one in works if max(hubs, key=lambda hub: score(one, hub)) == self._deps.me]
-        if mine:
-            self._deps.hub.tell_all(LatelyAsk(tuple(sorted(mine))))
-
-    def _on_lately_ask(self, peer_id: str, ask: LatelyAsk) -> None:
-        lately = self._deps.watch.answered_lately(ask.works)
-        if lately:
-            self._deps.hub.tell(peer_id, LossesTold((), (), tuple(lately)))
-
-    def _tell_cleared(self, works: Collection[str], held: Collection[str]) -> None:
+        own = [
+            fingerprint
+            for fingerprint in fingerprints
+            if max(hubs, key=lambda hub: score(fingerprint, hub)) == self._deps.me
+        ]
+        if own:
+            self._deps.hub.tell_all(LatelyAsk(tuple(sorted(own))))
+
+    def _on_recent_query(self, peer_id: str, ask: LatelyAsk) -> None:
+        recent = self._deps.watch.answered_lately(ask.works)
+        if recent:
+            self._deps.hub.tell(peer_id, LossesTold((), (), tuple(recent)))
+
+    def _report_cleared(self, fingerprints: Collection[str], quarantined: Collection[str]) -> None:
         """Report cleared fingerprints to the other hubs, and those quarantined to everybody.
 
         Everybody was notified of a quarantine, so everybody must be notified of its end.
         """
         if not self._is_hub():
             return
-        self._tell_lately((), tuple(sorted(work for work in works if work in held)))
-        rest = tuple(sorted(work for work in works if work not in held))
+        self._report_recent(
+            (),
+            tuple(
+                sorted(fingerprint for fingerprint in fingerprints if fingerprint in quarantined)
+            ),
+        )
+        rest = tuple(
+            sorted(fingerprint for fingerprint in fingerprints if fingerprint not in quarantined)
+        )
         if rest:
-            self._tell_hearers(LossesTold((), (), rest))
+            self._send_to_recipients(LossesTold((), (), rest))
 
-    def _tell_lately(self, losses: tuple[Loss, ...], works: tuple[str, ...]) -> None:
-        if losses or works:
-            self._deps.hub.tell_all(LossesTold(losses, (), works))
+    def _report_recent(self, losses: tuple[Loss, ...], fingerprints: tuple[str, ...]) -> None:
+        if losses or fingerprints:
+            self._deps.hub.tell_all(LossesTold(losses, (), fingerprints))
 
-    def _on_none(self, _peer_id: str, _message: NoLosses) -> None:
-        self._heard_some = True
+    def _on_no_losses(self, _peer_id: str, _message: NoLosses) -> None:
+        self._has_reply = True
 
-    def _on_ask(self, peer_id: str, _ask: LossesAsk) -> None:
+    def _on_losses_ask(self, peer_id: str, _ask: LossesAsk) -> None:
         losses = self._deps.watch.snapshot()
         self._deps.hub.tell(peer_id, LossesTold(tuple(losses)) if losses else NoLosses())
 
-    def _ask(self) -> None:
+    def _request_losses(self) -> None:
         """Request the known losses from peers that have become live and may know of others."""
         if self._is_hub() and not self._was_hub:
-            self._asked.clear()
+            self._queried.clear()
         self._was_hub = self._is_hub()
         # A peer that was unreachable for a while is queried again: either side may have observed
         # losses that the other does not know.
-        self._asked.intersection_update(self._deps.hub.live())
-        for peer_id in sorted(self._knowing() - self._asked):
-            self._asked.add(peer_id)
+        self._queried.intersection_update(self._deps.hub.live())
+        for peer_id in sorted(self._peers_to_query() - self._queried):
+            self._queried.add(peer_id)
             if not self._deps.hub.tell(peer_id, LossesAsk()):
-                self._asked.discard(peer_id)
+                self._queried.discard(peer_id)
 
-    def _knowing(self) -> set[str]:
+    def _peers_to_query(self) -> set[str]:
         live = set(self._deps.hub.live()) - {self._deps.me}
         if self._deps.hub.plan().full_mesh:
             return live
         if self._has_hubs():
             return live & set(self._deps.hubs())
-        if len(self._asked) >= ASKED_MOST:
+        if len(self._queried) >= MAX_QUERIED:
             return set()
         # Choose by hash so that a large fleet does not query the same few instances.
-        return set(sorted(live, key=lambda one: -score(self._deps.me, one))[:ASKED_MOST])
+        return set(sorted(live, key=lambda peer_id: -score(self._deps.me, peer_id))[:MAX_QUERIED])
 
 
-def _take(waiting: deque[T]) -> list[T]:
+def _pop_batch(waiting: deque[T]) -> list[T]:
     """Remove and return at most as many entries as one message holds."""
-    return [waiting.popleft() for _ in range(min(len(waiting), MOST_TOLD))]
+    return [waiting.popleft() for _ in range(min(len(waiting), MAX_PER_MESSAGE))]
--- a/papayapier/peer/members.py
+++ b/papayapier/peer/members.py
@@ -24,9 +24,9 @@
 from papayapier.store.api import Member
 from papayapier.store.members import MemberFollower
 
-ASK_ID_BITS: Final = 32
-ASK_AGAIN_MS: Final = 5_000
-ANSWER_MS: Final = 1_000
+REQUEST_ID_BITS: Final = 32
+RETRY_MS: Final = 5_000
+REPLY_TIMEOUT_MS: Final = 1_000
 MAX_MEMBERS: Final = 100_000
 NO_LIST: Final = -1
 
@@ -40,7 +40,7 @@
     follower: MemberFollower
 
 
-class _Asked(NamedTuple):
+class _OpenRequest(NamedTuple):
     """Hold the open request and the parts of its reply received so far."""
 
     ask_id: int
@@ -54,64 +54,64 @@
 
     def __init__(self, deps: MembersDeps) -> None:
         self._deps = deps
-        self._ask_id = deps.rand.getrandbits(ASK_ID_BITS)
-        self._asked: _Asked | None = None
-        self._asked_ms: dict[str, int] = {}
+        self._last_request_id = deps.rand.getrandbits(REQUEST_ID_BITS)
+        self._open_request: _OpenRequest | None = None
+        self._last_requested_ms: dict[str, int] = {}
 
     def on_peer(self, peer: str, message: Message) -> None:
         """Handle a message from a peer."""
         match message:
             case Heartbeat():
-                self._consider(peer)
+                self._request_if_needed(peer)
             case MembersAsk():
                 self._answer(peer, message)
             case MembersTell():
-                self._take(peer, message)
+                self._on_reply(peer, message)
 
-    def _consider(self, peer: str) -> None:
+    def _request_if_needed(self, peer: str) -> None:
         """Request the list from a peer, one at a time, until the platform has been read."""
         if self._deps.follower.read_ms is not None:
-            self._asked = None
-            self._asked_ms.clear()
+            self._open_request = None
+            self._last_requested_ms.clear()
             return
         now = self._deps.clock.now()
-        if self._asked is not None and now - self._asked.at_ms < ANSWER_MS:
+        if self._open_request is not None and now - self._open_request.at_ms < REPLY_TIMEOUT_MS:
             return
-        if peer in self._asked_ms and now - self._asked_ms[peer] < ASK_AGAIN_MS:
+        if peer in self._last_requested_ms and now - self._last_requested_ms[peer] < RETRY_MS:
             return
-        self._ask_id += 1
-        if self._deps.tell(peer, MembersAsk(self._ask_id, self._age_ms(), self._digest())):
-            self._asked = _Asked(self._ask_id, peer, now, [])
-            self._asked_ms[peer] = now
+        self._last_request_id += 1
+        if self._deps.tell(peer, MembersAsk(self._last_request_id, self._age_ms(), self._digest())):
+            self._open_request = _OpenRequest(self._last_request_id, peer, now, [])
+            self._last_requested_ms[peer] = now
 
-    def _answer(self, peer: str, ask: MembersAsk) -> None:
+    def _answer(self, peer: str, request: MembersAsk) -> None:
         age_ms = self._age_ms()
-        members = self._members() if self._is_news(ask, age_ms) else []
+        members = self._members() if self._is_newer(request, age_ms) else []
         for part in cut_parts(members, lambda member: len(codec.pack(member))):
-            self._deps.tell(peer, MembersTell(ask.ask_id, part, len(members), age_ms))
+            self._deps.tell(peer, MembersTell(request.ask_id, part, len(members), age_ms))
 
-    def _is_news(self, ask: MembersAsk, age_ms: int) -> bool:
+    def _is_newer(self, request: MembersAsk, age_ms: int) -> bool:
         if age_ms == NO_LIST:
             return False
-        younger = ask.age_ms == NO_LIST or age_ms < ask.age_ms
-        return younger and ask.digest != self._digest()
+        younger = request.age_ms == NO_LIST or age_ms < request.age_ms
+        return younger and request.digest != self._digest()
 
-    def _take(self, peer: str, tell: MembersTell) -> None:
-        asked = self._asked
-        if asked is None or (asked.ask_id, asked.peer) != (tell.ask_id, peer):
+    def _on_reply(self, peer: str, reply: MembersTell) -> None:
+        open_request = self._open_request
+        if open_request is None or (open_request.ask_id, open_request.peer) != (reply.ask_id, peer):
             return
-        asked.parts.extend(tell.members)
-        count = len(asked.parts)
-        if count < tell.total <= MAX_MEMBERS:
+        open_request.parts.extend(reply.members)
+        count = len(open_request.parts)
+        if count < reply.total <= MAX_MEMBERS:
             # A part can be lost when the link is replaced between two parts. An incomplete
             # list would drop members, so it is used only once all parts have arrived.
             return
-        self._asked = None
-        if not 0 < tell.total == count:
+        self._open_request = None
+        if not 0 < reply.total == count:
             return
         now = self._deps.clock.now()
-        if self._deps.follower.learn(asked.parts, now - tell.age_ms):
-            events.emit(events.MEMBERS_FROM_PEER, peer=peer, members=count, age_ms=tell.age_ms)
+        if self._deps.follower.learn(open_request.parts, now - reply.age_ms):
+            events.emit(events.MEMBERS_FROM_PEER, peer=peer, members=count, age_ms=reply.age_ms)
 
     def _members(self) -> list[Member]:
         return list(self._deps.follower.known.values())
--- a/papayapier/peer/pacing.py
+++ b/papayapier/peer/pacing.py
@@ -26,33 +26,33 @@
 
     def __init__(self, bytes_per_s: int, now: Millis) -> None:
         self._rate = bytes_per_s
-        self._most = bytes_per_s * BUDGET_SECONDS
-        self._left = float(self._most)
-        self._at = now
+        self._max_bytes = bytes_per_s * BUDGET_SECONDS
+        self._available = float(self._max_bytes)
+        self._refilled_at = now
 
     def spend(self, count: int, now: Millis) -> None:
         """Subtract sent bytes; a deficit is refilled before the next early heartbeat."""
         self._refill(now)
-        self._left = max(self._left - count, -float(self._most))
+        self._available = max(self._available - count, -float(self._max_bytes))
 
-    def has(self, count: int, now: Millis) -> bool:
+    def has_bytes(self, count: int, now: Millis) -> bool:
         """Return whether at least count bytes are left."""
         self._refill(now)
-        return self._left >= count
+        return self._available >= count
 
     def _refill(self, now: Millis) -> None:
-        earned = (now - self._at) * self._rate / MS_PER_S
-        self._left = min(self._left + earned, float(self._most))
-        self._at = now
+        earned = (now - self._refilled_at) * self._rate / MS_PER_S
+        self._available = min(self._available + earned, float(self._max_bytes))
+        self._refilled_at = now
 
 
 def use_distance(before: Sequence[ReplicaUse], after: Sequence[ReplicaUse]) -> int:
     """Return the difference in online calls between two lists, summed over the replicas."""
     counts = {use.replica: use.online for use in before}
-    moved = 0
+    difference = 0
     for use in after:
-        moved += abs(use.online - counts.pop(use.replica, 0))
-    return moved + sum(counts.values())
+        difference += abs(use.online - counts.pop(use.replica, 0))
+    return difference + sum(counts.values())
 
 
 def changed_replicas(before: Sequence[ReplicaUse], after: Sequence[ReplicaUse]) -> frozenset[str]:
@@ -62,9 +62,9 @@
     return frozenset(changed | {replica for replica, online in counts.items() if online})
 
 
-def heartbeat_pace(least_ms: int, frame_bytes: int, neighbours: int, bytes_per_s: int) -> int:
+def heartbeat_interval_ms(min_ms: int, frame_bytes: int, neighbours: int, bytes_per_s: int) -> int:
     """Return the regular heartbeat interval that stays within a rate of bytes."""
-    return max(least_ms, wire_bytes(frame_bytes, neighbours) * MS_PER_S // bytes_per_s)
+    return max(min_ms, wire_bytes(frame_bytes, neighbours) * MS_PER_S // bytes_per_s)
 
 
 def wire_bytes(frame_bytes: int, copies: int) -> int:
--- a/papayapier/peer/peer_state.py
+++ b/papayapier/peer/peer_state.py
@@ -19,7 +19,7 @@
     peer_id: str
 
 
-class HangUp(NamedTuple):
+class Disconnect(NamedTuple):
     """Close the connection to a peer that is no longer a neighbour."""
 
     peer_id: str
@@ -28,25 +28,25 @@
 class Change(Enum):
     """Name the changes of a peer's state.
 
-    TELLS means that the set of instances that the peer reports as gone has changed.
+    REPORTS_CHANGED means that the set of instances that the peer reports as gone has changed.
     """
 
     UP = "up"
     RESTARTED = "restarted"
     DOWN = "down"
     LEAVING = "leaving"
-    GONE = "gone"
-    TELLS = "tells"
+    REMOVED = "gone"
+    REPORTS_CHANGED = "tells"
 
 
-class Noted(NamedTuple):
+class PeerChange(NamedTuple):
     """Report a change of one peer."""
 
     peer_id: str
     change: Change
 
 
-Step = Redial | HangUp | Noted
+Step = Redial | Disconnect | PeerChange
 
 
 class PeerView(NamedTuple):
@@ -66,86 +66,88 @@
 class Peer:
     """Hold the state of one peer.
 
-    picked means that this instance's plan includes the peer, adopted that the peer's plan
-    includes this instance, and lost that it became silent as a neighbour and no heartbeat has
-    arrived since.
+    picked means that this instance's plan includes the peer, picked_by_peer that the peer's plan
+    includes this instance, and lost that the peer became silent as a neighbour and no heartbeat
+    has arrived since. expected_since is the time since which heartbeats are expected.
     """
 
     __slots__ = (
-        "adopted",
         "boot",
         "dialled_at",
-        "heard_at",
-        "known_at",
-        "last",
+        "expected_since",
+        "last_heartbeat",
+        "last_received_at",
         "listed",
+        "listed_record",
         "lost",
         "member",
         "picked",
-        "record",
+        "picked_by_peer",
         "up",
     )
 
     def __init__(self, member: Member, now: Millis) -> None:
         self.member = member
-        self.record: Member | None = member
+        self.listed_record: Member | None = member
         self.listed = True
         self.picked = False
-        self.adopted = False
+        self.picked_by_peer = False
         self.up = False
         # An instance that restarts need not detect again that a listed peer is lost.
         self.lost = member.state == LOST
         self.boot = 0
-        self.known_at = now
-        self.heard_at: Millis | None = None
+        self.expected_since = now
+        self.last_received_at: Millis | None = None
         self.dialled_at = now
-        self.last: Heartbeat | None = None
+        self.last_heartbeat: Heartbeat | None = None
 
-    def neighbour(self) -> bool:
+    def is_neighbour(self) -> bool:
         """Return whether heartbeats are exchanged with this peer."""
-        return self.picked or self.adopted
+        return self.picked or self.picked_by_peer
 
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Return whether the list or the peer itself says that it is leaving."""
-        said = self.last is not None and self.last.state not in SERVING_STATES
-        return said or self.member.state == LEAVING
+        reported_leaving = (
+            self.last_heartbeat is not None and self.last_heartbeat.state not in SERVING_STATES
+        )
+        return reported_leaving or self.member.state == LEAVING
 
-    def silent(self) -> bool:
+    def is_silent(self) -> bool:
         """Return whether this neighbour is unreachable and has not reported that it leaves."""
-        return self.neighbour() and not self.up and not self.leaving()
+        return self.is_neighbour() and not self.up and not self.is_leaving()
 
 
-def serves(peer_id: str, peer: Peer, told: Sequence[frozenset[str]]) -> bool:
+def is_serving(peer_id: str, peer: Peer, reported_gone: Sequence[frozenset[str]]) -> bool:
     """Return whether a peer serves, as far as this instance can know.
 
-    told holds the set of gone instances that each live hub reports. For a peer that is not a
-    neighbour the list decides, unless it may be a hub and a majority of the live hubs report it
-    as gone.
+    reported_gone holds the set of gone instances that each live hub reports. For a peer that is
+    not a neighbour the list decides, unless it may be a hub and a majority of the live hubs
+    report it as gone.
     """
-    if peer.leaving():
+    if peer.is_leaving():
         return False
-    if peer.neighbour():
+    if peer.is_neighbour():
         return peer.up
     if not peer.member.hub:
         return peer.listed
-    if told:
-        return peer.listed and most_hear(peer_id, told)
+    if reported_gone:
+        return peer.listed and is_live_by_majority(peer_id, reported_gone)
     return peer.listed and not peer.lost
 
 
-def most_hear(peer_id: str, told: Sequence[frozenset[str]]) -> bool:
-    return 2 * sum(peer_id in one for one in told) <= len(told)
+def is_live_by_majority(peer_id: str, reported_gone: Sequence[frozenset[str]]) -> bool:
+    return 2 * sum(peer_id in gone for gone in reported_gone) <= len(reported_gone)
 
 
 def view_of(peer_id: str, peer: Peer, now: Millis) -> PeerView:
     return PeerView(
         id=peer_id,
-        neighbour=peer.neighbour(),
+        neighbour=peer.is_neighbour(),
         up=peer.up,
-        leaving=peer.leaving(),
+        leaving=peer.is_leaving(),
         boot=peer.boot,
-        config_version=0 if peer.last is None else peer.last.config_version,
+        config_version=0 if peer.last_heartbeat is None else peer.last_heartbeat.config_version,
         data_centre=peer.member.data_centre,
         region=peer.member.region,
-        heard_ms_ago=-1 if peer.heard_at is None else now - peer.heard_at,
+        heard_ms_ago=-1 if peer.last_received_at is None else now - peer.last_received_at,
     )
--- a/papayapier/peer/questions.py
+++ b/papayapier/peer/questions.py
@@ -24,7 +24,7 @@
 
 ASK_ID_BITS: Final = 32
 
-MakeAsk = Callable[[int], Message]
+MakeRequest = Callable[[int], Message]
 # The kinds of replies that complete a request. MembersTell is none: MembersExchange handles it.
 Answer = (
     ConfigTell
@@ -48,9 +48,9 @@
     CLOSED = "closed"
 
 
-class _Question(NamedTuple):
+class _OpenRequest(NamedTuple):
     peer_id: str
-    answered: Deferred[Result[Message, PeerError]]
+    reply: Deferred[Result[Message, PeerError]]
     timer: Timer
 
 
@@ -63,46 +63,46 @@
 
     def __init__(self, clock: Clock, rand: Random) -> None:
         self._clock = clock
-        self._last_id = rand.getrandbits(ASK_ID_BITS)
-        self._open: dict[int, _Question] = {}
+        self._last_request_id = rand.getrandbits(ASK_ID_BITS)
+        self._open_requests: dict[int, _OpenRequest] = {}
 
     def next_id(self) -> int:
         """Return a new request id."""
-        self._last_id += 1
-        return self._last_id
+        self._last_request_id += 1
+        return self._last_request_id
 
     async def wait(self, ask_id: int, peer_id: str, timeout_ms: int) -> Result[Message, PeerError]:
         """Wait for a peer's reply to a request that was just sent."""
         timer = self._clock.call_later(
-            timeout_ms, lambda: self._end(ask_id, Err(PeerError.TIMEOUT))
+            timeout_ms, lambda: self._finish(ask_id, Err(PeerError.TIMEOUT))
         )
-        answered: Deferred[Result[Message, PeerError]] = Deferred(lambda _: self._drop(ask_id))
-        self._open[ask_id] = _Question(peer_id, answered, timer)
-        return await answered
+        reply: Deferred[Result[Message, PeerError]] = Deferred(lambda _: self._drop(ask_id))
+        self._open_requests[ask_id] = _OpenRequest(peer_id, reply, timer)
+        return await reply
 
     def settle(self, sender: str, message: Message) -> bool:
         """Complete the request that a message answers; return False if there is none."""
         if not isinstance(message, Answer):
             return False
-        question = self._open.get(message.ask_id)
-        if question is None or question.peer_id != sender:
+        request = self._open_requests.get(message.ask_id)
+        if request is None or request.peer_id != sender:
             return False
-        self._end(message.ask_id, Ok(message))
+        self._finish(message.ask_id, Ok(message))
         return True
 
     def close(self) -> None:
         """Fail every open request with PeerError.CLOSED."""
-        for ask_id in list(self._open):
-            self._end(ask_id, Err(PeerError.CLOSED))
+        for ask_id in list(self._open_requests):
+            self._finish(ask_id, Err(PeerError.CLOSED))
 
-    def _end(self, ask_id: int, outcome: Result[Message, PeerError]) -> None:
-        question = self._open.get(ask_id)
-        if question is None:
+    def _finish(self, ask_id: int, outcome: Result[Message, PeerError]) -> None:
+        request = self._open_requests.get(ask_id)
+        if request is None:
             return
         self._drop(ask_id)
-        question.answered.callback(outcome)
+        request.reply.callback(outcome)
 
     def _drop(self, ask_id: int) -> None:
-        question = self._open.pop(ask_id, None)
-        if question is not None and question.timer.active():
-            question.timer.cancel()
+        request = self._open_requests.pop(ask_id, None)
+        if request is not None and request.timer.active():
+            request.timer.cancel()
--- a/papayapier/peer/roster.py
+++ b/papayapier/peer/roster.py
@@ -16,20 +16,20 @@
 from papayapier.peer.messages import Heartbeat, Hello
 from papayapier.peer.peer_state import (
     Change,
-    HangUp,
-    Noted,
+    Disconnect,
     Peer,
+    PeerChange,
     PeerView,
     Redial,
     Step,
-    most_hear,
-    serves,
+    is_live_by_majority,
+    is_serving,
     view_of,
 )
 from papayapier.peer.topology import Limits, Place, Plan, make_plan
 from papayapier.store.api import ENTRY, LIVE, LOST, Member
 
-SILENT_BEATS: Final = 4
+SILENT_INTERVALS: Final = 4
 
 
 class Roster:
@@ -55,8 +55,8 @@
 
     def live(self) -> list[str]:
         """Return the sorted ids of this instance and of the live peers."""
-        told = self._told_gone()
-        serving = (i for i, peer in self._peers.items() if serves(i, peer, told))
+        reported_gone = self._reported_gone()
+        serving = (i for i, peer in self._peers.items() if is_serving(i, peer, reported_gone))
         return sorted([self._me.id, *serving])
 
     def vouched(self, now: Millis) -> frozenset[str]:
@@ -67,20 +67,20 @@
         takes precedence over what this instance observes itself.
         """
         # In a full mesh hubs report nobody: there each instance gets everybody's heartbeats.
-        told = [] if self._plan.full_mesh else self._told_gone()
+        reported_gone = [] if self._plan.full_mesh else self._reported_gone()
         if not self._plan.full_mesh and self._me.id in self._plan.hubs:
-            told.append(frozenset(self.gone(now)))
+            reported_gone.append(frozenset(self.gone(now)))
         own = {self._me.id} if self._me.hub else set()
-        if not told:
-            heard = (one for one in self.live() if one in self._peers)
-            return frozenset(one for one in heard if self._peers[one].member.hub) | own
+        if not reported_gone:
+            reachable = (i for i in self.live() if i in self._peers)
+            return frozenset(i for i in reachable if self._peers[i].member.hub) | own
         others = (
-            one
-            for one, peer in self._peers.items()
+            i
+            for i, peer in self._peers.items()
             if peer.member.hub
             and (peer.listed or peer.up)
-            and not peer.leaving()
-            and most_hear(one, told)
+            and not peer.is_leaving()
+            and is_live_by_majority(i, reported_gone)
         )
         return frozenset(others) | own
 
@@ -89,7 +89,7 @@
         return tuple(
             i
             for i, peer in self._neighbours()
-            if peer.member.hub and (peer.leaving() or peer.lost or self._is_silent(peer, now))
+            if peer.member.hub and (peer.is_leaving() or peer.lost or self._is_silent(peer, now))
         )
 
     def lost_hubs(self) -> frozenset[str]:
@@ -97,7 +97,7 @@
         return frozenset(
             i
             for i, peer in self._neighbours()
-            if peer.member.hub and peer.lost and not peer.leaving() and peer.member.state != LOST
+            if peer.member.hub and peer.lost and not peer.is_leaving() and peer.member.state != LOST
         )
 
     def unheard(self, now: Millis) -> tuple[str, ...]:
@@ -106,7 +106,7 @@
 
     def silent(self) -> frozenset[str]:
         """Return the neighbours that are unreachable and have not reported that they leave."""
-        return frozenset(i for i, peer in self._peers.items() if peer.silent())
+        return frozenset(i for i, peer in self._peers.items() if peer.is_silent())
 
     def views(self, now: Millis) -> list[PeerView]:
         """Return a view of each peer."""
@@ -118,11 +118,11 @@
         listed = {m.id: m for m in members if _is_peer(m, self._me.id)}
         steps: list[Step] = []
         for member in listed.values():
-            if self._is_news(member):
-                steps.extend(self._list(member, now))
+            if self._record_changed(member):
+                steps.extend(self._apply_record(member, now))
         for peer_id, peer in self._peers.items():
             peer.listed = peer_id in listed
-        return [*steps, *self._forget_gone(), *self._follow_plan(now)]
+        return [*steps, *self._remove_departed(), *self._follow_plan(now)]
 
     def introduce(self, members: Sequence[Member], now: Millis) -> list[Step]:
         """Add instances named in the settings; the next list decides whether they are kept."""
@@ -130,7 +130,7 @@
         for member in members:
             known = self._peers.get(member.id)
             if _is_peer(member, self._me.id) and (known is None or not known.up):
-                steps.extend(self._list(member, now))
+                steps.extend(self._apply_record(member, now))
         return [*steps, *self._follow_plan(now)]
 
     def hello(self, hello: Hello, now: Millis) -> list[Step]:
@@ -155,9 +155,9 @@
         if not _is_peer(member, self._me.id):
             return []
         new_hub = member.hub and (known is None or not known.member.hub)
-        steps = self._list(member, now)
+        steps = self._apply_record(member, now)
         if hello.picked:
-            steps.extend(self._adopt(member.id, now))
+            steps.extend(self._set_picked_by_peer(member.id, now))
         # The list reaches instances at different times; if only it made an instance a hub, some
         # instances would treat it as a hub before others do.
         return [*steps, *self._follow_plan(now)] if new_hub else steps
@@ -167,23 +167,27 @@
         peer = self._peers.get(sender)
         if peer is None:
             return []
-        steps = self._adopt(sender, now) if heartbeat.picked else self._release(sender)
-        if not peer.neighbour():
+        steps = (
+            self._set_picked_by_peer(sender, now)
+            if heartbeat.picked
+            else self._clear_picked_by_peer(sender)
+        )
+        if not peer.is_neighbour():
             return steps
-        was_leaving = peer.leaving()
-        told_before = () if peer.last is None else peer.last.gone
-        if heartbeat.gone != told_before:
-            steps.append(Noted(sender, Change.TELLS))
+        was_leaving = peer.is_leaving()
+        gone_before = () if peer.last_heartbeat is None else peer.last_heartbeat.gone
+        if heartbeat.gone != gone_before:
+            steps.append(PeerChange(sender, Change.REPORTS_CHANGED))
         if peer.up and peer.boot != heartbeat.boot:
-            steps.append(Noted(sender, Change.RESTARTED))
+            steps.append(PeerChange(sender, Change.RESTARTED))
         if not peer.up:
-            steps.append(Noted(sender, Change.UP))
+            steps.append(PeerChange(sender, Change.UP))
         peer.up = True
         peer.boot = heartbeat.boot
-        peer.heard_at = now
-        peer.last = heartbeat
-        if peer.leaving() and not was_leaving:
-            steps.append(Noted(sender, Change.LEAVING))
+        peer.last_received_at = now
+        peer.last_heartbeat = heartbeat
+        if peer.is_leaving() and not was_leaving:
+            steps.append(PeerChange(sender, Change.LEAVING))
         if self._me.id in heartbeat.unheard and self._may_redial(peer, now):
             steps.append(_redial(sender, peer, now))
         if peer.lost:
@@ -201,35 +205,35 @@
         while the silence lasts. The peer does the same for its own direction, because this
         instance's heartbeats report that the peer's do not arrive.
         """
-        self._notice_pause(now)
+        self._detect_pause(now)
         steps: list[Step] = []
         lost_hub = False
         for peer_id, peer in self._neighbours():
             if self._is_silent(peer, now):
                 lost_hub = lost_hub or (peer.member.hub and peer.picked and not peer.lost)
-                steps.extend(self._silent(peer_id, peer, now))
+                steps.extend(self._on_silent(peer_id, peer, now))
         if lost_hub:
             steps.extend(self._follow_plan(now))
-        return [*steps, *self._forget_gone()]
+        return [*steps, *self._remove_departed()]
 
     def picks(self, peer_id: str) -> bool:
         """Return whether this instance's own plan includes a peer."""
         peer = self._peers.get(peer_id)
         return peer is not None and peer.picked
 
-    def _told_gone(self) -> list[frozenset[str]]:
+    def _reported_gone(self) -> list[frozenset[str]]:
         """Return the instances that each live hub reports as gone."""
-        hubs = [self._peers[one].last for one in self._plan.hubs if self._is_up(one)]
-        return [frozenset(beat.gone) for beat in hubs if beat is not None]
+        heartbeats = [self._peers[i].last_heartbeat for i in self._plan.hubs if self._is_up(i)]
+        return [frozenset(heartbeat.gone) for heartbeat in heartbeats if heartbeat is not None]
 
     def _is_up(self, peer_id: str) -> bool:
         peer = self._peers.get(peer_id)
-        return peer is not None and peer.neighbour() and peer.up
+        return peer is not None and peer.is_neighbour() and peer.up
 
     def _neighbours(self) -> list[tuple[str, Peer]]:
-        return [(i, peer) for i, peer in sorted(self._peers.items()) if peer.neighbour()]
+        return [(i, peer) for i, peer in sorted(self._peers.items()) if peer.is_neighbour()]
 
-    def _is_news(self, member: Member) -> bool:
+    def _record_changed(self, member: Member) -> bool:
         """Return whether the list's record of a member has changed since the last list.
 
         The list lags. A peer that has restarted elsewhere and has announced its new address
@@ -238,55 +242,55 @@
         known = self._peers.get(member.id)
         if known is None:
             return True
-        news = known.record != member
-        known.record = member
-        return news
+        changed = known.listed_record != member
+        known.listed_record = member
+        return changed
 
-    def _list(self, member: Member, now: Millis) -> list[Step]:
+    def _apply_record(self, member: Member, now: Millis) -> list[Step]:
         peer = self._peers.get(member.id)
         if peer is None:
             self._peers[member.id] = Peer(member, now)
             return []
         before = peer.member
-        was_leaving = peer.leaving()
+        was_leaving = peer.is_leaving()
         peer.member = member
         peer.lost = peer.lost or (member.state == LOST and not peer.up)
         steps: list[Step] = []
-        if peer.leaving() and not was_leaving:
-            steps.append(Noted(member.id, Change.LEAVING))
+        if peer.is_leaving() and not was_leaving:
+            steps.append(PeerChange(member.id, Change.LEAVING))
         moved = (before.host, before.peer_port) != (member.host, member.peer_port)
-        if moved and peer.neighbour():
+        if moved and peer.is_neighbour():
             steps.append(_redial(member.id, peer, now))
         return steps
 
     def _follow_plan(self, now: Millis) -> list[Step]:
         """Open links to the peers that the topology wants now, and close the other links."""
-        places = [_place(peer.member) for peer in self._peers.values() if not peer.leaving()]
+        places = [_place_of(peer.member) for peer in self._peers.values() if not peer.is_leaving()]
         lost = {i for i, peer in self._peers.items() if peer.lost}
         self._plan = make_plan(self._me, places, self._limits, lost)
         steps: list[Step] = []
         for peer_id, peer in sorted(self._peers.items()):
-            wanted = peer_id in self._plan.neighbours or (peer.picked and peer.leaving())
-            was = peer.neighbour()
+            wanted = peer_id in self._plan.neighbours or (peer.picked and peer.is_leaving())
+            was = peer.is_neighbour()
             peer.picked = wanted
-            if peer.neighbour() and not was:
-                peer.known_at = now
+            if peer.is_neighbour() and not was:
+                peer.expected_since = now
                 steps.append(_redial(peer_id, peer, now))
-            if was and not peer.neighbour():
-                steps.append(_part(peer_id, peer))
+            if was and not peer.is_neighbour():
+                steps.append(_disconnect(peer_id, peer))
         return steps
 
-    def _adopt(self, peer_id: str, now: Millis) -> list[Step]:
+    def _set_picked_by_peer(self, peer_id: str, now: Millis) -> list[Step]:
         """Reciprocate the link of a peer that picked this instance: send it heartbeats too."""
         peer = self._peers[peer_id]
-        was = peer.neighbour()
-        peer.adopted = True
+        was = peer.is_neighbour()
+        peer.picked_by_peer = True
         if was:
             return []
-        peer.known_at = now
+        peer.expected_since = now
         return [_redial(peer_id, peer, now)]
 
-    def _release(self, peer_id: str) -> list[Step]:
+    def _clear_picked_by_peer(self, peer_id: str) -> list[Step]:
         """Close a link that neither side picks.
 
         If receiving heartbeats were enough to keep a link, two instances once linked would keep
@@ -294,28 +298,28 @@
         several steps.
         """
         peer = self._peers[peer_id]
-        if not peer.adopted:
+        if not peer.picked_by_peer:
             return []
-        peer.adopted = False
-        return [] if peer.picked else [_part(peer_id, peer)]
+        peer.picked_by_peer = False
+        return [] if peer.picked else [_disconnect(peer_id, peer)]
 
-    def _silent(self, peer_id: str, peer: Peer, now: Millis) -> list[Step]:
+    def _on_silent(self, peer_id: str, peer: Peer, now: Millis) -> list[Step]:
         if not peer.picked:
             # It may have died, or only have other neighbours now. The instances that pick it
             # find out, and the instance list follows, if one has been received.
-            peer.adopted = False
+            peer.picked_by_peer = False
             peer.listed = peer.listed and self._has_list
-            return [_part(peer_id, peer)]
+            return [_disconnect(peer_id, peer)]
         steps: list[Step] = []
         peer.lost = True
         if peer.up:
             peer.up = False
-            steps.append(Noted(peer_id, Change.DOWN))
+            steps.append(PeerChange(peer_id, Change.DOWN))
         if self._may_redial(peer, now):
             steps.append(_redial(peer_id, peer, now))
         return steps
 
-    def _notice_pause(self, now: Millis) -> None:
+    def _detect_pause(self, now: Millis) -> None:
         """Restart the silence timers after this process itself was paused.
 
         The heartbeats that arrived meanwhile are still unread. By the clock alone every peer
@@ -326,19 +330,25 @@
         self._ticked_at = now
 
     def _is_silent(self, peer: Peer, now: Millis) -> bool:
-        pace = 0 if peer.last is None else peer.last.every_ms
-        limit = max(self._silent_after_ms, pace * SILENT_BEATS)
-        since = peer.known_at if peer.heard_at is None else max(peer.known_at, peer.heard_at)
+        interval_ms = 0 if peer.last_heartbeat is None else peer.last_heartbeat.every_ms
+        limit = max(self._silent_after_ms, interval_ms * SILENT_INTERVALS)
+        since = (
+            peer.expected_since
+            if peer.last_received_at is None
+            else max(peer.expected_since, peer.last_received_at)
+        )
         return now - max(since, self._awake_since) >= limit
 
     def _may_redial(self, peer: Peer, now: Millis) -> bool:
         return now - peer.dialled_at >= self._silent_after_ms
 
-    def _forget_gone(self) -> list[Step]:
-        gone = [i for i, p in self._peers.items() if not p.listed and not (p.neighbour() and p.up)]
-        for peer_id in gone:
+    def _remove_departed(self) -> list[Step]:
+        departed = [
+            i for i, p in self._peers.items() if not p.listed and not (p.is_neighbour() and p.up)
+        ]
+        for peer_id in departed:
             del self._peers[peer_id]
-        return [Noted(peer_id, Change.GONE) for peer_id in gone]
+        return [PeerChange(peer_id, Change.REMOVED) for peer_id in departed]
 
 
 def _redial(peer_id: str, peer: Peer, now: Millis) -> Redial:
@@ -346,15 +356,15 @@
     return Redial(peer_id)
 
 
-def _part(peer_id: str, peer: Peer) -> HangUp:
+def _disconnect(peer_id: str, peer: Peer) -> Disconnect:
     peer.up = False
-    peer.last = None
-    return HangUp(peer_id)
+    peer.last_heartbeat = None
+    return Disconnect(peer_id)
 
 
 def _is_peer(member: Member, own_id: str) -> bool:
     return member.kind == ENTRY and member.id != own_id and member.peer_port != 0
 
 
-def _place(member: Member) -> Place:
+def _place_of(member: Member) -> Place:
     return Place(member.id, member.data_centre, member.region, member.hub)
--- a/papayapier/peer/seal.py
+++ b/papayapier/peer/signing.py
@@ -19,42 +19,42 @@
 MIN_KEY_CHARACTERS: Final = 16
 
 
-class Seal(NamedTuple):
-    """Group the two directions: close signs a frame, open checks and strips the signature."""
+class Signer(NamedTuple):
+    """Group the two directions: sign signs a frame, verify checks and strips the signature."""
 
-    close: Callable[[bytes], bytes]
-    open: Callable[[bytes], Result[bytes, str]]
+    sign: Callable[[bytes], bytes]
+    verify: Callable[[bytes], Result[bytes, str]]
 
 
-NO_SEAL: Final = Seal(close=lambda data: data, open=Ok)
+NO_SIGNER: Final = Signer(sign=lambda data: data, verify=Ok)
 
 
-def load_seal(key_file: str) -> Result[Seal, str]:
+def load_signer(key_file: str) -> Result[Signer, str]:
     """Read the shared keys; without a key file, frames are neither signed nor checked."""
     if not key_file:
-        return Ok(NO_SEAL)
+        return Ok(NO_SIGNER)
     try:
         lines = Path(key_file).read_text(encoding="utf-8").split()
     except (OSError, UnicodeDecodeError) as exc:
         return Err(f"{key_file}: cannot be read: {exc}")
     if not lines or min(map(len, lines)) < MIN_KEY_CHARACTERS:
         return Err(f"{key_file}: needs keys of at least {MIN_KEY_CHARACTERS} characters")
-    return Ok(make_seal([line.encode() for line in lines]))
+    return Ok(make_signer([line.encode() for line in lines]))
 
 
-def make_seal(keys: Sequence[bytes]) -> Seal:
-    """Return a seal that signs with the first key and accepts every key."""
+def make_signer(keys: Sequence[bytes]) -> Signer:
+    """Return a signer that signs with the first key and accepts every key."""
 
-    def close(data: bytes) -> bytes:
+    def sign(data: bytes) -> bytes:
         return data + _tag(keys[0], data)
 
-    def open_(sealed: bytes) -> Result[bytes, str]:
-        data, tag = sealed[:-TAG_BYTES], sealed[-TAG_BYTES:]
+    def verify(signed: bytes) -> Result[bytes, str]:
+        data, tag = signed[:-TAG_BYTES], signed[-TAG_BYTES:]
         if any(hmac.compare_digest(_tag(key, data), tag) for key in keys):
             return Ok(data)
         return Err("signature does not match")
 
-    return Seal(close, open_)
+    return Signer(sign, verify)
 
 
 def _tag(key: bytes, data: bytes) -> bytes:
--- a/papayapier/peer/topology.py
+++ b/papayapier/peer/topology.py
@@ -78,9 +78,9 @@
         everybody = frozenset(place.id for place in others)
         return Plan(everybody if me.id in hubs else frozenset(hubs), False, False, hubs)
     centres = _by_data_centre([me, *others])
-    near = [place.id for place in centres[me.data_centre] if place.id != me.id]
+    local = [place.id for place in centres[me.data_centre] if place.id != me.id]
     rank = _rank(me, centres[me.data_centre], limits.relays)
-    picked = set(_near_picks(me.id, near, limits))
+    picked = set(_local_picks(me.id, local, limits))
     if rank is not None:
         picked |= _relay_links(me, rank, centres)
     return Plan(frozenset(picked), rank is not None, False)
@@ -105,10 +105,10 @@
     return _top(f"{RELAY_KEY}/{data_centre}", ids, count)
 
 
-def _near_picks(own_id: str, near: Sequence[str], limits: Limits) -> Iterable[str]:
-    if len(near) < limits.full_mesh:
-        return near
-    return _top(own_id, near, limits.picks)
+def _local_picks(own_id: str, local: Sequence[str], limits: Limits) -> Iterable[str]:
+    if len(local) < limits.full_mesh:
+        return local
+    return _top(own_id, local, limits.picks)
 
 
 def _relay_links(me: Place, rank: int, centres: Mapping[str, Sequence[Place]]) -> set[str]:
--- a/papayapier/peer/wire.py
+++ b/papayapier/peer/wire.py
@@ -54,26 +54,26 @@
     try:
         return Ok(msgspec.msgpack.decode(body, type=kind))
     except msgspec.MsgspecError:
-        return _decode_longer(body, kind)
+        return _decode_truncated(body, kind)
 
 
-def _decode_longer(body: msgspec.Raw, kind: type[Message]) -> Result[Message, str]:
+def _decode_truncated(body: msgspec.Raw, kind: type[Message]) -> Result[Message, str]:
     try:
-        known = _cut(msgspec.msgpack.decode(body), kind)
+        known = _truncate(msgspec.msgpack.decode(body), kind)
         return Ok(msgspec.convert(known, type=kind))
     except msgspec.MsgspecError as exc:
         return Err(f"{kind.__name__}: {exc}")
 
 
-def _cut(value: Any, kind: Any) -> Any:
+def _truncate(value: Any, kind: Any) -> Any:
     """Return the value without the elements that this release does not know."""
     if not isinstance(value, list):
         return value
     if hasattr(kind, "_fields"):
         hints = get_type_hints(kind)
         known = zip(value, kind._fields, strict=False)
-        return [_cut(part, hints[name]) for part, name in known]
+        return [_truncate(element, hints[name]) for element, name in known]
     args = get_args(kind)
     if get_origin(kind) is list or Ellipsis in args:
-        return [_cut(part, args[0]) for part in value]
+        return [_truncate(element, args[0]) for element in value]
     return value
--- a/tests/test_loss_news.py
+++ b/tests/test_loss_news.py
@@ -10,7 +10,7 @@
 from papayapier.dispatch.crash_watch import CrashWatch
 from papayapier.metrics import make_metrics
 from papayapier.peer.loss_messages import LossesAsk, LossesTold
-from papayapier.peer.loss_news import AGAIN_MS, GATHER_MS, LossNews, LossNewsDeps
+from papayapier.peer.loss_news import COLLECT_MS, RESEND_MS, LossNews, LossNewsDeps
 from papayapier.peer.messages import (
     Message,
 )
@@ -105,7 +105,7 @@
 def lose_at(net: Net, nodes: list[Node]) -> None:
     for number in range(LOSSES_MOST):
         nodes[number % len(nodes)].lose(f"r{number}")
-    net.time.advance(GATHER_MS)
+    net.time.advance(COLLECT_MS)
 
 
 def test_everybody_in_a_small_fleet_knows_what_all_have_seen() -> None:
@@ -121,7 +121,7 @@
     nodes = net.start("a", "b")
     for number in range(8):
         nodes[0].lose("r", f"w{number}")
-    net.time.advance(GATHER_MS)
+    net.time.advance(COLLECT_MS)
     assert net.sent["LossesTold"] == 1
     assert len(nodes[1].watch.snapshot()) == 8
 
@@ -133,7 +133,7 @@
     one.lose("r0")
     at = Replica("r1", "lm", "h", 1, "dc")
     one.watch.sent("r", lambda: "w", at, Ok(None), 0)
-    net.time.advance(GATHER_MS + AGAIN_MS)
+    net.time.advance(COLLECT_MS + RESEND_MS)
     assert not other.watch.snapshot()
 
 
@@ -143,12 +143,12 @@
     one, other = net.start("a", "b")
     net.cut = True
     one.lose("r0")
-    net.time.advance(GATHER_MS)
+    net.time.advance(COLLECT_MS)
     net.cut = False
     assert not other.watch.snapshot()
-    net.time.advance(AGAIN_MS)
+    net.time.advance(RESEND_MS)
     assert other.watch.snapshot()
-    net.time.advance(10 * AGAIN_MS)
+    net.time.advance(10 * RESEND_MS)
     assert net.sent["LossesTold"] == 2
 
 
@@ -160,7 +160,7 @@
     one.changed()
     other.changed()
     one.lose("r0")
-    net.time.advance(GATHER_MS + AGAIN_MS)
+    net.time.advance(COLLECT_MS + RESEND_MS)
     net.apart = set()
     other.changed()
     assert other.watch.snapshot()
@@ -172,7 +172,7 @@
     hubs = net.start("h1", "h2")
     entries = net.start(*(f"e{number}" for number in range(10)))
     entries[0].lose("r0")
-    net.time.advance(GATHER_MS)
+    net.time.advance(COLLECT_MS)
     assert net.sent["LossesTold"] == len(hubs)
     lose_at(net, entries)
     assert all(node.holds() for node in entries + hubs)
@@ -203,7 +203,7 @@
     net = Net(hubs=("h1", "h2"))
     h1, _h2, h3, e1 = net.start("h1", "h2", "h3", "e1")
     e1.lose("r0")
-    net.time.advance(GATHER_MS)
+    net.time.advance(COLLECT_MS)
     assert not h3.watch.snapshot()
     del net.nodes["h2"]
     net.hubs = ("h1", "h3")
@@ -215,10 +215,10 @@
     net = Net()
     one, other = net.start("a", "b")
     one.lose("r0")
-    net.time.advance(GATHER_MS)
+    net.time.advance(COLLECT_MS)
     at = Replica("r1", "lm", "h", 1, "dc")
     other.watch.sent("r", lambda: "w", at, Ok(None), 0)
-    net.time.advance(GATHER_MS)
+    net.time.advance(COLLECT_MS)
     assert one.watch.snapshot() == other.watch.snapshot() == []
 
 
@@ -257,7 +257,7 @@
     (second,) = net.start("b")
     assert second.news.caught_up()
     second.lose("r0")
-    net.time.advance(GATHER_MS)
+    net.time.advance(COLLECT_MS)
     (third,) = net.start("c")
     assert third.news.caught_up()
     assert third.watch.snapshot()
@@ -271,7 +271,7 @@
     """Let as many replicas as hold a work end under it at one instance within a moment."""
     for number in range(LOSSES_MOST):
         node.lose(f"r{number}")
-    net.time.advance(GATHER_MS + AGAIN_MS)
+    net.time.advance(COLLECT_MS + RESEND_MS)
 
 
 @pytest.mark.parametrize("hubs", [(), ("h1", "h2")])
@@ -337,7 +337,7 @@
     for _ in range(4):
         net.time.advance(ANSWERED_LATELY_MS // 2 + 1)
         nodes[1].lose("r0", "w")
-        net.time.advance(GATHER_MS)
+        net.time.advance(COLLECT_MS)
         for node in nodes:
             at = Replica("r0", "lm", "h", 1, "dc")
             node.watch.sent("r", lambda: "other", at, Ok(None), net.time.clock.now())
@@ -355,8 +355,8 @@
     net.apart = {"e1"}
     for number in range(LOSSES_MOST):
         net.nodes["e3"].lose(f"r{number}")
-    net.time.advance(GATHER_MS)
+    net.time.advance(COLLECT_MS)
     assert net.nodes["e2"].holds()
     net.apart = set()
-    net.time.advance(AGAIN_MS)
+    net.time.advance(RESEND_MS)
     assert [node.name for node in nodes if node.holds()] == []
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -7,7 +7,7 @@
 
 from papayapier import codec, events
 from papayapier.clock import FakeClock, fake_clock
-from papayapier.peer.members import ASK_AGAIN_MS, MembersDeps, MembersExchange
+from papayapier.peer.members import RETRY_MS, MembersDeps, MembersExchange
 from papayapier.peer.messages import Heartbeat, Message
 from papayapier.peer.parts import PART_BYTES
 from papayapier.store.api import ENTRY, LIVE, REPLICA, Member
@@ -60,7 +60,7 @@
         ]
 
     def answer(self) -> list[Any]:
-        """Let a heartbeat arrive, and return the answer to what is asked then."""
+        """Let a heartbeat arrive, and return the answer to what is requested then."""
         self.asks.exchange.on_peer("a", Heartbeat("a", 1, "serving", 0))
         for ask in self.asks.taken():
             self.knows.exchange.on_peer("b", ask)
@@ -77,25 +77,25 @@
             self.asks.exchange.on_peer("a", part)
         assert self.asks.ids() == []
         assert self.answer() == []
-        self.time.advance(ASK_AGAIN_MS)
+        self.time.advance(RETRY_MS)
         for part in self.answer():
             self.asks.exchange.on_peer("a", part)
         assert len(self.asks.ids()) == 6_000
-        assert self.asks.follower.age_ms() == ASK_AGAIN_MS
+        assert self.asks.follower.age_ms() == RETRY_MS
 
     def test_only_younger_lists_are_told_and_taken(self) -> None:
         now = self.time.clock.now()
         self.knows.follower.learn(self.members(1), now - 5_000)
         self.asks.follower.learn(self.members(2), now - 4_000)
         assert [part.members for part in self.answer()] == [[]]
-        self.time.advance(ASK_AGAIN_MS)
+        self.time.advance(RETRY_MS)
         self.knows.follower.learn(self.members(1), now - 3_000)
         (told,) = self.answer()
         self.asks.exchange.on_peer("stranger", told)
         assert self.asks.ids() == ["lm-0", "lm-1"]
         self.asks.exchange.on_peer("a", told)
         assert self.asks.ids() == ["lm-0"]
-        self.time.advance(ASK_AGAIN_MS)
+        self.time.advance(RETRY_MS)
         self.knows.follower.learn(self.members(1), now)
         assert [part.members for part in self.answer()] == [[]], "the same list again"
 
@@ -108,7 +108,7 @@
         self.asks.exchange.on_peer("a", told)
         assert not self.asks.follower.learn(self.members(3), self.time.clock.now())
         assert self.asks.ids() == []
-        self.time.advance(ASK_AGAIN_MS)
+        self.time.advance(RETRY_MS)
         assert self.answer() == []
         self.asks.follower.stop()
 
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -17,6 +17,7 @@
 from papayapier.clock import Millis, fake_clock, real_clock
 from papayapier.metrics import make_metrics
 from papayapier.peer import wire
+from papayapier.peer.forwarding import Forwarder, Novelty
 from papayapier.peer.hub import Identity, PeerHub
 from papayapier.peer.kinds import KINDS
 from papayapier.peer.messages import (
@@ -33,14 +34,13 @@
     MAX_USES,
     ByteBudget,
     bound_uses,
-    heartbeat_pace,
+    heartbeat_interval_ms,
     use_distance,
 )
-from papayapier.peer.peer_state import Change, HangUp, Noted, Redial
+from papayapier.peer.peer_state import Change, Disconnect, PeerChange, Redial
 from papayapier.peer.questions import PeerError, Questions
 from papayapier.peer.roster import Roster
-from papayapier.peer.seal import load_seal, make_seal
-from papayapier.peer.spread import Spreader, Verdict
+from papayapier.peer.signing import load_signer, make_signer
 from papayapier.peer.topology import Limits, Place, make_plan
 from papayapier.policy.loads import ReplicaUse
 from papayapier.settings import PeerSettings
@@ -48,7 +48,7 @@
 
 SILENT_MS = 2_000
 KEY = "a-key-that-all-tests-share"
-SEAL = make_seal([KEY.encode()])
+SIGNER = make_signer([KEY.encode()])
 
 
 def member(name: str, port: int = 9000, state: str = LIVE, hub: bool = False) -> Member:
@@ -127,7 +127,7 @@
     def test_live_only_after_first_heartbeat(self) -> None:
         roster = self.roster("b")
         assert roster.live() == ["me"]
-        assert roster.heard("b", beat("b"), at(10)) == [Noted("b", Change.UP)]
+        assert roster.heard("b", beat("b"), at(10)) == [PeerChange("b", Change.UP)]
         assert roster.live() == ["b", "me"]
 
     def test_silent_peer_is_down_and_dialled_again(self) -> None:
@@ -138,20 +138,22 @@
         roster.heard("b", beat("b"), at(500))
         for now in range(1000, 2500, 500):
             assert roster.tick(at(now)) == []
-        assert roster.tick(at(2500)) == [Noted("b", Change.DOWN), Redial("b")]
+        assert roster.tick(at(2500)) == [PeerChange("b", Change.DOWN), Redial("b")]
         assert roster.tick(at(3000)) == []
         assert roster.unheard(at(3000)) == ("b",)
         assert roster.tick(at(3500)) == []
         assert roster.tick(at(4000)) == []
         assert roster.tick(at(4500)) == [Redial("b")]
-        assert roster.heard("b", beat("b"), at(4600)) == [Noted("b", Change.UP)]
+        assert roster.heard("b", beat("b"), at(4600)) == [PeerChange("b", Change.UP)]
 
     def test_own_direction_silent(self) -> None:
         # Symptom: a peer says it does not hear us, while we hear it.
         # Sequence: only our connection to it went silent.
         # Cause: each direction has its own connection; the sender notices nothing by itself.
         roster = self.roster("b")
-        assert roster.heard("b", beat("b", unheard=("me",)), at(1000)) == [Noted("b", Change.UP)]
+        assert roster.heard("b", beat("b", unheard=("me",)), at(1000)) == [
+            PeerChange("b", Change.UP)
+        ]
         assert roster.heard("b", beat("b", unheard=("me",)), at(2000)) == [Redial("b")]
         assert roster.heard("b", beat("b", unheard=("me",)), at(2500)) == []
 
@@ -161,12 +163,12 @@
         # Cause: the list forgets instances that could not report; they still live.
         roster = self.roster("b", "c")
         roster.heard("b", beat("b"), at(100))
-        assert roster.set_members([], at(200)) == [Noted("c", Change.GONE)]
+        assert roster.set_members([], at(200)) == [PeerChange("c", Change.REMOVED)]
         assert roster.live() == ["b", "me"]
         for now in range(500, 2000, 500):
             roster.tick(at(now))
         steps = roster.tick(at(2100))
-        assert Noted("b", Change.GONE) in steps
+        assert PeerChange("b", Change.REMOVED) in steps
         assert roster.live() == ["me"]
 
     def test_paused_process_does_not_judge(self) -> None:
@@ -182,9 +184,9 @@
     def test_restart_and_leaving_are_noticed(self) -> None:
         roster = self.roster("b")
         roster.heard("b", beat("b", boot=1), at(100))
-        assert roster.heard("b", beat("b", boot=2), at(200)) == [Noted("b", Change.RESTARTED)]
+        assert roster.heard("b", beat("b", boot=2), at(200)) == [PeerChange("b", Change.RESTARTED)]
         steps = roster.set_members([member("b", state=LEAVING)], at(300))
-        assert steps == [Noted("b", Change.LEAVING)]
+        assert steps == [PeerChange("b", Change.LEAVING)]
         assert roster.live() == ["me"]
 
     def test_lagging_list_does_not_move_a_peer_back(self) -> None:
@@ -237,7 +239,7 @@
         roster.set_members([member(name) for name in names], at(0))
         stranger = next(n for n in names if n not in roster.plan().neighbours)
         assert roster.heard(stranger, beat(stranger), at(100))[0] == Redial(stranger)
-        assert HangUp(stranger) in roster.tick(at(2_100))
+        assert Disconnect(stranger) in roster.tick(at(2_100))
         assert stranger in roster.live()
 
 
@@ -269,28 +271,28 @@
         assert plan.neighbours == {place.id for place in others}
 
 
-class TestSpreader:
+class TestForwarder:
     def test_passes_on_what_is_new_once(self) -> None:
-        spreader = Spreader()
-        assert spreader.note(ConfigPush("k", 4, b"")) is Verdict.NEW
-        assert spreader.note(ConfigPush("k", 3, b"")) is Verdict.DUPLICATE
-        assert spreader.note(JobChanged("k", 3)) is Verdict.NEW
-        spreader.prune("b")
-        assert spreader.targets(["a", "b", "c"], "a") == ["c"]
-        spreader.graft("b")
-        assert spreader.targets(["a", "b", "c"], "a") == ["b", "c"]
+        forwarder = Forwarder()
+        assert forwarder.record(ConfigPush("k", 4, b"")) is Novelty.NEW
+        assert forwarder.record(ConfigPush("k", 3, b"")) is Novelty.DUPLICATE
+        assert forwarder.record(JobChanged("k", 3)) is Novelty.NEW
+        forwarder.prune("b")
+        assert forwarder.targets(["a", "b", "c"], "a") == ["c"]
+        forwarder.graft("b")
+        assert forwarder.targets(["a", "b", "c"], "a") == ["b", "c"]
 
 
-class TestSeal:
+class TestSigning:
     def test_keys_can_be_replaced_one_instance_at_a_time(self) -> None:
-        old, new = make_seal([b"old"]), make_seal([b"new", b"old"])
-        assert new.open(old.close(b"frame")) == Ok(b"frame")
-        assert old.open(new.close(b"frame")) == Err("signature does not match")
-        assert old.open(b"short") == Err("signature does not match")
+        old, new = make_signer([b"old"]), make_signer([b"new", b"old"])
+        assert new.verify(old.sign(b"frame")) == Ok(b"frame")
+        assert old.verify(new.sign(b"frame")) == Err("signature does not match")
+        assert old.verify(b"short") == Err("signature does not match")
 
     def test_key_file_is_checked(self) -> None:
-        assert load_seal("").unwrap().close(b"x") == b"x"
-        assert "cannot be read" in load_seal("no-such-file").unwrap_err()
+        assert load_signer("").unwrap().sign(b"x") == b"x"
+        assert "cannot be read" in load_signer("no-such-file").unwrap_err()
 
 
 class TestPacing:
@@ -299,17 +301,17 @@
         assert use_distance(before, [ReplicaUse("x", 4, 0), ReplicaUse("z", 3, 0)]) == 6
 
     def test_pace_falls_with_neighbours_and_uses_are_bounded(self) -> None:
-        assert heartbeat_pace(500, 100, 2, 3_000) == 500
-        assert heartbeat_pace(500, 100, 20, 1_000) == 4_240
+        assert heartbeat_interval_ms(500, 100, 2, 3_000) == 500
+        assert heartbeat_interval_ms(500, 100, 20, 1_000) == 4_240
         uses = [ReplicaUse(f"r{i}", i, 0) for i in range(MAX_USES + 5)]
         assert min(use.online for use in bound_uses(uses)) == 5
 
     def test_budget_allows_bursts_and_bounds_the_average(self) -> None:
         budget = ByteBudget(100, at(0))
-        assert budget.has(1000, at(0))
+        assert budget.has_bytes(1000, at(0))
         budget.spend(1500, at(0))
-        assert not budget.has(1, at(5_000))
-        assert budget.has(100, at(6_000))
+        assert not budget.has_bytes(1, at(5_000))
+        assert budget.has_bytes(100, at(6_000))
 
 
 class TestHub(TestCase):
@@ -521,7 +523,7 @@
                 assert isinstance(message, ClaimAsk)
                 b.tell(sender, ClaimTell(message.ask_id, message.key, "done"))
 
-            a._receive(SEAL.close(msgspec.msgpack.encode([999, "b", []])))
+            a._receive(SIGNER.sign(msgspec.msgpack.encode([999, "b", []])))
             b.subscribe(ClaimAsk, answer)
             outcome = await a.ask("b", lambda ask_id: ClaimAsk(ask_id, "k"), 30_000)
             assert outcome.is_ok()
