--- a/tests/test_call_notifications.py
+++ b/tests/test_call_notifications.py
@@ -1,4 +1,4 @@
-"""Test whom changed calls are sent to in a large fleet."""
+"""Test which peers are notified of changed calls in a large fleet."""
 
 from collections.abc import Collection
 
@@ -47,7 +47,7 @@
 
 
 def test_a_notified_peer_gets_the_end_of_its_calls_twice() -> None:
-    # Failure: the only word of a call's end is lost, and its place stays taken.
+    # Failure: the only notification of a call's end is lost, and its slot stays occupied.
     sent: list[tuple[str, CallsTold]] = []
     notifier = CallNotifier("me", concerned, lambda peer, message: sent.append((peer, message)))
     notifier.send(["far"], ONE_CALL.uses)
--- a/tests/test_loss_news.py
+++ b/tests/test_loss_news.py
@@ -1,4 +1,4 @@
-"""Test whom an instance tells of lost replicas, and that one that starts learns of them."""
+"""Test how instances report replica losses, and that an instance that starts learns of them."""
 
 from collections import defaultdict
 from typing import Any, cast
@@ -18,11 +18,11 @@
 from papayapier.policy.crashes import ANSWERED_LATELY_MS, LOSSES_MOST, Loss
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
 
-CUT = Failure(FailureKind.CUT, Sent.MAYBE, "reset", fresh=True)
+CONNECTION_CUT = Failure(FailureKind.CUT, Sent.MAYBE, "reset", fresh=True)
 
 
 class Net:
-    """Carry messages between the instances of a test at once, and count them by kind."""
+    """Deliver messages between the instances of a test without delay; count them by kind."""
 
     def __init__(
         self, hubs: tuple[str, ...] = (), links: dict[str, set[str]] | None = None
@@ -32,8 +32,8 @@
         self.hubs = hubs
         self.links = links
         self.sent: dict[str, int] = defaultdict(int)
-        self.cut = False
-        self.apart: set[str] = set()
+        self.drop_messages = False
+        self.partition: set[str] = set()
 
     def start(self, *names: str) -> list["Node"]:
         nodes = [Node(name, self) for name in names]
@@ -44,8 +44,8 @@
 
     def neighbours(self, name: str) -> set[str]:
         others = set(self.nodes) - {name}
-        if self.apart:
-            others = others & self.apart if name in self.apart else others - self.apart
+        if self.partition:
+            others = others & self.partition if name in self.partition else others - self.partition
         if self.links is not None:
             return self.links[name] & others
         if not self.hubs or name in self.hubs:
@@ -54,7 +54,7 @@
 
 
 class Node:
-    """Stand for the hub of one instance, with a watch and its news."""
+    """Fake the PeerHub of one instance, and hold its crash watch and exchange of losses."""
 
     def __init__(self, name: str, net: Net) -> None:
         self.name = name
@@ -85,7 +85,7 @@
 
     def tell(self, peer_id: str, message: Message) -> bool:
         self._net.sent[type(message).__name__] += 1
-        if self._net.cut:
+        if self._net.drop_messages:
             return True
         self._net.nodes[peer_id]._handlers[type(message)](self.name, message)
         return True
@@ -94,12 +94,12 @@
         for peer_id in sorted(self._net.neighbours(self.name)):
             self.tell(peer_id, message)
 
-    def lose(self, replica: str, work: str = "w") -> None:
+    def lose(self, replica: str, fingerprint: str = "w") -> None:
         at = Replica(replica, "lm", "h", 1, "dc")
-        self.watch.sent("r", lambda: work, at, Err(CUT), 0)
+        self.watch.sent("r", lambda: fingerprint, at, Err(CONNECTION_CUT), 0)
 
-    def holds(self, work: str = "w") -> bool:
-        return self.watch.refusal("r", lambda: work) is not None
+    def refuses(self, fingerprint: str = "w") -> bool:
+        return self.watch.refusal("r", lambda: fingerprint) is not None
 
 
 def lose_at(net: Net, nodes: list[Node]) -> None:
@@ -108,15 +108,15 @@
     net.time.advance(COLLECT_MS)
 
 
-def test_everybody_in_a_small_fleet_knows_what_all_have_seen() -> None:
+def test_all_instances_of_a_small_fleet_know_all_losses() -> None:
     net = Net()
     nodes = net.start("a", "b", "c")
     lose_at(net, nodes)
-    assert [node.holds() for node in nodes] == [True] * 3
+    assert [node.refuses() for node in nodes] == [True] * 3
     assert net.sent["LossesTold"] == 3 * 2
 
 
-def test_one_end_is_told_in_one_message() -> None:
+def test_all_losses_of_one_replica_are_sent_in_one_message() -> None:
     net = Net()
     nodes = net.start("a", "b")
     for number in range(8):
@@ -126,8 +126,8 @@
     assert len(nodes[1].watch.snapshot()) == 8
 
 
-def test_what_another_try_answered_is_not_told() -> None:
-    # The request beside a crashing one goes on at another replica, and is done.
+def test_loss_of_a_request_answered_by_another_attempt_is_not_sent() -> None:
+    # A request that ran beside a crashing one continues at another replica and completes.
     net = Net()
     one, other = net.start("a", "b")
     one.lose("r0")
@@ -137,14 +137,14 @@
     assert not other.watch.snapshot()
 
 
-def test_a_loss_is_told_again_once() -> None:
-    # Events: the link to a peer is being replaced while a loss is told.
+def test_a_loss_is_resent_once() -> None:
+    # Sequence: the link to a peer is being replaced while a loss is sent.
     net = Net()
     one, other = net.start("a", "b")
-    net.cut = True
+    net.drop_messages = True
     one.lose("r0")
     net.time.advance(COLLECT_MS)
-    net.cut = False
+    net.drop_messages = False
     assert not other.watch.snapshot()
     net.time.advance(RESEND_MS)
     assert other.watch.snapshot()
@@ -152,22 +152,22 @@
     assert net.sent["LossesTold"] == 2
 
 
-def test_whoever_is_heard_again_is_asked_again() -> None:
-    # Events: two parts of a fleet do not hear each other; a replica is lost in one of them.
+def test_losses_are_requested_again_after_a_partition() -> None:
+    # Sequence: the network is partitioned; a replica is lost on one side; the partition ends.
     net = Net()
     one, other = net.start("a", "b")
-    net.apart = {"b"}
+    net.partition = {"b"}
     one.changed()
     other.changed()
     one.lose("r0")
     net.time.advance(COLLECT_MS + RESEND_MS)
-    net.apart = set()
+    net.partition = set()
     other.changed()
     assert other.watch.snapshot()
 
 
-def test_hubs_hear_of_all_and_tell_what_is_held() -> None:
-    # Events: replicas are lost at three entries of a large fleet; only hubs are linked with all.
+def test_hubs_receive_all_losses_and_broadcast_quarantines() -> None:
+    # Sequence: replicas are lost at three entries of a large fleet; only hubs are linked with all.
     net = Net(hubs=("h1", "h2"))
     hubs = net.start("h1", "h2")
     entries = net.start(*(f"e{number}" for number in range(10)))
@@ -175,31 +175,31 @@
     net.time.advance(COLLECT_MS)
     assert net.sent["LossesTold"] == len(hubs)
     lose_at(net, entries)
-    assert all(node.holds() for node in entries + hubs)
-    # Three tellers to each hub, and each hub once to all.
+    assert all(node.refuses() for node in entries + hubs)
+    # Three senders to each hub, and each hub once to all.
     assert net.sent["LossesTold"] <= 4 * len(hubs) + len(hubs) * 11
 
 
-def test_without_hubs_news_go_from_neighbour_to_neighbour() -> None:
+def test_without_hubs_losses_are_forwarded_between_neighbours() -> None:
     links = {"a": {"b"}, "b": {"a", "c"}, "c": {"b", "d"}, "d": {"c"}}
     net = Net(links=links)
     nodes = net.start("a", "b", "c", "d")
     lose_at(net, nodes)
-    assert all(node.holds() for node in nodes)
+    assert all(node.refuses() for node in nodes)
 
 
 @pytest.mark.parametrize("hubs", [(), ("h1",)])
-def test_one_that_starts_asks(hubs: tuple[str, ...]) -> None:
-    # Symptom: each restart of an instance costs three replicas more.
+def test_an_instance_that_starts_requests_known_losses(hubs: tuple[str, ...]) -> None:
+    # Symptom: each restart of an instance costs three more replicas.
     net = Net(hubs)
     nodes = net.start("h1", "b")
     lose_at(net, nodes)
     (late,) = net.start("late")
-    assert late.holds()
+    assert late.refuses()
 
 
-def test_one_that_becomes_a_hub_asks_the_hubs() -> None:
-    # Events: losses below the bound are known to hubs only; a hub is lost, another is chosen.
+def test_a_new_hub_requests_known_losses_from_the_hubs() -> None:
+    # Sequence: losses below the bound are known to hubs only; a hub is lost, another is chosen.
     net = Net(hubs=("h1", "h2"))
     h1, _h2, h3, e1 = net.start("h1", "h2", "h3", "e1")
     e1.lose("r0")
@@ -211,7 +211,7 @@
     assert h3.watch.snapshot() == h1.watch.snapshot()
 
 
-def test_an_answer_is_told_where_the_work_is_suspected() -> None:
+def test_an_answer_is_reported_where_the_request_is_suspected() -> None:
     net = Net()
     one, other = net.start("a", "b")
     one.lose("r0")
@@ -222,20 +222,20 @@
     assert one.watch.snapshot() == other.watch.snapshot() == []
 
 
-def test_what_a_disk_held_is_told() -> None:
+def test_losses_restored_from_disk_are_sent() -> None:
     net = Net()
     keeper, entry = net.start("k", "e")
     keeper.news.recall([Loss("w", f"r{number}", 0) for number in range(LOSSES_MOST)])
-    assert entry.holds()
+    assert entry.refuses()
     assert net.sent[LossesTold.__name__] == 1
     assert net.sent[LossesAsk.__name__] == 2
 
 
 @pytest.mark.parametrize("closed", [False, True])
-def test_a_cut_of_the_network_holds_nothing_up_for_long(closed: bool) -> None:
-    # Symptom: what many callers ask in the same words is refused for minutes after a cut.
-    # Events: all replicas fall silent under it, and no connection to them can be made; then the
-    # cut is over. Cause: a replica that could not be reached was taken for one that has ended.
+def test_a_network_cut_quarantines_no_request_for_long(closed: bool) -> None:
+    # Symptom: a request that many callers send alike is refused for minutes after a network cut.
+    # Sequence: all replicas become silent while they run it, and no connection to them can be
+    # made; then the cut is over. Cause: an unreachable replica was taken for one that has ended.
     net = Net()
     (node,) = net.start("a")
     at = [Replica(f"r{number}", "lm", "h", 1, "dc") for number in range(LOSSES_MOST)]
@@ -243,14 +243,15 @@
     for replica in at:
         node.lose(replica.id)
         node.watch.sent("r", lambda: "w", replica, Err(cut), 0)
-    assert node.holds()
+    assert node.refuses()
     later = net.time.clock.now() + 1
     node.watch.sent("r", lambda: "other", at[0], Ok(None), later)
-    assert node.holds() is closed
+    assert node.refuses() is closed
 
 
-def test_who_starts_knows_when_it_has_been_told() -> None:
-    # Failure: an entry that starts sends work that has ended replicas before it hears of that.
+def test_an_instance_that_starts_knows_when_it_has_the_known_losses() -> None:
+    # Failure: an entry that starts sends a request that has ended replicas before it learns of
+    # these losses.
     net = Net()
     (first,) = net.start("a")
     assert not first.news.caught_up()
@@ -263,12 +264,12 @@
     assert third.watch.snapshot()
 
 
-def answer(node: Node, work: str = "w") -> None:
-    node.watch.sent("r", lambda: work, Replica("r9", "lm", "h", 1, "dc"), Ok(None), 0)
+def answer(node: Node, fingerprint: str = "w") -> None:
+    node.watch.sent("r", lambda: fingerprint, Replica("r9", "lm", "h", 1, "dc"), Ok(None), 0)
 
 
-def lose_all_at(net: Net, node: Node) -> None:
-    """Let as many replicas as hold a work end under it at one instance within a moment."""
+def lose_to_quarantine(net: Net, node: Node) -> None:
+    """Lose as many replicas at one instance at once as quarantine a fingerprint."""
     for number in range(LOSSES_MOST):
         node.lose(f"r{number}")
     net.time.advance(COLLECT_MS + RESEND_MS)
@@ -276,61 +277,65 @@
 
 @pytest.mark.parametrize("hubs", [(), ("h1", "h2")])
 @pytest.mark.parametrize("at", [1, 9])
-def test_what_one_entry_answered_lately_is_held_at_none(hubs: tuple[str, ...], at: int) -> None:
-    # Failure: what many ask is refused for minutes at the entries that have not answered it.
+def test_a_request_one_entry_answered_recently_is_quarantined_at_none(
+    hubs: tuple[str, ...], at: int
+) -> None:
+    # Failure: a request that many callers send alike is refused for minutes at the entries that
+    # have not answered it.
     net = Net(hubs)
     nodes = net.start(*hubs, *(f"e{number}" for number in range(10)))
     answer(net.nodes["e1"])
-    lose_all_at(net, net.nodes[f"e{at}"])
-    assert [node.name for node in nodes if node.holds()] == []
+    lose_to_quarantine(net, net.nodes[f"e{at}"])
+    assert [node.name for node in nodes if node.refuses()] == []
 
 
 @pytest.mark.parametrize("hubs", [(), ("h1", "h2")])
-def test_work_that_nobody_answered_is_held_everywhere(hubs: tuple[str, ...]) -> None:
+def test_a_request_that_nobody_answered_is_quarantined_everywhere(hubs: tuple[str, ...]) -> None:
     net = Net(hubs)
     nodes = net.start(*hubs, *(f"e{number}" for number in range(10)))
     answer(net.nodes["e1"], "other")
-    lose_all_at(net, net.nodes["e2"])
-    assert all(node.holds() for node in nodes)
+    lose_to_quarantine(net, net.nodes["e2"])
+    assert all(node.refuses() for node in nodes)
 
 
-def test_without_hubs_an_answer_of_lately_goes_from_neighbour_to_neighbour() -> None:
+def test_without_hubs_a_recent_answer_is_forwarded_between_neighbours() -> None:
     links = {"a": {"b"}, "b": {"a", "c"}, "c": {"b", "d"}, "d": {"c"}}
     net = Net(links=links)
     nodes = net.start("a", "b", "c", "d")
     answer(net.nodes["a"])
-    lose_all_at(net, net.nodes["d"])
-    assert not any(node.holds() for node in nodes)
+    lose_to_quarantine(net, net.nodes["d"])
+    assert not any(node.refuses() for node in nodes)
 
 
 @pytest.mark.parametrize("hubs", [(), ("h1",)])
-def test_one_that_starts_hears_what_was_answered_before(hubs: tuple[str, ...]) -> None:
-    # Failure: an entry that starts holds what all others answer.
+def test_an_instance_that_starts_learns_what_was_answered(hubs: tuple[str, ...]) -> None:
+    # Failure: an entry that starts quarantines a request that all others answer.
     net = Net(hubs)
     net.start("h1", "b", "c")
     answer(net.nodes["b"])
-    lose_all_at(net, net.nodes["c"])
+    lose_to_quarantine(net, net.nodes["c"])
     (late,) = net.start("late")
     assert late.watch.snapshot()
-    assert not late.holds()
+    assert not late.refuses()
 
 
-def test_a_disk_tells_what_was_answered_before_its_losses() -> None:
-    # Failure: after a loss of all power what many ask is held by the losses that a disk kept.
+def test_saved_losses_include_recent_answers() -> None:
+    # Failure: after a loss of power everywhere, a request that many callers send alike is
+    # quarantined by the losses that a disk kept.
     net = Net()
     (before,) = net.start("a")
     answer(before)
-    lose_all_at(net, before)
+    lose_to_quarantine(net, before)
     kept = before.watch.snapshot()
     net = Net()
     keeper, entry = net.start("k", "e")
     keeper.news.recall(kept)
     assert entry.watch.snapshot()
-    assert not entry.holds()
+    assert not entry.refuses()
 
 
-def test_an_answer_of_long_ago_is_not_passed_on_for_ever() -> None:
-    # Failure: instances that tell each other of an answer keep it alive among themselves.
+def test_an_old_answer_is_not_forwarded_for_ever() -> None:
+    # Failure: instances that report an answer to each other refresh it among themselves.
     net = Net()
     nodes = net.start("a", "b")
     answer(nodes[0])
@@ -341,22 +346,22 @@
         for node in nodes:
             at = Replica("r0", "lm", "h", 1, "dc")
             node.watch.sent("r", lambda: "other", at, Ok(None), net.time.clock.now())
-    lose_all_at(net, nodes[1])
-    assert all(node.holds() for node in nodes)
+    lose_to_quarantine(net, nodes[1])
+    assert all(node.refuses() for node in nodes)
 
 
 @pytest.mark.parametrize("hubs", [(), ("h1", "h2")])
-def test_a_lost_word_of_an_answer_is_asked_for_again(hubs: tuple[str, ...]) -> None:
+def test_a_lost_report_of_an_answer_is_requested_again(hubs: tuple[str, ...]) -> None:
     # Failure: the link to the only instance that has answered is being replaced when the losses
-    # are told, and what many ask is held for minutes.
+    # are sent, and a request that many callers send alike is quarantined for minutes.
     net = Net(hubs)
     nodes = net.start(*hubs, *(f"e{number}" for number in range(5)))
     answer(net.nodes["e1"])
-    net.apart = {"e1"}
+    net.partition = {"e1"}
     for number in range(LOSSES_MOST):
         net.nodes["e3"].lose(f"r{number}")
     net.time.advance(COLLECT_MS)
-    assert net.nodes["e2"].holds()
-    net.apart = set()
+    assert net.nodes["e2"].refuses()
+    net.partition = set()
     net.time.advance(RESEND_MS)
-    assert [node.name for node in nodes if node.holds()] == []
+    assert [node.name for node in nodes if node.refuses()] == []
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Test how the instance list passes from peer to peer and is kept in the data folder."""
+"""Test how instances exchange the instance list and save it in the data folder."""
 
 import tempfile
 from pathlib import Path
@@ -24,8 +24,8 @@
 HOST = "127.0.0.1"
 
 
-class Knower:
-    """Hold one side of the exchange of lists; what it sends is kept."""
+class Side:
+    """Hold one side of the exchange of lists, and record what it sends."""
 
     def __init__(self, time: FakeClock) -> None:
         self.sent: list[Any] = []
@@ -39,7 +39,7 @@
         self.sent.append(message)
         return True
 
-    def taken(self) -> list[Any]:
+    def take_sent(self) -> list[Any]:
         sent, self.sent = self.sent, []
         return sent
 
@@ -51,7 +51,7 @@
     def setup_method(self) -> None:
         self.time = fake_clock()
         self.time.advance(60_000)
-        self.knows, self.asks = Knower(self.time), Knower(self.time)
+        self.responder, self.requester = Side(self.time), Side(self.time)
 
     def members(self, count: int) -> list[Member]:
         return [
@@ -60,63 +60,63 @@
         ]
 
     def answer(self) -> list[Any]:
-        """Let a heartbeat arrive, and return the answer to what is requested then."""
-        self.asks.exchange.on_peer("a", Heartbeat("a", 1, "serving", 0))
-        for ask in self.asks.taken():
-            self.knows.exchange.on_peer("b", ask)
-        return self.knows.taken()
-
-    def test_long_list_comes_in_parts_and_only_whole(self) -> None:
-        # Symptom: after a restart in an outage some replicas get no work.
+        """Deliver a heartbeat, and return the replies to the request that follows it."""
+        self.requester.exchange.on_peer("a", Heartbeat("a", 1, "serving", 0))
+        for request in self.requester.take_sent():
+            self.responder.exchange.on_peer("b", request)
+        return self.responder.take_sent()
+
+    def test_long_list_is_sent_in_parts_and_used_only_complete(self) -> None:
+        # Symptom: after a restart in an outage some replicas get no calls.
         # Sequence: the list has several parts; the link is replaced between two of them.
-        # Cause: a list with a hole was taken for the whole one.
-        self.knows.follower.learn(self.members(6_000), self.time.clock.now())
+        # Cause: an incomplete list was take_sent for the complete one.
+        self.responder.follower.learn(self.members(6_000), self.time.clock.now())
         first, *rest = self.answer()
         assert rest and all(len(codec.pack(part)) < 2 * PART_BYTES for part in (first, *rest))
         for part in rest:
-            self.asks.exchange.on_peer("a", part)
-        assert self.asks.ids() == []
+            self.requester.exchange.on_peer("a", part)
+        assert self.requester.ids() == []
         assert self.answer() == []
         self.time.advance(RETRY_MS)
         for part in self.answer():
-            self.asks.exchange.on_peer("a", part)
-        assert len(self.asks.ids()) == 6_000
-        assert self.asks.follower.age_ms() == RETRY_MS
+            self.requester.exchange.on_peer("a", part)
+        assert len(self.requester.ids()) == 6_000
+        assert self.requester.follower.age_ms() == RETRY_MS
 
-    def test_only_younger_lists_are_told_and_taken(self) -> None:
+    def test_only_newer_lists_are_sent_and_used(self) -> None:
         now = self.time.clock.now()
-        self.knows.follower.learn(self.members(1), now - 5_000)
-        self.asks.follower.learn(self.members(2), now - 4_000)
+        self.responder.follower.learn(self.members(1), now - 5_000)
+        self.requester.follower.learn(self.members(2), now - 4_000)
         assert [part.members for part in self.answer()] == [[]]
         self.time.advance(RETRY_MS)
-        self.knows.follower.learn(self.members(1), now - 3_000)
-        (told,) = self.answer()
-        self.asks.exchange.on_peer("stranger", told)
-        assert self.asks.ids() == ["lm-0", "lm-1"]
-        self.asks.exchange.on_peer("a", told)
-        assert self.asks.ids() == ["lm-0"]
+        self.responder.follower.learn(self.members(1), now - 3_000)
+        (reply,) = self.answer()
+        self.requester.exchange.on_peer("stranger", reply)
+        assert self.requester.ids() == ["lm-0", "lm-1"]
+        self.requester.exchange.on_peer("a", reply)
+        assert self.requester.ids() == ["lm-0"]
         self.time.advance(RETRY_MS)
-        self.knows.follower.learn(self.members(1), now)
+        self.responder.follower.learn(self.members(1), now)
         assert [part.members for part in self.answer()] == [[]], "the same list again"
 
-    def test_list_of_the_platform_is_never_replaced_by_told_ones(self) -> None:
-        self.knows.follower.learn(self.members(3), self.time.clock.now())
-        (told,) = self.answer()
-        self.asks.follower.start()
+    def test_list_of_the_platform_is_never_replaced_by_lists_of_peers(self) -> None:
+        self.responder.follower.learn(self.members(3), self.time.clock.now())
+        (reply,) = self.answer()
+        self.requester.follower.start()
         self.time.advance(1_000)
-        assert (self.asks.follower.read_ms is not None, self.asks.ids()) == (True, [])
-        self.asks.exchange.on_peer("a", told)
-        assert not self.asks.follower.learn(self.members(3), self.time.clock.now())
-        assert self.asks.ids() == []
+        assert (self.requester.follower.read_ms is not None, self.requester.ids()) == (True, [])
+        self.requester.exchange.on_peer("a", reply)
+        assert not self.requester.follower.learn(self.members(3), self.time.clock.now())
+        assert self.requester.ids() == []
         self.time.advance(RETRY_MS)
         assert self.answer() == []
-        self.asks.follower.stop()
+        self.requester.follower.stop()
 
 
-def test_folder_copy_of_a_later_wall_clock_counts_as_oldest() -> None:
-    # Symptom: after a restart in an outage calls go to replicas that are long gone.
+def test_saved_list_with_a_later_wall_clock_counts_as_oldest() -> None:
+    # Symptom: after a restart in an outage calls go to replicas that were removed long ago.
     # Sequence: the copy is written while the machine's clock is ahead; the clock is set back.
-    # Cause: a copy from the future seemed younger than any peer's list.
+    # Cause: a copy with a time in the future seemed newer than any peer's list.
     with tempfile.TemporaryDirectory() as folder:
         listed = AgedMembers([Member("b", ENTRY, "", HOST, 1, 2, "dc-a", "local", LIVE)], 50)
         for wall_ms, age_ms in ((2_000_000, 1_050), (1_000_000, OLDEST_MS)):
@@ -129,7 +129,7 @@
             assert copy == AgedMembers(listed.members, age_ms)
 
 
-def test_folder_that_cannot_be_used_is_an_event() -> None:
+def test_unusable_folder_emits_an_event() -> None:
     with tempfile.TemporaryDirectory() as folder, LogCatcher() as logs:
         time = fake_clock()
         keeper = MembersFolder(folder, time.clock, lambda: AgedMembers([], 0))
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -55,7 +55,9 @@
     return Member(name, ENTRY, "", "127.0.0.1", 0, port, "dc-a", "local", state, hub=hub)
 
 
-def beat(name: str, boot: int = 1, state: str = LIVE, unheard: tuple[str, ...] = ()) -> Heartbeat:
+def make_heartbeat(
+    name: str, boot: int = 1, state: str = LIVE, unheard: tuple[str, ...] = ()
+) -> Heartbeat:
     return Heartbeat(name, boot, state, 0, (), 0, unheard)
 
 
@@ -64,7 +66,7 @@
 
 
 class Between(ProxyFactory):
-    """Forward connections, and forget those made before new ones work again."""
+    """Forward connections, and drop the traffic of those made while it is forgetting."""
 
     def __init__(self, host: str, port: int) -> None:
         super().__init__(host, port)
@@ -81,7 +83,7 @@
         return proxy
 
     def forget_connections(self) -> None:
-        """Forget those there are, and those made until remember_new is called."""
+        """Drop the traffic of existing connections, and of new ones until remember_new."""
         self.forgetting = True
         for proxy in self.proxies:
             proxy.dataReceived = lambda _data: None
@@ -102,14 +104,14 @@
     def test_newer_release_adds_fields(self) -> None:
         # Symptom: during an upgrade all instances of the other release look dead.
         # Sequence: a newer release sends a heartbeat with one more field, also in its uses.
-        # Cause: a strict decoder refuses an array that is longer than it knows.
+        # Cause: a strict decoder refuses an array with more elements than it has fields.
         known = Heartbeat("a", 7, LIVE, 3, (ReplicaUse("lm-1", 2, 1),), 5, ("b",), 500)
         longer = [*known, {"new": 1}]
         longer[4] = [[*known.uses[0], "new"]]
         frame = wire.decode(msgspec.msgpack.encode([1, "a", longer, "later"]))
         assert frame == Ok(wire.Frame("a", known))
 
-    def test_refuses_what_it_cannot_read(self) -> None:
+    def test_undecodable_frame_is_refused(self) -> None:
         assert isinstance(wire.decode(b"\xc1junk"), Err)
         assert wire.decode(msgspec.msgpack.encode([999, "a", []])) == Err("unknown kind 999 from a")
         assert isinstance(wire.decode(msgspec.msgpack.encode([1, "a", ["a", "x"]])), Err)
@@ -127,15 +129,15 @@
     def test_live_only_after_first_heartbeat(self) -> None:
         roster = self.roster("b")
         assert roster.live() == ["me"]
-        assert roster.heard("b", beat("b"), at(10)) == [PeerChange("b", Change.UP)]
+        assert roster.heard("b", make_heartbeat("b"), at(10)) == [PeerChange("b", Change.UP)]
         assert roster.live() == ["b", "me"]
 
     def test_silent_peer_is_down_and_dialled_again(self) -> None:
         # Symptom: a peer counts as dead for ever although it serves.
-        # Sequence: its open connection goes silent; new ones would work.
-        # Cause: something between the two ends has forgotten the connection.
+        # Sequence: its open connection becomes silent; a new one would work.
+        # Cause: a device between the two ends has dropped the connection's state.
         roster = self.roster("b")
-        roster.heard("b", beat("b"), at(500))
+        roster.heard("b", make_heartbeat("b"), at(500))
         for now in range(1000, 2500, 500):
             assert roster.tick(at(now)) == []
         assert roster.tick(at(2500)) == [PeerChange("b", Change.DOWN), Redial("b")]
@@ -144,25 +146,25 @@
         assert roster.tick(at(3500)) == []
         assert roster.tick(at(4000)) == []
         assert roster.tick(at(4500)) == [Redial("b")]
-        assert roster.heard("b", beat("b"), at(4600)) == [PeerChange("b", Change.UP)]
+        assert roster.heard("b", make_heartbeat("b"), at(4600)) == [PeerChange("b", Change.UP)]
 
     def test_own_direction_silent(self) -> None:
-        # Symptom: a peer says it does not hear us, while we hear it.
-        # Sequence: only our connection to it went silent.
+        # Symptom: a peer reports this instance as unreachable, while its own heartbeats arrive.
+        # Sequence: only the connection to the peer became silent.
         # Cause: each direction has its own connection; the sender notices nothing by itself.
         roster = self.roster("b")
-        assert roster.heard("b", beat("b", unheard=("me",)), at(1000)) == [
+        assert roster.heard("b", make_heartbeat("b", unheard=("me",)), at(1000)) == [
             PeerChange("b", Change.UP)
         ]
-        assert roster.heard("b", beat("b", unheard=("me",)), at(2000)) == [Redial("b")]
-        assert roster.heard("b", beat("b", unheard=("me",)), at(2500)) == []
+        assert roster.heard("b", make_heartbeat("b", unheard=("me",)), at(2000)) == [Redial("b")]
+        assert roster.heard("b", make_heartbeat("b", unheard=("me",)), at(2500)) == []
 
     def test_empty_list_after_outage(self) -> None:
-        # Symptom: every instance takes itself for the only one and takes over all work.
+        # Symptom: every instance concludes that it is the only one and takes over all work.
         # Sequence: platform outage longer than the list keeps reports; first list is empty.
-        # Cause: the list forgets instances that could not report; they still live.
+        # Cause: the list drops instances that could not report, although they are live.
         roster = self.roster("b", "c")
-        roster.heard("b", beat("b"), at(100))
+        roster.heard("b", make_heartbeat("b"), at(100))
         assert roster.set_members([], at(200)) == [PeerChange("c", Change.REMOVED)]
         assert roster.live() == ["b", "me"]
         for now in range(500, 2000, 500):
@@ -171,28 +173,30 @@
         assert PeerChange("b", Change.REMOVED) in steps
         assert roster.live() == ["me"]
 
-    def test_paused_process_does_not_judge(self) -> None:
-        # Symptom: after a pause an instance drops all its peers and owns everything.
+    def test_paused_process_does_not_drop_its_peers(self) -> None:
+        # Symptom: after a pause an instance drops all its peers and takes over all work.
         # Sequence: SIGSTOP for 8 s, SIGCONT; the timer runs before the sockets are read.
         # Cause: the peers' heartbeats are unread, not missing.
         roster = self.roster("b")
-        roster.heard("b", beat("b"), at(100))
+        roster.heard("b", make_heartbeat("b"), at(100))
         roster.tick(at(500))
         assert roster.tick(at(8_500)) == []
         assert roster.live() == ["b", "me"]
 
     def test_restart_and_leaving_are_noticed(self) -> None:
         roster = self.roster("b")
-        roster.heard("b", beat("b", boot=1), at(100))
-        assert roster.heard("b", beat("b", boot=2), at(200)) == [PeerChange("b", Change.RESTARTED)]
+        roster.heard("b", make_heartbeat("b", boot=1), at(100))
+        assert roster.heard("b", make_heartbeat("b", boot=2), at(200)) == [
+            PeerChange("b", Change.RESTARTED)
+        ]
         steps = roster.set_members([member("b", state=LEAVING)], at(300))
         assert steps == [PeerChange("b", Change.LEAVING)]
         assert roster.live() == ["me"]
 
     def test_lagging_list_does_not_move_a_peer_back(self) -> None:
-        # Symptom: a peer is dialled anew each time the list is read.
-        # Sequence: it restarted at another port and said hello; the list has the old record.
-        # Cause: the later source is taken for the newer.
+        # Symptom: a peer is dialled again each time the list is read.
+        # Sequence: it restarted at another port and sent Hello; the list has the old record.
+        # Cause: the source read last is taken for the newer one.
         roster = self.roster("b")
         hello = Hello("b", 2, "127.0.0.1", 9001, "dc-a", "local")
         assert roster.hello(hello, at(100)) == [Redial("b")]
@@ -204,41 +208,41 @@
         assert roster.set_members([member("b", port=9001)], at(100)) == [Redial("b")]
 
     def test_hello_replaces_a_missing_list(self) -> None:
-        # Symptom: an instance restarted during a platform outage knows no peer to ask.
+        # Symptom: an instance restarted during a platform outage knows no peer to query.
         # Sequence: it has no list; its peers know its address and dial it.
         # Cause: addresses come only from the list.
         roster = self.roster_without_list()
         hello = Hello("b", 1, "127.0.0.1", 9000, "dc-a", "local")
         assert roster.hello(hello, at(5)) == [Redial("b")]
-        roster.heard("b", beat("b"), at(10))
+        roster.heard("b", make_heartbeat("b"), at(10))
         assert roster.live() == ["b", "me"]
 
     @pytest.mark.parametrize("listed", [(), ("k1", "k2")])
-    def test_who_says_hello_may_be_a_hub_before_the_list_says_so(
+    def test_sender_of_hello_may_be_a_hub_before_the_list_says_so(
         self, listed: tuple[str, ...]
     ) -> None:
-        # Failure: instances take different hubs for up to two seconds after a keeper has started,
-        # and two hubs place calls at the same replicas.
+        # Failure: instances choose different hubs for up to two seconds after a keeper has
+        # started, and two hubs place calls at the same replicas.
         roster = Roster(Place("me", "dc-a", "local"), Limits(1, 1, 1), SILENT_MS)
         roster.set_members([member(name, hub=True) for name in listed], at(0))
         hello = Hello("k3", 1, "127.0.0.1", 9000, "dc-a", "local", picked=True, hub=True)
         assert Redial("k3") in roster.hello(hello, at(5))
         assert sorted(roster.plan().hubs) == [*listed, "k3"]
         assert not roster.hello(hello, at(6))
-        # It stays one by its heartbeats until the list is new enough.
-        roster.heard("k3", beat("k3"), at(7))
+        # It stays a hub by its heartbeats until the list is recent enough.
+        roster.heard("k3", make_heartbeat("k3"), at(7))
         roster.set_members([member(name, hub=True) for name in listed], at(8))
         assert sorted(roster.plan().hubs) == [*listed, "k3"]
 
-    def test_neighbour_only_by_its_own_pick(self) -> None:
-        # Symptom: a large fleet counts living instances as down.
-        # Sequence: a peer that picked us picks others now and falls silent.
-        # Cause: its silence says nothing; those it picks now and the list do.
+    def test_silent_peer_that_only_picked_this_instance_is_not_down(self) -> None:
+        # Symptom: a large fleet counts live instances as down.
+        # Sequence: a peer that picked this instance picks others now and becomes silent.
+        # Cause: its silence proves nothing; the peers that it picks now and the list decide.
         roster = Roster(Place("me", "dc-a", "local"), Limits(2, 1, 1), SILENT_MS)
         names = [f"n{i}" for i in range(8)]
         roster.set_members([member(name) for name in names], at(0))
         stranger = next(n for n in names if n not in roster.plan().neighbours)
-        assert roster.heard(stranger, beat(stranger), at(100))[0] == Redial(stranger)
+        assert roster.heard(stranger, make_heartbeat(stranger), at(100))[0] == Redial(stranger)
         assert Disconnect(stranger) in roster.tick(at(2_100))
         assert stranger in roster.live()
 
@@ -272,7 +276,7 @@
 
 
 class TestForwarder:
-    def test_passes_on_what_is_new_once(self) -> None:
+    def test_only_new_changes_are_forwarded(self) -> None:
         forwarder = Forwarder()
         assert forwarder.record(ConfigPush("k", 4, b"")) is Novelty.NEW
         assert forwarder.record(ConfigPush("k", 3, b"")) is Novelty.DUPLICATE
@@ -300,7 +304,7 @@
         before = [ReplicaUse("x", 2, 5), ReplicaUse("y", 1, 0)]
         assert use_distance(before, [ReplicaUse("x", 4, 0), ReplicaUse("z", 3, 0)]) == 6
 
-    def test_pace_falls_with_neighbours_and_uses_are_bounded(self) -> None:
+    def test_interval_grows_with_neighbours_and_uses_are_bounded(self) -> None:
         assert heartbeat_interval_ms(500, 100, 2, 3_000) == 500
         assert heartbeat_interval_ms(500, 100, 20, 1_000) == 4_240
         uses = [ReplicaUse(f"r{i}", i, 0) for i in range(MAX_USES + 5)]
@@ -354,7 +358,7 @@
             real_clock(),
             cfg,
             me,
-            lambda: beat(name, boot)._replace(uses=tuple(uses)),
+            lambda: make_heartbeat(name, boot)._replace(uses=tuple(uses)),
             self.metrics[name],
             rand,
         )
@@ -370,19 +374,19 @@
     def when_live(self, hub: PeerHub, names: list[str]) -> Deferred[None]:
         done: Deferred[None] = Deferred()
 
-        def look() -> None:
+        def check() -> None:
             if hub.live() == names and not done.called:
                 done.callback(None)
 
-        hub.on_change(look)
-        look()
+        hub.on_change(check)
+        check()
         return done
 
     async def all_live(self, *names: str) -> None:
         for name in names:
             await self.when_live(self.hubs[name], sorted(names))
 
-    def test_three_meet_and_one_is_lost(self) -> Deferred[None]:
+    def test_three_instances_connect_and_one_is_lost(self) -> Deferred[None]:
         async def run() -> None:
             for name in "abc":
                 self.start(name)
@@ -394,32 +398,32 @@
 
         return Deferred.fromCoroutine(run())
 
-    def test_changed_uses_are_told_before_the_next_heartbeat(self) -> Deferred[None]:
-        # Symptom: batch work gives way half a second after an online burst has begun.
+    def test_changed_uses_are_sent_before_the_next_heartbeat(self) -> Deferred[None]:
+        # Symptom: batch work yields half a second after an online burst has begun.
         # Sequence: a burst arrives at one instance, batch runs on another.
-        # Cause: open calls are told with the regular heartbeats only.
+        # Cause: open calls are reported with the regular heartbeats only.
         async def run() -> None:
             uses: list[ReplicaUse] = []
-            told: Deferred[tuple[ReplicaUse, ...]] = Deferred()
+            received: Deferred[tuple[ReplicaUse, ...]] = Deferred()
 
-            def hear(_: str, message: Message) -> None:
-                # A connection begins with a heartbeat, which may come this late and tells
-                # of no calls.
-                if isinstance(message, Heartbeat) and message.uses and not told.called:
-                    told.callback(message.uses)
+            def on_heartbeat(_: str, message: Message) -> None:
+                # A connection begins with a heartbeat, which may arrive this late and reports
+                # no calls.
+                if isinstance(message, Heartbeat) and message.uses and not received.called:
+                    received.callback(message.uses)
 
             a = self.start("a", heartbeat_ms=600_000, uses=uses)
             b = self.start("b", heartbeat_ms=600_000)
             self.introduce()
             await self.all_live("a", "b")
-            b.subscribe(Heartbeat, hear)
+            b.subscribe(Heartbeat, on_heartbeat)
             uses.append(ReplicaUse("lm-1", 7, 0))
             a.uses_changed()
-            assert await told == (ReplicaUse("lm-1", 7, 0),)
+            assert await received == (ReplicaUse("lm-1", 7, 0),)
 
         return Deferred.fromCoroutine(run())
 
-    def test_ask_and_timeout(self) -> Deferred[None]:
+    def test_request_reply_and_timeout(self) -> Deferred[None]:
         async def run() -> None:
             a, b = self.start("a"), self.start("b")
             self.introduce()
@@ -431,8 +435,8 @@
                     b.tell(sender, ClaimTell(message.ask_id, message.key, "running"))
 
             b.subscribe(ClaimAsk, answer)
-            told = await a.ask("b", lambda ask_id: ClaimAsk(ask_id, "known"), 30_000)
-            assert isinstance(told.unwrap(), ClaimTell)
+            reply = await a.ask("b", lambda ask_id: ClaimAsk(ask_id, "known"), 30_000)
+            assert isinstance(reply.unwrap(), ClaimTell)
             lost = await a.ask("b", lambda ask_id: ClaimAsk(ask_id, "other"), 1)
             assert lost == Err(PeerError.TIMEOUT)
             nobody = await a.ask("z", lambda ask_id: ClaimAsk(ask_id, "k"), 1)
@@ -455,9 +459,9 @@
         return Deferred.fromCoroutine(run())
 
     def test_silent_connection_is_replaced(self) -> Deferred[None]:
-        # Symptom: b counts a as lost for ever, while both live and a hears b.
-        # Sequence: something between them forgets the connection from a to b.
-        # Cause: a sends into it without an error; only b can notice, and must tell a.
+        # Symptom: b counts a as lost for ever, while both are live and a receives from b.
+        # Sequence: a device between them drops the state of the connection from a to b.
+        # Cause: a sends into it without an error; only b can notice, and must report it to a.
         async def run() -> None:
             a, b = self.start("a"), self.start("b")
             between = Between("127.0.0.1", self.ports["b"])
@@ -467,7 +471,7 @@
             a.set_members([member("b", b._port)])
             await self.all_live("a", "b")
             between.forget_connections()
-            # A connection that is being made just then would hide what is tested.
+            # A connection made while this waits must not work, or it would hide the failure.
             await self.when_live(b, ["b"])
             between.remember_new()
             made = between.made
@@ -508,8 +512,8 @@
             await done
             far = next(n for n in names if n != "a" and n not in plan.neighbours)
             self.hubs[far].subscribe(ClaimAsk, answer)
-            told = await self.hubs["a"].ask(far, lambda i: ClaimAsk(i, "k"), 30_000)
-            assert told.is_ok()
+            reply = await self.hubs["a"].ask(far, lambda i: ClaimAsk(i, "k"), 30_000)
+            assert reply.is_ok()
 
         return Deferred.fromCoroutine(run())
 
@@ -538,9 +542,9 @@
     "kind",
     [kind for kind in KINDS.values() if kind.__name__.endswith("Tell") and kind is not MembersTell],
 )
-def test_each_kind_of_answer_settles_its_question(kind: Any) -> None:
-    # Symptom: every read of a job through a keeper waits until its time is over.
-    # Cause: the answer came, and was of a kind that no question took.
+def test_each_kind_of_reply_completes_its_request(kind: Any) -> None:
+    # Symptom: every read of a job through a keeper waits until its timeout.
+    # Cause: the reply arrived, but its kind was not accepted as a reply to a request.
     time = fake_clock()
     questions = Questions(time.clock, Random(1))
     ask_id = questions.next_id()
