--- a/papayapier/store/__init__.py
+++ b/papayapier/store/__init__.py
@@ -1,1 +1,1 @@
-"""Talk to the platform: objects, watches, the instance list and the weight store."""
+"""Access the platform: objects, watches, the instance list and the weight store."""
--- a/papayapier/store/api.py
+++ b/papayapier/store/api.py
@@ -1,8 +1,8 @@
-"""Define what the rest of the program knows of the platform's object API.
+"""Define the platform's object API as the rest of the program uses it.
 
 A Store is a record of functions, so that the HTTP adapter, a fault-injecting fake and a
-rate limiter can each be put in front of another. LOST is the failure that matters: the call
-may have taken effect. store.writes settles it; nobody else should have to.
+rate limiter can wrap one another. LOST is the most important failure: the call may have taken
+effect. store.writes determines its outcome, so that no other module has to.
 """
 
 from collections.abc import Awaitable, Callable
@@ -34,7 +34,7 @@
 
 
 class Entry(NamedTuple):
-    """Name one object in a listing; a platform whose listings show values gives them too."""
+    """Hold one object of a listing; value is set if the platform's listings contain values."""
 
     key: str
     version: int
@@ -50,7 +50,7 @@
 
 
 class Change(NamedTuple):
-    """Tell that an object has changed or gone; value as in Entry."""
+    """Describe a change or deletion of an object; value as in Entry."""
 
     key: str
     version: int
@@ -59,7 +59,7 @@
 
 
 class Changes(NamedTuple):
-    """Hold what a watch saw up to a revision."""
+    """Hold the changes that a watch found up to a revision."""
 
     changes: list[Change]
     revision: int
@@ -68,7 +68,8 @@
 class Member(NamedTuple):
     """Describe one entry instance or upstream replica in the instance list.
 
-    A hub exchanges heartbeats with every instance, also beyond a full mesh.
+    hub says whether it may be a hub, which exchanges heartbeats with every instance even in a
+    fleet that is too large for a full mesh.
     """
 
     id: str
@@ -95,7 +96,7 @@
 REPLICA: Final = "replica"
 LIVE: Final = "live"
 LEAVING: Final = "leaving"
-# Written down by others, who have not heard it for long.
+# Set by other instances after no heartbeat has arrived for a long time.
 LOST: Final = "lost"
 
 
@@ -107,9 +108,9 @@
     """Group the calls of the object API.
 
     Versions are positive integers that only rise. Each call ends within its own timeout.
-    Errors: create and update give CONFLICT, UNAVAILABLE, LIMITED (nothing was changed) or
-    LOST (unknown); reads give NOT_FOUND, UNAVAILABLE or LIMITED; watch also TOO_OLD. close
-    drops kept connections when the instance ends.
+    Errors: create and update return CONFLICT, UNAVAILABLE, LIMITED (nothing was changed) or
+    LOST (unknown); reads return NOT_FOUND, UNAVAILABLE or LIMITED; watch also TOO_OLD. close
+    drops persistent connections when the instance ends.
     """
 
     get: Callable[[str], Awaitable[Result[Stored, StoreError]]]
--- a/papayapier/store/breaker.py
+++ b/papayapier/store/breaker.py
@@ -1,8 +1,8 @@
-"""Know whether the platform's store answers, and let single probes out while it does not.
+"""Implement a circuit breaker for the platform's store.
 
-Calls sent into an outage only wait for their timeouts, and on the platform's return they
-would all arrive together. So after a few failures in a row calls fail at once, and one probe
-at a time goes out after a jittered, growing pause.
+Calls sent during an outage only wait for their timeouts, and when the platform returns they
+would all arrive together. So after a few consecutive failures calls fail at once, and one
+probe at a time is sent after a jittered, growing pause.
 """
 
 import random
@@ -18,32 +18,32 @@
 
 
 class Breaker(Protocol):
-    """Describe what happens to calls and what is asked about the store."""
+    """Define the inputs of the circuit breaker: outcomes of calls and queries of its state."""
 
     def answered(self) -> None:
-        """Note that a call was answered."""
+        """Record that a call was answered."""
 
     def failed(self) -> None:
-        """Note that a call was not answered."""
+        """Record that a call was not answered."""
 
     def trip(self) -> None:
-        """Take the store for down."""
+        """Treat the store as down."""
 
     def probe(self) -> None:
-        """Note that a probe goes out."""
+        """Record that a probe is sent."""
 
     def passable(self) -> bool:
-        """Tell whether any call may go out."""
+        """Return whether calls may be sent."""
 
     def probe_due(self) -> bool:
-        """Tell whether one call may go out to see whether the store is back."""
+        """Return whether one call may be sent to check whether the store has recovered."""
 
     def down_since(self) -> Millis | None:
         """Return when the store went down, or None."""
 
 
 class Health:
-    """Count failures and time the probes."""
+    """Count failures and schedule the probes."""
 
     __slots__ = (
         "_clock",
@@ -67,18 +67,18 @@
         self.back_ms: Millis | None = None
 
     def now(self) -> Millis:
-        """Return the time."""
+        """Return the current time."""
         return self._clock.now()
 
     def mark_up(self) -> None:
-        """Forget all failures."""
+        """Reset the failures and record when the store recovered."""
         self.failures = 0
         self.since = None
         self.back_ms = self.now()
         self._pause_ms = FIRST_PAUSE_MS
 
     def set_pause(self) -> None:
-        """Set the next probe time, and a longer pause for the one after."""
+        """Set the time of the next probe, and a longer pause for the one after it."""
         self.next_probe_ms = self.now() + self._pause_ms * self._rng.uniform(0.5, 1.5)
         self._pause_ms = min(self._longest_pause_ms, 2 * self._pause_ms)
 
--- a/papayapier/store/bucket.py
+++ b/papayapier/store/bucket.py
@@ -1,9 +1,9 @@
-"""Hand out call permits at a bounded rate, the most urgent waiter first.
+"""Grant call permits at a bounded rate, by priority.
 
-The rate is cut in half when the platform says that it is over its limit, and starts at a
-tenth after an outage; it comes back by a tenth a second (additive increase, multiplicative
-decrease). Without the slow return, all the instances that waited out an outage would send
-what they have saved up at once, and the platform would go down again or answer 429.
+The rate is halved when the platform reports that its limit is exceeded, and starts at a tenth
+after an outage; it recovers by a tenth per second (additive increase, multiplicative
+decrease). Without the slow recovery, all instances that waited for the end of an outage would
+send their pending calls at once, and the platform would fail again or answer 429.
 """
 
 import heapq
@@ -22,7 +22,7 @@
 
 
 class _Waiter(NamedTuple):
-    """Hold one caller in the queue, ordered by priority, then by age."""
+    """Hold one call in the queue, ordered by priority, then by age."""
 
     priority: int
     number: int
@@ -30,7 +30,7 @@
 
 
 class Bucket:
-    """Hold the permits of one kind of call."""
+    """Implement a token bucket with an adaptive rate for one kind of call."""
 
     __slots__ = (
         "_burst",
@@ -58,7 +58,7 @@
         self._timer: Timer | None = None
 
     async def acquire(self, priority: int, wait_ms: int) -> bool:
-        """Wait for a permit; False means that none came in time."""
+        """Wait for a permit; return False if none was granted in time."""
         self._fill()
         if not self._waiting and self._tokens >= 1:
             self._tokens -= 1
@@ -74,7 +74,7 @@
                 expiry.cancel()
 
     def limited(self) -> None:
-        """Halve the rate, because the platform is over its limit."""
+        """Halve the rate, because the platform's limit is exceeded."""
         if self._clock.now() - self._cut_ms < CUT_INTERVAL_MS:
             return
         self._fill()
@@ -83,7 +83,7 @@
         self._tokens = min(self._tokens, 0.0)
 
     def restart(self) -> None:
-        """Begin again slowly, because the platform has just come back."""
+        """Restart at a low rate, because the platform has just recovered."""
         self._fill()
         self._share = min(self._share, RESTART_SHARE)
         self._tokens = min(self._tokens, 0.0)
--- a/papayapier/store/budget.py
+++ b/papayapier/store/budget.py
@@ -1,10 +1,10 @@
-"""Keep an instance's calls to the platform inside its share of the platform's rates.
+"""Keep an instance's calls to the platform within its share of the platform's rate limits.
 
-Every call of an instance goes through one Budget, because the rates are the platform's and
-are shared with all other instances. Each part of the program has a view with a priority:
-when permits are short, lease renewals go before claims and claims before bulk writes. A call
-that gets no permit in time ends as LIMITED, and one made while the store is down as
-UNAVAILABLE; in both cases nothing was changed. A waiting watch counts as one read.
+Every call of an instance goes through one Budget, because the platform's rate limits are
+shared by all instances. Each part of the program has a view with a priority: when permits
+are short, lease renewals go before claims and claims before bulk writes. A call that gets no
+permit in time returns LIMITED, and one made while the store is down UNAVAILABLE; in both
+cases nothing was changed. A waiting watch counts as one read.
 """
 
 import random
@@ -32,7 +32,7 @@
 
 
 class Priority(IntEnum):
-    """Order callers of the store; the lowest number is served first."""
+    """Define the priorities of store calls; the lowest number is served first."""
 
     LEASE = 0
     CLAIM = 1
@@ -41,9 +41,9 @@
 
 
 class Budget(NamedTuple):
-    """Give each part of the program its view of the store, and tell about outages.
+    """Provide views of the store for each part of the program, and report outages.
 
-    back_ms returns when the store last came back, or None if it never was away.
+    back_ms returns when the store last became reachable again, or None without any outage.
     """
 
     view: Callable[[Priority], Store]
@@ -52,7 +52,7 @@
 
 
 class _Shared(NamedTuple):
-    """Hold what all views share."""
+    """Group what all views share."""
 
     store: Store
     reads: Bucket
@@ -64,7 +64,7 @@
 def make_budget(
     store: Store, clock: Clock, rng: random.Random, platform: PlatformSettings
 ) -> Budget:
-    """Put a rate limit and an outage detector in front of a Store."""
+    """Wrap a Store with rate limits and a circuit breaker."""
     health = Health(clock, rng, platform.longest_pause_ms)
     shared = _Shared(
         store,
@@ -125,7 +125,7 @@
     priority: Priority,
     call: Callable[[], Awaitable[Result[T, StoreError]]],
 ) -> Result[T, StoreError]:
-    """Make a call when it may go out, and learn from its end."""
+    """Make a call once the breaker and the rate limit allow it, and record its outcome."""
     breaker = shared.breaker
     if breaker.probe_due():
         breaker.probe()
@@ -142,10 +142,10 @@
 async def _waiting(
     shared: _Shared, priority: Priority, call: Callable[[], Awaitable[Result[T, StoreError]]]
 ) -> Result[T, StoreError]:
-    """Make a call on which the platform may wait.
+    """Make a call whose answer the platform may delay.
 
-    Its failure does not count: watches are also cut by things between the platform and us
-    that leave other calls alone. For the same reason it is never the probe.
+    Its failure does not count for the breaker: devices on the path to the platform cut watches
+    although other calls work. For the same reason it is never the probe.
     """
     if not shared.breaker.passable():
         return Err(StoreError.UNAVAILABLE)
@@ -163,7 +163,7 @@
     try:
         end = await call()
     except BaseException:
-        # A cancelled probe must not leave the breaker waiting for its answer for ever.
+        # A cancelled probe must not leave the breaker waiting for its outcome for ever.
         shared.breaker.failed()
         raise
     if isinstance(end, Err) and end.err_value in (StoreError.UNAVAILABLE, StoreError.LOST):
--- a/papayapier/store/http.py
+++ b/papayapier/store/http.py
@@ -1,7 +1,7 @@
-"""Speak the platform's object API (docs/PROTOCOLS.md) over HTTP.
+"""Implement the platform's object API (docs/PROTOCOLS.md) over HTTP.
 
-The one module that knows this wire form; another service's form replaces it, as the one in
-papayapier/platform/ does.
+Only this module knows this wire format; a module for the format of another service replaces
+it, as the one in papayapier/platform/ does.
 """
 
 from collections.abc import Awaitable, Callable
@@ -81,14 +81,14 @@
 
 
 class _Client(NamedTuple):
-    """Hold what every call needs."""
+    """Group what every call needs."""
 
     exchange: Callable[[Request], Awaitable[Result[Reply, BaseException]]]
     metrics: Metrics
 
 
 def http_store(reactor: Any, clock: Clock, platform: PlatformSettings, metrics: Metrics) -> Store:
-    """Make a Store that calls the platform over kept connections."""
+    """Create a Store that calls the platform over persistent connections."""
     link = make_link(reactor, clock, platform)
     client = _Client(link.exchange, metrics)
     return Store(
@@ -132,7 +132,7 @@
 async def _delete(client: _Client, key: str, version: int) -> Result[int, StoreError]:
     headers = {"If-Match": f'"{version}"'}
     done = await _write(client, Request("delete", "DELETE", _object_path(key), headers=headers))
-    # The platform does not name the version of a deletion; the deleted one is its lower bound.
+    # The platform does not return a deletion's version; the deleted version is its lower bound.
     return done.map(lambda reply: _version(reply) or version)
 
 
--- a/papayapier/store/judge.py
+++ b/papayapier/store/judge.py
@@ -1,10 +1,10 @@
-"""Tell what the end of a store call means, whichever wire form it was made in.
+"""Classify the outcome of a store call, independent of its wire format.
 
-Each call ends in one of three ways, and the difference is what the rest of the program
-relies on. Nothing was changed (refused connection, 429, 503, a failed condition): the caller
-may go on at once. Answered: done. Everything else (cut or silent after the request may have
-left, an odd status, a body that is not whole): a read is simply UNAVAILABLE, but a write is
-LOST.
+Each call has one of three outcomes, and the rest of the program relies on the distinction.
+Nothing was changed (refused connection, 429, 503, a failed condition): the caller may
+continue at once. Answered: done. Everything else (connection cut or timeout after the request
+may have been sent, an unexpected status, an incomplete body): a read is UNAVAILABLE, but a
+write is LOST.
 """
 
 from collections.abc import Mapping
@@ -23,7 +23,7 @@
     doubt: StoreError,
     nothing_changed: Mapping[int, StoreError],
 ) -> Result[Reply, StoreError]:
-    """Map an answer to its meaning; doubt is what a call of unknown effect ends as."""
+    """Map an answer to a result; doubt is the error of a call whose effect is unknown."""
     if isinstance(answer, Err):
         return Err(StoreError.UNAVAILABLE if never_sent(answer.err_value) else doubt)
     reply = answer.ok_value
@@ -32,13 +32,13 @@
     if reply.status in nothing_changed:
         return Err(nothing_changed[reply.status])
     events.emit(events.STORE_ODD_ANSWER, call=req.name, reason=f"status {reply.status}")
-    # A 4xx is the platform's own refusal, so nothing was changed. A 5xx may come from
-    # something between it and us after the change took effect.
+    # A 4xx is the platform's own refusal, so nothing was changed. A 5xx may come from a proxy
+    # on the path after the change took effect.
     return Err(StoreError.UNAVAILABLE if reply.status < 500 else doubt)
 
 
 def count_call(metrics: Metrics, req: Request, end: Result[Reply, StoreError]) -> None:
-    """Count a call and its bytes."""
+    """Count a call by its outcome, and its bytes."""
     label = "ok" if isinstance(end, Ok) else end.err_value.value
     metrics.store_calls.labels(call=req.name, end=label).inc()
     metrics.store_bytes.labels(direction="out").inc(len(req.body or b""))
--- a/papayapier/store/link.py
+++ b/papayapier/store/link.py
@@ -1,8 +1,8 @@
-"""Exchange one request and its whole answer with the platform, over kept connections.
+"""Exchange one request and its complete answer with the platform over persistent connections.
 
-A kept connection can go silent for good while new ones work. It shows as a call that times
-out; the next call would take another kept connection, maybe as dead. So a timeout closes
-the connection of its call and every idle one with it.
+A persistent connection can stop working for good while new ones work. This shows as a call
+that times out; the next call would use another persistent connection, which may be dead too.
+So a timeout closes the connection of its call and every idle one.
 """
 
 from collections.abc import Awaitable, Callable, Mapping
@@ -26,7 +26,10 @@
 
 
 class Request(NamedTuple):
-    """Describe one call; name labels its metric, wait_ms is how long the platform may wait."""
+    """Describe one call.
+
+    name is the label of its metric; wait_ms is how long the platform may delay the answer.
+    """
 
     name: str
     method: str
@@ -38,7 +41,7 @@
 
 
 class Reply(NamedTuple):
-    """Hold a whole answer."""
+    """Hold a complete answer."""
 
     status: int
     etag: str
@@ -53,11 +56,11 @@
 
 
 def make_link(reactor: Any, clock: Clock, platform: PlatformSettings) -> Link:
-    """Make a pool of connections to the platform; each exchange has a timeout."""
+    """Create a pool of connections to the platform; each exchange has a timeout."""
     pool = cast(Any, web_client.HTTPConnectionPool)(reactor, persistent=True)
     pool.maxPersistentPerHost = KEPT_CONNECTIONS
-    # The pool would repeat a GET by itself on a stale connection: a hidden second call,
-    # outside the budget and the timeout.
+    # The pool would retry a GET on a stale connection: a hidden second call, outside the
+    # budget and the timeout.
     pool.retryAutomatically = False
     connect_s = platform.timeout_ms / MS_PER_S
     agent = cast(Any, web_client.Agent)(reactor, connectTimeout=connect_s, pool=pool)
@@ -91,7 +94,7 @@
         try:
             return Ok(await call)
         except Exception as exc:
-            # Whatever twisted or treq raises is a failed exchange; the caller sorts it out.
+            # Any exception of twisted or treq is a failed exchange; the caller classifies it.
             if not timer.active():
                 events.emit(events.STORE_SILENT, call=req.name)
                 pool.closeCachedConnections()
@@ -102,7 +105,7 @@
                 timer.cancel()
 
     async def close() -> None:
-        """End what is under way as well: a task whose call fails would make the next one."""
+        """Close the pool and cancel open calls; a task whose call fails must not send another."""
         nonlocal closed
         closed = True
         for call in list(under_way):
@@ -113,12 +116,12 @@
 
 
 def never_sent(exc: BaseException) -> bool:
-    """Tell whether the request cannot have left, because no connection was made."""
+    """Return whether the request was certainly not sent, because no connection was made."""
     return isinstance(exc, ConnectError | ConnectingCancelledError)
 
 
 def _whole_body(response: Any) -> Deferred[bytes]:
-    """Read a body to its declared end; cancelling closes the connection."""
+    """Read a body to its declared length; cancelling closes the connection."""
     collector = _BodyCollector()
     response.deliverBody(collector)
     return collector.done
@@ -127,8 +130,8 @@
 class _BodyCollector(Protocol):
     """Collect a body of bounded size.
 
-    twisted reports the end of a body without declared length as PotentialDataLoss: it
-    cannot tell a whole body from a cut one, so neither can we, and it counts as cut.
+    twisted reports the end of a body without declared length as PotentialDataLoss, because a
+    complete body cannot be distinguished from a truncated one; it counts as truncated.
     """
 
     def __init__(self) -> None:
--- a/papayapier/store/members.py
+++ b/papayapier/store/members.py
@@ -1,12 +1,12 @@
 """Follow the instance list, and keep this instance's own record in it.
 
-The list lags behind the truth and drops an instance that has not reported for a while, so it
-says who may be there, never who lives: leases and peers' heartbeats tell that. A list that
-cannot be read changes nothing here, because an outage of the platform must not look like the
-loss of all upstreams.
+The list lags and drops an instance that has not reported for a while, so it says which
+instances may exist, never which are live: leases and peers' heartbeats decide that. A list
+that cannot be read changes nothing here, because an outage of the platform must not look like
+the loss of all upstreams.
 
-Until the first reading, a list that somebody else has read stands in (learn): a peer's, or
-the one kept in the data folder. The platform's own list always replaces it.
+Until the first successful read, a list that somebody else has read is used instead (learn): a
+peer's, or the one saved in the data folder. The platform's own list always replaces it.
 """
 
 import random
@@ -27,7 +27,7 @@
 
 
 class MembersChanged(NamedTuple):
-    """Tell which records came or changed, and which ids have gone."""
+    """Hold the records that are new or changed, and the ids that were removed."""
 
     changed: list[Member]
     gone: list[str]
@@ -37,7 +37,7 @@
 
 
 class MemberFollower:
-    """Hold the last list read; tell of each difference to the one before."""
+    """Hold the last list read, and report each difference from the list before."""
 
     def __init__(
         self,
@@ -58,17 +58,17 @@
         self._task: Deferred[None] | None = None
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow the list."""
         self._task = Deferred.fromCoroutine(self._loop())
         self._task.addErrback(report_failure, "follow instances")
 
     def stop(self) -> None:
-        """Stop following; nothing is told afterwards."""
+        """Stop following; nothing is reported afterwards."""
         if self._task is not None:
             self._task.cancel()
 
     def learn(self, members: Sequence[Member], read_ms: int) -> bool:
-        """Take over a list that somebody else read at a time; return False if it is no news."""
+        """Use a list that somebody else read at read_ms; return False if it is not newer."""
         if self.read_ms is not None:
             return False
         if self._learnt_ms is not None and read_ms <= self._learnt_ms:
@@ -78,7 +78,7 @@
         return True
 
     def age_ms(self) -> int | None:
-        """Return how long ago the list was read from the platform; None if there is none."""
+        """Return the time since the list was read from the platform, or None without a list."""
         read_ms = self._learnt_ms if self.read_ms is None else self.read_ms
         return None if read_ms is None else self._clock.now() - read_ms
 
@@ -86,8 +86,8 @@
         since = 0
         pauses = Pauses(self._rng)
         while True:
-            # The first reading waits for no change: where the platform is silent, its
-            # time-out is all that delays a start by other means.
+            # The first read does not wait for a change: if the platform does not answer, only
+            # the timeout of this read delays a start with a list from elsewhere.
             found = await self._store.members(WAIT_MS if since else 0, since)
             if isinstance(found, Err):
                 since = 0
@@ -99,8 +99,8 @@
             self.read_ms = self._clock.now()
             self._compare({member.id: member for member in found.ok_value.instances})
             since = found.ok_value.revision
-            # Without a shortest round, a fleet that changes all the time would have every
-            # instance read the whole list without end.
+            # Without a minimum interval, a fleet that changes all the time would make every
+            # instance read the whole list continuously.
             await self._clock.sleep(SHORTEST_ROUND_MS * self._rng.uniform(0.5, 1.0))
 
     def _compare(self, found: dict[str, Member]) -> None:
@@ -122,12 +122,12 @@
         self._task: Deferred[None] | None = None
 
     def start(self) -> None:
-        """Begin to report."""
+        """Start to report."""
         self._task = Deferred.fromCoroutine(self._loop())
         self._task.addErrback(report_failure, "report instance")
 
     def mark_leaving(self) -> None:
-        """Report as leaving from now on, at once."""
+        """Report the leaving state at once and from now on."""
         self._member = self._member._replace(state=LEAVING)
         self.stop()
         self.start()
@@ -138,9 +138,9 @@
             self._task.cancel()
 
     async def withdraw(self) -> bool:
-        """Stop reporting and take the record out of the list; False if that failed.
+        """Stop reporting and remove the record from the list; return False if that failed.
 
-        A record left behind is dropped by the platform some seconds later.
+        The platform drops a record that is left behind some seconds later.
         """
         self.stop()
         pauses = Pauses(self._rng)
--- a/papayapier/store/members_folder.py
+++ b/papayapier/store/members_folder.py
@@ -1,8 +1,8 @@
-"""Keep a copy of the instance list in the data folder, for a start in an outage.
+"""Save a copy of the instance list in the data folder, for a start during an outage.
 
-The copy tells when its list was read, because a peer's list may be newer. That takes the wall
-clock, the only one that outlives the process. The time is that of the last change: up to any
-later reading that changed nothing, the platform's list was the same.
+The copy contains the time at which its list was read, because a peer's list may be newer.
+This requires the wall clock, the only clock that outlives the process. The time is that of
+the last change: until any later read without a change, the platform's list was the same.
 """
 
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 
 class AgedMembers(NamedTuple):
-    """Hold an instance list and how long ago it was read from the platform."""
+    """Hold an instance list and the time since it was read from the platform."""
 
     members: list[Member]
     age_ms: int
@@ -34,7 +34,7 @@
 
 
 class MembersFolder:
-    """Replace the copy soon after a change; without a folder do nothing."""
+    """Write the copy soon after each change; without a folder do nothing."""
 
     def __init__(self, folder: str, clock: Clock, current: Callable[[], AgedMembers]) -> None:
         self._folder = folder
@@ -43,7 +43,7 @@
         self._saving = DelayedSave(clock, SAVE_DELAY_MS, self._save)
 
     def load(self) -> AgedMembers | None:
-        """Return the copy, if there is one that can be read."""
+        """Return the copy, or None if there is none that can be read."""
         if not self._folder:
             return None
         loaded = _load(self._folder)
@@ -55,19 +55,20 @@
             return None
         age_ms = self._clock.wall() - saved.read_wall_ms
         if not 0 <= age_ms <= OLDEST_MS:
-            # The wall clock has been set back since. Taken as fresh, a copy of any age would
-            # be preferred to the peers' lists; taken as the oldest, every peer's replaces it.
+            # The wall clock has been set back since. If treated as new, a copy of any age
+            # would be preferred to the peers' lists; if treated as the oldest, any peer's list
+            # replaces it.
             age_ms = OLDEST_MS
         events.emit(events.MEMBERS_FROM_FOLDER, members=len(saved.members), age_ms=age_ms)
         return AgedMembers(saved.members, age_ms)
 
     def changed(self) -> None:
-        """Save soon; changes that come together are saved together."""
+        """Schedule a save; changes within a short time are saved together."""
         if self._folder:
             self._saving.changed()
 
     def close(self) -> None:
-        """Save what is still to be saved and stop."""
+        """Save pending changes and stop."""
         self._saving.close()
 
     def _save(self) -> None:
--- a/papayapier/store/mirror.py
+++ b/papayapier/store/mirror.py
@@ -1,9 +1,9 @@
-"""Show others what one follower has read, so that they need not ask the platform's store.
+"""Serve what one follower has read to other processes, in place of the platform's store.
 
-Where every process follows the store by itself, its calls grow with the fleet times the
-changes, and each call is paid for. A mirror answers the same questions from memory: a listing
-at the revision that the follower has reached, and the changes after a revision. It speaks
-only while its follower has lately heard from the store; an old copy that looks like a new one
+If every process follows the store by itself, the number of calls grows with the fleet times
+the changes, and each call is paid for. A mirror answers the same reads from memory: a listing
+at the revision that the follower has reached, and the changes after a revision. It answers
+only while its follower has recently reached the store; an old copy taken for a current one
 would keep calls going to replicas that have left.
 """
 
@@ -17,22 +17,22 @@
 from papayapier.clock import Clock, Millis
 from papayapier.store.api import Change, Changes, Entry, Listing, StoreError
 
-# A follower asks again within milliseconds of an answer that it was given, so that a few
-# hundred changes bridge seconds of the busiest start; who is further behind lists again.
+# A follower sends its next watch within milliseconds of an answer, so that a few hundred changes
+# cover seconds of the busiest start; a follower that is further behind lists again.
 KEPT_CHANGES: Final = 2_000
-# The same for objects that are large, such as batch jobs: a quarter of a minute of the busiest
-# traffic of today (3 jobs of 15 KB a second), or a few of the largest jobs.
+# The same bound for large objects, such as batch jobs: a quarter of a minute of the busiest
+# traffic (3 jobs of 15 KB per second), or a few of the largest jobs.
 KEPT_BYTES: Final = 4_000_000
-# One frame between processes; the whole of a larger answer is read from the store itself.
+# An answer must fit one frame between processes; a larger one is read from the store itself.
 ANSWER_BYTES: Final = 1_000_000
 
 
-# Tells whether readers need to know that a value has become another.
+# Returns whether readers need to know that a value has changed, given the old and the new one.
 Matters = Callable[[bytes, bytes], bool]
 
 
 def always(_before: bytes, _after: bytes) -> bool:
-    """Take every new value for one that matters."""
+    """Return True: readers need to know of every new value."""
     return True
 
 
@@ -46,7 +46,8 @@
 class Mirror:
     """Hold the objects under a prefix and their latest changes.
 
-    lasting_ms is how long the follower may hear nothing before the mirror falls silent.
+    lasting_ms is how long the follower may go without an answer from the store before the
+    mirror stops to answer.
     """
 
     def __init__(self, clock: Clock, lasting_ms: int, matters: Matters = always) -> None:
@@ -56,16 +57,16 @@
         self._objects: dict[str, Change] = {}
         self._log: deque[_Stamped] = deque()
         self._log_bytes = 0
-        # Changes up to here may be missing in the log.
+        # Changes up to this revision may be missing in the log.
         self._floor = 0
         self._reached = 0
         self._reached_ms: Millis | None = None
-        # Changes that the follower has told since it last reached a revision.
+        # Changes that the follower has reported since it last reached a revision.
         self._new: list[Change] = []
         self._waiting: list[Deferred[None]] = []
 
     def on_change(self, change: Change) -> None:
-        """Take a change that the follower has learnt."""
+        """Apply a change that the follower has read."""
         if change.deleted:
             self._objects.pop(change.key, None)
             self._new.append(change)
@@ -76,9 +77,11 @@
             self._new.append(change)
 
     def on_reached(self, revision: int | None, direct: bool) -> None:
-        """Take that the follower knows all up to a revision; direct says from the store itself.
+        """Record that the follower knows all changes up to a revision.
 
-        Two mirrors that each follow the other would both fall behind and call each other new.
+        revision is None if the follower has lost the store; direct says whether it reads the
+        store itself. Two mirrors that follow each other would both fall behind and still take
+        each other for current, so only a direct follower counts.
         """
         if revision is None or not direct:
             self._forget()
@@ -88,7 +91,7 @@
             self._new = []
         self._reached_ms = self._clock.now()
         if revision <= self._reached:
-            # What a listing beside the watch has found waits for a revision to go by.
+            # Changes found by a listing beside the watch are logged with the next revision.
             return
         self._reached = revision
         self._log.extend(_Stamped(revision, change) for change in self._new)
@@ -110,7 +113,7 @@
         return Ok(Listing(sorted(found), False, self._reached))
 
     async def watch(self, since: int, wait_ms: int) -> Result[Changes, StoreError]:
-        """Return the changes after a revision; wait for one if there is none."""
+        """Return the changes after a revision; wait for a change if there is none."""
         due_ms = self._clock.now() + wait_ms
         while True:
             if not self._fresh():
@@ -139,7 +142,7 @@
         return heard is not None and self._clock.now() - heard <= self._lasting_ms
 
     def _forget(self) -> None:
-        """Fall silent; what the log holds may have a gap when the store is followed again."""
+        """Stop answering and clear the log, which may have a gap when following resumes."""
         self._reached_ms = None
         self._log.clear()
         self._log_bytes = 0
--- a/papayapier/store/watch.py
+++ b/papayapier/store/watch.py
@@ -1,15 +1,15 @@
-"""Follow the objects under a prefix: list, then bounded watches, with a slow poll behind.
-
-Either path alone is enough. The watch is quick, but can be cut, or go on answering without
-ever telling a change, and nothing in it shows that; the poll beside it bounds how long that
-can hide a change.
-
-Both paths tell versions, which only rise, so their answers may arrive in any order: an older
-version than the one known is dropped. A listing shows deletions by what it leaves out, and
-only for versions up to the revision of its page; a newer object is one it could not see yet.
-Deletions are remembered until a whole listing has been taken after them. From then on a
-change that is not newer than that listing, of a key that the listing did not have, can only
-be older than the deletion.
+"""Follow the objects under a prefix: list, then bounded watches, with a slow poll in addition.
+
+Either path alone is enough. The watch is quick, but can be cut, or continue to answer without
+ever reporting a change, and nothing in its answers shows that; the poll bounds for how long
+that can hide a change.
+
+Both paths report versions, which only rise, so their answers may arrive in any order: a
+version older than the known one is dropped. A listing shows deletions by omission, and only
+for versions up to the revision of its page; a newer object did not exist yet at that revision.
+Deletions are remembered until a complete listing has been read after them. From then on a
+change that is not newer than that listing, of a key that the listing did not contain, can
+only be older than the deletion.
 """
 
 import random
@@ -29,7 +29,7 @@
 LONGEST_PAUSE_MS: Final = 5_000
 
 OnChange = Callable[[Change], None]
-# Told of each revision up to which everything is known; None says that the thread is lost.
+# Called with each revision up to which all changes are known, or with None if the watch failed.
 OnReached = Callable[[int | None], None]
 
 
@@ -38,11 +38,11 @@
 
 
 class FollowPace(NamedTuple):
-    """Set how long a watch may wait and how often a listing is taken in any case.
+    """Set how long a watch may wait and how often the poll lists the objects.
 
-    longest_pause_ms bounds the growing pauses between tries while the store does not answer.
-    gather_ms is a pause after each change: a watch ends at the first one, so that a hundred
-    that come one by one would cost every follower a hundred calls.
+    longest_pause_ms bounds the growing pauses between attempts while the store does not answer.
+    gather_ms is a pause after each change: a watch ends at the first change, so that a hundred
+    separate changes would cost every follower a hundred calls without it.
     """
 
     watch_ms: int
@@ -52,7 +52,7 @@
 
 
 class Follower:
-    """Hold the versions known of the keys under a prefix, and tell of every newer one."""
+    """Hold the known versions of the keys under a prefix, and report every newer version."""
 
     def __init__(
         self,
@@ -79,14 +79,14 @@
         self._tasks: list[Deferred[None]] = []
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow the prefix."""
         for task in (self._watch_loop(), self._poll_loop()):
             self._tasks.append(Deferred.fromCoroutine(task))
         for started in self._tasks:
             started.addErrback(report_failure, "follow " + self._prefix)
 
     def stop(self) -> None:
-        """Stop following; nothing is told afterwards."""
+        """Stop following; nothing is reported afterwards."""
         tasks, self._tasks = self._tasks, []
         for task in tasks:
             task.cancel()
@@ -102,8 +102,8 @@
                     pauses.reset()
                     await self._gather()
             self._on_reached(None)
-            # A listing that succeeds resets nothing: where listings work and watches are cut
-            # at once, this loop would otherwise list without a pause.
+            # A successful listing does not reset the pauses: if listings work and watches are
+            # cut at once, this loop would otherwise list without a pause.
             await self._clock.sleep(pauses.next_ms())
 
     async def _poll_loop(self) -> None:
@@ -152,7 +152,7 @@
         return await self._store.list(self._prefix, after, PAGE)
 
     def _learn_page(self, listing: Listing, after: str, last: str | None) -> None:
-        """Learn the objects of a page, and the deletions that it shows by omission."""
+        """Apply the objects of a page, and the deletions that it shows by omission."""
         for entry in listing.objects:
             self._learn(Change(entry.key, entry.version, False, entry.value))
         there = {entry.key for entry in listing.objects}
@@ -188,7 +188,7 @@
 
 
 class Pauses:
-    """Draw jittered pauses that grow until reset."""
+    """Compute jittered pauses that grow exponentially until reset."""
 
     __slots__ = ("_longest_ms", "_pause_ms", "_rng")
 
@@ -198,17 +198,17 @@
         self._pause_ms = FIRST_PAUSE_MS
 
     def next_ms(self) -> float:
-        """Return the pause to make now."""
+        """Return the next pause."""
         pause_ms = self._pause_ms * self._rng.uniform(0.5, 1.0)
         self._pause_ms = min(self._longest_ms, 2 * self._pause_ms)
         return pause_ms
 
     def reset(self) -> None:
-        """Begin again with the shortest pause."""
+        """Return to the shortest pause."""
         self._pause_ms = FIRST_PAUSE_MS
 
 
 def report_failure(failure: Failure, task: str) -> None:
-    """Log the unexpected end of a task; being cancelled is an expected one."""
+    """Log the unexpected end of a task; cancellation is expected."""
     if not isinstance(failure.value, CancelledError):
         events.emit(events.STORE_TASK_FAILED, task=task, reason=repr(failure.value))
--- a/papayapier/store/writes.py
+++ b/papayapier/store/writes.py
@@ -1,19 +1,21 @@
-"""Settle writes whose answer was lost.
+"""Determine the outcome of writes whose answer was lost.
 
 A LOST write may have taken effect, may never do so, or may do so later: a read that shows
-the old version proves nothing. Two things do prove something. Our own value in the store
-(values carry a unique write id inside, so equal bytes mean that it was ours) proves that
-the write took effect. A later conditional write of ours on the same version proves that the
-late one will fail, because that version is gone. So the same conditional write is repeated
-until either is seen. Waiting longer or reading twice instead would only make the mistake
-rarer.
-
-The end CONFLICT means that the write never took effect and never will. LOST means that this
-could not be learnt: no definite answer came by the due time, or somebody else's value is
-there and ours may have been replaced by it. The caller then has to judge by the content.
-
-One limit: a create has no version, so a late copy of it can bring back an object that was
-created and then deleted. Whoever deletes objects must not take a name's return for news.
+the old version proves nothing. Two observations are conclusive. The written value in the
+store (values contain a unique write id, so equal bytes identify the write) proves that the
+write took effect. A later successful conditional write on the same version proves that the
+earlier one will fail if it still arrives, because that version no longer exists. So the same
+conditional write is repeated until either is observed. Waiting longer or reading twice
+instead would only make a wrong conclusion rarer.
+
+The result CONFLICT means that the write never took effect and never will. LOST means that
+the outcome could not be determined: no definite answer came by the due time, or the object
+holds another writer's value, which may have replaced the written one. The caller then has to
+decide by the content.
+
+One limitation: a create has no version, so a late copy of it can restore an object that was
+created and then deleted. Code that deletes objects must not treat an object that reappears
+under the same name as a new one.
 """
 
 import random
@@ -32,7 +34,7 @@
 
 
 class Settling(NamedTuple):
-    """Hold what settling needs; rng spreads the repeats of many instances."""
+    """Group what settling a write needs; rng spreads the retries of many instances."""
 
     store: Store
     clock: Clock
@@ -40,7 +42,10 @@
 
 
 class _Write(NamedTuple):
-    """Describe a conditional write: how to try it and how to know its effect when read."""
+    """Describe a conditional write.
+
+    attempt sends it; effect derives its outcome from a read of the object, None if unknown.
+    """
 
     key: str
     attempt: Callable[[], Awaitable[Result[int, StoreError]]]
@@ -57,8 +62,8 @@
 
     def effect(found: Result[Stored, StoreError]) -> Result[int, StoreError] | None:
         if found == Err(StoreError.NOT_FOUND):
-            # The object in the way has gone meanwhile, so a late create of ours could still
-            # take effect: try again.
+            # The conflicting object was deleted meanwhile, so a late copy of this create could
+            # still take effect: retry.
             return None
         return _ours_or_lost(found, value)
 
@@ -84,7 +89,10 @@
 async def delete_settled(
     settling: Settling, key: str, version: int, due_ms: int
 ) -> Result[int, StoreError]:
-    """Delete an object at a version; the result is the deletion's version or GONE."""
+    """Delete an object at a version; return the deletion's version, or GONE if it is unknown.
+
+    GONE is returned if a repeated delete found that the object no longer exists.
+    """
 
     async def attempt() -> Result[int, StoreError]:
         return await settling.store.delete(key, version)
@@ -125,7 +133,7 @@
 
 
 async def _attempt_again(store: Store, write: _Write) -> Result[int, StoreError] | None:
-    """Repeat a write that was lost before; return its end once that is known."""
+    """Repeat a write that was lost before; return its outcome, or None while it is unknown."""
     end = await write.attempt()
     if isinstance(end, Ok):
         return end
