--- a/papayapier/platform/__init__.py
+++ b/papayapier/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Translate between the users' platform and this product; nothing in here decides anything.
+"""Translate between the users' platform and this product, without any decisions.
 
-The only place that knows the platform's names. Each name is decoded once into a type of the
-package that owns the matter, whose fields say what they hold.
+Only this package knows the platform's names. Each is decoded once into a type of the package
+that is responsible for it, and the fields of these types have descriptive names.
 """
--- a/papayapier/platform/configuration.py
+++ b/papayapier/platform/configuration.py
@@ -32,20 +32,20 @@
     pathPrefix: str
     kind: str
     timeoutMs: NotRequired[float]
-    # The time in which an answer earns its full benefit, not a limit.
+    # The latency objective: the time up to which an answer has its full value; not a limit.
     sloMs: NotRequired[float]
     priority: NotRequired[int]
     service: NotRequired[str]
     trafficSplit: NotRequired[list[_Share]]
-    # How many replicas one client attempt may be sent to, not how often.
+    # The number of different replicas that one client attempt may be sent to.
     maxAttempts: NotRequired[int]
-    # Says that requests carry prompts whose parts replicas keep.
+    # Requests carry prompts whose prefixes replicas cache.
     stickySessions: NotRequired[bool]
     resumable: NotRequired[bool]
     runTargetMs: NotRequired[float]
-    # Seconds until an item may be abandoned; nothing waits for it.
+    # Seconds after which an item may be given up; no call waits that long.
     maxWaitS: NotRequired[float]
-    # No key is asked for.
+    # Requests need no API key.
     public: NotRequired[bool]
 
 
@@ -65,7 +65,7 @@
     apiKeys: list[str]
     priority: NotRequired[int]
     ratePerS: NotRequired[float]
-    # On top of what the rate gives within any span.
+    # Requests allowed in addition to the rate, within any interval.
     burst: NotRequired[float]
 
 
@@ -81,7 +81,7 @@
 
 
 def read_configuration(value: bytes) -> Result[RoutingConfig, str]:
-    """Decode a configuration, or say which field is at fault."""
+    """Decode a configuration, or return which field is invalid."""
     try:
         wire = _CONFIG.decode(value)
         routes = tuple(_route(one) for one in wire["routes"])
@@ -106,7 +106,7 @@
 
 
 def _teams(wire: list[_Team]) -> Teams:
-    """Take the teams; a key that two hold would let one act for the other."""
+    """Convert the teams; refuse a key of two teams, as one could act for the other."""
     holders: dict[bytes, str] = {}
     teams = []
     for one in wire:
@@ -114,13 +114,13 @@
         digests = [digest_of(key.encode()) for key in one["apiKeys"]]
         for digest in digests:
             if holders.setdefault(digest, name) != name:
-                raise ValueError(f"tenants: {name}: apiKeys: a key is also that of another")
+                raise ValueError(f"tenants: {name}: apiKeys: another team has the same key")
         rate, burst = one.get("ratePerS", 0.0), one.get("burst", 0.0)
         if rate < 0 or burst < 0:
             raise ValueError(f"tenants: {name}: ratePerS, burst: below 0")
         teams.append((Team(name, rate, burst, one.get("priority")), digests))
     if len({team.name for team, _ in teams}) != len(teams):
-        raise ValueError("tenants: name: two have the same")
+        raise ValueError("tenants: name: two teams have the same name")
     return Teams(teams)
 
 
--- a/papayapier/platform/headers.py
+++ b/papayapier/platform/headers.py
@@ -1,4 +1,4 @@
-"""Name the platform's headers, and read from them what an answer says."""
+"""Define the platform's HTTP headers, and decode those of an answer."""
 
 from collections.abc import Sequence
 from typing import Final
@@ -9,14 +9,14 @@
 from papayapier.upstream.raw import AnswerFacts
 
 REQUEST_ID: Final = b"X-Request-Id"
-# Milliseconds that the caller will still wait, not a point in time.
+# The remaining time that the caller will wait, in milliseconds; not a point in time.
 TIME_LEFT: Final = b"X-Deadline-Ms"
 LAST_EVENT: Final = b"Last-Event-Id"
 PROMPT_PARTS: Final = b"X-Prompt-Prefix"
 RETRY_AFTER: Final = b"Retry-After"
 WAIT_MS: Final = b"X-Wait-Ms"
 _KEY: Final = b"Authorization"
-# The name of the team that asks, as this system knows it.
+# The name of the calling team, as this system knows it.
 _TEAM: Final = b"X-Tenant"
 _EXPECT_REPLICA: Final = b"X-Expect-Instance"
 _NOT_RUN: Final = b"X-Not-Executed"
@@ -43,7 +43,7 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the headers that are passed on, without those of one connection."""
+    """Return the headers to forward, without hop-by-hop headers."""
     named = {
         name.strip().lower()
         for value in headers.getRawHeaders(b"Connection", [])
@@ -58,12 +58,12 @@
 
 
 def shown_keys(headers: Headers) -> Sequence[bytes]:
-    """Return the values in which a caller shows its key."""
+    """Return the values of the header that contains the caller's API key."""
     return headers.getRawHeaders(_KEY, [])
 
 
 def of_team(headers: Headers, team: str) -> Headers:
-    """Return the headers as a replica may see them: with the team's name and without its key."""
+    """Return the headers for a replica: with the team's name and without its API key."""
     out = headers.copy()
     out.removeHeader(_KEY)
     out.removeHeader(_TEAM)
@@ -75,9 +75,9 @@
 def for_replica(
     headers: Headers, replica: Replica, left_ms: int | None, last_event: int
 ) -> Headers:
-    """Return the headers of a request as one replica gets them.
+    """Return the headers of a request for one replica.
 
-    left_ms None leaves out the time limit; last_event is -1 for a stream from its start.
+    left_ms None omits the time limit; last_event is -1 for a stream from its start.
     """
     out = headers.copy()
     out.setRawHeaders(_EXPECT_REPLICA, [replica.own_name().encode()])
@@ -89,7 +89,7 @@
 
 
 def read_facts(status: int, headers: Headers, now_ms: int) -> AnswerFacts:
-    """Read what the head of an answer says of the run."""
+    """Decode what the head of an answer says about the execution of the request."""
     stated_load = _one(headers, _LOAD)
     load = _load(stated_load, now_ms)
     return AnswerFacts(
@@ -109,9 +109,9 @@
 
 
 def _load(text: str, now_ms: int) -> Load | None:
-    """Read "running,waiting,slots"; further figures are passed over, anything else tells nothing.
+    """Decode "running,waiting,slots"; ignore further figures, return None for anything else.
 
-    A fourth one says how long work takes on that machine at this moment.
+    A fourth figure is the current execution time of requests on that machine.
     """
     parts = text.split(",")[:LOAD_FIGURES]
     if len(parts) < LOAD_FIGURES or not all(part.strip().isdecimal() for part in parts):
--- a/papayapier/platform/job_calls.py
+++ b/papayapier/platform/job_calls.py
@@ -1,4 +1,4 @@
-"""Speak the platform's calls on batch jobs."""
+"""Decode and perform the platform's calls on batch jobs."""
 
 import base64
 import binascii
@@ -28,7 +28,7 @@
     headers: dict[str, str]
     # Base64.
     body: str
-    # Prompt tokens and most output tokens together.
+    # Prompt tokens plus the maximum of output tokens.
     tokens: int
 
 
@@ -40,14 +40,14 @@
 
 
 class ReadCall(NamedTuple):
-    """Ask for the results of a job from a position on."""
+    """Request the results of a job from a position on."""
 
     job_id: str
     after: int
 
 
 class BodyCall(NamedTuple):
-    """Ask for the body of an item."""
+    """Request the body of an item."""
 
     job_id: str
     item_id: str
@@ -76,7 +76,7 @@
 
 
 def read_items(body: bytes) -> Result[tuple[JobItem, ...], str]:
-    """Decode the items of a job, or say which field is at fault."""
+    """Decode the items of a job, or return which field is invalid."""
     try:
         wire = _ITEMS.decode(body)
     except msgspec.MsgspecError as exc:
@@ -88,7 +88,7 @@
         for one in wire["items"]
     )
     if len({item.id for item in items}) != len(items):
-        return Err("items: an id comes twice")
+        return Err("items: duplicate id")
     for item in items:
         try:
             base64.b64decode(item.body, validate=True)
@@ -103,7 +103,7 @@
 
 
 def write_page(page: Page, after: int) -> bytes:
-    """Encode results; a long list is cut, and the caller asks for the rest."""
+    """Encode results; a long list is truncated, and the caller requests the rest."""
     shown: list[dict[str, str]] = []
     size = 0
     for one in page.results:
@@ -111,7 +111,7 @@
         if shown and size > PAGE_BYTES:
             break
         shown.append(_result(one))
-    # The position to read from next, not a token.
+    # nextToken is the position to read from next, in spite of its name.
     body = {"total": page.total, "nextToken": after + len(shown), "results": shown}
     return msgspec.json.encode(body)
 
--- a/papayapier/platform/readiness.py
+++ b/papayapier/platform/readiness.py
@@ -1,4 +1,4 @@
-"""Name the path at which the platform asks whether a process may be sent callers."""
+"""Define the path of the platform's readiness checks."""
 
 from typing import Final
 
--- a/papayapier/platform/replicas.py
+++ b/papayapier/platform/replicas.py
@@ -1,4 +1,4 @@
-"""Decode the platform's entries of replicas."""
+"""Decode the platform's store entries of replicas."""
 
 from ipaddress import IPv4Address
 from typing import Final, Literal, NotRequired, TypedDict
@@ -18,12 +18,12 @@
 class _Server(TypedDict):
     # The upstream's name.
     service: str
-    # IP:PORT; given to another replica some time after this one has gone.
+    # IP:PORT; reused for another replica some time after this one has been removed.
     address: str
     zone: str
     slots: int
     state: Literal["ready", "draining"]
-    # Tells the boots of a replica that starts again under its name from each other.
+    # Distinguishes the boots of a replica that restarts under the same name.
     born: NotRequired[int]
 
 
@@ -31,9 +31,10 @@
 
 
 def read_replica(replica_id: str, value: bytes) -> Result[ListedReplica, str]:
-    """Decode one entry, or say what is wrong.
+    """Decode one entry, or return what is invalid.
 
-    Anybody may write there. Half an entry taken for a replica would get callers' requests.
+    Anybody may write entries. An incomplete entry taken for a replica would get callers'
+    requests.
     """
     try:
         wire = _SERVER.decode(value)
@@ -43,7 +44,7 @@
     if not wire["service"]:
         return Err("service: empty")
     if wire["slots"] <= 0:
-        return Err(f"slots: {wire['slots']} is no positive number")
+        return Err(f"slots: {wire['slots']} is not a positive number")
     replica = Replica(replica_id, wire["service"], host, port, wire["zone"])
     if "born" in wire:
         replica = replica._replace(id=f"{replica_id}/{wire['born']}", known_as=replica_id)
@@ -51,9 +52,10 @@
 
 
 def says_other(before: bytes, after: bytes) -> bool:
-    """Tell whether two values of one entry say different things of their replica.
+    """Return whether two values of one entry decode to different replicas.
 
-    A replica that has just started writes with each heartbeat for how long it is still slow.
+    A replica that has just started writes the remaining time of its slow start with each
+    heartbeat; such a change makes no difference here.
     """
     return before != after and read_replica("", before) != read_replica("", after)
 
@@ -65,4 +67,4 @@
     try:
         return str(IPv4Address(host)), int(port)
     except ValueError:
-        raise ValueError(f"address: {text!r} is no IP address") from None
+        raise ValueError(f"address: {text!r} is not an IP address") from None
--- a/papayapier/platform/retirements.py
+++ b/papayapier/platform/retirements.py
@@ -1,4 +1,4 @@
-"""Speak of requests to empty a machine."""
+"""Define the keys and values of the platform's requests to retire a machine."""
 
 from enum import Enum
 from typing import Final
@@ -9,17 +9,17 @@
 
 
 class Stage(Enum):
-    """Name how far the emptying of a machine is, in the platform's words."""
+    """Define the stages of a machine's retirement; values are the platform's names."""
 
     UNDER_WAY = "running"
     DONE = "completed"
 
 
 def status_key(node_id: str) -> str:
-    """Return the key under which the answer to a request is written."""
+    """Return the key under which the stage of a machine's retirement is written."""
     return f"{RETIREMENTS_PREFIX}{node_id}/status"
 
 
 def write_stage(stage: Stage) -> bytes:
-    """Encode the answer."""
+    """Encode a stage as the platform expects it."""
     return msgspec.json.encode({"state": stage.value})
--- a/papayapier/platform/store.py
+++ b/papayapier/platform/store.py
@@ -1,9 +1,9 @@
-"""Speak the platform's object store: objects by kind and name, over HTTP.
+"""Implement the API of the platform's object store: objects by kind and name, over HTTP.
 
-A key of ours is "KIND/NAME", or "KIND/NAME/status" for the part that only the system writes.
-The store may write a value's JSON in another way than it was given, and settling a lost write
-compares bytes; so what this system stores is put as one JSON string, which comes back as it
-was. Values of other writers are handed on as the JSON that they are.
+A key of this system is "KIND/NAME", or "KIND/NAME/status" for the part that only this system
+writes. The store may format a value's JSON differently from how it was written, and settling
+a lost write compares bytes; so this system stores each value as one JSON string, which is
+returned unchanged. Values of other writers are passed through as JSON.
 """
 
 import json
@@ -67,16 +67,16 @@
 
 class Page(TypedDict):
     items: list[msgspec.Raw]
-    # True says that the page is not the last one.
+    # True if more pages follow.
     truncated: bool
-    # The revision of the whole store, not of an object.
+    # The revision of the entire store, not of an object.
     currentRev: int
 
 
 class _Event(TypedDict):
-    # The decoder keeps raw parts of a TypedDict only where they may be left out.
+    # Raw fields of a TypedDict are decoded only if they are NotRequired.
     object: NotRequired[msgspec.Raw]
-    # True says that the object has been removed.
+    # True if the object has been removed.
     tombstone: bool
 
 
@@ -101,7 +101,7 @@
 def platform_store(
     reactor: Any, clock: Clock, platform: PlatformSettings, metrics: Metrics
 ) -> Store:
-    """Make a Store that calls the platform's object store over kept connections."""
+    """Create a Store that calls the platform's object store over persistent connections."""
     link = make_link(reactor, clock, platform)
     client = _Client(link.exchange, metrics)
     return Store(
@@ -146,7 +146,7 @@
     params = {} if version == NO_CONDITION else {"revision": str(version)}
     req = Request("delete", "DELETE", _path(key), params)
     done = await _call(client, req, StoreError.LOST)
-    # The store does not name the revision of a removal; the removed one is its lower bound.
+    # The store does not return a removal's revision; the removed revision is its lower bound.
     return done.map(lambda _: version)
 
 
@@ -186,14 +186,14 @@
 
 
 def read_listing(kind: str, page: Page) -> Listing:
-    """Decode the objects of a page each by itself: a bad one may not hide the others."""
+    """Decode each object of a page separately: an invalid object must not hide the others."""
     entries = [_entry(kind, raw) for raw in page["items"]]
     known = [one for one in entries if one is not None]
     return Listing(known, page["truncated"], page["currentRev"])
 
 
 def read_changes(kind: str, body: Events) -> Changes:
-    """Decode the changes of an answer each by itself."""
+    """Decode each change of an answer separately."""
     changes = [_change(kind, raw) for raw in body["events"]]
     return Changes([one for one in changes if one is not None], body["currentRev"])
 
@@ -212,11 +212,11 @@
 
 
 def _entry(kind: str, raw: msgspec.Raw) -> Entry | None:
-    """Decode one object, or None if it names none.
+    """Decode one object; return None if its name or revision is missing.
 
-    The store itself writes name and revision; what else is there is its writer's. A value that
-    cannot be read is empty here: whoever uses the kind takes it as unreadable, also where it was
-    readable before.
+    The store itself writes name and revision; everything else comes from the object's writer. A
+    value that cannot be decoded becomes empty here: users of the kind treat it as unreadable,
+    even if an earlier value was readable.
     """
     try:
         metadata = _NAMED.decode(raw)["metadata"]
@@ -236,7 +236,7 @@
 
 
 def _value(one: _Object) -> bytes:
-    """Return the value; raise ValueError for none, and msgspec's error for an odd text."""
+    """Return the value; raise ValueError without one, and msgspec's error for an invalid text."""
     spec = bytes(one.get("spec", b""))
     if spec == b"null":
         raise ValueError("there is no value")
@@ -286,9 +286,9 @@
 
 
 def without_odd_text(body: bytes) -> bytes:
-    """Write JSON anew with each text left out that is no Unicode; raise ValueError for no JSON.
+    """Re-encode JSON without texts that are not valid Unicode; raise ValueError if not JSON.
 
-    One such text, as "\\ud800", makes the whole answer malformed for the usual decoder.
+    A single such text, like "\\ud800", makes the entire answer malformed for msgspec's decoder.
     """
     kept = _without_odd_text(json.loads(body.decode("utf-8", "replace")))
     return json.dumps(kept, separators=(",", ":")).encode()
