--- a/papayapier/platform/configuration.py
+++ b/papayapier/platform/configuration.py
@@ -84,7 +84,7 @@
     """Decode a configuration, or return which field is invalid."""
     try:
         wire = _CONFIG.decode(value)
-        routes = tuple(_route(one) for one in wire["routes"])
+        routes = tuple(_route(route) for route in wire["routes"])
         teams = _teams(wire["tenants"]) if "tenants" in wire else None
     except (msgspec.MsgspecError, ValueError) as exc:
         return Err(str(exc))
@@ -93,7 +93,7 @@
         RoutingConfig(
             wire["version"],
             routes,
-            tuple(one["name"] for one in wire["services"]),
+            tuple(service["name"] for service in wire["services"]),
             Limits(
                 limits["maxHeaderBytes"],
                 limits["maxBodyBytes"],
@@ -107,19 +107,19 @@
 
 def _teams(wire: list[_Team]) -> Teams:
     """Convert the teams; refuse a key of two teams, as one could act for the other."""
-    holders: dict[bytes, str] = {}
+    owners: dict[bytes, str] = {}
     teams = []
-    for one in wire:
-        name = one["name"]
-        digests = [digest_of(key.encode()) for key in one["apiKeys"]]
+    for team in wire:
+        name = team["name"]
+        digests = [digest_of(key.encode()) for key in team["apiKeys"]]
         for digest in digests:
-            if holders.setdefault(digest, name) != name:
+            if owners.setdefault(digest, name) != name:
                 raise ValueError(f"tenants: {name}: apiKeys: another team has the same key")
-        rate, burst = one.get("ratePerS", 0.0), one.get("burst", 0.0)
+        rate, burst = team.get("ratePerS", 0.0), team.get("burst", 0.0)
         if rate < 0 or burst < 0:
             raise ValueError(f"tenants: {name}: ratePerS, burst: below 0")
-        teams.append((Team(name, rate, burst, one.get("priority")), digests))
-    if len({team.name for team, _ in teams}) != len(teams):
+        teams.append((Team(name, rate, burst, team.get("priority")), digests))
+    if len({known.name for known, _ in teams}) != len(teams):
         raise ValueError("tenants: name: two teams have the same name")
     return Teams(teams)
 
@@ -129,7 +129,7 @@
     if kind is None:
         raise ValueError(f"routes: {wire['name']}: kind: unknown kind {wire['kind']}")
     split = wire.get("trafficSplit") or []
-    shares = tuple(Share(one["service"], one["weight"]) for one in split)
+    shares = tuple(Share(part["service"], part["weight"]) for part in split)
     if not shares:
         shares = (Share(wire.get("service", ""), 1.0),)
     if not all(share.upstream for share in shares):
--- a/papayapier/platform/headers.py
+++ b/papayapier/platform/headers.py
@@ -25,7 +25,7 @@
 _MISDIRECTED: Final = 421
 LOAD_FIGURES: Final = 3
 
-_ONE_CONNECTION_ONLY: Final = frozenset(
+_HOP_BY_HOP: Final = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -52,7 +52,7 @@
     kept = Headers()
     for name, values in headers.getAllRawHeaders():
         lower = name.lower()
-        if lower not in _ONE_CONNECTION_ONLY and lower not in named:
+        if lower not in _HOP_BY_HOP and lower not in named:
             kept.setRawHeaders(name, values)
     return kept
 
@@ -90,10 +90,10 @@
 
 def read_facts(status: int, headers: Headers, now_ms: int) -> AnswerFacts:
     """Decode what the head of an answer says about the execution of the request."""
-    stated_load = _one(headers, _LOAD)
+    stated_load = _first_value(headers, _LOAD)
     load = _load(stated_load, now_ms)
     return AnswerFacts(
-        request_id=_one(headers, REQUEST_ID),
+        request_id=_first_value(headers, REQUEST_ID),
         signed=headers.hasHeader(_SIGNATURE),
         not_run=headers.hasHeader(_NOT_RUN) or status == _MISDIRECTED,
         moved=status == _MISDIRECTED,
@@ -103,7 +103,7 @@
     )
 
 
-def _one(headers: Headers, name: bytes) -> str:
+def _first_value(headers: Headers, name: bytes) -> str:
     values = headers.getRawHeaders(name)
     return values[0].decode("latin-1") if values else ""
 
--- a/papayapier/platform/job_calls.py
+++ b/papayapier/platform/job_calls.py
@@ -15,8 +15,8 @@
 from papayapier.platform.headers import WAIT_MS
 
 # At most 1 MB of results in one answer.
-PAGE_BYTES: Final = 900_000
-ITEMS_MAX: Final = 200
+MAX_PAGE_BYTES: Final = 900_000
+MAX_ITEMS: Final = 200
 _READ: Final = "/v1/lots/"
 _BODY: Final = "/v1/items/"
 _ENDS: Final = {ItemEnd.DONE: "completed", ItemEnd.GIVEN_UP: "dead_lettered"}
@@ -68,10 +68,10 @@
         job_id = path.removeprefix(_READ)
         if method == "DELETE":
             return EndCall(job_id)
-        after = _one(query, b"after") or "0"
+        after = _first_value(query, b"after") or "0"
         return ReadCall(job_id, int(after) if after.isdecimal() else 0)
     if path.startswith(_BODY) and method == "GET":
-        return BodyCall(path.removeprefix(_BODY), _one(query, b"id"))
+        return BodyCall(path.removeprefix(_BODY), _first_value(query, b"id"))
     return None
 
 
@@ -81,11 +81,11 @@
         wire = _ITEMS.decode(body)
     except msgspec.MsgspecError as exc:
         return Err(str(exc))
-    if not 0 < len(wire["items"]) <= ITEMS_MAX:
-        return Err(f"items: expected 1 to {ITEMS_MAX}, got {len(wire['items'])}")
+    if not 0 < len(wire["items"]) <= MAX_ITEMS:
+        return Err(f"items: expected 1 to {MAX_ITEMS}, got {len(wire['items'])}")
     items = tuple(
-        JobItem(one["id"], one["path"], one["headers"], one["body"], one["tokens"])
-        for one in wire["items"]
+        JobItem(raw["id"], raw["path"], raw["headers"], raw["body"], raw["tokens"])
+        for raw in wire["items"]
     )
     if len({item.id for item in items}) != len(items):
         return Err("items: duplicate id")
@@ -104,23 +104,23 @@
 
 def write_page(page: Page, after: int) -> bytes:
     """Encode results; a long list is truncated, and the caller requests the rest."""
-    shown: list[dict[str, str]] = []
+    returned: list[dict[str, str]] = []
     size = 0
-    for one in page.results:
-        size += len(one.text) + len(one.id)
-        if shown and size > PAGE_BYTES:
+    for result in page.results:
+        size += len(result.text) + len(result.id)
+        if returned and size > MAX_PAGE_BYTES:
             break
-        shown.append(_result(one))
+        returned.append(_result(result))
     # nextToken is the position to read from next, in spite of its name.
-    body = {"total": page.total, "nextToken": after + len(shown), "results": shown}
+    body = {"total": page.total, "nextToken": after + len(returned), "results": returned}
     return msgspec.json.encode(body)
 
 
-def _result(one: ItemResult) -> dict[str, str]:
-    return {"id": one.id, "state": _ENDS[one.end], "text": one.text}
+def _result(result: ItemResult) -> dict[str, str]:
+    return {"id": result.id, "state": _ENDS[result.end], "text": result.text}
 
 
-def _one(query: dict[bytes, list[bytes]], name: bytes) -> str:
+def _first_value(query: dict[bytes, list[bytes]], name: bytes) -> str:
     values = query.get(name)
     return values[0].decode("latin-1") if values else ""
 
@@ -132,28 +132,30 @@
 
 
 def perform(
-    desk: JobDesk, request: Any, call: JobCall, team: str, due_ms: int
+    job_service: JobDesk, request: Any, call: JobCall, team: str, due_ms: int
 ) -> Awaitable[Result[Answer, Refusal]]:
     """Run a call on a job for a team."""
     if isinstance(call, EndCall):
-        return _end(desk, call, team, due_ms)
+        return _end(job_service, call, team, due_ms)
     if isinstance(call, BodyCall):
-        return _body(desk, call, team)
+        return _body(job_service, call, team)
     wait = request.getHeader(WAIT_MS.decode()) or "0"
-    return _results(desk, call, team, int(wait) if wait.isdecimal() else 0)
+    return _results(job_service, call, team, int(wait) if wait.isdecimal() else 0)
 
 
-async def _end(desk: JobDesk, call: EndCall, team: str, due_ms: int) -> Result[Answer, Refusal]:
-    return (await desk.end(call.job_id, due_ms, team)).map(lambda _: Answer(b"{}"))
+async def _end(
+    job_service: JobDesk, call: EndCall, team: str, due_ms: int
+) -> Result[Answer, Refusal]:
+    return (await job_service.end(call.job_id, due_ms, team)).map(lambda _: Answer(b"{}"))
 
 
-async def _body(desk: JobDesk, call: BodyCall, team: str) -> Result[Answer, Refusal]:
-    found = await desk.item(call.job_id, call.item_id, team)
+async def _body(job_service: JobDesk, call: BodyCall, team: str) -> Result[Answer, Refusal]:
+    found = await job_service.item(call.job_id, call.item_id, team)
     return found.map(lambda item: Answer(item_body(item), b"application/octet-stream"))
 
 
 async def _results(
-    desk: JobDesk, call: ReadCall, team: str, wait_ms: int
+    job_service: JobDesk, call: ReadCall, team: str, wait_ms: int
 ) -> Result[Answer, Refusal]:
-    page = await desk.results(call.job_id, call.after, wait_ms, team)
-    return page.map(lambda one: Answer(write_page(one, call.after)))
+    page = await job_service.results(call.job_id, call.after, wait_ms, team)
+    return page.map(lambda found: Answer(write_page(found, call.after)))
--- a/papayapier/platform/replicas.py
+++ b/papayapier/platform/replicas.py
@@ -12,7 +12,7 @@
 REPLICAS_PREFIX: Final = "servers/"
 
 
-LARGEST_PORT: Final = 65_535
+MAX_PORT: Final = 65_535
 
 
 class _Server(TypedDict):
@@ -62,7 +62,7 @@
 
 def _address(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
-    if not port.isdecimal() or not 0 < int(port) <= LARGEST_PORT:
+    if not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"address: {text!r} has no port")
     try:
         return str(IPv4Address(host)), int(port)
--- a/papayapier/platform/store.py
+++ b/papayapier/platform/store.py
@@ -30,8 +30,8 @@
     Stored,
     StoreError,
 )
-from papayapier.store.judge import count_call, judge
 from papayapier.store.link import Reply, Request, make_link
+from papayapier.store.outcomes import classify, count_call
 
 T = TypeVar("T")
 
@@ -40,9 +40,9 @@
 STATUS_PART: Final = "/status"
 NO_CONDITION: Final = 0
 UNREADABLE: Final = b""
-NOTHING: Final = msgspec.Raw(b"null")
+ABSENT_OBJECT: Final = msgspec.Raw(b"null")
 
-NOTHING_CHANGED: Final = {
+UNCHANGED_STATUSES: Final = {
     404: StoreError.NOT_FOUND,
     409: StoreError.CONFLICT,
     410: StoreError.TOO_OLD,
@@ -120,7 +120,7 @@
 
 async def _get(client: _Client, key: str) -> Result[Stored, StoreError]:
     found = await _read(client, Request("get", "GET", _path(key)), _OBJECT)
-    return found.and_then(lambda one: _stored(key, one))
+    return found.and_then(lambda obj: _stored(key, obj))
 
 
 async def _create(client: _Client, key: str, value: bytes) -> Result[int, StoreError]:
@@ -188,27 +188,27 @@
 def read_listing(kind: str, page: Page) -> Listing:
     """Decode each object of a page separately: an invalid object must not hide the others."""
     entries = [_entry(kind, raw) for raw in page["items"]]
-    known = [one for one in entries if one is not None]
-    return Listing(known, page["truncated"], page["currentRev"])
+    decodable = [entry for entry in entries if entry is not None]
+    return Listing(decodable, page["truncated"], page["currentRev"])
 
 
 def read_changes(kind: str, body: Events) -> Changes:
     """Decode each change of an answer separately."""
     changes = [_change(kind, raw) for raw in body["events"]]
-    return Changes([one for one in changes if one is not None], body["currentRev"])
+    return Changes([change for change in changes if change is not None], body["currentRev"])
 
 
 def _change(kind: str, raw: msgspec.Raw) -> Change | None:
     try:
         event = _EVENT.decode(raw)
     except msgspec.MsgspecError as exc:
-        _note_odd(kind, "", str(exc))
+        _log_invalid_object(kind, "", str(exc))
         return None
-    entry = _entry(kind, event.get("object", NOTHING))
+    entry = _entry(kind, event.get("object", ABSENT_OBJECT))
     if entry is None:
         return None
-    gone = event["tombstone"]
-    return Change(entry.key, entry.version, gone, b"" if gone else entry.value)
+    removed = event["tombstone"]
+    return Change(entry.key, entry.version, removed, b"" if removed else entry.value)
 
 
 def _entry(kind: str, raw: msgspec.Raw) -> Entry | None:
@@ -221,33 +221,33 @@
     try:
         metadata = _NAMED.decode(raw)["metadata"]
     except (msgspec.MsgspecError, ValueError) as exc:
-        _note_odd(kind, "", str(exc))
+        _log_invalid_object(kind, "", str(exc))
         return None
     try:
         value = _value(_OBJECT.decode(raw))
     except (msgspec.MsgspecError, ValueError) as exc:
-        _note_odd(kind, metadata["name"], str(exc))
+        _log_invalid_object(kind, metadata["name"], str(exc))
         value = UNREADABLE
     return Entry(f"{kind}/{metadata['name']}", metadata["revision"], value)
 
 
-def _note_odd(kind: str, name: str, reason: str) -> None:
+def _log_invalid_object(kind: str, name: str, reason: str) -> None:
     events.emit(events.STORE_ODD_OBJECT, kind=kind, object=name, reason=reason)
 
 
-def _value(one: _Object) -> bytes:
+def _value(obj: _Object) -> bytes:
     """Return the value; raise ValueError without one, and msgspec's error for an invalid text."""
-    spec = bytes(one.get("spec", b""))
+    spec = bytes(obj.get("spec", b""))
     if spec == b"null":
         raise ValueError("there is no value")
     return _TEXT.decode(spec).encode() if spec.startswith(b'"') else spec
 
 
-def _stored(key: str, one: _Object) -> Result[Stored, StoreError]:
+def _stored(key: str, obj: _Object) -> Result[Stored, StoreError]:
     try:
-        return Ok(Stored(key, one["metadata"]["revision"], _value(one)))
+        return Ok(Stored(key, obj["metadata"]["revision"], _value(obj)))
     except (msgspec.MsgspecError, ValueError) as exc:
-        _note_odd(key, one["metadata"]["name"], str(exc))
+        _log_invalid_object(key, obj["metadata"]["name"], str(exc))
         return Err(StoreError.UNAVAILABLE)
 
 
@@ -257,7 +257,7 @@
     found = await _call(client, req, StoreError.UNAVAILABLE)
     if isinstance(found, Err):
         return found
-    return _decoded(req, found.ok_value, decoder, StoreError.UNAVAILABLE)
+    return _decode(req, found.ok_value, decoder, StoreError.UNAVAILABLE)
 
 
 async def _write(
@@ -267,40 +267,42 @@
     done = await _call(client, req, StoreError.LOST)
     if isinstance(done, Err):
         return done
-    written = _decoded(req, done.ok_value, _OBJECT, StoreError.LOST)
-    return written.map(lambda one: one["metadata"]["revision"])
+    written = _decode(req, done.ok_value, _OBJECT, StoreError.LOST)
+    return written.map(lambda obj: obj["metadata"]["revision"])
 
 
-def _decoded(
-    req: Request, reply: Reply, decoder: msgspec.json.Decoder[T], doubt: StoreError
+def _decode(
+    req: Request, reply: Reply, decoder: msgspec.json.Decoder[T], error_if_unknown: StoreError
 ) -> Result[T, StoreError]:
     try:
         return Ok(decoder.decode(reply.body))
     except msgspec.MsgspecError as exc:
         reason = str(exc)
     try:
-        return Ok(decoder.decode(without_odd_text(reply.body)))
+        return Ok(decoder.decode(without_invalid_text(reply.body)))
     except (msgspec.MsgspecError, ValueError):
         events.emit(events.STORE_ODD_ANSWER, call=req.name, reason=reason)
-        return Err(doubt)
+        return Err(error_if_unknown)
 
 
-def without_odd_text(body: bytes) -> bytes:
+def without_invalid_text(body: bytes) -> bytes:
     """Re-encode JSON without texts that are not valid Unicode; raise ValueError if not JSON.
 
     A single such text, like "\\ud800", makes the entire answer malformed for msgspec's decoder.
     """
-    kept = _without_odd_text(json.loads(body.decode("utf-8", "replace")))
+    kept = _without_invalid_text(json.loads(body.decode("utf-8", "replace")))
     return json.dumps(kept, separators=(",", ":")).encode()
 
 
-def _without_odd_text(value: Any) -> Any:
+def _without_invalid_text(value: Any) -> Any:
     if isinstance(value, str):
         return value if value.isascii() or _is_unicode(value) else None
     if isinstance(value, list):
-        return [_without_odd_text(one) for one in value]
+        return [_without_invalid_text(element) for element in value]
     if isinstance(value, dict):
-        return {key: _without_odd_text(one) for key, one in value.items() if _is_unicode(key)}
+        return {
+            key: _without_invalid_text(inner) for key, inner in value.items() if _is_unicode(key)
+        }
     return value
 
 
@@ -312,7 +314,9 @@
     return True
 
 
-async def _call(client: _Client, req: Request, doubt: StoreError) -> Result[Reply, StoreError]:
-    end = judge(req, await client.exchange(req), doubt, NOTHING_CHANGED)
-    count_call(client.metrics, req, end)
-    return end
+async def _call(
+    client: _Client, req: Request, error_if_unknown: StoreError
+) -> Result[Reply, StoreError]:
+    outcome = classify(req, await client.exchange(req), error_if_unknown, UNCHANGED_STATUSES)
+    count_call(client.metrics, req, outcome)
+    return outcome
--- a/papayapier/store/breaker.py
+++ b/papayapier/store/breaker.py
@@ -14,7 +14,7 @@
 from papayapier.clock import Clock, Millis
 
 FAILURES_UNTIL_DOWN: Final = 3
-FIRST_PAUSE_MS: Final = 200
+MIN_PAUSE_MS: Final = 200
 
 
 class Breaker(Protocol):
@@ -32,7 +32,7 @@
     def probe(self) -> None:
         """Record that a probe is sent."""
 
-    def passable(self) -> bool:
+    def allows_calls(self) -> bool:
         """Return whether calls may be sent."""
 
     def probe_due(self) -> bool:
@@ -47,24 +47,24 @@
 
     __slots__ = (
         "_clock",
-        "_longest_pause_ms",
+        "_max_pause_ms",
         "_pause_ms",
         "_rng",
-        "back_ms",
         "failures",
         "next_probe_ms",
+        "recovered_ms",
         "since",
     )
 
-    def __init__(self, clock: Clock, rng: random.Random, longest_pause_ms: int) -> None:
+    def __init__(self, clock: Clock, rng: random.Random, max_pause_ms: int) -> None:
         self._clock = clock
-        self._longest_pause_ms = longest_pause_ms
+        self._max_pause_ms = max_pause_ms
         self._rng = rng
-        self._pause_ms = FIRST_PAUSE_MS
+        self._pause_ms = MIN_PAUSE_MS
         self.failures = 0
         self.next_probe_ms = 0.0
         self.since: Millis | None = None
-        self.back_ms: Millis | None = None
+        self.recovered_ms: Millis | None = None
 
     def now(self) -> Millis:
         """Return the current time."""
@@ -74,13 +74,13 @@
         """Reset the failures and record when the store recovered."""
         self.failures = 0
         self.since = None
-        self.back_ms = self.now()
-        self._pause_ms = FIRST_PAUSE_MS
+        self.recovered_ms = self.now()
+        self._pause_ms = MIN_PAUSE_MS
 
-    def set_pause(self) -> None:
+    def schedule_probe(self) -> None:
         """Set the time of the next probe, and a longer pause for the one after it."""
         self.next_probe_ms = self.now() + self._pause_ms * self._rng.uniform(0.5, 1.5)
-        self._pause_ms = min(self._longest_pause_ms, 2 * self._pause_ms)
+        self._pause_ms = min(self._max_pause_ms, 2 * self._pause_ms)
 
 
 def _build() -> TypeMachineBuilder[Breaker, Health]:
@@ -92,15 +92,15 @@
 _down = _builder.state("down")
 _probing = _builder.state("probing")
 
-_up.upon(Breaker.passable).loop().returns(True)
+_up.upon(Breaker.allows_calls).loop().returns(True)
 _up.upon(Breaker.probe_due).loop().returns(False)
 _up.upon(Breaker.probe).loop().returns(None)
 _up.upon(Breaker.down_since).loop().returns(None)
-_down.upon(Breaker.passable).loop().returns(False)
+_down.upon(Breaker.allows_calls).loop().returns(False)
 _down.upon(Breaker.probe).to(_probing).returns(None)
 _down.upon(Breaker.failed).loop().returns(None)
 _down.upon(Breaker.trip).loop().returns(None)
-_probing.upon(Breaker.passable).loop().returns(False)
+_probing.upon(Breaker.allows_calls).loop().returns(False)
 _probing.upon(Breaker.probe_due).loop().returns(False)
 _probing.upon(Breaker.probe).loop().returns(None)
 _probing.upon(Breaker.trip).loop().returns(None)
@@ -121,13 +121,13 @@
 @_up.upon(Breaker.trip).to(_down)
 def _go_down(_: Breaker, health: Health) -> None:
     health.since = health.now()
-    health.set_pause()
+    health.schedule_probe()
     events.emit(events.STORE_DOWN)
 
 
 @_down.upon(Breaker.answered).to(_up)
 @_probing.upon(Breaker.answered).to(_up)
-def _come_up(_: Breaker, health: Health) -> None:
+def _recover(_: Breaker, health: Health) -> None:
     down_ms = health.now() - (health.since or health.now())
     health.mark_up()
     events.emit(events.STORE_UP, down_ms=down_ms)
@@ -135,11 +135,11 @@
 
 @_probing.upon(Breaker.failed).to(_down)
 def _stay_down(_: Breaker, health: Health) -> None:
-    health.set_pause()
+    health.schedule_probe()
 
 
 @_down.upon(Breaker.probe_due).loop()
-def _after_pause(_: Breaker, health: Health) -> bool:
+def _is_pause_over(_: Breaker, health: Health) -> bool:
     return health.now() >= health.next_probe_ms
 
 
--- a/papayapier/store/budget.py
+++ b/papayapier/store/budget.py
@@ -76,7 +76,7 @@
     return Budget(
         lambda priority: _view(shared, priority),
         shared.breaker.down_since,
-        lambda: health.back_ms,
+        lambda: health.recovered_ms,
     )
 
 
@@ -84,10 +84,10 @@
     inner = shared.store
 
     async def read(call: Callable[[], Awaitable[Result[T, StoreError]]]) -> Result[T, StoreError]:
-        return await _limited(shared, shared.reads, priority, call)
+        return await _call_with_permit(shared, shared.reads, priority, call)
 
     async def write(call: Callable[[], Awaitable[Result[T, StoreError]]]) -> Result[T, StoreError]:
-        return await _limited(shared, shared.writes, priority, call)
+        return await _call_with_permit(shared, shared.writes, priority, call)
 
     async def get(key: str) -> Result[Stored, StoreError]:
         return await read(lambda: inner.get(key))
@@ -105,10 +105,10 @@
         return await read(lambda: inner.list(prefix, after, limit))
 
     async def watch(prefix: str, since: int, wait_ms: int) -> Result[Changes, StoreError]:
-        return await _waiting(shared, priority, lambda: inner.watch(prefix, since, wait_ms))
+        return await _call_delayed(shared, priority, lambda: inner.watch(prefix, since, wait_ms))
 
     async def members(wait_ms: int, since: int) -> Result[Members, StoreError]:
-        return await _waiting(shared, priority, lambda: inner.members(wait_ms, since))
+        return await _call_delayed(shared, priority, lambda: inner.members(wait_ms, since))
 
     async def report(member: Member) -> Result[None, StoreError]:
         return await write(lambda: inner.report(member))
@@ -119,7 +119,7 @@
     return Store(get, create, update, delete, list_, watch, members, report, withdraw, inner.close)
 
 
-async def _limited(
+async def _call_with_permit(
     shared: _Shared,
     bucket: Bucket,
     priority: Priority,
@@ -129,17 +129,17 @@
     breaker = shared.breaker
     if breaker.probe_due():
         breaker.probe()
-        return await _judged(shared, bucket, call)
-    if not breaker.passable():
+        return await _call_and_record(shared, bucket, call)
+    if not breaker.allows_calls():
         return Err(StoreError.UNAVAILABLE)
     if not await bucket.acquire(priority, shared.wait_ms):
         return Err(StoreError.LIMITED)
-    if not breaker.passable():
+    if not breaker.allows_calls():
         return Err(StoreError.UNAVAILABLE)
-    return await _judged(shared, bucket, call)
+    return await _call_and_record(shared, bucket, call)
 
 
-async def _waiting(
+async def _call_delayed(
     shared: _Shared, priority: Priority, call: Callable[[], Awaitable[Result[T, StoreError]]]
 ) -> Result[T, StoreError]:
     """Make a call whose answer the platform may delay.
@@ -147,32 +147,32 @@
     Its failure does not count for the breaker: devices on the path to the platform cut watches
     although other calls work. For the same reason it is never the probe.
     """
-    if not shared.breaker.passable():
+    if not shared.breaker.allows_calls():
         return Err(StoreError.UNAVAILABLE)
     if not await shared.reads.acquire(priority, shared.wait_ms):
         return Err(StoreError.LIMITED)
-    end = await call()
-    if end == Err(StoreError.LIMITED):
+    outcome = await call()
+    if outcome == Err(StoreError.LIMITED):
         shared.reads.limited()
-    return end
+    return outcome
 
 
-async def _judged(
+async def _call_and_record(
     shared: _Shared, bucket: Bucket, call: Callable[[], Awaitable[Result[T, StoreError]]]
 ) -> Result[T, StoreError]:
     try:
-        end = await call()
+        outcome = await call()
     except BaseException:
         # A cancelled probe must not leave the breaker waiting for its outcome for ever.
         shared.breaker.failed()
         raise
-    if isinstance(end, Err) and end.err_value in (StoreError.UNAVAILABLE, StoreError.LOST):
+    if isinstance(outcome, Err) and outcome.err_value in (StoreError.UNAVAILABLE, StoreError.LOST):
         shared.breaker.failed()
-        return end
+        return outcome
     if shared.breaker.down_since() is not None:
         shared.reads.restart()
         shared.writes.restart()
     shared.breaker.answered()
-    if end == Err(StoreError.LIMITED):
+    if outcome == Err(StoreError.LIMITED):
         bucket.limited()
-    return end
+    return outcome
--- a/papayapier/store/http.py
+++ b/papayapier/store/http.py
@@ -26,12 +26,12 @@
     Stored,
     StoreError,
 )
-from papayapier.store.judge import count_call, judge
 from papayapier.store.link import Reply, Request, make_link
+from papayapier.store.outcomes import classify, count_call
 
 T = TypeVar("T")
 
-NOTHING_CHANGED: Final = {
+UNCHANGED_STATUSES: Final = {
     404: StoreError.NOT_FOUND,
     410: StoreError.TOO_OLD,
     412: StoreError.CONFLICT,
@@ -213,10 +213,12 @@
     return await _call(client, req, StoreError.LOST)
 
 
-async def _call(client: _Client, req: Request, doubt: StoreError) -> Result[Reply, StoreError]:
-    end = judge(req, await client.exchange(req), doubt, NOTHING_CHANGED)
-    count_call(client.metrics, req, end)
-    return end
+async def _call(
+    client: _Client, req: Request, error_if_unknown: StoreError
+) -> Result[Reply, StoreError]:
+    outcome = classify(req, await client.exchange(req), error_if_unknown, UNCHANGED_STATUSES)
+    count_call(client.metrics, req, outcome)
+    return outcome
 
 
 async def _write_version(client: _Client, req: Request) -> Result[int, StoreError]:
--- a/papayapier/store/link.py
+++ b/papayapier/store/link.py
@@ -21,7 +21,7 @@
 from papayapier.settings import PlatformSettings
 from papayapier.store.api import MAX_VALUE_BYTES
 
-KEPT_CONNECTIONS: Final = 8
+MAX_IDLE_CONNECTIONS: Final = 8
 MAX_ANSWER_BYTES: Final = 4 * MAX_VALUE_BYTES
 
 
@@ -58,7 +58,7 @@
 def make_link(reactor: Any, clock: Clock, platform: PlatformSettings) -> Link:
     """Create a pool of connections to the platform; each exchange has a timeout."""
     pool = cast(Any, web_client.HTTPConnectionPool)(reactor, persistent=True)
-    pool.maxPersistentPerHost = KEPT_CONNECTIONS
+    pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS
     # The pool would retry a GET on a stale connection: a hidden second call, outside the
     # budget and the timeout.
     pool.retryAutomatically = False
@@ -78,18 +78,18 @@
             unbuffered=True,
             reactor=reactor,
         )
-        body = await _whole_body(response)
+        body = await _read_body(response)
         etag = response.headers.getRawHeaders("ETag", [""])[0]
         return Reply(response.code, etag, body)
 
-    under_way: set[Deferred[Reply]] = set()
+    open_calls: set[Deferred[Reply]] = set()
     closed = False
 
     async def exchange(req: Request) -> Result[Reply, BaseException]:
         if closed:
             return Err(ConnectingCancelledError(address))
         call = Deferred.fromCoroutine(send_and_read(req))
-        under_way.add(call)
+        open_calls.add(call)
         timer = clock.timeout(req.wait_ms + platform.timeout_ms, call.cancel)
         try:
             return Ok(await call)
@@ -100,7 +100,7 @@
                 pool.closeCachedConnections()
             return Err(exc)
         finally:
-            under_way.discard(call)
+            open_calls.discard(call)
             if timer.active():
                 timer.cancel()
 
@@ -108,19 +108,19 @@
         """Close the pool and cancel open calls; a task whose call fails must not send another."""
         nonlocal closed
         closed = True
-        for call in list(under_way):
+        for call in list(open_calls):
             call.cancel()
         await pool.closeCachedConnections()
 
     return Link(exchange, close)
 
 
-def never_sent(exc: BaseException) -> bool:
+def was_never_sent(exc: BaseException) -> bool:
     """Return whether the request was certainly not sent, because no connection was made."""
     return isinstance(exc, ConnectError | ConnectingCancelledError)
 
 
-def _whole_body(response: Any) -> Deferred[bytes]:
+def _read_body(response: Any) -> Deferred[bytes]:
     """Read a body to its declared length; cancelling closes the connection."""
     collector = _BodyCollector()
     response.deliverBody(collector)
--- a/papayapier/store/members.py
+++ b/papayapier/store/members.py
@@ -22,8 +22,8 @@
 
 REPORT_MS: Final = 2_500
 WAIT_MS: Final = 10_000
-SHORTEST_ROUND_MS: Final = 100
-WITHDRAW_TRIES: Final = 3
+MIN_INTERVAL_MS: Final = 100
+MAX_WITHDRAW_ATTEMPTS: Final = 3
 
 
 class MembersChanged(NamedTuple):
@@ -45,7 +45,7 @@
         clock: Clock,
         rng: random.Random,
         on_members: OnMembers,
-        on_unread: Callable[[], None] = lambda: None,
+        on_read_failed: Callable[[], None] = lambda: None,
     ) -> None:
         self.known: dict[str, Member] = {}
         self.read_ms: int | None = None
@@ -53,8 +53,8 @@
         self._clock = clock
         self._rng = rng
         self._on_members = on_members
-        self._on_unread = on_unread
-        self._learnt_ms: int | None = None
+        self._on_read_failed = on_read_failed
+        self._learned_read_ms: int | None = None
         self._task: Deferred[None] | None = None
 
     def start(self) -> None:
@@ -71,15 +71,15 @@
         """Use a list that somebody else read at read_ms; return False if it is not newer."""
         if self.read_ms is not None:
             return False
-        if self._learnt_ms is not None and read_ms <= self._learnt_ms:
+        if self._learned_read_ms is not None and read_ms <= self._learned_read_ms:
             return False
-        self._learnt_ms = read_ms
-        self._compare({member.id: member for member in members})
+        self._learned_read_ms = read_ms
+        self._apply({member.id: member for member in members})
         return True
 
     def age_ms(self) -> int | None:
         """Return the time since the list was read from the platform, or None without a list."""
-        read_ms = self._learnt_ms if self.read_ms is None else self.read_ms
+        read_ms = self._learned_read_ms if self.read_ms is None else self.read_ms
         return None if read_ms is None else self._clock.now() - read_ms
 
     async def _loop(self) -> None:
@@ -92,23 +92,23 @@
             if isinstance(found, Err):
                 since = 0
                 if self.read_ms is None:
-                    self._on_unread()
+                    self._on_read_failed()
                 await self._clock.sleep(pauses.next_ms())
                 continue
             pauses.reset()
             self.read_ms = self._clock.now()
-            self._compare({member.id: member for member in found.ok_value.instances})
+            self._apply({member.id: member for member in found.ok_value.instances})
             since = found.ok_value.revision
             # Without a minimum interval, a fleet that changes all the time would make every
             # instance read the whole list continuously.
-            await self._clock.sleep(SHORTEST_ROUND_MS * self._rng.uniform(0.5, 1.0))
+            await self._clock.sleep(MIN_INTERVAL_MS * self._rng.uniform(0.5, 1.0))
 
-    def _compare(self, found: dict[str, Member]) -> None:
+    def _apply(self, found: dict[str, Member]) -> None:
         changed = [member for key, member in found.items() if self.known.get(key) != member]
-        gone = [key for key in self.known if key not in found]
+        removed = [key for key in self.known if key not in found]
         self.known = found
-        if changed or gone:
-            self._on_members(MembersChanged(changed, gone))
+        if changed or removed:
+            self._on_members(MembersChanged(changed, removed))
 
 
 class Reporter:
@@ -144,7 +144,7 @@
         """
         self.stop()
         pauses = Pauses(self._rng)
-        for _ in range(WITHDRAW_TRIES):
+        for _ in range(MAX_WITHDRAW_ATTEMPTS):
             if isinstance(await self._store.withdraw(self._member.id), Ok):
                 return True
             await self._clock.sleep(pauses.next_ms())
--- a/papayapier/store/members_folder.py
+++ b/papayapier/store/members_folder.py
@@ -18,7 +18,7 @@
 FILE_NAME: Final = "instances.msgpack"
 SAVE_DELAY_MS: Final = 1_000
 MAX_BYTES: Final = 16_000_000
-OLDEST_MS: Final = 365 * 86_400_000
+MAX_AGE_MS: Final = 365 * 86_400_000
 
 
 class AgedMembers(NamedTuple):
@@ -54,11 +54,11 @@
         if saved is None:
             return None
         age_ms = self._clock.wall() - saved.read_wall_ms
-        if not 0 <= age_ms <= OLDEST_MS:
+        if not 0 <= age_ms <= MAX_AGE_MS:
             # The wall clock has been set back since. If treated as new, a copy of any age
             # would be preferred to the peers' lists; if treated as the oldest, any peer's list
             # replaces it.
-            age_ms = OLDEST_MS
+            age_ms = MAX_AGE_MS
         events.emit(events.MEMBERS_FROM_FOLDER, members=len(saved.members), age_ms=age_ms)
         return AgedMembers(saved.members, age_ms)
 
@@ -87,4 +87,4 @@
         return data
     if data.ok_value is None:
         return Ok(None)
-    return codec.unpack(data.ok_value, _Saved).map_err(lambda why: f"{FILE_NAME}: {why}")
+    return codec.unpack(data.ok_value, _Saved).map_err(lambda reason: f"{FILE_NAME}: {reason}")
--- a/papayapier/store/mirror.py
+++ b/papayapier/store/mirror.py
@@ -24,7 +24,7 @@
 # traffic (3 jobs of 15 KB per second), or a few of the largest jobs.
 KEPT_BYTES: Final = 4_000_000
 # An answer must fit one frame between processes; a larger one is read from the store itself.
-ANSWER_BYTES: Final = 1_000_000
+MAX_ANSWER_BYTES: Final = 1_000_000
 
 
 # Returns whether readers need to know that a value has changed, given the old and the new one.
@@ -36,45 +36,45 @@
     return True
 
 
-class _Stamped(NamedTuple):
+class _LoggedChange(NamedTuple):
     """Hold a change, and the revision that the follower had reached with it."""
 
-    reached: int
+    at_revision: int
     change: Change
 
 
 class Mirror:
     """Hold the objects under a prefix and their latest changes.
 
-    lasting_ms is how long the follower may go without an answer from the store before the
+    max_silence_ms is how long the follower may go without an answer from the store before the
     mirror stops to answer.
     """
 
-    def __init__(self, clock: Clock, lasting_ms: int, matters: Matters = always) -> None:
+    def __init__(self, clock: Clock, max_silence_ms: int, matters: Matters = always) -> None:
         self._clock = clock
-        self._matters = matters
-        self._lasting_ms = lasting_ms
+        self._is_relevant = matters
+        self._max_silence_ms = max_silence_ms
         self._objects: dict[str, Change] = {}
-        self._log: deque[_Stamped] = deque()
+        self._log: deque[_LoggedChange] = deque()
         self._log_bytes = 0
         # Changes up to this revision may be missing in the log.
-        self._floor = 0
-        self._reached = 0
-        self._reached_ms: Millis | None = None
+        self._log_start = 0
+        self._revision = 0
+        self._last_reached_ms: Millis | None = None
         # Changes that the follower has reported since it last reached a revision.
-        self._new: list[Change] = []
+        self._pending: list[Change] = []
         self._waiting: list[Deferred[None]] = []
 
     def on_change(self, change: Change) -> None:
         """Apply a change that the follower has read."""
         if change.deleted:
             self._objects.pop(change.key, None)
-            self._new.append(change)
+            self._pending.append(change)
             return
         before = self._objects.get(change.key)
         self._objects[change.key] = change
-        if before is None or self._matters(before.value, change.value):
-            self._new.append(change)
+        if before is None or self._is_relevant(before.value, change.value):
+            self._pending.append(change)
 
     def on_reached(self, revision: int | None, direct: bool) -> None:
         """Record that the follower knows all changes up to a revision.
@@ -84,86 +84,86 @@
         each other for current, so only a direct follower counts.
         """
         if revision is None or not direct:
-            self._forget()
+            self._stop_answering()
             return
-        if self._reached_ms is None:
-            self._floor = revision
-            self._new = []
-        self._reached_ms = self._clock.now()
-        if revision <= self._reached:
+        if self._last_reached_ms is None:
+            self._log_start = revision
+            self._pending = []
+        self._last_reached_ms = self._clock.now()
+        if revision <= self._revision:
             # Changes found by a listing beside the watch are logged with the next revision.
             return
-        self._reached = revision
-        self._log.extend(_Stamped(revision, change) for change in self._new)
-        self._log_bytes += sum(len(change.value) for change in self._new)
-        self._new = []
+        self._revision = revision
+        self._log.extend(_LoggedChange(revision, change) for change in self._pending)
+        self._log_bytes += sum(len(change.value) for change in self._pending)
+        self._pending = []
         while len(self._log) > KEPT_CHANGES or self._log_bytes > KEPT_BYTES:
             oldest = self._log.popleft()
             self._log_bytes -= len(oldest.change.value)
-            self._floor = oldest.reached
+            self._log_start = oldest.at_revision
         self._wake()
 
     def whole(self) -> Result[Listing, StoreError]:
         """Return all objects at the revision reached."""
-        if not self._fresh():
+        if not self._is_current():
             return Err(StoreError.UNAVAILABLE)
-        found = [Entry(one.key, one.version, one.value) for one in self._objects.values()]
-        if sum(len(one.value) for one in found) > ANSWER_BYTES:
+        found = [Entry(known.key, known.version, known.value) for known in self._objects.values()]
+        if sum(len(entry.value) for entry in found) > MAX_ANSWER_BYTES:
             return Err(StoreError.UNAVAILABLE)
-        return Ok(Listing(sorted(found), False, self._reached))
+        return Ok(Listing(sorted(found), False, self._revision))
 
     async def watch(self, since: int, wait_ms: int) -> Result[Changes, StoreError]:
         """Return the changes after a revision; wait for a change if there is none."""
         due_ms = self._clock.now() + wait_ms
         while True:
-            if not self._fresh():
+            if not self._is_current():
                 return Err(StoreError.UNAVAILABLE)
-            if since < self._floor:
+            if since < self._log_start:
                 return Err(StoreError.TOO_OLD)
-            changes = self._after(since)
+            changes = self._changes_after(since)
             left_ms = due_ms - self._clock.now()
-            if sum(len(one.value) for one in changes) > ANSWER_BYTES:
+            if sum(len(change.value) for change in changes) > MAX_ANSWER_BYTES:
                 return Err(StoreError.UNAVAILABLE)
             if changes or left_ms <= 0:
-                return Ok(Changes(changes, max(since, self._reached)))
-            await self._next(left_ms)
+                return Ok(Changes(changes, max(since, self._revision)))
+            await self._wait_for_change(left_ms)
 
-    def _after(self, since: int) -> list[Change]:
+    def _changes_after(self, since: int) -> list[Change]:
         changes = []
-        for one in reversed(self._log):
-            if one.reached <= since:
+        for logged in reversed(self._log):
+            if logged.at_revision <= since:
                 break
-            changes.append(one.change)
+            changes.append(logged.change)
         changes.reverse()
         return changes
 
-    def _fresh(self) -> bool:
-        heard = self._reached_ms
-        return heard is not None and self._clock.now() - heard <= self._lasting_ms
+    def _is_current(self) -> bool:
+        reached_ms = self._last_reached_ms
+        return reached_ms is not None and self._clock.now() - reached_ms <= self._max_silence_ms
 
-    def _forget(self) -> None:
+    def _stop_answering(self) -> None:
         """Stop answering and clear the log, which may have a gap when following resumes."""
-        self._reached_ms = None
+        self._last_reached_ms = None
         self._log.clear()
         self._log_bytes = 0
-        self._new = []
+        self._pending = []
         self._wake()
 
-    async def _next(self, wait_ms: int) -> None:
+    async def _wait_for_change(self, wait_ms: int) -> None:
         waiting: Deferred[None] = Deferred()
         self._waiting.append(waiting)
-        timer = self._clock.call_later(wait_ms, lambda: self._end(waiting))
+        timer = self._clock.call_later(wait_ms, lambda: self._finish_wait(waiting))
         try:
             await waiting
         finally:
             if timer.active():
                 timer.cancel()
 
-    def _end(self, waiting: Deferred[None]) -> None:
+    def _finish_wait(self, waiting: Deferred[None]) -> None:
         if waiting in self._waiting:
             self._waiting.remove(waiting)
             waiting.callback(None)
 
     def _wake(self) -> None:
         for waiting in list(self._waiting):
-            self._end(waiting)
+            self._finish_wait(waiting)
--- a/papayapier/store/judge.py
+++ b/papayapier/store/outcomes.py
@@ -14,33 +14,33 @@
 from papayapier import events
 from papayapier.metrics import Metrics
 from papayapier.store.api import StoreError
-from papayapier.store.link import Reply, Request, never_sent
+from papayapier.store.link import Reply, Request, was_never_sent
 
 
-def judge(
+def classify(
     req: Request,
     answer: Result[Reply, BaseException],
-    doubt: StoreError,
-    nothing_changed: Mapping[int, StoreError],
+    error_if_unknown: StoreError,
+    unchanged_statuses: Mapping[int, StoreError],
 ) -> Result[Reply, StoreError]:
-    """Map an answer to a result; doubt is the error of a call whose effect is unknown."""
+    """Map an answer to a result; error_if_unknown applies if the effect is unknown."""
     if isinstance(answer, Err):
-        return Err(StoreError.UNAVAILABLE if never_sent(answer.err_value) else doubt)
+        return Err(StoreError.UNAVAILABLE if was_never_sent(answer.err_value) else error_if_unknown)
     reply = answer.ok_value
     if reply.status in (200, 201):
         return Ok(reply)
-    if reply.status in nothing_changed:
-        return Err(nothing_changed[reply.status])
+    if reply.status in unchanged_statuses:
+        return Err(unchanged_statuses[reply.status])
     events.emit(events.STORE_ODD_ANSWER, call=req.name, reason=f"status {reply.status}")
     # A 4xx is the platform's own refusal, so nothing was changed. A 5xx may come from a proxy
     # on the path after the change took effect.
-    return Err(StoreError.UNAVAILABLE if reply.status < 500 else doubt)
+    return Err(StoreError.UNAVAILABLE if reply.status < 500 else error_if_unknown)
 
 
-def count_call(metrics: Metrics, req: Request, end: Result[Reply, StoreError]) -> None:
+def count_call(metrics: Metrics, req: Request, outcome: Result[Reply, StoreError]) -> None:
     """Count a call by its outcome, and its bytes."""
-    label = "ok" if isinstance(end, Ok) else end.err_value.value
+    label = "ok" if isinstance(outcome, Ok) else outcome.err_value.value
     metrics.store_calls.labels(call=req.name, end=label).inc()
     metrics.store_bytes.labels(direction="out").inc(len(req.body or b""))
-    if isinstance(end, Ok):
-        metrics.store_bytes.labels(direction="in").inc(len(end.ok_value.body))
+    if isinstance(outcome, Ok):
+        metrics.store_bytes.labels(direction="in").inc(len(outcome.ok_value.body))
--- a/papayapier/store/watch.py
+++ b/papayapier/store/watch.py
@@ -24,16 +24,16 @@
 from papayapier.clock import Clock
 from papayapier.store.api import Change, Listing, Store, StoreError
 
-PAGE: Final = 1_000
-FIRST_PAUSE_MS: Final = 100
-LONGEST_PAUSE_MS: Final = 5_000
+PAGE_SIZE: Final = 1_000
+MIN_PAUSE_MS: Final = 100
+MAX_PAUSE_MS: Final = 5_000
 
 OnChange = Callable[[Change], None]
 # Called with each revision up to which all changes are known, or with None if the watch failed.
 OnReached = Callable[[int | None], None]
 
 
-def _nothing(_revision: int | None) -> None:
+def _ignore_revision(_revision: int | None) -> None:
     return None
 
 
@@ -47,7 +47,7 @@
 
     watch_ms: int
     poll_ms: int
-    longest_pause_ms: int = LONGEST_PAUSE_MS
+    longest_pause_ms: int = MAX_PAUSE_MS
     gather_ms: int = 0
 
 
@@ -62,7 +62,7 @@
         prefix: str,
         on_change: OnChange,
         pace: FollowPace,
-        on_reached: OnReached = _nothing,
+        on_reached: OnReached = _ignore_revision,
     ) -> None:
         self.listed_ms: int | None = None
         self._store = store
@@ -72,10 +72,10 @@
         self._on_change = on_change
         self._pace = pace
         self._on_reached = on_reached
-        self._live: dict[str, int] = {}
+        self._versions: dict[str, int] = {}
         self._deleted: dict[str, int] = {}
-        self._floor = 0
-        self._changed = False
+        self._complete_revision = 0
+        self._has_changed = False
         self._tasks: list[Deferred[None]] = []
 
     def start(self) -> None:
@@ -100,7 +100,7 @@
                 since = await self._watch_once(since)
                 if since is not None:
                     pauses.reset()
-                    await self._gather()
+                    await self._pause_after_change()
             self._on_reached(None)
             # A successful listing does not reset the pauses: if listings work and watches are
             # cut at once, this loop would otherwise list without a pause.
@@ -111,8 +111,8 @@
             await self._clock.sleep(self._pace.poll_ms * self._rng.uniform(0.8, 1.0))
             await self._list_all()
 
-    async def _gather(self) -> None:
-        changed, self._changed = self._changed, False
+    async def _pause_after_change(self) -> None:
+        changed, self._has_changed = self._has_changed, False
         if changed and self._pace.gather_ms:
             await self._clock.sleep(self._pace.gather_ms)
 
@@ -123,8 +123,8 @@
             events.emit(events.WATCH_RESTARTED, prefix=self._prefix, reason=found.err_value.value)
             return None
         for change in found.ok_value.changes:
-            self._changed = True
-            self._learn(change)
+            self._has_changed = True
+            self._apply(change)
         return found.ok_value.revision
 
     async def _list_all(self) -> int | None:
@@ -132,7 +132,7 @@
         first_revision: int | None = None
         after = ""
         while True:
-            begun_ms = self._clock.now()
+            started_ms = self._clock.now()
             page = await self._page(after)
             if isinstance(page, Err):
                 return None
@@ -140,72 +140,72 @@
             if first_revision is None:
                 first_revision = listing.revision
             last = listing.objects[-1].key if listing.objects and listing.more else None
-            self._learn_page(listing, after, last)
+            self._apply_page(listing, after, last)
             if last is None:
                 break
             after = last
-        self._forget_deleted(first_revision)
-        self.listed_ms = begun_ms
+        self._prune_deleted(first_revision)
+        self.listed_ms = started_ms
         return first_revision
 
     async def _page(self, after: str) -> Result[Listing, StoreError]:
-        return await self._store.list(self._prefix, after, PAGE)
+        return await self._store.list(self._prefix, after, PAGE_SIZE)
 
-    def _learn_page(self, listing: Listing, after: str, last: str | None) -> None:
+    def _apply_page(self, listing: Listing, after: str, last: str | None) -> None:
         """Apply the objects of a page, and the deletions that it shows by omission."""
         for entry in listing.objects:
-            self._learn(Change(entry.key, entry.version, False, entry.value))
-        there = {entry.key for entry in listing.objects}
-        gone = [
+            self._apply(Change(entry.key, entry.version, False, entry.value))
+        listed_keys = {entry.key for entry in listing.objects}
+        removed = [
             key
-            for key, version in self._live.items()
+            for key, version in self._versions.items()
             if key > after
             and (last is None or key <= last)
-            and key not in there
+            and key not in listed_keys
             and version <= listing.revision
         ]
-        for key in gone:
-            self._learn(Change(key, listing.revision, deleted=True))
+        for key in removed:
+            self._apply(Change(key, listing.revision, deleted=True))
 
-    def _learn(self, change: Change) -> None:
-        live = self._live.get(change.key)
-        if live is None:
-            if change.version <= max(self._floor, self._deleted.get(change.key, 0)):
+    def _apply(self, change: Change) -> None:
+        known = self._versions.get(change.key)
+        if known is None:
+            if change.version <= max(self._complete_revision, self._deleted.get(change.key, 0)):
                 return
-        elif change.version < live or (change.version == live and not change.deleted):
+        elif change.version < known or (change.version == known and not change.deleted):
             return
         if change.deleted:
-            self._live.pop(change.key, None)
+            self._versions.pop(change.key, None)
             self._deleted[change.key] = change.version
         else:
             self._deleted.pop(change.key, None)
-            self._live[change.key] = change.version
+            self._versions[change.key] = change.version
         self._on_change(change)
 
-    def _forget_deleted(self, floor: int) -> None:
-        self._floor = max(self._floor, floor)
-        self._deleted = {k: v for k, v in self._deleted.items() if v > self._floor}
+    def _prune_deleted(self, revision: int) -> None:
+        self._complete_revision = max(self._complete_revision, revision)
+        self._deleted = {k: v for k, v in self._deleted.items() if v > self._complete_revision}
 
 
 class Pauses:
     """Compute jittered pauses that grow exponentially until reset."""
 
-    __slots__ = ("_longest_ms", "_pause_ms", "_rng")
+    __slots__ = ("_max_ms", "_pause_ms", "_rng")
 
-    def __init__(self, rng: random.Random, longest_ms: int = LONGEST_PAUSE_MS) -> None:
+    def __init__(self, rng: random.Random, max_ms: int = MAX_PAUSE_MS) -> None:
         self._rng = rng
-        self._longest_ms = longest_ms
-        self._pause_ms = FIRST_PAUSE_MS
+        self._max_ms = max_ms
+        self._pause_ms = MIN_PAUSE_MS
 
     def next_ms(self) -> float:
         """Return the next pause."""
         pause_ms = self._pause_ms * self._rng.uniform(0.5, 1.0)
-        self._pause_ms = min(self._longest_ms, 2 * self._pause_ms)
+        self._pause_ms = min(self._max_ms, 2 * self._pause_ms)
         return pause_ms
 
     def reset(self) -> None:
         """Return to the shortest pause."""
-        self._pause_ms = FIRST_PAUSE_MS
+        self._pause_ms = MIN_PAUSE_MS
 
 
 def report_failure(failure: Failure, task: str) -> None:
--- a/papayapier/store/writes.py
+++ b/papayapier/store/writes.py
@@ -28,9 +28,9 @@
 from papayapier.clock import Clock
 from papayapier.store.api import Store, Stored, StoreError
 
-FIRST_PAUSE_MS: Final = 20
-LONGEST_PAUSE_MS: Final = 1_000
-GONE: Final = 0
+MIN_PAUSE_MS: Final = 20
+MAX_PAUSE_MS: Final = 1_000
+ALREADY_DELETED: Final = 0
 
 
 class Settling(NamedTuple):
@@ -65,7 +65,7 @@
             # The conflicting object was deleted meanwhile, so a late copy of this create could
             # still take effect: retry.
             return None
-        return _ours_or_lost(found, value)
+        return _own_write_or_lost(found, value)
 
     return await _settle(settling, _Write(key, attempt, effect), due_ms)
 
@@ -81,7 +81,7 @@
     def effect(found: Result[Stored, StoreError]) -> Result[int, StoreError] | None:
         if found == Err(StoreError.NOT_FOUND):
             return Err(StoreError.LOST)
-        return _ours_or_lost(found, value)
+        return _own_write_or_lost(found, value)
 
     return await _settle(settling, _Write(key, attempt, effect), due_ms)
 
@@ -89,9 +89,9 @@
 async def delete_settled(
     settling: Settling, key: str, version: int, due_ms: int
 ) -> Result[int, StoreError]:
-    """Delete an object at a version; return the deletion's version, or GONE if it is unknown.
+    """Delete an object at a version; return the deletion's version or ALREADY_DELETED.
 
-    GONE is returned if a repeated delete found that the object no longer exists.
+    ALREADY_DELETED means that a repeated delete found that the object no longer exists.
     """
 
     async def attempt() -> Result[int, StoreError]:
@@ -99,13 +99,13 @@
 
     def effect(found: Result[Stored, StoreError]) -> Result[int, StoreError] | None:
         if found == Err(StoreError.NOT_FOUND):
-            return Ok(GONE)
+            return Ok(ALREADY_DELETED)
         return Err(StoreError.LOST) if isinstance(found, Ok) else None
 
     return await _settle(settling, _Write(key, attempt, effect), due_ms)
 
 
-def _ours_or_lost(
+def _own_write_or_lost(
     found: Result[Stored, StoreError], value: bytes
 ) -> Result[int, StoreError] | None:
     if isinstance(found, Err):
@@ -116,27 +116,27 @@
 
 
 async def _settle(settling: Settling, write: _Write, due_ms: int) -> Result[int, StoreError]:
-    end = await write.attempt()
-    if end != Err(StoreError.LOST):
-        return end
-    pause_ms = FIRST_PAUSE_MS
+    answer = await write.attempt()
+    if answer != Err(StoreError.LOST):
+        return answer
+    pause_ms = MIN_PAUSE_MS
     while settling.clock.now() < due_ms:
-        definite = await _attempt_again(settling.store, write)
+        definite = await _retry(settling.store, write)
         if definite is not None:
             outcome = "ok" if isinstance(definite, Ok) else definite.err_value.value
             events.emit(events.WRITE_READ_BACK, key=write.key, outcome=outcome)
             return definite
-        room_ms = due_ms - settling.clock.now()
-        await settling.clock.sleep(min(room_ms, pause_ms * settling.rng.uniform(0.5, 1.0)))
-        pause_ms = min(LONGEST_PAUSE_MS, 2 * pause_ms)
+        left_ms = due_ms - settling.clock.now()
+        await settling.clock.sleep(min(left_ms, pause_ms * settling.rng.uniform(0.5, 1.0)))
+        pause_ms = min(MAX_PAUSE_MS, 2 * pause_ms)
     return Err(StoreError.LOST)
 
 
-async def _attempt_again(store: Store, write: _Write) -> Result[int, StoreError] | None:
+async def _retry(store: Store, write: _Write) -> Result[int, StoreError] | None:
     """Repeat a write that was lost before; return its outcome, or None while it is unknown."""
-    end = await write.attempt()
-    if isinstance(end, Ok):
-        return end
-    if end.err_value is not StoreError.CONFLICT:
+    answer = await write.attempt()
+    if isinstance(answer, Ok):
+        return answer
+    if answer.err_value is not StoreError.CONFLICT:
         return None
     return write.effect(await store.get(write.key))
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -11,7 +11,7 @@
 
 from papayapier import events
 from papayapier.platform.replicas import read_replica
-from papayapier.platform.store import Events, Page, read_changes, read_listing, without_odd_text
+from papayapier.platform.store import Events, Page, read_changes, read_listing, without_invalid_text
 from tests.log_catcher import LogCatcher
 
 GOOD: Final[dict[str, Any]] = {
@@ -120,7 +120,7 @@
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.MsgspecError:
-        return msgspec.json.decode(without_odd_text(body), type=kind)
+        return msgspec.json.decode(without_invalid_text(body), type=kind)
 
 
 @pytest.mark.parametrize("odd", ODD)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -13,7 +13,7 @@
 from papayapier.store.api import ENTRY, LIVE, REPLICA, Member
 from papayapier.store.members import MemberFollower
 from papayapier.store.members_folder import (
-    OLDEST_MS,
+    MAX_AGE_MS,
     SAVE_DELAY_MS,
     AgedMembers,
     MembersFolder,
@@ -119,12 +119,12 @@
     # Cause: a copy with a time in the future seemed newer than any peer's list.
     with tempfile.TemporaryDirectory() as folder:
         listed = AgedMembers([Member("b", ENTRY, "", HOST, 1, 2, "dc-a", "local", LIVE)], 50)
-        for wall_ms, age_ms in ((2_000_000, 1_050), (1_000_000, OLDEST_MS)):
+        for wall_ms, age_ms in ((2_000_000, 1_050), (1_000_000, MAX_AGE_MS)):
             written = fake_clock(2_000_000)
             keeper = MembersFolder(folder, written.clock, lambda: listed)
             keeper.changed()
             written.advance(SAVE_DELAY_MS)
-            now = fake_clock(wall_ms + (SAVE_DELAY_MS + 1_000 if age_ms < OLDEST_MS else 0))
+            now = fake_clock(wall_ms + (SAVE_DELAY_MS + 1_000 if age_ms < MAX_AGE_MS else 0))
             copy = MembersFolder(folder, now.clock, lambda: listed).load()
             assert copy == AgedMembers(listed.members, age_ms)
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,7 +11,7 @@
 from papayapier.clock import FakeClock, fake_clock
 from papayapier.store.api import StoreError
 from papayapier.store.writes import (
-    GONE,
+    ALREADY_DELETED,
     Settling,
     create_settled,
     delete_settled,
@@ -128,4 +128,6 @@
 def test_delete_of_a_gone_object(bench: Bench) -> None:
     version = bench.run(bench.store.create("k", b"v")).unwrap()
     bench.platform.fail(Fault.LOST_AFTER, "delete")
-    assert bench.run(delete_settled(bench.settling, "k", version, bench.due())) == Ok(GONE)
+    assert bench.run(delete_settled(bench.settling, "k", version, bench.due())) == Ok(
+        ALREADY_DELETED
+    )
