--- a/tests/fake_store.py
+++ b/tests/fake_store.py
@@ -1,9 +1,9 @@
 """Provide an in-memory platform with scripted faults.
 
-One FakePlatform stands for the platform; each instance under test gets a Store of its own
-from platform.store(NAME). Without faults every call completes at once. A fault is scripted
-for calls still to come: platform.fail(Fault.LOST_AFTER, call="update", times=2). Everything
-that takes time goes through the clock, so a test moves it by hand.
+A FakePlatform replaces the platform; each instance under test gets its own Store from
+platform.store(NAME). Without faults every call completes at once. A fault is scripted for
+future calls: platform.fail(Fault.LOST_AFTER, call="update", times=2). All delays use the
+clock, which a test advances by hand.
 """
 
 from collections import Counter, deque
@@ -33,7 +33,7 @@
 
 
 class Fault(Enum):
-    """Name what can happen to one call."""
+    """Define what can happen to a call."""
 
     UNAVAILABLE = "unavailable"  # refused, nothing changed
     LIMITED = "limited"  # refused, nothing changed
@@ -55,7 +55,7 @@
 
 
 class FakePlatform:
-    """Keep objects, history and instance list, and apply scripted faults to calls.
+    """Hold objects, history and the instance list, and apply scripted faults to calls.
 
     down makes every call fail; cut lists stores whose calls all fail; latency_ms delays
     every answer after its effect. calls counts by name, writes by key.
@@ -74,8 +74,8 @@
         self.bytes_in = 0
         self.conflicts = 0
         self._history: deque[Change] = deque(maxlen=kept_changes)
-        self._forgotten = 0
-        self._scripts: list[Scripted] = []
+        self._dropped_revision = 0
+        self._faults: list[Scripted] = []
         self._waiting: list[Deferred[None]] = []
         self._members_revision = 1
 
@@ -89,25 +89,25 @@
         delay_ms: int = 0,
     ) -> None:
         """Script a fault for the next matching calls; key is a prefix."""
-        self._scripts += [Scripted(fault, call, key, store, delay_ms)] * times
+        self._faults += [Scripted(fault, call, key, store, delay_ms)] * times
 
     def clear_faults(self) -> None:
-        """Forget the faults not yet applied."""
-        self._scripts.clear()
+        """Remove the faults that have not been applied yet."""
+        self._faults.clear()
 
     def forget_history(self) -> None:
         """Drop the history, so that watches from an older revision get TOO_OLD."""
         self._history.clear()
-        self._forgotten = self.revision
+        self._dropped_revision = self.revision
 
     def list_member(self, member: Member) -> None:
-        """Put a record into the instance list at once."""
+        """Add a record to the instance list."""
         self.instances[member.id] = member
         self._members_revision += 1
         self._wake()
 
     def store(self, name: str = "") -> Store:
-        """Make the Store of one instance."""
+        """Create the Store of one instance."""
 
         async def get(key: str) -> Result[Stored, StoreError]:
             return await self._call(name, "get", key, lambda: self._get(key))
@@ -149,23 +149,23 @@
         lost = StoreError.LOST if call not in READS else StoreError.UNAVAILABLE
         if self.down or store in self.cut:
             return Err(StoreError.UNAVAILABLE)
-        script = self._next_script(store, call, key)
-        if script is None:
+        scripted = self._next_fault(store, call, key)
+        if scripted is None:
             return await self._answer(effect(), self.latency_ms)
-        delay_ms = script.delay_ms
-        if script.fault is Fault.UNAVAILABLE:
+        delay_ms = scripted.delay_ms
+        if scripted.fault is Fault.UNAVAILABLE:
             return await self._answer(Err(StoreError.UNAVAILABLE), delay_ms)
-        if script.fault is Fault.LIMITED:
+        if scripted.fault is Fault.LIMITED:
             return await self._answer(Err(StoreError.LIMITED), delay_ms)
-        if script.fault is Fault.LOST_BEFORE:
+        if scripted.fault is Fault.LOST_BEFORE:
             return await self._answer(Err(lost), delay_ms)
-        if script.fault is Fault.LOST_AFTER:
+        if scripted.fault is Fault.LOST_AFTER:
             effect()
             return await self._answer(Err(lost), delay_ms)
-        if script.fault is Fault.LOST_DELAYED:
+        if scripted.fault is Fault.LOST_DELAYED:
             self.clock.call_later(delay_ms, effect)
             return Err(lost)
-        if script.fault is Fault.SLOW:
+        if scripted.fault is Fault.SLOW:
             await self.clock.sleep(delay_ms)
             return effect()
         return await self._answer(effect(), delay_ms)
@@ -175,15 +175,15 @@
             await self.clock.sleep(delay_ms)
         return answer
 
-    def _next_script(self, store: str, call: str, key: str) -> Scripted | None:
-        for script in self._scripts:
+    def _next_fault(self, store: str, call: str, key: str) -> Scripted | None:
+        for scripted in self._faults:
             if (
-                script.call in ("", call)
-                and key.startswith(script.key)
-                and script.store in ("", store)
+                scripted.call in ("", call)
+                and key.startswith(scripted.key)
+                and scripted.store in ("", store)
             ):
-                self._scripts.remove(script)
-                return script
+                self._faults.remove(scripted)
+                return scripted
         return None
 
     def _get(self, key: str) -> Result[Stored, StoreError]:
@@ -213,7 +213,7 @@
 
     def _record(self, key: str, deleted: bool) -> None:
         if len(self._history) == self._history.maxlen:
-            self._forgotten = self._history[0].version
+            self._dropped_revision = self._history[0].version
         self.revision += 1
         self._history.append(Change(key, self.revision, deleted))
 
@@ -226,7 +226,7 @@
         return [c for c in self._history if c.version > since and c.key.startswith(prefix)]
 
     def _watch(self, prefix: str, since: int) -> Result[Changes, StoreError]:
-        if since < self._forgotten:
+        if since < self._dropped_revision:
             return Err(StoreError.TOO_OLD)
         return Ok(Changes(self._changes(prefix, since), self.revision))
 
@@ -269,5 +269,5 @@
 
 
 def make_member(member_id: str, state: str = LIVE) -> Member:
-    """Make an entry instance's record."""
+    """Return the record of an entry instance."""
     return Member(member_id, "entry", "", "127.0.0.1", 8080, 8082, "dc-a", "local", state)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Test that what other writers leave in the platform's store harms nothing else."""
+"""Test that invalid objects of other writers in the platform's store affect nothing else."""
 
 import json
 from typing import Any, Final
@@ -51,19 +51,19 @@
 
 
 def entry(**changes: Any) -> bytes:
-    """Encode a good entry with some fields changed or left out."""
+    """Encode a valid entry with some fields changed or omitted."""
     fields = {**GOOD, **changes}
     return json.dumps({k: v for k, v in fields.items() if v is not MISSING}).encode()
 
 
 @pytest.mark.parametrize(("field", "value"), BAD)
-def test_an_entry_of_another_writer_names_no_replica(field: str, value: object) -> None:
+def test_an_invalid_entry_of_another_writer_is_refused(field: str, value: object) -> None:
     read = read_replica("i-1", entry(**{field: value}))
     assert isinstance(read, Err), read
     assert field in read.err_value
 
 
-def test_the_boots_of_a_replica_have_ids_of_their_own() -> None:
+def test_each_boot_of_a_replica_has_its_own_id() -> None:
     first = read_replica("i-1", entry(born=4)).unwrap().replica
     second = read_replica("i-1", entry(born=5)).unwrap().replica
     assert first.id != second.id
@@ -81,7 +81,7 @@
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=150)
 @given(fields=st.dictionaries(st.sampled_from([*GOOD, "born"]), JSON, max_size=6))
-def test_whatever_is_read_can_be_used(fields: dict[str, Any]) -> None:
+def test_every_accepted_entry_is_usable(fields: dict[str, Any]) -> None:
     read = read_replica("i-1", json.dumps({**GOOD, **fields}).encode())
     if isinstance(read, Ok):
         listed = read.ok_value
@@ -97,7 +97,7 @@
     return b'{"metadata":' + metadata + b',"spec":' + spec + b"}"
 
 
-ODD: Final = [
+INVALID: Final = [
     b"null",
     b"7",
     b'"text"',
@@ -123,27 +123,27 @@
         return msgspec.json.decode(without_invalid_text(body), type=kind)
 
 
-@pytest.mark.parametrize("odd", ODD)
-def test_an_object_that_cannot_be_read_hides_no_other(odd: bytes) -> None:
-    # Symptom: a process knows no replica, and asks for the list again and again.
-    # Events: another writer leaves one object of the kind that cannot be decoded.
+@pytest.mark.parametrize("invalid", INVALID)
+def test_an_undecodable_object_hides_no_other(invalid: bytes) -> None:
+    # Symptom: a process knows no replica, and requests the list again and again.
+    # Sequence: another writer leaves an object of the kind that cannot be decoded.
     # Cause: the page was decoded as a whole.
     good = stored("a", b'{"v":1}')
     logs = LogCatcher()
     with logs.applicationbound():
-        listing = read_listing("servers", page([good, odd, stored("z", b'"text"')]))
-    values = {one.key: one.value for one in listing.objects}
+        listing = read_listing("servers", page([good, invalid, stored("z", b'"text"')]))
+    values = {element.key: element.value for element in listing.objects}
     assert values.pop("servers/x", b"") == b""
     assert values == {"servers/a": b'{"v":1}', "servers/z": b"text"}
     assert len(logs.fields(events.STORE_ODD_OBJECT)) == 1
 
 
-@pytest.mark.parametrize("odd", ODD)
-def test_a_change_that_cannot_be_read_hides_no_other(odd: bytes) -> None:
+@pytest.mark.parametrize("invalid", INVALID)
+def test_an_undecodable_change_hides_no_other(invalid: bytes) -> None:
     good = b'{"tombstone":false,"object":' + stored("a", b'{"v":1}') + b"}"
-    bad = b'{"tombstone":false,"object":' + odd + b"}"
-    for one in (bad, odd):
-        body = b'{"events":[' + one + b"," + good + b'],"currentRev":9}'
+    bad = b'{"tombstone":false,"object":' + invalid + b"}"
+    for element in (bad, invalid):
+        body = b'{"events":[' + element + b"," + good + b'],"currentRev":9}'
         changes = read_changes("servers", decoded(body, Events))
         assert changes.changes[-1].key == "servers/a"
         assert all(change.value == b"" for change in changes.changes[:-1])
@@ -151,8 +151,10 @@
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=100)
 @given(foreign=st.lists(JSON, max_size=4), place=st.integers(0, 4))
-def test_good_objects_of_any_page_are_read(foreign: list[Any], place: int) -> None:
-    objects = [json.dumps(one).encode() for one in foreign]
+def test_valid_objects_of_any_page_are_read(foreign: list[Any], place: int) -> None:
+    objects = [json.dumps(element).encode() for element in foreign]
     objects.insert(place, stored("a", b'{"v":1}'))
     listing = read_listing("servers", page(objects))
-    assert ("servers/a", b'{"v":1}') in {(one.key, one.value) for one in listing.objects}
+    assert ("servers/a", b'{"v":1}') in {
+        (element.key, element.value) for element in listing.objects
+    }
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -1,4 +1,4 @@
-"""Test the adapter: what the platform's messages are decoded to, and what is refused."""
+"""Test the platform adapter: how the platform's messages are decoded, and what is refused."""
 
 import json
 from typing import Any
@@ -25,7 +25,7 @@
     return json.dumps(configuration(version, **changes)).encode()
 
 
-def test_routes_say_what_may_be_repeated() -> None:
+def test_routes_define_which_requests_may_be_repeated() -> None:
     cfg = read_configuration(encoded()).unwrap()
     repeatable = {route.name: route.repeatable() for route in cfg.routes}
     assert repeatable == {
@@ -52,15 +52,15 @@
     ("field", "value"),
     [("kind", "odd"), ("service", ""), ("timeoutMs", "long"), ("maxAttempts", [])],
 )
-def test_a_bad_configuration_names_the_field(field: str, value: Any) -> None:
+def test_the_error_of_an_invalid_configuration_names_the_field(field: str, value: Any) -> None:
     read = read_configuration(encoded(**{field: value}))
     assert isinstance(read, Err)
     assert field in read.err_value
 
 
-def test_an_older_configuration_never_comes_back() -> None:
-    # Symptom: a route that was dropped is served again.
-    # Events: a newer version comes by a peer; the store's older answer arrives late.
+def test_an_older_configuration_is_never_applied() -> None:
+    # Symptom: a route that was removed is served again.
+    # Sequence: a newer version arrives from a peer; the store's older answer arrives late.
     book = RoutingBook(CONFIG_KEY, read_configuration)
     book.on_change(Change(CONFIG_KEY, 7, False, encoded(3)))
     assert book.offer(9, encoded(5), "peer")
@@ -71,7 +71,7 @@
     assert book.version() == 5
 
 
-def test_an_entry_of_a_replica() -> None:
+def test_a_replica_entry_is_decoded() -> None:
     entry = {"service": "lm", "address": "10.0.0.1:80", "zone": "z", "slots": 8, "callSeq": 4}
     listed = read_replica("i-1", json.dumps({**entry, "state": "draining"}).encode()).unwrap()
     assert listed == (REPLICA, 8, True)
@@ -79,7 +79,7 @@
     assert isinstance(read_replica("i-1", b'{"service":"lm","address":"x","zone":""}'), Err)
 
 
-def test_headers_of_one_connection_are_not_passed_on() -> None:
+def test_hop_by_hop_headers_are_not_forwarded() -> None:
     sent = Headers(
         {
             "Connection": ["close, X-Own"],
@@ -94,7 +94,7 @@
     assert kept == {b"X-Model", b"Host"}
 
 
-def test_a_request_names_its_replica_and_what_is_left() -> None:
+def test_a_request_names_its_replica_and_the_time_left() -> None:
     out = headers.for_replica(Headers({"X-Deadline-Ms": ["5000"]}), REPLICA, 1_200, 7)
     values = {name: value for name, [value] in out.getAllRawHeaders()}
     assert values[b"X-Expect-Instance"] == b"i-1"
@@ -106,7 +106,7 @@
     ("text", "load"),
     [
         ("3,1,8", Load(3, 1, 8, 0.0, 5, lagging=False)),
-        # Failure: of replicas that state more figures nothing is known but the own calls.
+        # Failure: the load of replicas that report more figures is ignored.
         ("3,0,8,140", Load(3, 0, 8, 0.0, 5, lagging=False)),
         ("3, 0, 8, wild, 7", Load(3, 0, 8, 0.0, 5, lagging=False)),
         ("3,1", None),
@@ -116,13 +116,13 @@
         ("", None),
     ],
 )
-def test_the_load_of_an_answer(text: str, load: Load | None) -> None:
+def test_the_load_header_of_an_answer_is_decoded(text: str, load: Load | None) -> None:
     facts = headers.read_facts(200, Headers({"X-Server-Load": [text]}), 5)
     assert facts.load == load
     assert facts.load_unread is (load is None and bool(text))
 
 
-def test_what_states_that_a_request_did_not_run() -> None:
+def test_which_answers_state_that_a_request_was_not_run() -> None:
     assert headers.read_facts(503, Headers({"X-Not-Executed": ["1"]}), 0).not_run
     assert headers.read_facts(421, Headers(), 0).not_run
     assert not headers.read_facts(503, Headers(), 0).not_run
@@ -138,12 +138,12 @@
         ("GET", "/other", None),
     ],
 )
-def test_calls_on_jobs(method: str, path: str, call: object) -> None:
+def test_calls_on_jobs_are_decoded(method: str, path: str, call: object) -> None:
     query = {b"after": [b"2"], b"id": [b"i"]}
     assert job_calls.read_call(method, path, query) == call
 
 
-def test_a_page_is_cut_where_it_grows_too_long() -> None:
+def test_a_page_of_results_is_bounded_in_size() -> None:
     results = [ItemResult(f"i{n}", ItemEnd.DONE, "x" * 400_000) for n in range(4)]
     page = json.loads(job_calls.write_page(Page(9, results), 3))
     assert (len(page["results"]), page["nextToken"], page["total"]) == (2, 5, 9)
@@ -159,7 +159,7 @@
         ({"tokens": "many"}, "tokens"),
     ],
 )
-def test_a_bad_item_is_named(item: dict[str, Any], named: str) -> None:
+def test_the_error_of_an_invalid_item_names_the_field(item: dict[str, Any], named: str) -> None:
     good = {"id": "a", "path": "/p", "headers": {}, "body": "", "tokens": 1}
     read = job_calls.read_items(json.dumps({"items": [{**good, **item}]}).encode())
     assert isinstance(read, Err)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Check settled writes, the budget, and following objects and instances."""
+"""Test that the outcome of writes whose answer was lost is determined."""
 
 import random
 from collections.abc import Awaitable
@@ -24,7 +24,7 @@
 
 
 class Bench:
-    """Hold a fake platform, its clock and one Store."""
+    """Hold a fake platform, its clock and a Store."""
 
     def __init__(self) -> None:
         self.fake: FakeClock = fake_clock()
@@ -32,16 +32,16 @@
         self.store = self.platform.store("a")
         self.settling = Settling(self.store, self.fake.clock, random.Random(1))
 
-    def run(self, work: Awaitable[T], for_ms: int = 20_000) -> T:
+    def run(self, call: Awaitable[T], for_ms: int = 20_000) -> T:
         """Run a coroutine to its end while time passes."""
-        done = started(work)
+        done = started(call)
         end = self.fake.clock.now() + for_ms
         while not done and self.fake.clock.now() < end:
             self.fake.advance(5)
         return done[0]
 
     def pass_time(self, for_ms: int, step_ms: int = 100) -> None:
-        """Let time pass in steps, because a timer set by a timer counts from the step's end."""
+        """Advance the time in steps, because a timer set by a timer starts at the step's end."""
         for _ in range(for_ms // step_ms):
             self.fake.advance(step_ms)
 
@@ -49,12 +49,12 @@
         return self.fake.clock.now() + in_ms
 
 
-def started(work: Awaitable[T]) -> list[T]:
-    """Start a coroutine; the list gets its result."""
+def started(call: Awaitable[T]) -> list[T]:
+    """Start a coroutine; its result is appended to the returned list."""
     done: list[T] = []
 
     async def finish() -> None:
-        done.append(await work)
+        done.append(await call)
 
     Deferred.fromCoroutine(finish())
     return done
@@ -80,9 +80,9 @@
 
 
 def test_late_write_cannot_undo_a_settled_one(bench: Bench) -> None:
-    # Symptom: an object goes back to a value that was said not to be written.
-    # Sequence: a write is delayed on its way, its answer is lost, a read shows the old
-    # version, the write is called failed, and then it takes effect.
+    # Symptom: an object reverts to a value whose write was reported as failed.
+    # Sequence: a write is delayed in transit, its answer is lost, a read shows the old
+    # version, the write is reported as failed, and then it takes effect.
     # Cause: the read was taken for proof.
     bench.platform.fail(Fault.LOST_DELAYED, "update", delay_ms=60_000)
     version = bench.run(bench.store.create("k", b"old")).unwrap()
@@ -93,7 +93,7 @@
     assert bench.platform.objects["k"].version == after
 
 
-def test_definite_ends_pass_through(bench: Bench) -> None:
+def test_definite_outcomes_are_returned_unchanged(bench: Bench) -> None:
     bench.run(bench.store.create("k", b"old"))
     stale = bench.run(update_settled(bench.settling, "k", b"id1", 99, bench.due()))
     assert stale == Err(StoreError.CONFLICT)
@@ -110,22 +110,22 @@
     assert bench.fake.clock.now() <= due + 5
 
 
-def test_replaced_value_is_not_called_a_conflict(bench: Bench) -> None:
-    # Symptom: a writer repeats a change that had been made, because it was told CONFLICT.
+def test_replaced_value_is_not_reported_as_a_conflict(bench: Bench) -> None:
+    # Symptom: a writer repeats a change that had taken effect, because it got CONFLICT.
     # Sequence: the write takes effect, its answer is lost, another writer replaces the value.
-    # Cause: another value in the store does not prove that ours never was there.
+    # Cause: another value in the store does not prove that the written one was never there.
     version = bench.run(bench.store.create("k", b"old")).unwrap()
     bench.platform.fail(Fault.LOST_AFTER, "update", delay_ms=100)
     done: list[Result[int, StoreError]] = started(
         update_settled(bench.settling, "k", b"id1", version, bench.due())
     )
-    mine = bench.platform.objects["k"].version
-    bench.run(bench.platform.store("b").update("k", b"theirs", mine))
+    written = bench.platform.objects["k"].version
+    bench.run(bench.platform.store("b").update("k", b"theirs", written))
     bench.fake.advance(100)
     assert done == [LOST]
 
 
-def test_delete_of_a_gone_object(bench: Bench) -> None:
+def test_repeated_delete_of_a_deleted_object_succeeds(bench: Bench) -> None:
     version = bench.run(bench.store.create("k", b"v")).unwrap()
     bench.platform.fail(Fault.LOST_AFTER, "delete")
     assert bench.run(delete_settled(bench.settling, "k", version, bench.due())) == Ok(
--- a/tests/test_store_follow.py
+++ b/tests/test_store_follow.py
@@ -1,4 +1,4 @@
-"""Check the budget, following objects, and following instances."""
+"""Test the store's call budget, and following objects and the instance list."""
 
 import random
 
@@ -30,7 +30,7 @@
     ]
 
 
-def test_urgent_calls_overtake_bulk(bench: Bench) -> None:
+def test_calls_get_permits_by_priority(bench: Bench) -> None:
     bucket = Bucket(bench.fake.clock, 20)
     order: list[str] = []
 
@@ -50,21 +50,21 @@
 def test_call_without_a_permit_is_limited(bench: Bench) -> None:
     (budget,) = make_budgets(bench, 1)
     bulk = budget.view(Priority.BULK)
-    ends = [started(bulk.create(f"k{i}", b"")) for i in range(100)]
+    outcomes = [started(bulk.create(f"k{i}", b"")) for i in range(100)]
     bench.pass_time(5_000)
-    assert ends.count([Err(StoreError.LIMITED)]) == 100 - len(bench.platform.objects)
-    # Two seconds of waiting at 20 a second, after a burst of two.
+    assert outcomes.count([Err(StoreError.LIMITED)]) == 100 - len(bench.platform.objects)
+    # Two seconds of waiting at 20 per second, after a burst of two.
     assert len(bench.platform.objects) == pytest.approx(42, abs=2)
 
 
-def test_outage_is_told_once_and_ends_without_a_stampede(bench: Bench) -> None:
-    # Symptom: the platform goes down again as soon as it is back.
-    # Sequence: an outage; every instance saves up calls; the first answer lets all of them go.
+def test_calls_stop_in_an_outage_and_resume_slowly(bench: Bench) -> None:
+    # Symptom: the platform fails again as soon as it recovers.
+    # Sequence: an outage; every instance queues calls; the first answer releases all of them.
     # Cause: a rate limit alone lets a full burst through at once.
     budgets = make_budgets(bench, 6)
     stores = [budget.view(Priority.BULK) for budget in budgets]
 
-    def press(for_ms: int) -> int:
+    def send_updates(for_ms: int) -> int:
         before = bench.platform.calls["update"]
         for _ in range(for_ms // 40):
             for store in stores:
@@ -73,16 +73,16 @@
         return bench.platform.calls["update"] - before
 
     bench.platform.down = True
-    press(1_000)
+    send_updates(1_000)
     assert all(budget.down_since() is not None for budget in budgets)
-    assert press(20_000) < 6 * 20
+    assert send_updates(20_000) < 6 * 20
     bench.platform.down = False
-    press(8_000)
+    send_updates(8_000)
     assert all(budget.down_since() is None for budget in budgets)
     bench.platform.down = True
-    press(3_000)
+    send_updates(3_000)
     bench.platform.down = False
-    first, later = press(1_000), press(15_000) / 15
+    first, later = send_updates(1_000), send_updates(15_000) / 15
     assert first < 6 * 20 * 0.4
     assert later > 6 * 20 * 0.5
 
@@ -103,70 +103,70 @@
     assert names == ["store_down", "store_up"]
 
 
-def follow(bench: Bench, seen: list[Change], watch_ms: int = 10_000) -> Follower:
+def follow(bench: Bench, reported: list[Change], watch_ms: int = 10_000) -> Follower:
     follower = Follower(
         bench.store,
         bench.fake.clock,
         random.Random(2),
         "p/",
-        seen.append,
+        reported.append,
         FollowPace(watch_ms, poll_ms=2_000),
     )
     follower.start()
     return follower
 
 
-def test_follower_tells_changes_and_deletions(bench: Bench) -> None:
+def test_follower_reports_changes_and_deletions(bench: Bench) -> None:
     bench.run(bench.store.create("p/a", b""))
-    seen: list[Change] = []
-    follower = follow(bench, seen)
+    reported: list[Change] = []
+    follower = follow(bench, reported)
     bench.run(bench.store.create("q/other", b""))
     bench.run(bench.store.update("p/a", b"", 1))
     bench.run(bench.store.delete("p/a", 3))
     bench.run(bench.store.create("p/a", b""))
     expected = [(1, False), (3, False), (4, True), (5, False)]
-    assert [(change.version, change.deleted) for change in seen] == expected
+    assert [(change.version, change.deleted) for change in reported] == expected
     bench.pass_time(9_000)
-    assert len(seen) == len(expected)
+    assert len(reported) == len(expected)
     follower.stop()
     bench.run(bench.store.update("p/a", b"", 5))
-    assert len(seen) == len(expected)
+    assert len(reported) == len(expected)
 
 
-def test_poll_finds_what_a_deaf_watch_does_not_tell(bench: Bench) -> None:
+def test_poll_finds_changes_that_a_silent_watch_misses(bench: Bench) -> None:
     # Symptom: a change is accepted and one instance never applies it.
-    # Sequence: the watch's connection goes silent; nothing fails for ten seconds.
+    # Sequence: the watch's connection becomes silent; nothing fails for ten seconds.
     # Cause: no answer looks the same as no change.
-    seen: list[Change] = []
+    reported: list[Change] = []
     bench.run(bench.store.create("p/a", b""))
     bench.run(bench.store.create("p/b", b""))
-    follower = follow(bench, seen)
+    follower = follow(bench, reported)
     bench.platform.fail(Fault.SLOW, "watch", delay_ms=60_000)
     bench.run(bench.store.update("p/a", b"", 1))
     bench.run(bench.store.delete("p/b", 2))
     bench.pass_time(2_000)
-    assert [(c.key, c.version, c.deleted) for c in seen[2:]] == [
+    assert [(c.key, c.version, c.deleted) for c in reported[2:]] == [
         ("p/a", 3, False),
         ("p/b", 4, True),
     ]
     follower.stop()
 
 
-def test_follower_lists_again_and_never_goes_back(bench: Bench) -> None:
-    seen: list[Change] = []
+def test_follower_lists_again_and_never_reports_an_older_version(bench: Bench) -> None:
+    reported: list[Change] = []
     bench.run(bench.store.create("p/a", b""))
-    # An old listing that arrives late, and a watch whose history is gone.
+    # An old listing arrives late, and the history that the watch needs has been dropped.
     bench.platform.fail(Fault.SLOW_ANSWER, "list", delay_ms=5_000)
-    follower = follow(bench, seen)
+    follower = follow(bench, reported)
     for version in (1, 2):
         bench.run(bench.store.update("p/a", b"", version))
     bench.pass_time(2_000)
     bench.run(bench.store.delete("p/a", 3))
     bench.platform.forget_history()
     bench.pass_time(10_000)
-    versions = [change.version for change in seen]
+    versions = [change.version for change in reported]
     assert versions == sorted(versions)
-    assert seen[-1].deleted
+    assert reported[-1].deleted
     assert bench.platform.calls["list"] < 20
     follower.stop()
 
@@ -180,8 +180,8 @@
 
 
 def test_members_are_followed_and_reported(bench: Bench) -> None:
-    seen: list[MembersChanged] = []
-    follower = MemberFollower(bench.store, bench.fake.clock, random.Random(3), seen.append)
+    reported: list[MembersChanged] = []
+    follower = MemberFollower(bench.store, bench.fake.clock, random.Random(3), reported.append)
     follower.start()
     reporter = Reporter(bench.store, bench.fake.clock, random.Random(4), make_member("e1"))
     reporter.start()
@@ -194,7 +194,7 @@
     bench.pass_time(10_000)
     assert bench.run(reporter.withdraw())
     bench.pass_time(1_000)
-    assert seen == [
+    assert reported == [
         MembersChanged([make_member("e1")], []),
         MembersChanged([make_member("e1", LEAVING)], []),
         MembersChanged([], ["e1"]),
@@ -203,7 +203,7 @@
     follower.stop()
 
 
-def test_reports_go_on_after_a_failure(bench: Bench) -> None:
+def test_reports_continue_after_a_failure(bench: Bench) -> None:
     bench.platform.fail(Fault.LOST_BEFORE, "report", times=3)
     reporter = Reporter(bench.store, bench.fake.clock, random.Random(4), make_member("e1"))
     reporter.start()
--- a/tests/test_store_http.py
+++ b/tests/test_store_http.py
@@ -1,4 +1,4 @@
-"""Check the HTTP form of the store against a small scripted server."""
+"""Test the HTTP adapter of the store against a small scripted server."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any, cast
@@ -50,7 +50,7 @@
 
 
 class HttpStoreTest(TestCase):
-    """Drive the adapter over real sockets."""
+    """Test the adapter over real sockets."""
 
     timeout = 20
 
@@ -71,18 +71,18 @@
     async def tearDown(self) -> None:  # type: ignore[override]
         await self.port.stopListening()
 
-    async def ends(
+    async def check_outcomes(
         self, call: Callable[[], Any], replies: list[bytes], expected: list[object]
     ) -> None:
         self.server.replies = list(replies)
         assert [await call() for _ in replies] == expected
 
-    def test_nothing_is_under_way_after_close(self) -> Any:
-        # Symptom: an instance that has been closed goes on calling the platform, and its
+    def test_no_call_is_open_or_sent_after_close(self) -> Any:
+        # Symptom: an instance that has been closed continues to call the platform, and its
         # connection attempts outlive it.
         # Sequence: a call waits for its answer; the store is closed; the task whose call has
-        # failed makes the next one.
-        # Cause: closing dropped the kept connections only.
+        # failed sends the next one.
+        # Cause: closing dropped the idle connections only.
         async def run() -> None:
             self.server.replies = [SILENT]
             waiting = Deferred.fromCoroutine(cast(Any, self.store.get("a")))
@@ -96,9 +96,9 @@
 
         return Deferred.fromCoroutine(run())
 
-    def test_write_ends(self) -> Any:
+    def test_outcomes_of_writes(self) -> Any:
         async def case() -> None:
-            await self.ends(
+            await self.check_outcomes(
                 lambda: self.store.update("a/b", b"v", 3),
                 [
                     answer("200 OK", headers='ETag: "7"\r\n'),
@@ -134,7 +134,7 @@
 
         return started(case())
 
-    def test_read_ends(self) -> Any:
+    def test_outcomes_of_reads(self) -> Any:
         async def case() -> None:
             self.server.replies = [
                 answer("200 OK", b"value", 'ETag: "4"\r\n'),
@@ -183,10 +183,10 @@
 
         return started(case())
 
-    def test_silent_connection_is_left(self) -> Any:
+    def test_silent_connection_is_replaced(self) -> Any:
         # Symptom: every call times out although the platform answers others.
-        # Sequence: a kept connection goes silent; calls keep taking it from the pool.
-        # Cause: something between the two ends has lost track of the connection.
+        # Sequence: a persistent connection becomes silent; calls keep taking it from the pool.
+        # Cause: a device between the two ends has dropped the connection's state.
         async def case() -> None:
             store = self.make_store(self.port.getHost().port, timeout_ms=100)
             ok = answer("200 OK", headers='ETag: "7"\r\n')
@@ -214,7 +214,7 @@
 
 
 class StandInPlatformTest(TestCase):
-    """Drive the adapter against the stand-in, which keeps the protocol's other side."""
+    """Test the adapter against the stand-in, which implements the platform's side."""
 
     timeout = 20
 
--- a/tests/test_store_pause.py
+++ b/tests/test_store_pause.py
@@ -1,12 +1,9 @@
-"""Test that an instance that did not run for a while does not take the store for silent.
-
-What was seen: a change that an operator applies is refused, "the store did not take the change:
-unavailable" or "limited", on a busy machine, while the store is well.
-Events: the process is kept from its sockets for longer than a store call may take; the answer has
-come meanwhile; then all its open calls end as timed out, the store counts as down for some ms, and
-whatever is sent after its return is paced.
-Cause: the time in which the process itself did not run counts as the store's silence.
-Evidence: in a failing run three calls ended as silent together, and the store was up 23 ms later.
+"""Test that a pause of the process itself does not count as a timeout of the store.
+
+Symptom: on a busy machine an operator's change is refused as unavailable or limited, although the
+store works. Sequence: the process does not read its sockets for longer than a store call's
+timeout, although the answer has arrived; then all open calls time out together, the store counts
+as down for some ms (23 ms in one failing run), and later calls are rate-limited.
 """
 
 import contextlib
@@ -34,7 +31,7 @@
 
 
 def answer_one(listener: socket.socket) -> None:
-    """Answer one request in time, whatever the test's own reactor does."""
+    """Answer one request in time from a thread, independent of the test's reactor."""
     conn, _ = listener.accept()
     with conn:
         conn.recv(65_536)
@@ -45,7 +42,7 @@
 
 
 class Pausing:
-    """Keep the reactor busy in a read, as a long computation on what was received does."""
+    """Block the reactor in a read, as a long computation on received data does."""
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
@@ -75,7 +72,7 @@
         REACTOR.addReader(reader)
         REACTOR.callLater(PAUSE_BEGINS_S, far.send, b"x")
 
-    async def test_an_answer_that_came_in_a_pause_is_taken(self) -> None:
+    async def test_an_answer_that_arrived_during_a_pause_is_used(self) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(listener.close)
         threading.Thread(target=answer_one, args=(listener,), daemon=True).start()
