--- a/papayapier/peer/link.py
+++ b/papayapier/peer/link.py
@@ -128,7 +128,7 @@
 
     def send(self, frame: Outgoing) -> bool:
         """Send or queue a frame; return False if the queue has no capacity for it."""
-        if not self._make_room(frame):
+        if not self._ensure_capacity(frame):
             return False
         self._queue.append(frame)
         self._queued_bytes += len(frame.data)
@@ -149,7 +149,7 @@
         self._socket = None
         self._queue.clear()
 
-    def _make_room(self, frame: Outgoing) -> bool:
+    def _ensure_capacity(self, frame: Outgoing) -> bool:
         if frame.replaceable:
             self._drop_replaceable()
         if self._fits(frame):
@@ -162,9 +162,9 @@
         return self._socket is not None and enough_bytes and len(self._queue) < MAX_QUEUED_FRAMES
 
     def _drop_replaceable(self) -> None:
-        kept = [frame for frame in self._queue if not frame.replaceable]
-        self._queue = deque(kept)
-        self._queued_bytes = sum(len(frame.data) for frame in kept)
+        remaining = [frame for frame in self._queue if not frame.replaceable]
+        self._queue = deque(remaining)
+        self._queued_bytes = sum(len(frame.data) for frame in remaining)
 
     def _flush(self) -> None:
         while self._queue:
--- a/papayapier/peer/questions.py
+++ b/papayapier/peer/questions.py
@@ -22,7 +22,7 @@
 from papayapier.peer.placing_messages import PlaceTell
 from papayapier.peer.run_messages import RunsTell
 
-ASK_ID_BITS: Final = 32
+REQUEST_ID_BITS: Final = 32
 
 MakeRequest = Callable[[int], Message]
 # The kinds of replies that complete a request. MembersTell is none: MembersExchange handles it.
@@ -63,7 +63,7 @@
 
     def __init__(self, clock: Clock, rand: Random) -> None:
         self._clock = clock
-        self._last_request_id = rand.getrandbits(ASK_ID_BITS)
+        self._last_request_id = rand.getrandbits(REQUEST_ID_BITS)
         self._open_requests: dict[int, _OpenRequest] = {}
 
     def next_id(self) -> int:
--- a/papayapier/platform/headers.py
+++ b/papayapier/platform/headers.py
@@ -49,12 +49,12 @@
         for value in headers.getRawHeaders(b"Connection", [])
         for name in value.split(b",")
     }
-    kept = Headers()
+    forwarded = Headers()
     for name, values in headers.getAllRawHeaders():
         lower = name.lower()
         if lower not in _HOP_BY_HOP and lower not in named:
-            kept.setRawHeaders(name, values)
-    return kept
+            forwarded.setRawHeaders(name, values)
+    return forwarded
 
 
 def shown_keys(headers: Headers) -> Sequence[bytes]:
--- a/papayapier/platform/store.py
+++ b/papayapier/platform/store.py
@@ -290,8 +290,8 @@
 
     A single such text, like "\\ud800", makes the entire answer malformed for msgspec's decoder.
     """
-    kept = _without_invalid_text(json.loads(body.decode("utf-8", "replace")))
-    return json.dumps(kept, separators=(",", ":")).encode()
+    valid = _without_invalid_text(json.loads(body.decode("utf-8", "replace")))
+    return json.dumps(valid, separators=(",", ":")).encode()
 
 
 def _without_invalid_text(value: Any) -> Any:
--- a/papayapier/store/link.py
+++ b/papayapier/store/link.py
@@ -149,8 +149,8 @@
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
         if self.done.called:
             return
-        whole = isinstance(reason.value, web_client.ResponseDone)
-        if whole and self._size <= MAX_ANSWER_BYTES:
+        complete = isinstance(reason.value, web_client.ResponseDone)
+        if complete and self._size <= MAX_ANSWER_BYTES:
             self.done.callback(b"".join(self._parts))
         else:
             self.done.errback(reason)
--- a/tests/test_loss_news.py
+++ b/tests/test_loss_news.py
@@ -64,7 +64,7 @@
         clock = net.time.clock
         self.watch = CrashWatch(clock, make_metrics(), lambda: True)
         deps = LossNewsDeps(clock, cast(Any, self), self.watch, name, lambda: net.hubs)
-        self.news = LossNews(deps)
+        self.exchange = LossNews(deps)
 
     def plan(self) -> Plan:
         mesh = not self._net.hubs and self._net.links is None
@@ -225,7 +225,7 @@
 def test_losses_restored_from_disk_are_sent() -> None:
     net = Net()
     keeper, entry = net.start("k", "e")
-    keeper.news.recall([Loss("w", f"r{number}", 0) for number in range(LOSSES_MOST)])
+    keeper.exchange.recall([Loss("w", f"r{number}", 0) for number in range(LOSSES_MOST)])
     assert entry.refuses()
     assert net.sent[LossesTold.__name__] == 1
     assert net.sent[LossesAsk.__name__] == 2
@@ -254,13 +254,13 @@
     # these losses.
     net = Net()
     (first,) = net.start("a")
-    assert not first.news.caught_up()
+    assert not first.exchange.caught_up()
     (second,) = net.start("b")
-    assert second.news.caught_up()
+    assert second.exchange.caught_up()
     second.lose("r0")
     net.time.advance(COLLECT_MS)
     (third,) = net.start("c")
-    assert third.news.caught_up()
+    assert third.exchange.caught_up()
     assert third.watch.snapshot()
 
 
@@ -329,7 +329,7 @@
     kept = before.watch.snapshot()
     net = Net()
     keeper, entry = net.start("k", "e")
-    keeper.news.recall(kept)
+    keeper.exchange.recall(kept)
     assert entry.watch.snapshot()
     assert not entry.refuses()
 
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -90,8 +90,8 @@
             "Host": ["h"],
         }
     )
-    kept = {name for name, _ in headers.end_to_end(sent).getAllRawHeaders()}
-    assert kept == {b"X-Model", b"Host"}
+    forwarded = {name for name, _ in headers.end_to_end(sent).getAllRawHeaders()}
+    assert forwarded == {b"X-Model", b"Host"}
 
 
 def test_a_request_names_its_replica_and_the_time_left() -> None:
