--- a/papayapier/peer/members.py
+++ b/papayapier/peer/members.py
@@ -1,12 +1,14 @@
-"""Ask a peer for the instance list while the platform cannot be read, and answer such asks.
-
-An instance that starts in an outage knows no replica: the platform alone has the list. Its
-peers read it before. So until its own first reading an instance asks each peer that it hears,
-and takes the list with the youngest reading. Lists are passed on with their age, so that a
-restart after another in the same outage still finds one, and an old list stays old. An ask
-names the age and the digest of what the asker has; a peer that has nothing younger, or the
-same, answers with nothing, so that asking again costs little. The digest is needed for that,
-because a list seems younger by the time on the way each time it is passed on.
+"""Exchange the instance list with peers while the platform cannot be read.
+
+An instance that starts during a platform outage knows no replica, because only the platform
+holds the list, but its peers have read the list before. So until its own first successful
+read, an instance requests the list from each peer whose heartbeats arrive, and uses the most
+recently read one. Lists are forwarded with their age, so that an instance that restarts later
+in the same outage still gets one, and an old list stays marked as old. A request carries the
+age and the digest of the list that the requester has; a peer whose list is not newer, or has
+the same digest, replies with an empty list, so that repeated requests cost little. The age
+alone is not enough for that, because the transit time of each forwarding makes a list seem
+newer.
 """
 
 import random
@@ -22,15 +24,15 @@
 from papayapier.store.api import Member
 from papayapier.store.members import MemberFollower
 
-ASK_ID_BITS: Final = 32
-ASK_AGAIN_MS: Final = 5_000
-ANSWER_MS: Final = 1_000
+REQUEST_ID_BITS: Final = 32
+RETRY_MS: Final = 5_000
+REPLY_TIMEOUT_MS: Final = 1_000
 MAX_MEMBERS: Final = 100_000
 NO_LIST: Final = -1
 
 
 class MembersDeps(NamedTuple):
-    """Group what the exchange needs; tell returns False when a message was not sent."""
+    """Group what the exchange needs; tell sends a message and returns False if it could not."""
 
     clock: Clock
     rand: random.Random
@@ -38,8 +40,8 @@
     follower: MemberFollower
 
 
-class _Asked(NamedTuple):
-    """Hold the open ask and the parts of its answer that have come."""
+class _OpenRequest(NamedTuple):
+    """Hold the open request and the parts of its reply received so far."""
 
     ask_id: int
     peer: str
@@ -52,64 +54,64 @@
 
     def __init__(self, deps: MembersDeps) -> None:
         self._deps = deps
-        self._ask_id = deps.rand.getrandbits(ASK_ID_BITS)
-        self._asked: _Asked | None = None
-        self._asked_ms: dict[str, int] = {}
+        self._last_request_id = deps.rand.getrandbits(REQUEST_ID_BITS)
+        self._open_request: _OpenRequest | None = None
+        self._last_requested_ms: dict[str, int] = {}
 
     def on_peer(self, peer: str, message: Message) -> None:
-        """Take a message from a peer."""
+        """Handle a message from a peer."""
         match message:
             case Heartbeat():
-                self._consider(peer)
+                self._request_if_needed(peer)
             case MembersAsk():
                 self._answer(peer, message)
             case MembersTell():
-                self._take(peer, message)
+                self._on_reply(peer, message)
 
-    def _consider(self, peer: str) -> None:
-        """Ask a peer that is heard, one at a time, while there is no reading of our own."""
+    def _request_if_needed(self, peer: str) -> None:
+        """Request the list from a peer, one at a time, until the platform has been read."""
         if self._deps.follower.read_ms is not None:
-            self._asked = None
-            self._asked_ms.clear()
+            self._open_request = None
+            self._last_requested_ms.clear()
             return
         now = self._deps.clock.now()
-        if self._asked is not None and now - self._asked.at_ms < ANSWER_MS:
+        if self._open_request is not None and now - self._open_request.at_ms < REPLY_TIMEOUT_MS:
             return
-        if peer in self._asked_ms and now - self._asked_ms[peer] < ASK_AGAIN_MS:
+        if peer in self._last_requested_ms and now - self._last_requested_ms[peer] < RETRY_MS:
             return
-        self._ask_id += 1
-        if self._deps.tell(peer, MembersAsk(self._ask_id, self._age_ms(), self._digest())):
-            self._asked = _Asked(self._ask_id, peer, now, [])
-            self._asked_ms[peer] = now
+        self._last_request_id += 1
+        if self._deps.tell(peer, MembersAsk(self._last_request_id, self._age_ms(), self._digest())):
+            self._open_request = _OpenRequest(self._last_request_id, peer, now, [])
+            self._last_requested_ms[peer] = now
 
-    def _answer(self, peer: str, ask: MembersAsk) -> None:
+    def _answer(self, peer: str, request: MembersAsk) -> None:
         age_ms = self._age_ms()
-        members = self._members() if self._is_news(ask, age_ms) else []
+        members = self._members() if self._is_newer(request, age_ms) else []
         for part in cut_parts(members, lambda member: len(codec.pack(member))):
-            self._deps.tell(peer, MembersTell(ask.ask_id, part, len(members), age_ms))
+            self._deps.tell(peer, MembersTell(request.ask_id, part, len(members), age_ms))
 
-    def _is_news(self, ask: MembersAsk, age_ms: int) -> bool:
+    def _is_newer(self, request: MembersAsk, age_ms: int) -> bool:
         if age_ms == NO_LIST:
             return False
-        younger = ask.age_ms == NO_LIST or age_ms < ask.age_ms
-        return younger and ask.digest != self._digest()
+        younger = request.age_ms == NO_LIST or age_ms < request.age_ms
+        return younger and request.digest != self._digest()
 
-    def _take(self, peer: str, tell: MembersTell) -> None:
-        asked = self._asked
-        if asked is None or (asked.ask_id, asked.peer) != (tell.ask_id, peer):
+    def _on_reply(self, peer: str, reply: MembersTell) -> None:
+        open_request = self._open_request
+        if open_request is None or (open_request.ask_id, open_request.peer) != (reply.ask_id, peer):
             return
-        asked.parts.extend(tell.members)
-        count = len(asked.parts)
-        if count < tell.total <= MAX_MEMBERS:
-            # A part can be lost when the link is replaced between two of them. A list with
-            # a hole would drop members, so it is taken only when all of it is here.
+        open_request.parts.extend(reply.members)
+        count = len(open_request.parts)
+        if count < reply.total <= MAX_MEMBERS:
+            # A part can be lost when the link is replaced between two parts. An incomplete
+            # list would drop members, so it is used only once all parts have arrived.
             return
-        self._asked = None
-        if not 0 < tell.total == count:
+        self._open_request = None
+        if not 0 < reply.total == count:
             return
         now = self._deps.clock.now()
-        if self._deps.follower.learn(asked.parts, now - tell.age_ms):
-            events.emit(events.MEMBERS_FROM_PEER, peer=peer, members=count, age_ms=tell.age_ms)
+        if self._deps.follower.learn(open_request.parts, now - reply.age_ms):
+            events.emit(events.MEMBERS_FROM_PEER, peer=peer, members=count, age_ms=reply.age_ms)
 
     def _members(self) -> list[Member]:
         return list(self._deps.follower.known.values())
--- a/papayapier/peer/wire.py
+++ b/papayapier/peer/wire.py
@@ -2,8 +2,8 @@
 
 A frame is the msgpack array [kind, sender, fields]. msgspec refuses an array with more
 elements than a NamedTuple has fields. During an upgrade a newer release sends such arrays;
-refusing them would make every instance of the other release look dead. So a frame that does
-not fit at once is cut to the fields known here and checked again.
+refusing them would make every instance of the other release look dead. So a frame that fails
+to decode is truncated to the fields known here and checked again.
 """
 
 from typing import Any, Final, NamedTuple, get_args, get_origin, get_type_hints
@@ -26,7 +26,7 @@
 
 
 class _Envelope(msgspec.Struct, array_like=True):
-    """Delay the decoding of the fields; unlike a NamedTuple it permits further elements."""
+    """Defer decoding of the fields; unlike a NamedTuple it permits additional elements."""
 
     kind: int
     sender: str
@@ -39,7 +39,7 @@
 
 
 def decode(data: bytes) -> Result[Frame, str]:
-    """Decode a frame, or say why it is not understood."""
+    """Decode a frame, or return why it cannot be decoded."""
     try:
         envelope = msgspec.msgpack.decode(data, type=_Envelope)
     except msgspec.MsgspecError as exc:
@@ -54,26 +54,26 @@
     try:
         return Ok(msgspec.msgpack.decode(body, type=kind))
     except msgspec.MsgspecError:
-        return _decode_longer(body, kind)
+        return _decode_truncated(body, kind)
 
 
-def _decode_longer(body: msgspec.Raw, kind: type[Message]) -> Result[Message, str]:
+def _decode_truncated(body: msgspec.Raw, kind: type[Message]) -> Result[Message, str]:
     try:
-        known = _cut(msgspec.msgpack.decode(body), kind)
+        known = _truncate(msgspec.msgpack.decode(body), kind)
         return Ok(msgspec.convert(known, type=kind))
     except msgspec.MsgspecError as exc:
         return Err(f"{kind.__name__}: {exc}")
 
 
-def _cut(value: Any, kind: Any) -> Any:
+def _truncate(value: Any, kind: Any) -> Any:
     """Return the value without the elements that this release does not know."""
     if not isinstance(value, list):
         return value
     if hasattr(kind, "_fields"):
         hints = get_type_hints(kind)
         known = zip(value, kind._fields, strict=False)
-        return [_cut(part, hints[name]) for part, name in known]
+        return [_truncate(element, hints[name]) for element, name in known]
     args = get_args(kind)
     if get_origin(kind) is list or Ellipsis in args:
-        return [_cut(part, args[0]) for part in value]
+        return [_truncate(element, args[0]) for element in value]
     return value
--- a/papayapier/platform/store.py
+++ b/papayapier/platform/store.py
@@ -1,9 +1,9 @@
-"""Speak the platform's object store: objects by kind and name, over HTTP.
+"""Implement the API of the platform's object store: objects by kind and name, over HTTP.
 
-A key of ours is "KIND/NAME", or "KIND/NAME/status" for the part that only the system writes.
-The store may write a value's JSON in another way than it was given, and settling a lost write
-compares bytes; so what this system stores is put as one JSON string, which comes back as it
-was. Values of other writers are handed on as the JSON that they are.
+A key of this system is "KIND/NAME", or "KIND/NAME/status" for the part that only this system
+writes. The store may format a value's JSON differently from how it was written, and settling
+a lost write compares bytes; so this system stores each value as one JSON string, which is
+returned unchanged. Values of other writers are passed through as JSON.
 """
 
 import json
@@ -30,8 +30,8 @@
     Stored,
     StoreError,
 )
-from papayapier.store.judge import count_call, judge
 from papayapier.store.link import Reply, Request, make_link
+from papayapier.store.outcomes import classify, count_call
 
 T = TypeVar("T")
 
@@ -40,9 +40,9 @@
 STATUS_PART: Final = "/status"
 NO_CONDITION: Final = 0
 UNREADABLE: Final = b""
-NOTHING: Final = msgspec.Raw(b"null")
+ABSENT_OBJECT: Final = msgspec.Raw(b"null")
 
-NOTHING_CHANGED: Final = {
+UNCHANGED_STATUSES: Final = {
     404: StoreError.NOT_FOUND,
     409: StoreError.CONFLICT,
     410: StoreError.TOO_OLD,
@@ -67,16 +67,16 @@
 
 class Page(TypedDict):
     items: list[msgspec.Raw]
-    # True says that the page is not the last one.
+    # True if more pages follow.
     truncated: bool
-    # The revision of the whole store, not of an object.
+    # The revision of the entire store, not of an object.
     currentRev: int
 
 
 class _Event(TypedDict):
-    # The decoder keeps raw parts of a TypedDict only where they may be left out.
+    # Raw fields of a TypedDict are decoded only if they are NotRequired.
     object: NotRequired[msgspec.Raw]
-    # True says that the object has been removed.
+    # True if the object has been removed.
     tombstone: bool
 
 
@@ -101,7 +101,7 @@
 def platform_store(
     reactor: Any, clock: Clock, platform: PlatformSettings, metrics: Metrics
 ) -> Store:
-    """Make a Store that calls the platform's object store over kept connections."""
+    """Create a Store that calls the platform's object store over persistent connections."""
     link = make_link(reactor, clock, platform)
     client = _Client(link.exchange, metrics)
     return Store(
@@ -120,7 +120,7 @@
 
 async def _get(client: _Client, key: str) -> Result[Stored, StoreError]:
     found = await _read(client, Request("get", "GET", _path(key)), _OBJECT)
-    return found.and_then(lambda one: _stored(key, one))
+    return found.and_then(lambda obj: _stored(key, obj))
 
 
 async def _create(client: _Client, key: str, value: bytes) -> Result[int, StoreError]:
@@ -146,7 +146,7 @@
     params = {} if version == NO_CONDITION else {"revision": str(version)}
     req = Request("delete", "DELETE", _path(key), params)
     done = await _call(client, req, StoreError.LOST)
-    # The store does not name the revision of a removal; the removed one is its lower bound.
+    # The store does not return a removal's revision; the removed revision is its lower bound.
     return done.map(lambda _: version)
 
 
@@ -186,68 +186,68 @@
 
 
 def read_listing(kind: str, page: Page) -> Listing:
-    """Decode the objects of a page each by itself: a bad one may not hide the others."""
+    """Decode each object of a page separately: an invalid object must not hide the others."""
     entries = [_entry(kind, raw) for raw in page["items"]]
-    known = [one for one in entries if one is not None]
-    return Listing(known, page["truncated"], page["currentRev"])
+    decodable = [entry for entry in entries if entry is not None]
+    return Listing(decodable, page["truncated"], page["currentRev"])
 
 
 def read_changes(kind: str, body: Events) -> Changes:
-    """Decode the changes of an answer each by itself."""
+    """Decode each change of an answer separately."""
     changes = [_change(kind, raw) for raw in body["events"]]
-    return Changes([one for one in changes if one is not None], body["currentRev"])
+    return Changes([change for change in changes if change is not None], body["currentRev"])
 
 
 def _change(kind: str, raw: msgspec.Raw) -> Change | None:
     try:
         event = _EVENT.decode(raw)
     except msgspec.MsgspecError as exc:
-        _note_odd(kind, "", str(exc))
+        _log_invalid_object(kind, "", str(exc))
         return None
-    entry = _entry(kind, event.get("object", NOTHING))
+    entry = _entry(kind, event.get("object", ABSENT_OBJECT))
     if entry is None:
         return None
-    gone = event["tombstone"]
-    return Change(entry.key, entry.version, gone, b"" if gone else entry.value)
+    removed = event["tombstone"]
+    return Change(entry.key, entry.version, removed, b"" if removed else entry.value)
 
 
 def _entry(kind: str, raw: msgspec.Raw) -> Entry | None:
-    """Decode one object, or None if it names none.
+    """Decode one object; return None if its name or revision is missing.
 
-    The store itself writes name and revision; what else is there is its writer's. A value that
-    cannot be read is empty here: whoever uses the kind takes it as unreadable, also where it was
-    readable before.
+    The store itself writes name and revision; everything else comes from the object's writer. A
+    value that cannot be decoded becomes empty here: users of the kind treat it as unreadable,
+    even if an earlier value was readable.
     """
     try:
         metadata = _NAMED.decode(raw)["metadata"]
     except (msgspec.MsgspecError, ValueError) as exc:
-        _note_odd(kind, "", str(exc))
+        _log_invalid_object(kind, "", str(exc))
         return None
     try:
         value = _value(_OBJECT.decode(raw))
     except (msgspec.MsgspecError, ValueError) as exc:
-        _note_odd(kind, metadata["name"], str(exc))
+        _log_invalid_object(kind, metadata["name"], str(exc))
         value = UNREADABLE
     return Entry(f"{kind}/{metadata['name']}", metadata["revision"], value)
 
 
-def _note_odd(kind: str, name: str, reason: str) -> None:
+def _log_invalid_object(kind: str, name: str, reason: str) -> None:
     events.emit(events.STORE_ODD_OBJECT, kind=kind, object=name, reason=reason)
 
 
-def _value(one: _Object) -> bytes:
-    """Return the value; raise ValueError for none, and msgspec's error for an odd text."""
-    spec = bytes(one.get("spec", b""))
+def _value(obj: _Object) -> bytes:
+    """Return the value; raise ValueError without one, and msgspec's error for an invalid text."""
+    spec = bytes(obj.get("spec", b""))
     if spec == b"null":
         raise ValueError("there is no value")
     return _TEXT.decode(spec).encode() if spec.startswith(b'"') else spec
 
 
-def _stored(key: str, one: _Object) -> Result[Stored, StoreError]:
+def _stored(key: str, obj: _Object) -> Result[Stored, StoreError]:
     try:
-        return Ok(Stored(key, one["metadata"]["revision"], _value(one)))
+        return Ok(Stored(key, obj["metadata"]["revision"], _value(obj)))
     except (msgspec.MsgspecError, ValueError) as exc:
-        _note_odd(key, one["metadata"]["name"], str(exc))
+        _log_invalid_object(key, obj["metadata"]["name"], str(exc))
         return Err(StoreError.UNAVAILABLE)
 
 
@@ -257,7 +257,7 @@
     found = await _call(client, req, StoreError.UNAVAILABLE)
     if isinstance(found, Err):
         return found
-    return _decoded(req, found.ok_value, decoder, StoreError.UNAVAILABLE)
+    return _decode(req, found.ok_value, decoder, StoreError.UNAVAILABLE)
 
 
 async def _write(
@@ -267,40 +267,42 @@
     done = await _call(client, req, StoreError.LOST)
     if isinstance(done, Err):
         return done
-    written = _decoded(req, done.ok_value, _OBJECT, StoreError.LOST)
-    return written.map(lambda one: one["metadata"]["revision"])
+    written = _decode(req, done.ok_value, _OBJECT, StoreError.LOST)
+    return written.map(lambda obj: obj["metadata"]["revision"])
 
 
-def _decoded(
-    req: Request, reply: Reply, decoder: msgspec.json.Decoder[T], doubt: StoreError
+def _decode(
+    req: Request, reply: Reply, decoder: msgspec.json.Decoder[T], error_if_unknown: StoreError
 ) -> Result[T, StoreError]:
     try:
         return Ok(decoder.decode(reply.body))
     except msgspec.MsgspecError as exc:
         reason = str(exc)
     try:
-        return Ok(decoder.decode(without_odd_text(reply.body)))
+        return Ok(decoder.decode(without_invalid_text(reply.body)))
     except (msgspec.MsgspecError, ValueError):
         events.emit(events.STORE_ODD_ANSWER, call=req.name, reason=reason)
-        return Err(doubt)
+        return Err(error_if_unknown)
 
 
-def without_odd_text(body: bytes) -> bytes:
-    """Write JSON anew with each text left out that is no Unicode; raise ValueError for no JSON.
+def without_invalid_text(body: bytes) -> bytes:
+    """Re-encode JSON without texts that are not valid Unicode; raise ValueError if not JSON.
 
-    One such text, as "\\ud800", makes the whole answer malformed for the usual decoder.
+    A single such text, like "\\ud800", makes the entire answer malformed for msgspec's decoder.
     """
-    kept = _without_odd_text(json.loads(body.decode("utf-8", "replace")))
-    return json.dumps(kept, separators=(",", ":")).encode()
+    valid = _without_invalid_text(json.loads(body.decode("utf-8", "replace")))
+    return json.dumps(valid, separators=(",", ":")).encode()
 
 
-def _without_odd_text(value: Any) -> Any:
+def _without_invalid_text(value: Any) -> Any:
     if isinstance(value, str):
         return value if value.isascii() or _is_unicode(value) else None
     if isinstance(value, list):
-        return [_without_odd_text(one) for one in value]
+        return [_without_invalid_text(element) for element in value]
     if isinstance(value, dict):
-        return {key: _without_odd_text(one) for key, one in value.items() if _is_unicode(key)}
+        return {
+            key: _without_invalid_text(inner) for key, inner in value.items() if _is_unicode(key)
+        }
     return value
 
 
@@ -312,7 +314,9 @@
     return True
 
 
-async def _call(client: _Client, req: Request, doubt: StoreError) -> Result[Reply, StoreError]:
-    end = judge(req, await client.exchange(req), doubt, NOTHING_CHANGED)
-    count_call(client.metrics, req, end)
-    return end
+async def _call(
+    client: _Client, req: Request, error_if_unknown: StoreError
+) -> Result[Reply, StoreError]:
+    outcome = classify(req, await client.exchange(req), error_if_unknown, UNCHANGED_STATUSES)
+    count_call(client.metrics, req, outcome)
+    return outcome
--- a/papayapier/store/mirror.py
+++ b/papayapier/store/mirror.py
@@ -1,9 +1,9 @@
-"""Show others what one follower has read, so that they need not ask the platform's store.
+"""Serve what one follower has read to other processes, in place of the platform's store.
 
-Where every process follows the store by itself, its calls grow with the fleet times the
-changes, and each call is paid for. A mirror answers the same questions from memory: a listing
-at the revision that the follower has reached, and the changes after a revision. It speaks
-only while its follower has lately heard from the store; an old copy that looks like a new one
+If every process follows the store by itself, the number of calls grows with the fleet times
+the changes, and each call is paid for. A mirror answers the same reads from memory: a listing
+at the revision that the follower has reached, and the changes after a revision. It answers
+only while its follower has recently reached the store; an old copy taken for a current one
 would keep calls going to replicas that have left.
 """
 
@@ -17,150 +17,153 @@
 from papayapier.clock import Clock, Millis
 from papayapier.store.api import Change, Changes, Entry, Listing, StoreError
 
-# A follower asks again within milliseconds of an answer that it was given, so that a few
-# hundred changes bridge seconds of the busiest start; who is further behind lists again.
+# A follower sends its next watch within milliseconds of an answer, so that a few hundred changes
+# cover seconds of the busiest start; a follower that is further behind lists again.
 KEPT_CHANGES: Final = 2_000
-# The same for objects that are large, such as batch jobs: a quarter of a minute of the busiest
-# traffic of today (3 jobs of 15 KB a second), or a few of the largest jobs.
+# The same bound for large objects, such as batch jobs: a quarter of a minute of the busiest
+# traffic (3 jobs of 15 KB per second), or a few of the largest jobs.
 KEPT_BYTES: Final = 4_000_000
-# One frame between processes; the whole of a larger answer is read from the store itself.
-ANSWER_BYTES: Final = 1_000_000
+# An answer must fit one frame between processes; a larger one is read from the store itself.
+MAX_ANSWER_BYTES: Final = 1_000_000
 
 
-# Tells whether readers need to know that a value has become another.
+# Returns whether readers need to know that a value has changed, given the old and the new one.
 Matters = Callable[[bytes, bytes], bool]
 
 
 def always(_before: bytes, _after: bytes) -> bool:
-    """Take every new value for one that matters."""
+    """Return True: readers need to know of every new value."""
     return True
 
 
-class _Stamped(NamedTuple):
+class _LoggedChange(NamedTuple):
     """Hold a change, and the revision that the follower had reached with it."""
 
-    reached: int
+    at_revision: int
     change: Change
 
 
 class Mirror:
     """Hold the objects under a prefix and their latest changes.
 
-    lasting_ms is how long the follower may hear nothing before the mirror falls silent.
+    max_silence_ms is how long the follower may go without an answer from the store before the
+    mirror stops to answer.
     """
 
-    def __init__(self, clock: Clock, lasting_ms: int, matters: Matters = always) -> None:
+    def __init__(self, clock: Clock, max_silence_ms: int, matters: Matters = always) -> None:
         self._clock = clock
-        self._matters = matters
-        self._lasting_ms = lasting_ms
+        self._is_relevant = matters
+        self._max_silence_ms = max_silence_ms
         self._objects: dict[str, Change] = {}
-        self._log: deque[_Stamped] = deque()
+        self._log: deque[_LoggedChange] = deque()
         self._log_bytes = 0
-        # Changes up to here may be missing in the log.
-        self._floor = 0
-        self._reached = 0
-        self._reached_ms: Millis | None = None
-        # Changes that the follower has told since it last reached a revision.
-        self._new: list[Change] = []
+        # Changes up to this revision may be missing in the log.
+        self._log_start = 0
+        self._revision = 0
+        self._last_reached_ms: Millis | None = None
+        # Changes that the follower has reported since it last reached a revision.
+        self._pending: list[Change] = []
         self._waiting: list[Deferred[None]] = []
 
     def on_change(self, change: Change) -> None:
-        """Take a change that the follower has learnt."""
+        """Apply a change that the follower has read."""
         if change.deleted:
             self._objects.pop(change.key, None)
-            self._new.append(change)
+            self._pending.append(change)
             return
         before = self._objects.get(change.key)
         self._objects[change.key] = change
-        if before is None or self._matters(before.value, change.value):
-            self._new.append(change)
+        if before is None or self._is_relevant(before.value, change.value):
+            self._pending.append(change)
 
     def on_reached(self, revision: int | None, direct: bool) -> None:
-        """Take that the follower knows all up to a revision; direct says from the store itself.
+        """Record that the follower knows all changes up to a revision.
 
-        Two mirrors that each follow the other would both fall behind and call each other new.
+        revision is None if the follower has lost the store; direct says whether it reads the
+        store itself. Two mirrors that follow each other would both fall behind and still take
+        each other for current, so only a direct follower counts.
         """
         if revision is None or not direct:
-            self._forget()
+            self._stop_answering()
             return
-        if self._reached_ms is None:
-            self._floor = revision
-            self._new = []
-        self._reached_ms = self._clock.now()
-        if revision <= self._reached:
-            # What a listing beside the watch has found waits for a revision to go by.
+        if self._last_reached_ms is None:
+            self._log_start = revision
+            self._pending = []
+        self._last_reached_ms = self._clock.now()
+        if revision <= self._revision:
+            # Changes found by a listing beside the watch are logged with the next revision.
             return
-        self._reached = revision
-        self._log.extend(_Stamped(revision, change) for change in self._new)
-        self._log_bytes += sum(len(change.value) for change in self._new)
-        self._new = []
+        self._revision = revision
+        self._log.extend(_LoggedChange(revision, change) for change in self._pending)
+        self._log_bytes += sum(len(change.value) for change in self._pending)
+        self._pending = []
         while len(self._log) > KEPT_CHANGES or self._log_bytes > KEPT_BYTES:
             oldest = self._log.popleft()
             self._log_bytes -= len(oldest.change.value)
-            self._floor = oldest.reached
+            self._log_start = oldest.at_revision
         self._wake()
 
     def whole(self) -> Result[Listing, StoreError]:
         """Return all objects at the revision reached."""
-        if not self._fresh():
+        if not self._is_current():
             return Err(StoreError.UNAVAILABLE)
-        found = [Entry(one.key, one.version, one.value) for one in self._objects.values()]
-        if sum(len(one.value) for one in found) > ANSWER_BYTES:
+        found = [Entry(known.key, known.version, known.value) for known in self._objects.values()]
+        if sum(len(entry.value) for entry in found) > MAX_ANSWER_BYTES:
             return Err(StoreError.UNAVAILABLE)
-        return Ok(Listing(sorted(found), False, self._reached))
+        return Ok(Listing(sorted(found), False, self._revision))
 
     async def watch(self, since: int, wait_ms: int) -> Result[Changes, StoreError]:
-        """Return the changes after a revision; wait for one if there is none."""
+        """Return the changes after a revision; wait for a change if there is none."""
         due_ms = self._clock.now() + wait_ms
         while True:
-            if not self._fresh():
+            if not self._is_current():
                 return Err(StoreError.UNAVAILABLE)
-            if since < self._floor:
+            if since < self._log_start:
                 return Err(StoreError.TOO_OLD)
-            changes = self._after(since)
+            changes = self._changes_after(since)
             left_ms = due_ms - self._clock.now()
-            if sum(len(one.value) for one in changes) > ANSWER_BYTES:
+            if sum(len(change.value) for change in changes) > MAX_ANSWER_BYTES:
                 return Err(StoreError.UNAVAILABLE)
             if changes or left_ms <= 0:
-                return Ok(Changes(changes, max(since, self._reached)))
-            await self._next(left_ms)
+                return Ok(Changes(changes, max(since, self._revision)))
+            await self._wait_for_change(left_ms)
 
-    def _after(self, since: int) -> list[Change]:
+    def _changes_after(self, since: int) -> list[Change]:
         changes = []
-        for one in reversed(self._log):
-            if one.reached <= since:
+        for logged in reversed(self._log):
+            if logged.at_revision <= since:
                 break
-            changes.append(one.change)
+            changes.append(logged.change)
         changes.reverse()
         return changes
 
-    def _fresh(self) -> bool:
-        heard = self._reached_ms
-        return heard is not None and self._clock.now() - heard <= self._lasting_ms
+    def _is_current(self) -> bool:
+        reached_ms = self._last_reached_ms
+        return reached_ms is not None and self._clock.now() - reached_ms <= self._max_silence_ms
 
-    def _forget(self) -> None:
-        """Fall silent; what the log holds may have a gap when the store is followed again."""
-        self._reached_ms = None
+    def _stop_answering(self) -> None:
+        """Stop answering and clear the log, which may have a gap when following resumes."""
+        self._last_reached_ms = None
         self._log.clear()
         self._log_bytes = 0
-        self._new = []
+        self._pending = []
         self._wake()
 
-    async def _next(self, wait_ms: int) -> None:
+    async def _wait_for_change(self, wait_ms: int) -> None:
         waiting: Deferred[None] = Deferred()
         self._waiting.append(waiting)
-        timer = self._clock.call_later(wait_ms, lambda: self._end(waiting))
+        timer = self._clock.call_later(wait_ms, lambda: self._finish_wait(waiting))
         try:
             await waiting
         finally:
             if timer.active():
                 timer.cancel()
 
-    def _end(self, waiting: Deferred[None]) -> None:
+    def _finish_wait(self, waiting: Deferred[None]) -> None:
         if waiting in self._waiting:
             self._waiting.remove(waiting)
             waiting.callback(None)
 
     def _wake(self) -> None:
         for waiting in list(self._waiting):
-            self._end(waiting)
+            self._finish_wait(waiting)
--- a/papayapier/store/writes.py
+++ b/papayapier/store/writes.py
@@ -1,19 +1,21 @@
-"""Settle writes whose answer was lost.
+"""Determine the outcome of writes whose answer was lost.
 
 A LOST write may have taken effect, may never do so, or may do so later: a read that shows
-the old version proves nothing. Two things do prove something. Our own value in the store
-(values carry a unique write id inside, so equal bytes mean that it was ours) proves that
-the write took effect. A later conditional write of ours on the same version proves that the
-late one will fail, because that version is gone. So the same conditional write is repeated
-until either is seen. Waiting longer or reading twice instead would only make the mistake
-rarer.
-
-The end CONFLICT means that the write never took effect and never will. LOST means that this
-could not be learnt: no definite answer came by the due time, or somebody else's value is
-there and ours may have been replaced by it. The caller then has to judge by the content.
-
-One limit: a create has no version, so a late copy of it can bring back an object that was
-created and then deleted. Whoever deletes objects must not take a name's return for news.
+the old version proves nothing. Two observations are conclusive. The written value in the
+store (values contain a unique write id, so equal bytes identify the write) proves that the
+write took effect. A later successful conditional write on the same version proves that the
+earlier one will fail if it still arrives, because that version no longer exists. So the same
+conditional write is repeated until either is observed. Waiting longer or reading twice
+instead would only make a wrong conclusion rarer.
+
+The result CONFLICT means that the write never took effect and never will. LOST means that
+the outcome could not be determined: no definite answer came by the due time, or the object
+holds another writer's value, which may have replaced the written one. The caller then has to
+decide by the content.
+
+One limitation: a create has no version, so a late copy of it can restore an object that was
+created and then deleted. Code that deletes objects must not treat an object that reappears
+under the same name as a new one.
 """
 
 import random
@@ -26,13 +28,13 @@
 from papayapier.clock import Clock
 from papayapier.store.api import Store, Stored, StoreError
 
-FIRST_PAUSE_MS: Final = 20
-LONGEST_PAUSE_MS: Final = 1_000
-GONE: Final = 0
+MIN_PAUSE_MS: Final = 20
+MAX_PAUSE_MS: Final = 1_000
+ALREADY_DELETED: Final = 0
 
 
 class Settling(NamedTuple):
-    """Hold what settling needs; rng spreads the repeats of many instances."""
+    """Group what settling a write needs; rng spreads the retries of many instances."""
 
     store: Store
     clock: Clock
@@ -40,7 +42,10 @@
 
 
 class _Write(NamedTuple):
-    """Describe a conditional write: how to try it and how to know its effect when read."""
+    """Describe a conditional write.
+
+    attempt sends it; effect derives its outcome from a read of the object, None if unknown.
+    """
 
     key: str
     attempt: Callable[[], Awaitable[Result[int, StoreError]]]
@@ -57,10 +62,10 @@
 
     def effect(found: Result[Stored, StoreError]) -> Result[int, StoreError] | None:
         if found == Err(StoreError.NOT_FOUND):
-            # The object in the way has gone meanwhile, so a late create of ours could still
-            # take effect: try again.
+            # The conflicting object was deleted meanwhile, so a late copy of this create could
+            # still take effect: retry.
             return None
-        return _ours_or_lost(found, value)
+        return _own_write_or_lost(found, value)
 
     return await _settle(settling, _Write(key, attempt, effect), due_ms)
 
@@ -76,7 +81,7 @@
     def effect(found: Result[Stored, StoreError]) -> Result[int, StoreError] | None:
         if found == Err(StoreError.NOT_FOUND):
             return Err(StoreError.LOST)
-        return _ours_or_lost(found, value)
+        return _own_write_or_lost(found, value)
 
     return await _settle(settling, _Write(key, attempt, effect), due_ms)
 
@@ -84,20 +89,23 @@
 async def delete_settled(
     settling: Settling, key: str, version: int, due_ms: int
 ) -> Result[int, StoreError]:
-    """Delete an object at a version; the result is the deletion's version or GONE."""
+    """Delete an object at a version; return the deletion's version or ALREADY_DELETED.
+
+    ALREADY_DELETED means that a repeated delete found that the object no longer exists.
+    """
 
     async def attempt() -> Result[int, StoreError]:
         return await settling.store.delete(key, version)
 
     def effect(found: Result[Stored, StoreError]) -> Result[int, StoreError] | None:
         if found == Err(StoreError.NOT_FOUND):
-            return Ok(GONE)
+            return Ok(ALREADY_DELETED)
         return Err(StoreError.LOST) if isinstance(found, Ok) else None
 
     return await _settle(settling, _Write(key, attempt, effect), due_ms)
 
 
-def _ours_or_lost(
+def _own_write_or_lost(
     found: Result[Stored, StoreError], value: bytes
 ) -> Result[int, StoreError] | None:
     if isinstance(found, Err):
@@ -108,27 +116,27 @@
 
 
 async def _settle(settling: Settling, write: _Write, due_ms: int) -> Result[int, StoreError]:
-    end = await write.attempt()
-    if end != Err(StoreError.LOST):
-        return end
-    pause_ms = FIRST_PAUSE_MS
+    answer = await write.attempt()
+    if answer != Err(StoreError.LOST):
+        return answer
+    pause_ms = MIN_PAUSE_MS
     while settling.clock.now() < due_ms:
-        definite = await _attempt_again(settling.store, write)
+        definite = await _retry(settling.store, write)
         if definite is not None:
             outcome = "ok" if isinstance(definite, Ok) else definite.err_value.value
             events.emit(events.WRITE_READ_BACK, key=write.key, outcome=outcome)
             return definite
-        room_ms = due_ms - settling.clock.now()
-        await settling.clock.sleep(min(room_ms, pause_ms * settling.rng.uniform(0.5, 1.0)))
-        pause_ms = min(LONGEST_PAUSE_MS, 2 * pause_ms)
+        left_ms = due_ms - settling.clock.now()
+        await settling.clock.sleep(min(left_ms, pause_ms * settling.rng.uniform(0.5, 1.0)))
+        pause_ms = min(MAX_PAUSE_MS, 2 * pause_ms)
     return Err(StoreError.LOST)
 
 
-async def _attempt_again(store: Store, write: _Write) -> Result[int, StoreError] | None:
-    """Repeat a write that was lost before; return its end once that is known."""
-    end = await write.attempt()
-    if isinstance(end, Ok):
-        return end
-    if end.err_value is not StoreError.CONFLICT:
+async def _retry(store: Store, write: _Write) -> Result[int, StoreError] | None:
+    """Repeat a write that was lost before; return its outcome, or None while it is unknown."""
+    answer = await write.attempt()
+    if isinstance(answer, Ok):
+        return answer
+    if answer.err_value is not StoreError.CONFLICT:
         return None
     return write.effect(await store.get(write.key))
