--- a/papayapier/batch/api.py
+++ b/papayapier/batch/api.py
@@ -1,4 +1,4 @@
-"""Define what the batch package needs from the rest of the program."""
+"""Define the interface between the batch package and the rest of the program."""
 
 import random
 from collections.abc import Awaitable, Callable, Sequence
@@ -20,8 +20,8 @@
 class ItemCall(NamedTuple):
     """Describe one batch item to be run; due_wall_ms is the job's due time on the wall clock.
 
-    still_allowed is asked immediately before every send to a replica, also before a resumed
-    stream: it is False once the lease is no longer held or the job is cancelled.
+    still_allowed is called immediately before every send to a replica, also before a stream is
+    resumed: it returns False once the lease is no longer held or the job is cancelled.
     """
 
     call_id: str
@@ -34,17 +34,19 @@
     still_allowed: Callable[[], bool]
 
     def work(self) -> str:
-        """Return the name of the work, whoever runs it and however often."""
+        """Return the request fingerprint, which is the same on every instance and for every
+        attempt.
+        """
         return name_work(self.method, self.profile.upstream, self.path, self.body)
 
 
 class BatchDispatch(NamedTuple):
-    """Group the calls through which batch items reach replicas.
+    """Group the functions through which batch items reach replicas.
 
-    room tells how many more items of an upstream may be handed over now. run ends with the
-    whole answer or a refusal; it waits for capacity, gives way to online work and resumes by
-    itself. Cancelling the Deferred that wraps run stops the item at the replica. watch_room
-    registers a call for whenever room may have grown.
+    room returns how many more items of an upstream may be passed to run now. run returns the
+    complete reply or a refusal; it waits for capacity, yields to online requests and resumes
+    by itself. Cancelling the Deferred that wraps run stops the item at the replica. watch_room
+    registers a callback for when the capacity may have grown.
     """
 
     room: Callable[[str], int]
@@ -53,12 +55,12 @@
 
 
 class BatchDeps(NamedTuple):
-    """Group what batch work needs of the rest of the program.
+    """Group what batch jobs need of the rest of the program.
 
-    instance and boot together name this run of the instance. profile looks one up by name.
-    live_instances lists the instances that the platform shows as live, this one included.
-    lease_store is a view of the store for leases alone, with precedence over other calls:
-    bulk writes must not delay a renewal until the lease lapses.
+    instance and boot together identify this run of the instance. profile returns a profile by
+    name. live_instances lists the instances that the platform reports as live, including this
+    one. lease_store is a view of the store used for leases only, with priority over other
+    calls: bulk writes must not delay a renewal until the lease lapses.
     """
 
     clock: Clock
--- a/papayapier/batch/background.py
+++ b/papayapier/batch/background.py
@@ -1,7 +1,7 @@
-"""Start coroutines whose result nobody awaits, without losing their failures.
+"""Start coroutines whose result nobody awaits, and log their failures.
 
-A coroutine that dies unseen leaves a job standing still with nothing in the log. Here its
-failure becomes an event, and the caller's on_failure puts the work back.
+If such a coroutine failed silently, a job would stop without any log entry. Here the failure
+becomes an event, and the caller's on_failure can schedule the work again.
 """
 
 from collections.abc import Callable, Coroutine
@@ -23,7 +23,7 @@
 def start(
     work: Coroutine[Deferred[Any], Any, T], name: str, on_failure: Callable[[], None] | None = None
 ) -> Deferred[T | None]:
-    """Start a coroutine; the Deferred returned never fails, and cancels the coroutine."""
+    """Start a coroutine; the returned Deferred never fails, and cancels the coroutine."""
     done: Deferred[T | None] = Deferred.fromCoroutine(work)
 
     def report(failure: Failure) -> None:
@@ -38,7 +38,7 @@
 
 
 class Loop:
-    """Run a coroutine that is to go on for ever, and start it again when it fails."""
+    """Run a coroutine that never returns, and restart it after a failure."""
 
     def __init__(
         self, clock: "Clock", make: Callable[[], Coroutine[Deferred[Any], Any, None]], name: str
@@ -59,7 +59,7 @@
             self._again = self._clock.call_later(AGAIN_MS, self.start)
 
     def stop(self) -> None:
-        """Cancel the coroutine for good."""
+        """Cancel the coroutine and do not restart it."""
         self._stopped = True
         if self._again is not None and self._again.active():
             self._again.cancel()
--- a/papayapier/batch/commits.py
+++ b/papayapier/batch/commits.py
@@ -1,11 +1,11 @@
-"""Store what open tasks have to keep: checkpoints, spilled parts and final results.
+"""Store the state of open tasks: checkpoints, spilled parts and final results.
 
-A task has one write under way at most, and the same bytes are offered until the store has
-taken or refused them. That is what settles an answer that was lost: a new value offered on
-top of an unknown version would conflict with the task's own earlier write.
+A task has at most one write in progress, and the same bytes are written again until the store
+has accepted or rejected them. This resolves lost replies: a new value written on top of an
+unknown version would conflict with the task's own earlier write.
 
-When the store does not answer, the writes wait here, a few at a time asking again after
-growing random pauses, so that the store is not overrun when it returns.
+While the store does not answer, the writes wait here. Only a few at a time are retried, after
+growing random pauses, so that the store is not overloaded when it recovers.
 """
 
 from collections.abc import Callable
@@ -31,11 +31,11 @@
 
 
 class CommitCalls(NamedTuple):
-    """Group what commits ask of and tell the runner.
+    """Group the callbacks of commits to the runner.
 
-    may_commit tells whether the lease of a shard is held now. saved tells that items may have
-    become startable; recorded that a task's results are stored; given_up that a task being
-    handed over has nothing left to store; lost that another holder has the task.
+    may_commit returns whether the lease of a shard is held now. saved reports that items may
+    have become startable; recorded that a task's results are stored; given_up that a task
+    being handed over has nothing left to store; lost that another holder has the task.
     """
 
     may_commit: Callable[[int], bool]
@@ -57,11 +57,11 @@
         self._delayed = False
 
     def on_opened(self, task: OpenTask) -> None:
-        """Set the time of a new task's first checkpoint."""
+        """Schedule the first checkpoint of a new task."""
         self._set_next_checkpoint(task)
 
     def kick(self, task: OpenTask) -> None:
-        """Store what the task has to store, unless that is under way."""
+        """Start storing what the task has to store, unless that is in progress."""
         if not task.saving and self._wants(task):
             task.saving = True
             background.start(self._run(task), f"saves of {_name(task)}")
@@ -126,8 +126,8 @@
     def _set_next_checkpoint(self, task: OpenTask) -> None:
         """Double the time to the next checkpoint.
 
-        A loss then repeats at most about half of the work of a task, and a task that takes
-        an hour costs a few writes and not hundreds.
+        At most about half of a task's completed items then have to be repeated after a loss,
+        and a task that takes an hour costs a few writes instead of hundreds.
         """
         pause = task.checkpoint_pause * 2 or FIRST_CHECKPOINT_MS
         task.checkpoint_pause = min(LONGEST_CHECKPOINT_MS, pause)
@@ -164,7 +164,7 @@
     async def _offer(
         self, task: OpenTask, key: str, value: bytes, version: int
     ) -> Result[int, StoreError]:
-        """Offer one value until the store has taken or refused it, or the task is dropped."""
+        """Repeat the same write until the store accepts or rejects it, or the task is dropped."""
         pauses = Pauses(self._deps.rand)
         maybe_taken = False
         while True:
--- a/papayapier/batch/ending.py
+++ b/papayapier/batch/ending.py
@@ -1,9 +1,9 @@
 """Count and end the jobs whose home shard this instance holds.
 
-The end is arbitrated by the job's record: it goes from running to ending, or to cancelling,
-by one conditional update, so that a cancel and the end of a job cannot both win. After that
-every step can be repeated by whoever holds the home shard: mark the expiry, create the ended
-record, delete the active one.
+The job's record arbitrates the end: one conditional update moves it from running to ending or
+to cancelling, so that a cancel and the end of a job cannot both succeed. After that, the
+holder of the home shard can repeat every step: create the expiry marker, create the ended
+record, delete the active record.
 """
 
 from collections.abc import Callable, Iterable
@@ -48,7 +48,7 @@
         self._holds_shard = holds_shard
 
     async def run(self) -> None:
-        """Look after the jobs at home here until cancelled."""
+        """Check the jobs whose home shard is held here periodically until cancelled."""
         while True:
             await self._deps.clock.sleep(ROUND_MS)
             for job in list(self._registry.jobs.values()):
@@ -60,8 +60,8 @@
 
     async def _look(self, job: JobWork) -> None:
         now = self._deps.clock.now()
-        # Looking is one listing; its pace follows the age of the job, so that its cost does
-        # not grow with the time a job takes, and a short job ends without much delay.
+        # A check costs one listing. The interval grows with the age of the job, so that the cost
+        # does not grow with the duration of a job, and a short job ends without much delay.
         pause = (now - job.seen_ms) // LOOK_SHARE
         job.next_look_ms = now + max(SHORTEST_LOOK_MS, min(LONGEST_LOOK_MS, pause))
         if job.record.state is JobState.CANCELLING:
@@ -77,8 +77,8 @@
 
     async def _end_completed(self, job: JobWork) -> None:
         tally = await self._count_recorded(job)
-        # A cancel may have come while results were read. The record is then that of the
-        # cancel, with its version, and the update below would take the cancel back.
+        # A cancel may have arrived while results were read. The record is then that of the
+        # cancel, with its version, and the update below would revert the cancel.
         if tally is None or job.record.state is not JobState.RUNNING:
             return
         now = self._deps.clock.wall()
@@ -86,14 +86,15 @@
         key = keys.active_key(record.job_id)
         done = await saves.update(self._deps, key, codec.pack(record), job.version)
         if isinstance(done, Err):
-            # Another instance ended or cancelled it, or the answer was lost: read it again.
+            # Another instance ended or cancelled the job, or the reply was lost: read the record
+            # again.
             await self._registry.read(record.job_id)
             return
         self._registry.take(record, done.ok_value)
         await self._close(job, record._replace(state=JobState.COMPLETED))
 
     async def _count_recorded(self, job: JobWork) -> Tally | None:
-        """Sum the tallies of all tasks; those recorded elsewhere are read."""
+        """Sum the tallies of all tasks; tallies that other instances recorded are read."""
         for task in range(len(job.spans)):
             if task in job.tallies:
                 continue
@@ -124,9 +125,9 @@
         await self._close(job, record)
 
     async def _seal(self, job: JobWork, task: int) -> bool:
-        """Seal a checkpoint at its next version, so that no holder can add an intent to it.
+        """Seal a checkpoint with a new version, so that no holder can add an intent to it.
 
-        A holder that was paused through the cancel could else still store an intent and
+        Otherwise a holder that was paused during the cancel could still store an intent and
         send the item, and the job's final count would be wrong.
         """
         key = keys.progress_key(job.record.job_id, task)
@@ -149,7 +150,7 @@
         return isinstance(done, Ok)
 
     async def _close(self, job: JobWork, record: JobRecord) -> None:
-        """Move the record of a job to where the ended ones are kept."""
+        """Move the record of a job to the ended jobs."""
         expires = record.ended_ms + self._deps.cfg.retention_ms
         record = record._replace(expires_ms=expires)
         mark = keys.expiry_key(expires, JOB_KIND, record.job_id)
@@ -176,7 +177,7 @@
         self._registry.drop(record.job_id)
 
     async def _keep_input(self, record: JobRecord, until_ms: int) -> bool:
-        """Let the input stay as long as the results, which are found by the ids in it."""
+        """Keep the input as long as the results, which are looked up by the ids in it."""
         key = keys.file_key(record.file_id)
         read = await self._deps.store.get(key)
         if isinstance(read, Err):
@@ -194,7 +195,7 @@
 
 
 async def refresh_done(deps: "BatchDeps", job: JobWork) -> bool:
-    """List which tasks of a job are recorded; False says that the store did not answer."""
+    """List which tasks of a job are recorded; return False if the store does not answer."""
     listed = await saves.list_keys(deps, keys.results_prefix(job.record.job_id))
     if isinstance(listed, Err):
         return False
--- a/papayapier/batch/expiry.py
+++ b/papayapier/batch/expiry.py
@@ -1,8 +1,8 @@
-"""Delete files and jobs whose retention has passed.
+"""Delete files and jobs whose retention time has passed.
 
-Marks with the time in their key make this cheap: one listing shows what is due, whatever
-the number of objects kept. A mark is created before the object that it is for, so nothing is
-kept for ever. It only says when to look: the record says whether the time was extended.
+The keys of expiry markers start with the time, so that one listing shows what is due, whatever
+the number of stored objects. A marker is created before its object, so nothing is kept for
+ever. It only triggers a check: the record shows whether the time was extended.
 """
 
 from collections.abc import Callable
@@ -32,7 +32,7 @@
 
 
 class Due(NamedTuple):
-    """Hold a mark that is due."""
+    """Hold an expiry marker that is due."""
 
     entry: Entry
     at_ms: int
@@ -41,7 +41,7 @@
 
 
 class Expiry:
-    """Delete what is due, while this instance has the duty."""
+    """Delete what is due, while this instance is responsible for it."""
 
     def __init__(
         self, deps: "BatchDeps", registry: JobRegistry, on_duty: Callable[[], bool]
@@ -51,7 +51,7 @@
         self._on_duty = on_duty
 
     async def run(self) -> None:
-        """Look for what is due until cancelled."""
+        """Check periodically for due markers until cancelled."""
         while True:
             await self._deps.clock.sleep(ROUND_MS)
             if self._on_duty() and self._registry.complete():
@@ -71,7 +71,7 @@
                 return
 
     async def _expire(self, due: Due) -> bool:
-        """Handle one mark; False says that the store did not answer."""
+        """Handle one marker; False means that the store did not answer."""
         if due.kind == JOB_KIND:
             done = await self._expire_job(due.object_id)
         else:
@@ -88,7 +88,7 @@
         ):
             if not await self._delete_all(prefix):
                 return False
-        # The record goes last: while it is there, the job is known and can be looked for.
+        # The record is deleted last, because the job can be found only while it exists.
         return await self._delete_key(keys.ended_key(job_id), JOB_KIND, job_id)
 
     async def _expire_file(self, due: Due) -> bool:
@@ -112,7 +112,9 @@
         return isinstance(marked, Ok) or marked.err_value is StoreError.CONFLICT
 
     async def _delete_all(self, prefix: str) -> bool:
-        """Delete all objects under a prefix, a few at a time, to leave the store to others."""
+        """Delete all objects under a prefix in small groups, with pauses that leave the store
+        to others.
+        """
         while True:
             listed = await self._deps.store.list(prefix, "", DELETES_AT_ONCE)
             if isinstance(listed, Err):
@@ -138,9 +140,9 @@
 async def delete_file(
     deps: "BatchDeps", registry: JobRegistry, caller: str, file_id: str
 ) -> Result[FileRecord, Refusal]:
-    """Mark a file as deleted; its objects go some time later, when no request can use it."""
+    """Mark a file as deleted; its objects are deleted later, when no request can use them."""
     if any(job.record.file_id == file_id for job in registry.jobs.values()):
-        reason = f"a job that has not ended uses file {file_id}"
+        reason = f"an active job uses file {file_id}"
         return Err(not_run(ErrorKind.STILL_RUNNING, reason))
     found = await find_file(deps, caller, file_id)
     if isinstance(found, Err):
--- a/papayapier/batch/feeder.py
+++ b/papayapier/batch/feeder.py
@@ -1,8 +1,8 @@
-"""Hand items of open tasks to the dispatch, in the order of their jobs' need.
+"""Pass items of open tasks to the dispatch, in the order of their jobs' urgency.
 
-Items are handed out in slices between which the event loop is free, so that batch work delays
-no online request by more than one slice. The bytes of all open tasks together are bounded:
-while the store takes no results, items go on until the bound is reached, and then wait.
+Items are passed in small slices and the event loop runs between them, so that batch jobs delay
+an online request by at most one slice. The bytes of all open tasks together are bounded: while
+the store accepts no results, items continue to run until the bound is reached, and then wait.
 """
 
 from collections import Counter
@@ -26,7 +26,7 @@
 
 
 class FeederCalls(NamedTuple):
-    """Group what the feeder asks of the runner's other parts; kick has a task stored."""
+    """Group the functions of the runner's other components; kick starts the storing of a task."""
 
     profile_of: "Callable[[JobWork], Profile]"
     may_send: Callable[[OpenTask], bool]
@@ -55,13 +55,13 @@
         self._stopped = False
 
     def stop(self) -> None:
-        """Hand out nothing more."""
+        """Pass no more items to the dispatch."""
         self._stopped = True
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
     def feed_soon(self) -> None:
-        """Hand out items in the next turn of the event loop."""
+        """Pass items to the dispatch in the next iteration of the event loop."""
         if self._timer is None and not self._stopped and self._jobs:
             self._timer = self._deps.clock.call_later(0, self._feed)
 
@@ -76,7 +76,7 @@
             self._timer = self._deps.clock.call_later(DRY_MS, self._feed)
 
     def _serve(self, upstream: str, jobs: list[JobWork]) -> bool:
-        """Hand out one slice of an upstream's items; tell whether there is more to do now."""
+        """Pass one slice of an upstream's items; return whether to continue at once."""
         room = self._deps.dispatch.room(upstream)
         left = min(room, SLICE_ITEMS)
         if self.bytes_held() >= self._limit():
@@ -103,18 +103,19 @@
     def _input_room(self, jobs: list[JobWork]) -> InputRoom:
         """Return how many bytes of input may still be opened for an upstream's jobs.
 
-        Input takes half of the memory, in equal parts for each upstream, because tasks of an
-        upstream that stands still keep theirs. The other half is for results, but for a
-        first task of a caller that has none.
+        Input may use half of the memory, in equal shares for all upstreams, because the tasks
+        of a stalled upstream keep their input. The other half is for results, except that the
+        first task of a caller without open tasks may use it.
         """
         upstreams = max(1, self._turns.upstreams())
         share = max(CHUNK_BYTES, self._limit() // 2 // upstreams)
         return InputRoom(share - input_bytes(jobs), self._limit() - self.input_bytes())
 
     def _make_room(self) -> None:
-        """Store the results of the task that holds most, though the task is not finished.
+        """Store the results of the largest task although the task is unfinished.
 
-        Else memory could be full of results of tasks none of which can go on to its end.
+        Otherwise results of unfinished tasks could fill the memory, and no task could run to
+        its end.
         """
         tasks = [task for job in self._turns.busy() for task in job.open.values()]
         largest = max(tasks, key=lambda task: task.state.held_bytes, default=None)
@@ -133,7 +134,9 @@
         return sent
 
     def _reopen(self, task: OpenTask) -> None:
-        """Stop a task whose items may not be repeated any more, to open it by that rule."""
+        """Stop a task whose items must no longer be repeated, and open it again under that
+        rule.
+        """
         if not task.stopping:
             task.stopping = True
             task.reopen = True
@@ -150,10 +153,10 @@
         return sent
 
     def _intend_some(self, task: OpenTask, room: int) -> None:
-        """Write the next intents shortly before they are needed.
+        """Store the next intents shortly before they are needed.
 
-        Items that are intended and not sent become unknown when the instance is lost, so no
-        more are intended than would fill the capacity seen now.
+        Items that are intended but not sent end as unknown if the instance is lost, so the
+        number of intents is limited to what the present capacity can run.
         """
         running = len(task.running)
         if room == 0 or task.stopping or task.state.startable() > running // 2:
@@ -163,12 +166,12 @@
             self._calls.kick(task)
 
     def bytes_held(self) -> int:
-        """Return the size of what all open tasks keep in memory."""
+        """Return the size of all data that open tasks keep in memory."""
         tasks = [task for job in self._turns.busy() for task in job.open.values()]
         return self.input_bytes() + sum(task.state.held_bytes for task in tasks)
 
     def input_bytes(self) -> int:
-        """Return the size of the input of all open tasks, and a bound for those being opened."""
+        """Return the size of all open tasks' input, and an upper bound for those being opened."""
         return input_bytes(self._turns.busy())
 
     def _limit(self) -> int:
--- a/papayapier/batch/files.py
+++ b/papayapier/batch/files.py
@@ -1,10 +1,11 @@
-"""Take in an uploaded file: stream it into chunk objects, then create its record.
+"""Receive an uploaded file: stream it into chunk objects, then create its record.
 
-Nothing of a file counts until its record exists, and the record is written last. What an
-abandoned upload leaves behind is found by its expiry mark, which is written first.
+A file does not exist until its record does, and the record is written last. The expiry marker
+is written first, so that the objects of an abandoned upload are deleted later.
 
-Memory is bounded by one chunk, one line and 16 bytes an item. Each feed() returns only when
-the chunks it filled are stored, so a fast client waits for the store and not in memory.
+Memory is bounded by one chunk, one line and 16 bytes per item. Each feed() returns only when
+the chunks that it filled are stored, so that a fast client waits for the store instead of
+filling the memory.
 """
 
 import hashlib
@@ -32,7 +33,7 @@
 
 
 class FileHead(NamedTuple):
-    """Name a file that is being taken in."""
+    """Describe a file that is being uploaded."""
 
     file_id: str
     caller: str
@@ -43,7 +44,7 @@
 
 
 class FileIntake:
-    """Store one file while it streams in."""
+    """Store one file while it is uploaded."""
 
     __slots__ = (
         "_blank_line",
@@ -79,15 +80,15 @@
         self._versions: list[int] = []
 
     def rename(self, name: str) -> None:
-        """Take the name that a form gives to its file."""
+        """Set the file name that a form contains."""
         self.head = self.head._replace(name=name[:NAME_CHARS] or self.head.name)
 
     async def feed(self, data: bytes) -> Refusal | None:
-        """Take the next bytes, and store the chunks that they fill."""
+        """Process the next bytes, and store the chunks that they fill."""
         self._sha256.update(data)
         self._byte_count += len(data)
         if self._byte_count > self._deps.cfg.max_file_bytes:
-            reason = f"the file is over {self._deps.cfg.max_file_bytes} bytes"
+            reason = f"the file has more than {self._deps.cfg.max_file_bytes} bytes"
             return not_run(ErrorKind.TOO_LARGE, reason)
         for line in self._splitter.feed(data):
             refusal = await self._take_line(line)
@@ -98,7 +99,7 @@
         return None
 
     async def finish(self) -> Result[FileRecord, Refusal]:
-        """Store the rest and the record; from then on the file exists."""
+        """Store the remaining items and the record, with which the file exists."""
         refusal = await self._take_line(self._splitter.rest())
         refusal = refusal or await self._check_whole()
         if refusal is None and self._items:
@@ -117,7 +118,9 @@
         return Ok(record)
 
     async def abandon(self) -> None:
-        """Delete the chunks of a file that was refused; its expiry mark finds the rest."""
+        """Delete the chunks of a refused file; its expiry marker leads to the remaining
+        objects.
+        """
         for chunk, version in enumerate(self._versions):
             await saves.delete(self._deps, keys.chunk_key(self.head.file_id, chunk), version)
         self._versions = []
@@ -131,7 +134,8 @@
         if item is None:
             self._blank_line = self._blank_line or self._line
             return None
-        # Blank lines may only end a file: then an item's place tells its line.
+        # Blank lines are only allowed at the end of a file, so that an item's index determines
+        # its line number.
         if self._blank_line:
             return self._refuse(LineError(self._blank_line, "blank line between items"))
         return await self._take_item(item)
@@ -183,8 +187,8 @@
                 reason = f"custom_id: the same as on line {duplicate.first + 1}"
                 return self._refuse(LineError(duplicate.second + 1, reason))
             if len(self._counts) > 1 and bucket % BUCKETS_AT_ONCE == 0:
-                # Looking through all ids of a large file at once would hold up online
-                # requests for tens of milliseconds.
+                # Checking all ids of a large file at once would delay online requests for tens
+                # of milliseconds.
                 await self._deps.clock.sleep(0)
         return None
 
--- a/papayapier/batch/ids.py
+++ b/papayapier/batch/ids.py
@@ -1,9 +1,9 @@
-"""Find the place of a custom id in a file, and find ids that are used twice.
+"""Find the position of a custom id in a file, and detect duplicate ids.
 
-Only 64-bit hashes are kept, in the order of the items: 6 MB for 750,000 items, where a set
-of the ids would take ten times that. Two different ids of one file share a hash with a
-probability under one in 60 million at that size; such a file would be refused as having a
-duplicate, which is safe. A lookup by hash is confirmed by comparing the id itself.
+Only 64-bit hashes are kept, in item order: 6 MB for 750,000 items, where a set of the ids
+would take ten times as much. At that size, two different ids of one file share a hash with a
+probability below one in 60 million; such a file would be refused for a duplicate id, which is
+safe. A lookup by hash is confirmed by comparing the id itself.
 """
 
 from array import array
@@ -18,40 +18,40 @@
 
 
 class Duplicate(NamedTuple):
-    """Name two items, counted from 0, with the same custom id."""
+    """Hold the indexes (from 0) of two items with the same custom id."""
 
     first: int
     second: int
 
 
 class IdIndex:
-    """Collect the hashes of a file's custom ids in order."""
+    """Collect the hashes of a file's custom ids in item order."""
 
     __slots__ = ("_buckets", "_hashes")
 
     def __init__(self) -> None:
         self._hashes = array("Q")
-        # Small buckets make the search for duplicates cheap in time and memory: each is
-        # compared as a set of its own, one after the other.
+        # Each bucket is checked for duplicates separately with a set of its own, which keeps the
+        # time and the memory of one check small.
         self._buckets = [array("Q") for _ in range(BUCKETS)]
 
     def add(self, custom_id: str) -> None:
-        """Add the next item's id."""
+        """Add the id of the next item."""
         digest = _digest(custom_id)
         self._hashes.append(digest)
         self._buckets[digest % BUCKETS].append(digest)
 
     def duplicate(self, bucket: int) -> Duplicate | None:
-        """Return two items with the same id whose hash is in a bucket, if there are any."""
+        """Return two items with the same id whose hash is in a bucket, or None."""
         hashes = self._buckets[bucket]
         return self._locate(hashes) if len(set(hashes)) < len(hashes) else None
 
     def inline(self) -> bytes:
-        """Return the whole index when it is small enough for the file's record."""
+        """Return the complete index if it is small enough for the file's record."""
         return self._hashes.tobytes() if len(self._hashes) <= INLINE_IDS else b""
 
     def blocks(self) -> list[bytes]:
-        """Return the index in blocks when it is too large for the file's record."""
+        """Return the index in blocks if it is too large for the file's record."""
         if len(self._hashes) <= INLINE_IDS:
             return []
         starts = range(0, len(self._hashes), BLOCK_IDS)
@@ -64,11 +64,11 @@
                 first = self._hashes.index(digest)
                 return Duplicate(first, self._hashes.index(digest, first + 1))
             seen.add(digest)
-        raise AssertionError("bucket without a duplicate")
+        raise AssertionError("the bucket has no duplicate")
 
 
 def find(block: bytes, custom_id: str) -> int | None:
-    """Return the place of an id in a block of hashes."""
+    """Return the position of an id in a block of hashes."""
     hashes = array("Q")
     hashes.frombytes(block)
     try:
--- a/papayapier/batch/jobs.py
+++ b/papayapier/batch/jobs.py
@@ -1,9 +1,9 @@
-"""Accept, find and cancel jobs.
+"""Accept and cancel jobs.
 
-Creating the active record is the moment of acceptance: the input file is whole in the store
-by then, and the record names everything else that running the job needs. The id of a job
-with an idempotency key is made from its caller and key, so that the same request sent again,
-to any instance, meets the same record.
+Creating the active record is the moment of acceptance: the input file is completely stored by
+then, and the record refers to everything else that is needed to run the job. The id of a job
+with an idempotency key is derived from its caller and key, so that a resent request finds the
+same record on any instance.
 """
 
 import hashlib
@@ -35,7 +35,7 @@
 
 
 class JobRequest(NamedTuple):
-    """Hold what a caller asks for; due_ms is 0 when it is not stated."""
+    """Hold a caller's request for a job; due_ms is 0 if it is not given."""
 
     caller: str
     key: str
@@ -48,17 +48,17 @@
 
 
 class Jobs:
-    """Serve the requests about jobs."""
+    """Serve the requests that create and cancel jobs."""
 
     def __init__(self, deps: "BatchDeps", registry: "JobRegistry") -> None:
         self._deps = deps
         self._registry = registry
 
     async def accept(self, req: JobRequest) -> Result[FoundJob, Refusal]:
-        """Accept a job, or find the one that the same request made before."""
+        """Accept a job, or return the job that the same request created before."""
         if req.key:
-            # This comes before any check of the request: the file or the profile of a job
-            # accepted before may be gone, and "not run" would be untrue.
+            # This precedes all checks of the request: the file or the profile of an accepted job
+            # may no longer exist, and "not run" would be false.
             found = await self._find_sent_before(req)
             if found is not None:
                 return found
@@ -70,13 +70,13 @@
             return await self._same(req, found.ok_value)
         if found.err_value.kind is ErrorKind.NOT_FOUND:
             return None
-        reason = "whether a job with this key was accepted before is not known"
+        reason = "it is unknown whether a job with this key was accepted before"
         return Err(unknown(found.err_value.kind, reason, RETRY_AFTER_MS))
 
     async def _same(self, req: JobRequest, found: FoundJob) -> Result[FoundJob, Refusal]:
         """Compare a request with the job that has its key.
 
-        The file counts by its content: a client that believes a job failed may upload the
+        Files are compared by content: a client that assumes that a job failed may upload the
         same file again, under a new id.
         """
         record = found.record
@@ -85,7 +85,7 @@
             file = await find_file(self._deps, req.caller, req.file_id)
             same = isinstance(file, Ok) and file.ok_value.record.sha256 == record.file_sha256
         if not same:
-            reason = f"the key belongs to job {record.job_id} with other content"
+            reason = f"the key was used for job {record.job_id} with different content"
             return Err(not_run(ErrorKind.KEY_CONFLICT, reason))
         events.emit(events.JOB_RESENT, job=record.job_id, caller=record.caller)
         return Ok(found)
@@ -139,26 +139,27 @@
             return await self._same(req, found.ok_value) if isinstance(found, Ok) else found
         reason = "the job is not stored"
         if error is StoreError.LOST:
-            # The write may have taken effect or still do so. Sent again with the same key,
-            # the request finds out.
-            reason = "whether the job was stored is not known"
+            # The write may have taken effect or may still do so. A retry with the same key finds
+            # the job if it exists.
+            reason = "it is unknown whether the job was stored"
             return Err(unknown(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
         return Err(not_run(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
 
     async def _ended_before(
         self, req: JobRequest, record: JobRecord, version: int
     ) -> Result[FoundJob, Refusal] | None:
-        """Undo the acceptance of a job that ended while this request looked for it.
+        """Undo the acceptance of a job that ended while this request searched for it.
 
-        Between the look for the job and the creation of its record the same job may have
-        ended and its active record been removed. Instances that see the new record before
-        it is undone check for the ended one as well, so nothing runs twice.
+        Between the search for the job and the creation of its record, the same job may have
+        ended and its active record may have been deleted. Instances that read the new record
+        before it is undone check for the ended record as well, so nothing runs twice.
         """
         read = await self._deps.store.get(keys.ended_key(record.job_id))
         if isinstance(read, Err) and read.err_value is StoreError.NOT_FOUND:
             return None
         if isinstance(read, Err):
-            # Cannot tell: leave the record, whose finders look for the ended one too.
+            # The store did not answer: keep the record, because its readers check for the ended
+            # record too.
             return None
         await saves.delete(self._deps, keys.active_key(record.job_id), version)
         ended = codec.unpack(read.ok_value.value, JobRecord)
@@ -191,7 +192,7 @@
         )
 
     async def _usable_file(self, caller: str, file_id: str) -> Result[FileRecord, Refusal]:
-        """Read the record of a caller's file that a job may still be made of."""
+        """Read the record of a caller's file if a new job may still use the file."""
         file = await find_file(self._deps, caller, file_id)
         if isinstance(file, Err):
             return file
@@ -201,7 +202,7 @@
         return Ok(record)
 
     async def cancel(self, caller: str, job_id: str) -> Result[FoundJob, Refusal]:
-        """Cancel a job; one that is cancelled or ended stays as it is."""
+        """Cancel a job; a job that is cancelled or ended already stays unchanged."""
         for _ in range(CANCEL_TRIES):
             found = await find_job(self._deps, caller, job_id)
             if isinstance(found, Err):
@@ -217,7 +218,7 @@
             if isinstance(done, Ok):
                 return Ok(self._cancelled(record, done.ok_value))
             if done.err_value is StoreError.LOST:
-                reason = "whether the cancel was stored is not known"
+                reason = "it is unknown whether the cancel was stored"
                 return Err(unknown(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
             if done.err_value is not StoreError.CONFLICT:
                 return Err(unavailable())
@@ -231,7 +232,7 @@
 
 
 def caller_prefix(caller: str) -> str:
-    """Return what the ids of all jobs of a caller start with."""
+    """Return the prefix of the ids of all jobs of a caller."""
     return "batch_" + hashlib.sha256(caller.encode()).hexdigest()[:8]
 
 
@@ -241,7 +242,7 @@
 
 
 def _request_sha256(req: JobRequest) -> str:
-    """Hash what makes two requests the same job, but for the file."""
+    """Hash the fields, except the file, in which two requests for the same job must agree."""
     metadata = sorted(req.metadata.items())
     parts = (req.endpoint, req.window, req.profile, req.due_ms, metadata)
     return hashlib.sha256(codec.pack(parts)).hexdigest()
--- a/papayapier/batch/keeper.py
+++ b/papayapier/batch/keeper.py
@@ -1,9 +1,9 @@
-"""Keep the leases of the shards that this instance should hold, round by round.
+"""Acquire, renew and release the leases of the shards that this instance should hold.
 
-A round renews the session, looks at all sessions and leases, and acts: it takes the shards
-that are wanted here and free, confirms doubtful ones and hands over those wanted elsewhere.
-Shards are wanted where placement over the living sessions puts them. All of it is
-done by one coroutine, so that two rounds never act on each other's half-made changes.
+Each round renews the session, reads all sessions and leases, and acts on them: it takes free
+shards that are assigned to this instance, confirms unconfirmed leases, and hands over shards
+that are assigned elsewhere. Placement over the live sessions determines the assignment. A
+single coroutine does all of this, so that rounds never overlap.
 """
 
 from collections.abc import Awaitable, Callable
@@ -31,11 +31,11 @@
 
 
 class KeeperCalls(NamedTuple):
-    """Group what the keeper asks of the work on shards.
+    """Group the callbacks to the components that run the tasks of shards.
 
-    on_held starts the work of a shard, on_lost drops it. hand_over stops it and keeps what
-    it has done. careful tells whether work is left that was under way when the shard's last
-    holder was lost.
+    on_held starts the tasks of a shard, on_lost drops them. hand_over stops them and stores
+    their progress. careful returns whether tasks are left that were running when the shard's
+    previous holder was lost.
     """
 
     on_held: Callable[[int], None]
@@ -53,7 +53,7 @@
 
 
 class Keeper:
-    """Hold the leases of one instance."""
+    """Manage the leases of one instance."""
 
     def __init__(self, deps: "BatchDeps", holder: str, calls: KeeperCalls) -> None:
         self.session = Session(deps, holder, self._lapse)
@@ -68,40 +68,40 @@
         self._hurry: Deferred[None] | None = None
         self._loop = background.Loop(deps.clock, self._run, "lease keeper")
 
-    # What the work asks
+    # Queries
 
     def hold(self, shard: int) -> ShardHold | None:
-        """Return the hold of a shard that is ours now or waits to be confirmed."""
+        """Return the lease of a shard that is held or unconfirmed, or None."""
         hold = self._holds[shard]
         return hold if hold.ours or hold.doubtful else None
 
     def may_commit(self, shard: int) -> bool:
-        """Tell whether progress of a shard may be stored now."""
+        """Return whether progress of a shard may be stored now."""
         return self._holds[shard].ours and self.session.may_act()
 
     def may_send(self, shard: int, idempotent: bool) -> bool:
-        """Tell whether items of a shard may be sent now.
+        """Return whether items of a shard may be sent now.
 
-        When the store does not answer, nobody can take the shard either, so work that may
-        be repeated goes on. After a pause of this process the store is not to blame, and
-        the next renewal decides.
+        While the store does not answer, no other instance can take the shard either, so
+        repeatable items continue. After a pause of this process the store is not the cause,
+        and the next renewal decides.
         """
         if self.may_commit(shard):
             return True
         return idempotent and self.session.silent and self.hold(shard) is not None
 
     def held(self) -> list[int]:
-        """Return the shards that are ours."""
+        """Return the shards whose lease is held."""
         return [hold.shard for hold in self._holds if hold.ours]
 
     # Rounds
 
     def start(self) -> None:
-        """Begin the rounds."""
+        """Start the rounds."""
         self._loop.start()
 
     def kick(self) -> None:
-        """Begin the next round now."""
+        """Start the next round now."""
         hurry, self._hurry = self._hurry, None
         if hurry is not None:
             hurry.callback(None)
@@ -124,7 +124,7 @@
                 timer.cancel()
 
     async def _round(self) -> bool:
-        """Renew, look and act; tell whether there is more to do at once."""
+        """Renew the session, read the leases and act; return whether to continue at once."""
         if not self.session.may_act():
             self._lapse()
         if not await self.session.renew():
@@ -143,7 +143,9 @@
             self._drop_if(shard, self._leases[shard].lapse())
 
     async def _confirm(self) -> None:
-        """Write each doubtful lease once more: whoever is second in this conflicts."""
+        """Write each unconfirmed lease again: if another instance was first, the write
+        conflicts.
+        """
         for shard, lease in enumerate(self._leases):
             if self._holds[shard].doubtful:
                 await self._confirm_one(shard, lease)
@@ -181,7 +183,7 @@
         return done
 
     async def _observe(self) -> bool:
-        """Read the sessions and what changed of the leases; False when the store is silent."""
+        """Read the sessions and the changed leases; return False if the store does not answer."""
         sessions = await saves.list_keys(self._deps, keys.SESSION_PREFIX)
         if isinstance(sessions, Err):
             return False
@@ -196,7 +198,9 @@
         return True
 
     async def _look(self, shard: int, version: int) -> bool:
-        """Take in a lease's listed version; read the lease when it is newer than known."""
+        """Check a lease's listed version; read the lease if that version is newer than the
+        known one.
+        """
         seen = self._seen.get(shard)
         if version == 0 or (seen is not None and seen.version >= version):
             return True
@@ -256,11 +260,13 @@
         return self._observer.expired(holder, self._deps.clock.now())
 
     def _was_lost(self, record: LeaseRecord) -> bool:
-        """Tell whether a holder went without giving its shards back."""
+        """Return whether a holder ended without releasing its shards."""
         return record.holder != self._holder and self._observer.known(record.holder)
 
     async def _give_back(self, shard: int) -> None:
-        """Free a lease that the store shows as ours but that is not held, nor wanted here."""
+        """Release a lease that the store shows as ours, but that is neither held nor assigned
+        here.
+        """
         seen = self._seen.get(shard)
         if seen is not None and seen.record.holder == self._holder:
             await self._write(shard, seen.record._replace(holder=FREE), seen.version)
@@ -281,7 +287,7 @@
             self._deps.tell_peers(ShardsReleased([shard]))
 
     async def _remove_stale(self) -> None:
-        """Remove the session of a run that ended long ago and holds nothing any more."""
+        """Delete the session of a run that ended long ago and holds no lease."""
         now = self._deps.clock.now()
         holders = {seen.record.holder for seen in self._seen.values()}
         for holder, version in list(self._observer.versions.items()):
@@ -291,7 +297,7 @@
     # Planned stop
 
     async def stop(self) -> None:
-        """Hand over all shards, then give the leases back with one write."""
+        """Hand over all shards, then release all leases with one write."""
         self._stopping = True
         held = self.held()
         for shard in held:
--- a/papayapier/batch/keys.py
+++ b/papayapier/batch/keys.py
@@ -1,8 +1,8 @@
-"""Name the objects that batch work keeps in the platform's store.
+"""Build the keys of the objects that batch jobs keep in the platform's store.
 
-An active job and an ended one have different prefixes, so that the listing by which every
-instance finds its work grows with the jobs that run and not with those that are kept.
-Numbers are padded with zeros, so that a listing comes in their order.
+Active and ended jobs have different prefixes, so that the listing by which every instance
+finds its jobs grows with the running jobs and not with the retained ones. Numbers are padded
+with zeros, so that listings are in numeric order.
 """
 
 from typing import Final
@@ -16,82 +16,86 @@
 
 
 def file_key(file_id: str) -> str:
-    """Name the record of an input file; it exists once all of the file is stored."""
+    """Return the key of an input file's record, which exists once the file is completely
+    stored.
+    """
     return f"{FILE_PREFIX}{file_id}"
 
 
 def chunk_prefix(file_id: str) -> str:
-    """Name the prefix of a file's chunks."""
+    """Return the prefix of a file's chunks."""
     return f"chunks/{file_id}/"
 
 
 def chunk_key(file_id: str, chunk: int) -> str:
-    """Name one chunk of an input file."""
+    """Return the key of one chunk of an input file."""
     return f"{chunk_prefix(file_id)}{chunk:06d}"
 
 
 def index_prefix(file_id: str) -> str:
-    """Name the prefix of a file's index blocks."""
+    """Return the prefix of a file's index blocks."""
     return f"index/{file_id}/"
 
 
 def index_key(file_id: str, block: int) -> str:
-    """Name one block of hashes of a file's custom ids."""
+    """Return the key of one block of hashes of a file's custom ids."""
     return f"{index_prefix(file_id)}{block:06d}"
 
 
 def active_key(job_id: str) -> str:
-    """Name the record of a job that is accepted and not ended; creating it accepts the job."""
+    """Return the key of an active job's record; creating that object accepts the job."""
     return f"{ACTIVE_PREFIX}{job_id}"
 
 
 def ended_key(job_id: str) -> str:
-    """Name the record of a job that has ended."""
+    """Return the key of an ended job's record."""
     return f"{ENDED_PREFIX}{job_id}"
 
 
 def progress_prefix(job_id: str) -> str:
-    """Name the prefix of a job's checkpoints."""
+    """Return the prefix of a job's checkpoints."""
     return f"progress/{job_id}/"
 
 
 def progress_key(job_id: str, task: int) -> str:
-    """Name the checkpoint of a task that is under way."""
+    """Return the key of the checkpoint of an unfinished task."""
     return f"{progress_prefix(job_id)}{task:06d}"
 
 
 def results_prefix(job_id: str) -> str:
-    """Name the prefix of the results of a job's finished tasks."""
+    """Return the prefix of the results of a job's finished tasks."""
     return f"results/{job_id}/"
 
 
 def results_key(job_id: str, task: int) -> str:
-    """Name the results of a finished task; creating it records them, once."""
+    """Return the key of a finished task's results; creating that object records them exactly
+    once.
+    """
     return f"{results_prefix(job_id)}{task:06d}"
 
 
 def spill_prefix(job_id: str) -> str:
-    """Name the prefix of a job's results that did not fit beside the others."""
+    """Return the prefix of a job's results that are stored in separate objects."""
     return f"spill/{job_id}/"
 
 
 def spill_key(job_id: str, task: int, writer: str) -> str:
-    """Name one part of a task's results; writer is drawn anew for each part."""
+    """Return the key of one spilled part of a task's results; writer is unique to each part."""
     return f"{spill_prefix(job_id)}{task:06d}/{writer}"
 
 
 def lease_key(shard: int) -> str:
-    """Name the lease of a shard."""
+    """Return the key of a shard's lease."""
     return f"{LEASE_PREFIX}{shard:06d}"
 
 
 def session_key(holder: str) -> str:
-    """Name the session of one run of an instance."""
+    """Return the key of the session of one run of an instance."""
     return f"{SESSION_PREFIX}{holder}"
 
 
 def expiry_key(at_ms: int, kind: str, object_id: str) -> str:
-    """Name the mark that a file or job expires at a wall-clock time."""
+    """Return the key of the marker that a file or job expires at a wall-clock time."""
     return f"{EXPIRY_PREFIX}{at_ms:015d}/{kind}/{object_id}"
 
 
--- a/papayapier/batch/leases.py
+++ b/papayapier/batch/leases.py
@@ -1,12 +1,14 @@
-"""Hold the states of one shard's lease, as its holder or would-be holder sees it.
+"""Define the state machine of one shard's lease, as its holder or would-be holder sees it.
 
-away: not held here.  taking: the conditional write of the lease is under way.  held: the
-shard's work is ours.  doubtful: the session has lapsed by our own clock, and another instance
-may take the shard at any moment; nothing is committed until the lease is confirmed by a new
-conditional write of it.  releasing: the work is being handed over.
+* away: not held by this instance.
+* taking: the conditional write of the lease is in progress.
+* held: this instance runs the shard's tasks.
+* doubtful: the session has lapsed by the local clock, and another instance may take the shard
+  at any moment; nothing is committed until a new conditional write confirms the lease.
+* releasing: the shard's tasks are being handed over.
 
-A lease that is lost, in whatever way, goes to away; the inputs that can bring that about
-return whether there was work, which the caller then has to drop.
+A lease that is lost, for whatever reason, enters the state away; the inputs that can cause
+this return whether there were tasks, which the caller then has to drop.
 """
 
 from typing import Final, Protocol
@@ -17,40 +19,40 @@
 
 
 class Lease(Protocol):
-    """Describe what happens to a lease and what is asked of it."""
+    """Define the inputs and queries of the state machine."""
 
     def take(self) -> None:
-        """Note that the lease is being written."""
+        """Handle the start of a write of the lease."""
 
     def taken(self, version: int, lossy: bool) -> None:
-        """Note that the lease was written at a version; lossy: the last holder was lost."""
+        """Handle a successful write of the lease; lossy: the previous holder was lost."""
 
     def not_taken(self) -> None:
-        """Note that the lease was not written."""
+        """Handle a failed write of the lease."""
 
     def lapse(self) -> bool:
-        """Note that the session has lapsed by our clock; tell whether work is to be dropped."""
+        """Handle the lapse of the session by the local clock; return whether to drop the tasks."""
 
     def confirmed(self, version: int) -> None:
-        """Note that the lease was written once more after a lapse."""
+        """Handle a successful new write of the lease after a lapse."""
 
     def lose(self) -> bool:
-        """Note that another instance has the lease; tell whether work is to be dropped."""
+        """Handle the loss of the lease to another instance; return whether to drop the tasks."""
 
     def release(self) -> None:
-        """Begin to hand the work over."""
+        """Handle the start of a hand-over."""
 
     def released(self) -> bool:
-        """Note that the work was handed over; tell whether what is left is to be dropped."""
+        """Handle the end of a hand-over; return whether to drop the remaining tasks."""
 
     def state(self) -> str:
         """Return the name of the state."""
 
 
 class ShardHold:
-    """Hold what is known of one shard's lease while it is ours.
+    """Hold the data of one shard's lease while this instance has it.
 
-    ours and doubtful repeat the state, because they are asked for with every item.
+    ours and doubtful duplicate the state, because they are read for every item.
     """
 
     __slots__ = ("doubtful", "fence", "lossy", "ours", "shard", "version")
--- a/papayapier/batch/lines.py
+++ b/papayapier/batch/lines.py
@@ -1,7 +1,7 @@
-"""Split an uploaded JSONL file into checked items, in bounded memory.
+"""Split an uploaded JSONL file into validated items, in bounded memory.
 
-Bytes come in pieces of any size. A line is decoded once to check its fields; its body is
-kept as the bytes that came, so that the upstream gets exactly what the caller wrote.
+Input arrives in pieces of any size. A line is decoded once to check its fields; its body is
+kept as the received bytes, so that the upstream gets exactly what the caller wrote.
 """
 
 from typing import Annotated, Final, NamedTuple
@@ -19,7 +19,7 @@
 
 
 class _Line(msgspec.Struct):
-    """Mirror one line for decoding; msgspec keeps a Raw body undecoded."""
+    """Define one line for decoding; msgspec keeps a Raw body undecoded."""
 
     custom_id: Annotated[str, Meta(min_length=1, max_length=256)]
     url: Annotated[str, Meta(min_length=1, max_length=1024)]
@@ -28,14 +28,14 @@
 
 
 class LineError(NamedTuple):
-    """Name the line at fault; the first line is 1."""
+    """Hold the number of an invalid line, from 1, and the reason."""
 
     line: int
     reason: str
 
 
 class LineSplitter:
-    """Cut a stream of bytes into lines and keep the unfinished last one."""
+    """Split a stream of bytes into lines and buffer the incomplete last line."""
 
     __slots__ = ("_parts", "_size")
 
@@ -56,11 +56,11 @@
         return lines
 
     def rest(self) -> bytes:
-        """Return the unfinished last line."""
+        """Return the incomplete last line."""
         return b"".join(self._parts)
 
     def too_long(self) -> bool:
-        """Tell whether the unfinished line is over the bound already."""
+        """Return whether the incomplete line already exceeds the limit."""
         return self._size > LINE_BYTES
 
     def _keep(self, part: bytes) -> None:
@@ -69,7 +69,7 @@
 
 
 def parse_line(line: bytes, number: int) -> Result[InputItem | None, LineError]:
-    """Check one line; a blank line is no item."""
+    """Validate one line; a blank line gives None."""
     if len(line) > LINE_BYTES:
         return Err(LineError(number, f"over {LINE_BYTES} bytes"))
     text = line.strip()
@@ -87,7 +87,7 @@
 
 
 def endpoint_of(url: str) -> str:
-    """Return the endpoint that a URL belongs to, or nothing when it is not served."""
+    """Return the endpoint of a URL, or an empty string if it is not served."""
     if url in ENGINE_URLS:
         return url
     if not url.startswith(SERVICE_URL):
--- a/papayapier/batch/lookup.py
+++ b/papayapier/batch/lookup.py
@@ -25,7 +25,7 @@
 
 
 class FoundJob(NamedTuple):
-    """Hold a job's record and its version; ended says which of the two records it is."""
+    """Hold a job's record and its version; ended: the record is that of an ended job."""
 
     record: JobRecord
     version: int
@@ -35,7 +35,7 @@
 async def find_file(
     deps: "BatchDeps", caller: str, file_id: str, deleted: bool = False
 ) -> Result[FoundFile, Refusal]:
-    """Read the record of a caller's file; deleted finds one marked for deletion as well."""
+    """Read the record of a caller's file; deleted: also return a file marked for deletion."""
     missing = not_run(ErrorKind.NOT_FOUND, f"no file is named {file_id}")
     if not _is_name(file_id):
         return Err(missing)
@@ -71,10 +71,10 @@
 
 
 def _is_name(text: str) -> bool:
-    """Tell whether a caller's text can be part of a key."""
+    """Return whether a caller's text can be part of a key."""
     return re.fullmatch(r"[A-Za-z0-9_-]{1,100}", text) is not None
 
 
 def unavailable() -> Refusal:
-    """Refuse because the store does not answer."""
+    """Return the refusal for a store that does not answer."""
     return not_run(ErrorKind.STORE_UNAVAILABLE, "the store does not answer", RETRY_AFTER_MS)
--- a/papayapier/batch/opener.py
+++ b/papayapier/batch/opener.py
@@ -1,4 +1,4 @@
-"""Open tasks shortly before their items are needed, within the bound on memory."""
+"""Open tasks shortly before their items are needed, within the memory limit."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -25,14 +25,14 @@
 
 
 class InputRoom(NamedTuple):
-    """Bound the bytes of input to be opened: the share of an upstream, and the most at all."""
+    """Limit the bytes of input to be opened: the share of one upstream, and the total."""
 
     share: int
     most: int
 
 
 class Opener:
-    """Open pending tasks of jobs; one that cannot be opened now stays pending."""
+    """Open pending tasks of jobs; a task that cannot be opened now stays pending."""
 
     def __init__(
         self,
@@ -52,13 +52,16 @@
     def open_ahead(
         self, jobs: list[JobWork], caps: dict[str, int], items: int, room: InputRoom
     ) -> None:
-        """Open the next tasks of an upstream when a caller's open ones will soon be used up.
+        """Open the next tasks of an upstream when a caller's open tasks will soon have no unsent
+        items.
 
-        At least so many items of each caller are opened ahead that work can go on for a
-        while when the store does not answer; for ordinary tasks this costs no write.
+        The given number of items of each caller is opened ahead, so that items can still be
+        sent for a while when the store does not answer; for ordinary tasks this costs no
+        write.
 
-        Each caller is looked at on its own: else the tasks of one with early jobs would be
-        ahead enough, and another's part of the capacity would find nothing to run.
+        Each caller is considered separately. Otherwise the tasks of a caller with urgent jobs
+        would count as enough for all, and the other callers' shares of the capacity would stay
+        unused.
         """
         ahead: Counter[str] = Counter()
         for job in jobs:
@@ -83,7 +86,9 @@
         background.start(self._open(job, task), f"opening of task {task}", again)
 
     def _may_open(self, job: JobWork, task: int) -> bool:
-        """Tell whether a task's lease is held; a doubtful one leaves the task pending."""
+        """Return whether a task's lease is held; if the lease is unconfirmed, the task stays
+        pending.
+        """
         return self._grant(job, job.shards[task]) is not None
 
     async def _open(self, job: JobWork, task: int) -> None:
@@ -103,7 +108,8 @@
         job.opening.discard(task)
         if task in job.done:
             return
-        # The lease may have changed hands meanwhile: then what was read may be old.
+        # The lease may have changed hands in the meantime, and the data that was read may be
+        # outdated.
         if self._grant(job, grant.shard) != grant:
             job.pending.appendleft(task)
             self._go_on()
@@ -130,7 +136,7 @@
 
 
 def input_bytes(jobs: Iterable[JobWork]) -> int:
-    """Return the size of the input of jobs' open tasks, and a bound for those being opened."""
+    """Return the input size of jobs' open tasks, with an upper bound for those being opened."""
     held = 0
     for job in jobs:
         held += len(job.opening) * CHUNK_BYTES
--- a/papayapier/batch/opening.py
+++ b/papayapier/batch/opening.py
@@ -1,4 +1,4 @@
-"""Open a task: read its input and what an earlier holder has left of it."""
+"""Open a task: read its input and what an earlier holder has stored of it."""
 
 from typing import TYPE_CHECKING, NamedTuple
 
@@ -16,7 +16,7 @@
 
 
 class Grant(NamedTuple):
-    """Say under which lease a task is opened; lossy asks for care with every item."""
+    """Hold the lease under which a task is opened; lossy: all its items are run cautiously."""
 
     shard: int
     fence: int
@@ -24,14 +24,14 @@
 
 
 class Unreadable(NamedTuple):
-    """Say that an object is there but cannot be used, or should be there and is not."""
+    """Report an object that cannot be decoded, or that should exist but does not."""
 
     key: str
     reason: str
 
 
 class Sealed(NamedTuple):
-    """Say that the job was cancelled, which this instance has not heard of yet."""
+    """Report that the job was cancelled, which this instance has not received yet."""
 
     key: str
 
@@ -85,7 +85,7 @@
     spilled = await read_spilled(deps.store, checkpoint.spilled)
     if isinstance(spilled, Err):
         return spilled
-    # Intents without a result were under way at the holder that was lost.
+    # Intents without a result were running at the lost holder.
     lost = bool(checkpoint.intents)
     state = TaskState(len(items), rules._replace(cautious=rules.cautious or lost))
     state.resume(checkpoint, version, spilled.ok_value)
@@ -97,7 +97,7 @@
 
 
 def _report_loss(deps: "BatchDeps", before: list[ItemResult], state: TaskState) -> None:
-    """Count the items that ended by the loss of their holder."""
+    """Count the items that ended because their holder was lost."""
     known = tally_of(before)
     for name in ("failed", "unknown"):
         count = getattr(state.tally, name) - getattr(known, name)
@@ -119,7 +119,7 @@
 
 
 async def read_spilled(store: Store, parts: list[str]) -> Result[list[ItemResult], OpenError]:
-    """Read the results that did not fit beside the others."""
+    """Read the results that are stored in separate objects."""
     results: list[ItemResult] = []
     for key in parts:
         read = await store.get(key)
@@ -133,7 +133,7 @@
 
 
 async def read_results(store: Store, job_id: str, task: int) -> Result[TaskResults, OpenError]:
-    """Read the recorded results of a finished task, without the spilled parts."""
+    """Read the recorded results of a finished task, without the spilled objects."""
     key = keys.results_key(job_id, task)
     read = await store.get(key)
     if isinstance(read, Err):
--- a/papayapier/batch/outcomes.py
+++ b/papayapier/batch/outcomes.py
@@ -1,9 +1,9 @@
-"""Decide what an item's answer or refusal means for the item.
+"""Decide what a reply or refusal means for an item.
 
-An item ends with a whole answer, with an outcome that will never be known, or as failed when
-no further attempt can help. Everything else is sent again: counted against the item when
-the item may be at fault, not counted when the fleet is at fault, because items must not fail
-in an outage that they have no part in.
+An item ends when it has a complete reply, when its outcome can never be known, or as failed
+when no further attempt can help. In all other cases it is sent again. The attempt counts
+against the item if the item may be at fault; it does not count if the upstream or the service
+is at fault, because an outage must not make items fail.
 """
 
 from typing import Final, NamedTuple, TypedDict
@@ -38,26 +38,26 @@
 
 
 class Ended(NamedTuple):
-    """End the item with this result."""
+    """State that the item ends with this result."""
 
     result: ItemResult
 
 
 class SendAgain(NamedTuple):
-    """Send the item again; result is how it ends when no attempt is left."""
+    """State that the item is sent again; result is its outcome if no attempt is left."""
 
     counted: bool
     result: ItemResult
 
 
 class Usage(TypedDict):
-    """Count tokens as OpenAI-style clients expect."""
+    """Count tokens in the format of OpenAI-style clients."""
 
     completion_tokens: int
 
 
 class Generated(TypedDict):
-    """Hold the whole answer to a generation."""
+    """Hold a complete, unstreamed generation reply."""
 
     id: str
     object: str
@@ -73,7 +73,7 @@
     idempotent: bool,
     now_wall: int,
 ) -> Ended | SendAgain:
-    """Say what the end of one send means for the item."""
+    """Classify the outcome of one send of an item."""
     if isinstance(answer, Ok):
         return _judge_reply(item, source, call_id, answer.ok_value, idempotent, now_wall)
     return _judge_refusal(item, source, answer.err_value, idempotent, now_wall)
@@ -84,12 +84,12 @@
 ) -> Ended | SendAgain:
     body = _body_of(source, call_id, reply)
     if len(body) > RESULT_BYTES:
-        reason = f"the answer has {len(body)} bytes, over {RESULT_BYTES}"
+        reason = f"the reply has {len(body)} bytes, the limit is {RESULT_BYTES}"
         failed = _result(item, source, ItemState.FAILED, ErrorKind.TOO_LARGE, reason, now_wall)
         return Ended(failed)
     state = ItemState.COMPLETED if reply.status < FIRST_ERROR_STATUS else ItemState.FAILED
     kind = "" if state is ItemState.COMPLETED else ErrorKind.UPSTREAM_FAILED.value
-    reason = "" if state is ItemState.COMPLETED else f"the upstream answered {reply.status}"
+    reason = "" if state is ItemState.COMPLETED else f"the upstream returned {reply.status}"
     result = ItemResult(
         item=item,
         custom_id=source.custom_id,
@@ -138,7 +138,7 @@
 
 
 def _body_of(source: InputItem, call_id: str, reply: Reply) -> bytes:
-    """Return the answer's body; a stream's is put together as if it had not been streamed."""
+    """Return the reply's body; a streamed reply is converted to its unstreamed form."""
     if not reply.content_type.startswith(STREAM_TYPE):
         return reply.body
     chat = source.url == CHAT_URL
--- a/papayapier/batch/placement.py
+++ b/papayapier/batch/placement.py
@@ -1,10 +1,10 @@
-"""Decide which instance should hold which shard: rendezvous hashing with a bounded load.
+"""Decide which instance should hold which shard, by rendezvous hashing with bounded loads.
 
 Plain rendezvous hashing gives each shard to the instance with the highest score. With a few
-dozen shards that is uneven by half, and an instance with too few of them leaves capacity
-idle that only it may use. So a shard passes over an instance that has its share already.
-The result depends only on who lives, so all instances agree without a word; when one comes
-or goes, few more shards move than must.
+dozen shards the shares then differ by up to half, and an instance with too few shards leaves
+capacity unused that no other instance can use. Therefore an instance that has its full share
+is skipped. The result depends only on the set of live instances, so all instances agree
+without communication; when an instance joins or leaves, few more shards move than necessary.
 """
 
 from collections import Counter
--- a/papayapier/batch/records.py
+++ b/papayapier/batch/records.py
@@ -1,7 +1,7 @@
-"""Define what batch work keeps in the platform's store, as msgpack arrays.
+"""Define the records that batch jobs keep in the platform's store, as msgpack arrays.
 
-Fields are only added at the end with a default, so that a newer release reads what an older
-one has written.
+New fields are only added at the end and with a default, so that a newer release can read the
+records of an older one.
 """
 
 from enum import Enum
@@ -9,7 +9,7 @@
 
 from papayapier.config.profiles import Profile
 
-# Room is left under the store's bound for the fields around the items.
+# The limits stay below the store's limit for an object, for the fields around the items.
 CHUNK_BYTES: Final = 450_000
 SPILL_BYTES: Final = 700_000
 LINE_BYTES: Final = 700_000
@@ -18,7 +18,7 @@
 
 
 class InputItem(NamedTuple):
-    """Hold one line of an input file; body is its JSON as it came."""
+    """Hold one line of an input file; body is its JSON, byte for byte as received."""
 
     custom_id: str
     method: str
@@ -29,8 +29,8 @@
 class FileRecord(NamedTuple):
     """Describe an input file; chunks holds the number of items of each chunk.
 
-    id_hashes holds 64-bit hashes of the custom ids in their order when they are few; for a
-    long file they are in id_blocks objects of their own.
+    id_hashes holds the 64-bit hashes of the custom ids in item order if there are few of them;
+    for a long file they are stored in id_blocks separate objects.
     """
 
     file_id: str
@@ -53,7 +53,7 @@
 
 
 class Tally(NamedTuple):
-    """Count ended items by how they ended; cancelled items never ran."""
+    """Count ended items by their outcome; cancelled items were never sent."""
 
     completed: int = 0
     failed: int = 0
@@ -61,16 +61,16 @@
     cancelled: int = 0
 
     def plus(self, other: "Tally") -> "Tally":
-        """Return the sums."""
+        """Return the sum of both counts."""
         return Tally(*(a + b for a, b in zip(self, other, strict=True)))
 
     def total(self) -> int:
-        """Return how many items have ended."""
+        """Return the number of ended items."""
         return sum(self)
 
 
 class JobState(Enum):
-    """Name the states of a job."""
+    """List the states of a job."""
 
     RUNNING = "running"
     CANCELLING = "cancelling"
@@ -82,8 +82,8 @@
 class JobRecord(NamedTuple):
     """Describe a job from acceptance to expiry.
 
-    profile is a copy from acceptance: it is used when operators have removed the profile
-    since. cancel_version is the version that the record got by the cancel.
+    profile is a copy made at acceptance; it is used if operators have removed the profile
+    since. cancel_version is the version of the record that the cancel created.
     """
 
     job_id: str
@@ -114,7 +114,7 @@
 
 
 class ItemState(Enum):
-    """Name the ways in which an item ends."""
+    """List the outcomes of an item."""
 
     COMPLETED = "completed"
     FAILED = "failed"
@@ -123,10 +123,10 @@
 
 
 class ItemResult(NamedTuple):
-    """Record how one item ended; item counts from the start of its task.
+    """Record the outcome of one item; item is its index in the task.
 
-    status and body are the upstream's; kind and reason tell of a refusal. commit is the
-    number of the checkpoint that first carried this result.
+    status and body come from the upstream; kind and reason describe a refusal. commit is the
+    index of the first checkpoint that contains this result.
     """
 
     item: int
@@ -143,13 +143,13 @@
 
 
 class Checkpoint(NamedTuple):
-    """Hold what must survive the loss of a task's holder.
+    """Hold the state of a task that must survive the loss of its holder.
 
-    writer tells one write from any other. versions holds the store's versions of the earlier
-    checkpoints, so that a reader can tell which results were recorded before a cancel.
-    intents are the items that may have been sent and have no result. attempts counts failed
-    attempts of items that have not ended. spilled names parts with further results. sealed
-    says that the job is cancelled and the task may not be gone on with.
+    writer identifies this write. versions holds the store's versions of the earlier
+    checkpoints, so that a reader can tell which results were stored before a cancel. intents
+    are the items that may have been sent and have no result. attempts counts the failed
+    attempts of items that have not ended. spilled lists the keys of objects with further
+    results. sealed means that the job is cancelled and the task must not be continued.
     """
 
     writer: str
@@ -164,7 +164,7 @@
 
 
 class TaskResults(NamedTuple):
-    """Hold the results of a finished task, but for those in the spilled parts."""
+    """Hold the results of a finished task, except those in the spilled objects."""
 
     writer: str
     fence: int
@@ -174,14 +174,14 @@
 
 
 class LeaseRecord(NamedTuple):
-    """Hold who owns a shard; lossy says that the holder before was lost with work under way."""
+    """Hold the owner of a shard; lossy: the previous holder was lost while it ran tasks."""
 
     holder: str
     lossy: bool = False
 
 
 class SessionRecord(NamedTuple):
-    """Show by its changing version that one run of an instance lives."""
+    """Show by its changing version that one run of an instance is live."""
 
     holder: str
     renewals: int
--- a/papayapier/batch/registry.py
+++ b/papayapier/batch/registry.py
@@ -1,7 +1,7 @@
-"""Know the active jobs: follow their records in the store, and read each that is newer.
+"""Track the active jobs: follow their records in the store, and read those that have changed.
 
-Peers also tell of changes, which is faster; following is what can be relied on. One waiting
-watch counts as one call of the store, whatever the number of jobs.
+Peers report changes too, which is faster, but only following the store is reliable. A waiting
+watch counts as one store call, whatever the number of jobs.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class JobListeners(NamedTuple):
-    """Group the calls made when jobs come, change and go."""
+    """Group the callbacks for jobs that are added, changed and removed."""
 
     on_new: Callable[[JobWork], None]
     on_changed: Callable[[JobWork], None]
@@ -45,29 +45,29 @@
         self._stopped = False
 
     def start(self) -> None:
-        """Begin to follow the active jobs."""
+        """Start following the active jobs."""
         self._follower.start()
 
     def stop(self) -> None:
-        """Stop following."""
+        """Stop following the active jobs."""
         self._stopped = True
         self._follower.stop()
 
     def complete(self) -> bool:
-        """Tell whether every job that was active lately is known here."""
+        """Return whether every job that was recently active is known here."""
         listed = self._follower.listed_ms
         recent = listed is not None and self._deps.clock.now() - listed <= 2 * PACE.poll_ms
         return recent and not self._unread
 
     def hear(self, job_id: str, version: int) -> None:
-        """Take a hint that a job's record has a newer version."""
+        """Handle a report that a job's record has a newer version."""
         known = self.jobs.get(job_id)
         if known is None or known.version < version:
             self._unread[job_id] = max(version, self._unread.get(job_id, 0))
             self._read_soon()
 
     def take(self, record: JobRecord, version: int) -> JobWork:
-        """Take in a record as read or written; an older version is ignored."""
+        """Update a job from a record that was read or written; an older version is ignored."""
         known = self.jobs.get(record.job_id)
         if known is None:
             now = self._deps.clock.now()
@@ -82,7 +82,7 @@
         return known
 
     def drop(self, job_id: str) -> None:
-        """Forget a job that is not active any more."""
+        """Remove a job that is no longer active."""
         self._unread.pop(job_id, None)
         job = self.jobs.pop(job_id, None)
         if job is not None:
@@ -113,7 +113,7 @@
             self._reading = False
 
     async def read(self, job_id: str) -> bool:
-        """Read one job's record and take it in; False says that the store did not answer."""
+        """Read one job's record and update the job; False means that the store did not answer."""
         read = await self._deps.store.get(keys.active_key(job_id))
         if isinstance(read, Err):
             gone = read.err_value is StoreError.NOT_FOUND
@@ -133,10 +133,11 @@
         return True
 
     async def _has_ended(self, job_id: str, version: int) -> bool | None:
-        """Remove the record of a job that has ended; None says that the store did not answer.
+        """Delete the active record of a job that has ended; None means that the store did not
+        answer.
 
-        A job sent again may be accepted in the moment between its end and the removal of
-        its active record. It would run a second time; the ended record shows that.
+        A job that is submitted again may be accepted between its end and the deletion of its
+        active record. It would run a second time; the ended record reveals this.
         """
         ended = await self._deps.store.get(keys.ended_key(job_id))
         if isinstance(ended, Err):
--- a/papayapier/batch/results.py
+++ b/papayapier/batch/results.py
@@ -1,9 +1,9 @@
-"""Read the results of a job, whether it runs, has ended or was cancelled.
+"""Read the results of a job that is running, ended or cancelled.
 
-After a cancel no result is recorded. A holder that has not heard of the cancel, or that was
-paused, may still write one, and there is no write that covers the job's record and a task's
-at once. So a reader decides: the store numbers all changes in one order, and what was stored
-at a higher version than the cancel does not count.
+After a cancel, results no longer count. A holder that has not received the cancel, or was
+paused, may still write one, and no single write covers the job's record and a task's results.
+Therefore the reader decides: the store numbers all changes in one sequence, and an object with
+a higher version than the cancel is ignored.
 """
 
 from collections.abc import AsyncIterator, Callable
@@ -39,7 +39,7 @@
 
 
 class TaskView(NamedTuple):
-    """Hold what is recorded of a task; open_items have no result, intents may have run."""
+    """Hold what is stored of a task; open_items have no result, intents may have run."""
 
     results: list[ItemResult]
     open_items: list[int]
@@ -49,7 +49,7 @@
 async def view_task(
     store: Store, record: JobRecord, span: TaskSpan, cancel_version: int
 ) -> Result[TaskView, OpenError]:
-    """Read what is recorded of a task, up to the cancel if there was one."""
+    """Read what is stored of a task, up to the cancel if there was one."""
     final = await _get(store, keys.results_key(record.job_id, span.task))
     if isinstance(final, Err):
         return final
@@ -112,13 +112,13 @@
 def cancelled_results(
     record: JobRecord, view: TaskView, items: list[InputItem], span: TaskSpan
 ) -> list[ItemResult]:
-    """Return how the items without a result end when their job is cancelled."""
+    """Return the results of the open items of a cancelled job."""
     guarded = frozenset(() if record.profile.idempotent else view.intents)
     results: list[ItemResult] = []
     for item in view.open_items:
         state = ItemState.UNKNOWN if item in guarded else ItemState.CANCELLED
         custom_id = items[span.start + item].custom_id
-        reason = "under way when the job was cancelled" if item in guarded else "never ran"
+        reason = "running when the job was cancelled" if item in guarded else "never ran"
         results.append(
             ItemResult(
                 item, custom_id, state, 0, b"", True, "cancelled", reason, 0, record.cancel_ms
@@ -128,7 +128,7 @@
 
 
 def cancelled_tally(record: JobRecord, view: TaskView) -> Tally:
-    """Count a task of a cancelled job."""
+    """Count the outcomes of a task of a cancelled job."""
     guarded = 0 if record.profile.idempotent else len(view.intents)
     open_tally = Tally(unknown=guarded, cancelled=len(view.open_items) - guarded)
     return tally_of(view.results).plus(open_tally)
@@ -141,7 +141,7 @@
     states: frozenset[ItemState],
     on_error: Callable[[OpenError], None],
 ) -> AsyncIterator[bytes]:
-    """Yield the lines of a job's output, one task at a time."""
+    """Yield the lines of a job's output, task by task."""
     for span in split(record.chunks, record.task_items):
         view = await _view_patiently(deps, record, span, cancel_version)
         if isinstance(view, Err):
@@ -155,7 +155,7 @@
                 return
             results = results + rest.ok_value
         wanted = [result for result in results if result.state in states]
-        # Small pieces: encoding a whole task at once would hold up online requests.
+        # Encoding a complete task at once would delay online requests.
         for start in range(0, len(wanted), LINES_AT_ONCE):
             piece = wanted[start : start + LINES_AT_ONCE]
             yield b"".join(output_line(record, span, result) for result in piece)
@@ -181,7 +181,7 @@
 async def read_chunk_patiently(
     deps: "BatchDeps", file_id: str, chunk: int
 ) -> Result[list[InputItem], OpenError]:
-    """Read one chunk of an input file, waiting for the store for a limited time."""
+    """Read one chunk of an input file; retry for a limited time while the store is unavailable."""
     return await saves.patiently(
         deps, READ_PATIENCE_MS, lambda: read_chunk(deps.store, file_id, chunk)
     )
--- a/papayapier/batch/risk.py
+++ b/papayapier/batch/risk.py
@@ -1,9 +1,9 @@
-"""Tell early which jobs may miss their due time.
+"""Detect early which jobs may miss their due time.
 
-Every instance judges by its own part of the jobs: shards are spread evenly, so what is left
-here and how fast it goes here stand for the whole. A job has to wait for the jobs in front
-of it, so their items count too. Only the holder of a job's home shard reports it, so that
-the sum of the metric over all instances counts each job once.
+Shards are spread evenly, so each instance estimates a job's progress from its own shards: the
+items left here and the rate here stand for the whole job. A job waits for the jobs ahead of
+it, so their items are counted as well. Only the holder of a job's home shard reports the job,
+so that the sum of the metric over all instances counts each job once.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class RiskWatch:
-    """Judge the active jobs again and again."""
+    """Assess the active jobs periodically."""
 
     def __init__(
         self,
@@ -39,13 +39,13 @@
         self._judged_ms = deps.clock.now()
 
     async def run(self) -> None:
-        """Judge until cancelled."""
+        """Assess all jobs periodically until cancelled."""
         while True:
             await self._deps.clock.sleep(ROUND_MS)
             self.judge()
 
     def judge(self) -> None:
-        """Judge every job, and report those at home here."""
+        """Assess every job, and report those whose home shard is held here."""
         now = self._deps.clock.now()
         turns = self._runner.turns.by_upstream(self._runner.jobs.values())
         busy = [name for name, jobs in turns.items() if any(job.in_flight() for job in jobs)]
@@ -69,7 +69,7 @@
             self._set(job, load, deadlines.at_risk(waiting, load.rate, self._deps.clock.wall()))
 
     def _judge_elsewhere(self, job: "JobWork", now: int) -> None:
-        """Judge a job of which nothing is left here by what is recorded of it."""
+        """Assess a job that has no items left on this instance, from its recorded progress."""
         done = job.items_done()
         elapsed = max(1, now - job.seen_ms)
         left = job.record.items() - done
--- a/papayapier/batch/runner.py
+++ b/papayapier/batch/runner.py
@@ -1,7 +1,8 @@
 """Run the tasks of the shards that this instance holds, from adoption to hand-over.
 
-The work is done by parts that know nothing of each other: the opener reads tasks, the feeder
-hands out their items, the sender takes in how they end, and commits store what has to last.
+The components are independent of each other: the opener reads tasks, the feeder passes their
+items to the dispatch, the sender processes their outcomes, and commits store progress and
+results.
 """
 
 from collections.abc import Callable, Iterator
@@ -26,11 +27,11 @@
 
 
 class Holds(NamedTuple):
-    """Group what the runner asks of the leases.
+    """Group the runner's queries about leases.
 
-    grant gives the lease under which a job's tasks in a shard may be opened. may_send tells
-    whether items of a shard may go out; it takes whether they may be repeated. may_commit
-    tells whether the shard's progress and results may be stored now.
+    grant returns the lease under which a job's tasks in a shard may be opened. may_send
+    returns whether items of a shard may be sent; its second argument states whether they may
+    be repeated. may_commit returns whether the shard's progress and results may be stored now.
     """
 
     grant: Callable[[JobWork, int], Grant | None]
@@ -39,7 +40,7 @@
 
 
 class RunnerCalls(NamedTuple):
-    """Group what the runner tells: a task is recorded, or another holder has it."""
+    """Group the runner's callbacks: a task is recorded, or another holder has the task."""
 
     recorded: Callable[[JobWork], None]
     superseded: Callable[[JobWork], None]
@@ -76,7 +77,7 @@
     # Jobs and shards
 
     def adopt(self, job: JobWork, shard: int) -> None:
-        """Run the unfinished tasks of a job that are in a shard held."""
+        """Run the unfinished tasks of a job in a held shard."""
         self.jobs[job.record.job_id] = job
         job.adopt(shard)
         self.turns.forget()
@@ -84,7 +85,7 @@
         self._feeder.feed_soon()
 
     def drop_job(self, job: JobWork) -> None:
-        """Stop everything of a job at once; what is not recorded stays so."""
+        """Stop all tasks of a job at once, without storing their progress."""
         self.jobs.pop(job.record.job_id, None)
         self.turns.forget()
         job.pending.clear()
@@ -100,10 +101,10 @@
                 self._drop(task)
 
     async def hand_over(self, shard: int, limit_ms: int) -> None:
-        """Stop the tasks of a shard, keeping what they have done.
+        """Stop the tasks of a shard and store their progress.
 
-        Items that may be repeated are stopped; others that were sent run to their end, for
-        at most the limit.
+        Repeatable items are stopped; other items that were sent run to their end, for at most
+        the limit.
         """
         until = self._deps.clock.now() + limit_ms
         self._stop_shard(shard, patient=True)
@@ -141,7 +142,7 @@
         task.running.clear()
 
     def begin_stop(self) -> None:
-        """Send and open nothing more."""
+        """Send and open no more items."""
         self._stopping = True
         self._feeder.stop()
 
@@ -151,11 +152,11 @@
             self._tick_timer.cancel()
 
     def bytes_held(self) -> int:
-        """Return the size of what all open tasks keep in memory."""
+        """Return the size of all data that open tasks keep in memory."""
         return self._feeder.bytes_held()
 
     def profile_of(self, job: JobWork) -> "Profile":
-        """Return the profile in force, as strict about repeating as the job was accepted."""
+        """Return the current profile; items that must not be repeated at acceptance stay so."""
         accepted = job.record.profile
         current = self._deps.profile(accepted.name) or accepted
         if current.idempotent and not accepted.idempotent:
@@ -167,13 +168,13 @@
             return False
         return self._holds.may_send(task.shard, task.state.rules.idempotent)
 
-    # What changes
+    # Events
 
     def _go_on(self) -> None:
         self._feeder.feed_soon()
 
     def on_holds_changed(self) -> None:
-        """Go on with what waited for a lease to be confirmed."""
+        """Continue what waited for the confirmation of a lease."""
         for job in list(self.jobs.values()):
             for task in list(job.open.values()):
                 self._commits.kick(task)
@@ -215,7 +216,7 @@
             self._tick_timer = self._deps.clock.call_later(TICK_MS, self._tick)
 
     def _tick(self) -> None:
-        """Wake retries that are due, and store checkpoints that are due."""
+        """Wake due retries and store due checkpoints."""
         self._tick_timer = None
         now = self._deps.clock.now()
         for job in list(self.jobs.values()):
--- a/papayapier/batch/saves.py
+++ b/papayapier/batch/saves.py
@@ -1,7 +1,8 @@
-"""Write objects of batch work, with lost answers settled, and list them.
+"""Write and list the objects of batch jobs, resolving writes whose reply was lost.
 
-store.writes settles a lost answer within one call. A task's write may be offered again in a
-later call, when the store is back; then finding one's own value there means success too.
+store.writes resolves a lost reply within one call. A task's write may be retried in a later
+call, after the store has recovered; if the object then has the caller's own value, the earlier
+write succeeded.
 """
 
 from collections.abc import Awaitable, Callable
@@ -26,7 +27,7 @@
 
 
 async def create(deps: "BatchDeps", key: str, value: bytes) -> Result[int, StoreError]:
-    """Create an object; CONFLICT means that another value is there."""
+    """Create an object; CONFLICT means that a different value exists."""
     settling = Settling(deps.store, deps.clock, deps.rand)
     return await create_settled(settling, key, value, deps.clock.now() + SETTLE_MS)
 
@@ -34,13 +35,13 @@
 async def update(
     deps: "BatchDeps", key: str, value: bytes, version: int
 ) -> Result[int, StoreError]:
-    """Update an object of a known version; CONFLICT means that another writer was first."""
+    """Update an object at a known version; CONFLICT means that another writer was faster."""
     settling = Settling(deps.store, deps.clock, deps.rand)
     return await update_settled(settling, key, value, version, deps.clock.now() + SETTLE_MS)
 
 
 async def delete(deps: "BatchDeps", key: str, version: int) -> Result[int, StoreError]:
-    """Delete an object of a known version."""
+    """Delete an object at a known version."""
     settling = Settling(deps.store, deps.clock, deps.rand)
     return await delete_settled(settling, key, version, deps.clock.now() + SETTLE_MS)
 
@@ -48,7 +49,7 @@
 async def offer(
     deps: "BatchDeps", key: str, value: bytes, version: int, maybe_taken: bool
 ) -> Result[int, StoreError]:
-    """Write an object that may have been written by an earlier offer of the same value."""
+    """Write an object that an earlier attempt with the same value may have written already."""
     if version == 0:
         done = await create(deps, key, value)
     else:
@@ -67,7 +68,7 @@
 async def patiently(
     deps: "BatchDeps", limit_ms: int, call: Callable[[], Awaitable[Result[T, E]]]
 ) -> Result[T, E]:
-    """Repeat a call while the store is busy, with growing pauses, for a limited time."""
+    """Repeat a call with growing pauses, for a limited time, while the store is unavailable."""
     pauses = Pauses(deps.rand)
     until = deps.clock.now() + limit_ms
     while True:
--- a/papayapier/batch/sending.py
+++ b/papayapier/batch/sending.py
@@ -1,4 +1,4 @@
-"""Send single items of open tasks and take in how they end."""
+"""Send single items of open tasks and process their outcomes."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Final
@@ -26,7 +26,7 @@
 
 
 class Sender:
-    """Send items, and hand each change of a task's state to on_change."""
+    """Send items, and report each change of a task's state to on_change."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self._on_ended = on_ended
 
     def send(self, task: OpenTask, item: int, profile: "Profile") -> None:
-        """Hand an item that the task's state has given out to the dispatch."""
+        """Pass an item that was taken from the task's state to the dispatch."""
         run = ItemRun()
         task.running[item] = run
         work = self._run(task, item, run, profile)
@@ -85,7 +85,7 @@
         if task.state.rules.idempotent or not run.maybe_sent:
             task.state.put_back(item, self._deps.clock.now())
         else:
-            reason = "stopped while under way"
+            reason = "stopped while it was running"
             refusal = unknown(ErrorKind.OUTCOME_UNKNOWN, reason)
             self._settle(task, item, Err(refusal))
         self._on_change(task)
@@ -140,12 +140,12 @@
 
 
 def call_id(task: OpenTask, item: int) -> str:
-    """Name an item's work; the name stays the same whoever runs it, and however often."""
+    """Return the call id of an item, which is the same on every instance and for every attempt."""
     return f"{task.job.record.job_id}-{task.span.task}-{item}"
 
 
 def _path_at_upstream(source: InputItem) -> str:
-    """Return the path that the replica sees: a service's name is not part of it."""
+    """Return the path at the replica, without the name of the service."""
     if source.url in ENGINE_URLS:
         return source.url
     rest = source.url[len(SERVICE_URL) :].partition("/")[2]
--- a/papayapier/batch/sessions.py
+++ b/papayapier/batch/sessions.py
@@ -1,15 +1,14 @@
-"""Show that this run of an instance lives, and judge whether others do.
-
-One object per run, the session, is rewritten every few seconds; the leases of the shards
-name their holder's session and are written only when they change hands. So renewing costs
-one write per instance and not one per shard. A holder whose session has not changed for a
-whole lease, seen by the observer's own clock, may be replaced. The holder in turn stops
-counting on its leases earlier than that: its time runs from when the last renewal that was
-answered had been sent.
-
-An observer that could not see for a while knows nothing: when the store returns after an
-outage, all sessions look unchanged, and without care every instance would take every shard
-from the others. So a gap in observation begins all times anew.
+"""Show that this run of an instance is live, and decide whether others are.
+
+Each run rewrites one object, its session, every few seconds. The leases of the shards refer to
+their holder's session and are written only when the holder changes, so renewing costs one
+write per instance and not one per shard. A holder may be replaced if its session has not
+changed for a complete lease by the observer's own clock. The holder stops relying on its
+leases before that: its time starts when the last acknowledged renewal was sent.
+
+An observer that could not read for a while knows nothing: after a store outage all sessions
+look unchanged, and every instance would take every shard from the others. Therefore all times
+start anew after a gap in observation.
 """
 
 from collections.abc import Callable
@@ -32,7 +31,7 @@
 
 
 class Session:
-    """Renew this run's own session."""
+    """Renew the session of this run."""
 
     def __init__(self, deps: "BatchDeps", holder: str, on_lapse: Callable[[], None]) -> None:
         self.holder = holder
@@ -46,7 +45,7 @@
         self._ended = False
 
     def may_act(self) -> bool:
-        """Tell whether our leases can be counted on now."""
+        """Return whether this run can rely on its leases now."""
         if self._sent_ms is None or self._ended:
             return False
         cfg = self._deps.cfg
@@ -54,7 +53,9 @@
         return holder_may_act(self._sent_ms, cfg.lease_ms, now, margin_ms(cfg.lease_ms))
 
     async def renew(self) -> bool:
-        """Renew; False says that it is not known to have worked. silent tells of the store."""
+        """Renew the session; return False if success is not confirmed. silent: the store is
+        unavailable.
+        """
         if self._ended:
             return False
         sent_ms = self._deps.clock.now()
@@ -67,8 +68,8 @@
         if isinstance(done, Err):
             return False
         self._version = done.ok_value
-        # After a pause, or when this answer came late, other instances may have taken the
-        # shards. Counting on them again must wait until each lease is confirmed.
+        # After a pause of the process, or after a late reply, other instances may have taken the
+        # shards. They must not be relied on until each lease is confirmed.
         if not self.may_act():
             self._on_lapse()
         self._sent_ms = sent_ms
@@ -80,7 +81,7 @@
         return await self._deps.store.update(self._key, value, self._version)
 
     async def _read_own(self, value: bytes) -> Result[int, StoreError]:
-        """Find out what is there: this renewal, an earlier late one, or nothing any more."""
+        """Read the stored session: this renewal, an earlier one that arrived late, or none."""
         read = await self._deps.store.get(self._key)
         if isinstance(read, Ok):
             self._version = read.ok_value.version
@@ -92,10 +93,10 @@
         return Err(StoreError.LOST)
 
     async def end(self) -> None:
-        """Delete the session, which gives back every lease at once."""
+        """Delete the session, which releases all its leases at once."""
         self._ended = True
         for _ in range(END_TRIES):
-            # A renewal may still be under way, so the version is read anew each time.
+            # A renewal may still be in flight, so each attempt reads the version again.
             read = await self._deps.store.get(self._key)
             if isinstance(read, Err):
                 return
@@ -105,7 +106,7 @@
 
 
 class Observer:
-    """Judge other sessions by how long they have stayed the same."""
+    """Decide from their last changes whether other sessions are live."""
 
     def __init__(self, lease_ms: int) -> None:
         self.versions: dict[str, int] = {}
@@ -114,7 +115,7 @@
         self._seen_ms = 0
 
     def observe(self, versions: dict[str, int], now: int) -> None:
-        """Take the sessions' versions as listed now."""
+        """Update the sessions' versions from a listing."""
         if now - self._seen_ms > self._lease_ms // 2:
             self._views = {}
         self._seen_ms = now
@@ -124,29 +125,29 @@
             self._views[holder].observe(version, now)
 
     def known(self, holder: str) -> bool:
-        """Tell whether a holder has a session at all."""
+        """Return whether a holder has a session."""
         return holder in self.versions
 
     def expired(self, holder: str, now: int) -> bool:
-        """Tell whether a holder has not renewed its session for a whole lease."""
+        """Return whether a holder has not renewed its session for a complete lease."""
         view = self._views.get(holder)
         return view is not None and view.expired(self._lease_ms, now, margin_ms(self._lease_ms))
 
     def stale(self, holder: str, now: int) -> bool:
-        """Tell whether a session has been expired for so long that it can be removed."""
+        """Return whether a session expired so long ago that it can be deleted."""
         view = self._views.get(holder)
         return view is not None and view.expired(STALE_LEASES * self._lease_ms, now, 0)
 
     def alive(self, now: int) -> list[str]:
-        """Return the holders that have a session which has not expired."""
+        """Return the holders whose session exists and has not expired."""
         return [holder for holder in self.versions if not self.expired(holder, now)]
 
 
 def margin_ms(lease_ms: int) -> int:
-    """Return the part of a lease that allows for clocks of different rates."""
+    """Return the fraction of a lease that allows for clocks of different rates."""
     return lease_ms // MARGIN_SHARE
 
 
 def instance_of(holder: str) -> str:
-    """Return the instance that a holder is a run of."""
+    """Return the instance to which a holder belongs."""
     return holder.rpartition(".")[0]
--- a/papayapier/batch/start.py
+++ b/papayapier/batch/start.py
@@ -1,4 +1,4 @@
-"""Wire the parts of batch work together."""
+"""Assemble the components of batch processing."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final, NamedTuple
@@ -27,7 +27,7 @@
 
 
 class BatchStatus(NamedTuple):
-    """Summarise the batch work of one instance."""
+    """Summarise the batch jobs on one instance."""
 
     shards_held: int
     active_jobs: int
@@ -38,7 +38,7 @@
 
 
 class Batch(NamedTuple):
-    """Group what the rest of the program uses of batch work."""
+    """Group what the rest of the program uses of batch processing."""
 
     deps: BatchDeps
     jobs: Jobs
@@ -50,7 +50,7 @@
     stop: Callable[[], Awaitable[None]]
 
     def new_file(self, caller: str, name: str, purpose: str) -> FileIntake:
-        """Begin to take in an input file."""
+        """Start the upload of an input file."""
         return FileIntake(self.deps, caller, name, purpose)
 
     async def delete_file(self, caller: str, file_id: str) -> Result[FileRecord, Refusal]:
@@ -59,7 +59,7 @@
 
 
 def start_batch(deps: BatchDeps) -> Batch:
-    """Start the batch work of one instance."""
+    """Start batch processing on one instance."""
     parts = _Parts(deps)
     parts.start()
     return Batch(
@@ -75,7 +75,7 @@
 
 
 class _Parts:
-    """Hold the parts of batch work, and pass on what concerns several of them."""
+    """Hold the components of batch processing, and forward events that concern several of them."""
 
     def __init__(self, deps: BatchDeps) -> None:
         self._deps = deps
@@ -104,14 +104,14 @@
         self._adopting = False
 
     def start(self) -> None:
-        """Start everything that goes on by itself."""
+        """Start all background loops."""
         self.registry.start()
         self.keeper.start()
         for loop in self._loops:
             loop.start()
 
     async def stop(self) -> None:
-        """Hand over what runs here, and stop."""
+        """Hand over the tasks that run here, and stop."""
         self._runner.begin_stop()
         await self.keeper.stop()
         for loop in self._loops:
@@ -120,14 +120,14 @@
         self._runner.stop()
 
     def on_peer(self, message: Message) -> None:
-        """Take a message from another instance."""
+        """Handle a message from another instance."""
         if isinstance(message, JobChanged):
             self.registry.hear(message.job_id, message.version)
         elif isinstance(message, ShardsReleased):
             self.keeper.kick()
 
     def status(self) -> BatchStatus:
-        """Summarise what runs here."""
+        """Summarise the state of batch processing on this instance."""
         jobs = list(self.registry.jobs.values())
         return BatchStatus(
             shards_held=len(self.keeper.held()),
@@ -166,7 +166,7 @@
         return any(shard in job.careful for job in self.registry.jobs.values())
 
     def _on_revived(self) -> None:
-        # A job that came while the leases were in doubt has been taken up by nobody.
+        # No instance has adopted the jobs that appeared while the leases were unconfirmed.
         held = set(self.keeper.held())
         for job in self.registry.jobs.values():
             self._adopt_later(job, held - job.adopted)
@@ -200,7 +200,7 @@
         self._adopt_later(job, set(self.keeper.held()))
 
     def _adopt_later(self, job: JobWork, shards: set[int]) -> None:
-        """Take up a job's tasks in some shards, once it is known which are done already."""
+        """Adopt a job's tasks in some shards, after reading which tasks are finished already."""
         if job.record.state is not JobState.RUNNING or not shards:
             return
         self._to_adopt.setdefault(job.record.job_id, set()).update(shards)
--- a/papayapier/batch/task_state.py
+++ b/papayapier/batch/task_state.py
@@ -1,19 +1,19 @@
-"""Decide what may be sent and what must be written, for the items of one task.
-
-This is the pure core of exactly-once: no I/O, no clock. The rules are:
-
-* An item ends once. Its result stays in memory until a checkpoint or the final results
-  that carry it are stored.
-* An item that may not be repeated is sent only after a stored checkpoint lists it as an
-  intent. Whoever takes the task over finds the intent without a result, and ends the item
-  as unknown: it may have run. No clock and no lease is needed for this to hold, because a
-  checkpoint is stored only on top of the version that its writer has read.
-* The task of a holder that was lost is treated with care even when its items may be
-  repeated: one of them may have killed the holder. Then intents are written too, and each
-  loss counts as a failed attempt of the items intended. Items under suspicion run alone,
-  so that the one at fault ends as failed and the others are cleared.
-* A failed attempt is stored before the next one starts. Otherwise an item that kills
-  replicas would start from zero with each new holder.
+"""Decide what may be sent and what must be stored, for the items of one task.
+
+This is the core of exactly-once processing, without I/O and clocks. The rules are:
+
+* An item ends once. Its result stays in memory until a checkpoint or the final results that
+  contain it are stored.
+* An item that must not be repeated is sent only after a stored checkpoint lists it as an
+  intent. The next holder finds the intent without a result and ends the item as unknown,
+  because it may have run. This depends on no clock and no lease, because a checkpoint is
+  stored only if its predecessor is the version that its writer has read.
+* If the previous holder was lost, the task is run cautiously even if its items may be
+  repeated, because one of them may have crashed the holder. Intents are then stored as well,
+  and each loss counts as a failed attempt of the intended items. Suspect items are sent one at
+  a time, so that the item at fault ends as failed and the others are cleared.
+* A failed attempt is stored before the next one starts. Otherwise the attempts of an item that
+  crashes replicas would be counted from zero by each new holder.
 """
 
 from collections import deque
@@ -35,7 +35,7 @@
 
 
 class TaskRules(NamedTuple):
-    """Say how the items of a task may be treated."""
+    """Hold the rules for sending the items of a task."""
 
     idempotent: bool
     item_attempts: int
@@ -43,7 +43,7 @@
 
 
 class Retry(NamedTuple):
-    """Hold an item that waits for its next send."""
+    """Hold an item that waits for its next attempt."""
 
     item: int
     at_ms: int
@@ -51,7 +51,7 @@
 
 
 class TaskState:
-    """Hold the state of one task's items for as long as this process runs it."""
+    """Hold the state of one task's items while this process runs the task."""
 
     __slots__ = (
         "_attempts",
@@ -94,10 +94,10 @@
         self._suspects: deque[int] = deque()
         self._versions: list[int] = []
 
-    # Coming back from a checkpoint
+    # Resuming from a checkpoint
 
     def resume(self, checkpoint: Checkpoint, version: int, spilled: Iterable[ItemResult]) -> None:
-        """Take over from a checkpoint whose writer no longer runs the task."""
+        """Resume from a checkpoint whose writer no longer runs the task."""
         self._versions = [*checkpoint.versions, version]
         self._losses = checkpoint.losses
         self._spilled = list(checkpoint.spilled)
@@ -110,7 +110,7 @@
         self._pending = deque(i for i in range(self.size) if i not in self.ended)
 
     def on_loss(self, intents: Iterable[int], custom_ids: list[str], now_wall: int) -> None:
-        """Settle the items that the lost holder may have had under way."""
+        """Handle the items that the lost holder may have been running."""
         self._losses += 1
         for index in intents:
             if index in self.ended:
@@ -118,10 +118,10 @@
             attempts = self._attempts.get(index, 0) + 1
             self._attempts[index] = attempts
             if not self.rules.idempotent:
-                reason = "the instance was lost after the item may have been sent"
+                reason = "the instance was lost while the item may have been running"
                 self._end_lost(index, ItemState.UNKNOWN, custom_ids[index], reason, now_wall)
             elif attempts >= self.rules.item_attempts:
-                reason = f"the instance was lost with the item under way, {attempts} times"
+                reason = f"the instance was lost while it ran the item, {attempts} times"
                 self._end_lost(index, ItemState.FAILED, custom_ids[index], reason, now_wall)
             else:
                 self._suspects.append(index)
@@ -143,16 +143,16 @@
     # Sending
 
     def needs_intents(self) -> bool:
-        """Tell whether items must be stored as intents before they are sent."""
+        """Return whether items must be stored as intents before they are sent."""
         return self.rules.cautious or not self.rules.idempotent
 
     def startable(self) -> int:
-        """Return how many items may be sent now without a write."""
+        """Return how many items may be sent now without a prior write."""
         waiting = 0 if self.needs_intents() else len(self._pending)
         return len(self._ready) + waiting
 
     def unintended(self) -> int:
-        """Return how many items still have to be written as intents."""
+        """Return how many items still have to be stored as intents."""
         return len(self._pending) + len(self._suspects) if self.needs_intents() else 0
 
     def intend(self, most: int) -> int:
@@ -167,7 +167,7 @@
         return len(self._intending)
 
     def take(self) -> int | None:
-        """Return an item to be sent now; it counts as running."""
+        """Return an item to be sent now and count it as running, or None."""
         if self._ready:
             index = self._ready.popleft()
         elif self._pending and not self.needs_intents():
@@ -198,7 +198,7 @@
     # Ending
 
     def end(self, result: ItemResult) -> None:
-        """Record how a running item ended."""
+        """Record the outcome of a running item."""
         check(
             result.item in self._running and result.item not in self.ended,
             Promise.COMPLETE_ONCE,
@@ -209,7 +209,9 @@
         self._keep(result._replace(commit=self.next_commit()))
 
     def fail_attempt(self, index: int, at_ms: int) -> bool:
-        """Count a failed attempt; False says that it was the last one, and the item runs on."""
+        """Count a failed attempt and schedule a retry; if it was the last attempt, return
+        False and leave the item running.
+        """
         attempts = self._attempts.get(index, 0) + 1
         self._attempts[index] = attempts
         if attempts >= self.rules.item_attempts:
@@ -219,7 +221,7 @@
         return True
 
     def put_back(self, index: int, at_ms: int) -> None:
-        """Let a running item that provably did not run wait for another send."""
+        """Schedule another send of a running item that provably has not run."""
         self._running.discard(index)
         self._retries.append(Retry(index, at_ms, needs_save=False))
 
@@ -238,19 +240,19 @@
     # Storing
 
     def must_save(self) -> bool:
-        """Tell whether an item waits for a checkpoint before it may be sent."""
+        """Return whether an item waits for a checkpoint before it may be sent."""
         return bool(self._intending) or any(retry.needs_save for retry in self._retries)
 
     def has_news(self) -> bool:
-        """Tell whether a checkpoint would carry results that no stored one has."""
+        """Return whether there are results that no stored checkpoint contains."""
         return any(result.commit >= len(self._versions) for result in self._results.values())
 
     def unstored(self) -> bool:
-        """Tell whether a later holder would miss something that no checkpoint has."""
+        """Return whether a later holder would miss state that no checkpoint contains."""
         return self.has_news() or self.must_save() or bool(self._intents)
 
     def snapshot(self, writer: str, fence: int, withdraw: bool = False) -> Checkpoint:
-        """Return what to store; withdraw leaves out intents that were not sent."""
+        """Return the checkpoint to store; withdraw omits intents that were not sent."""
         self._saving = _Saving(
             intended=list(self._intending),
             retried=[retry.item for retry in self._retries if retry.needs_save],
@@ -268,7 +270,7 @@
         )
 
     def on_saved(self, version: int) -> None:
-        """Let go what waited for the snapshot that is now stored."""
+        """Release what waited for the snapshot that is now stored."""
         saving = self._saving
         if saving is None:
             return
@@ -282,25 +284,25 @@
         ]
 
     def take_spill(self) -> list[ItemResult]:
-        """Give up the results held in memory, to be stored in a part of their own."""
+        """Remove and return the results in memory, to be stored as a separate object."""
         results = list(self._results.values())
         self._results = {}
         self.held_bytes = 0
         return results
 
     def on_spilled(self, key: str) -> None:
-        """Name the stored part in the checkpoints to come."""
+        """Add the stored object to the checkpoints that follow."""
         self._spilled.append(key)
 
     def final(self, writer: str, fence: int) -> TaskResults:
-        """Return the results of the whole task."""
+        """Return the results of the complete task."""
         check(len(self.ended) == self.size, Promise.COMPLETE_ONCE, left=self.left())
         check(self.tally.total() == self.size, Promise.COMPLETE_ONCE, tally=self.tally)
         results = [self._results[index] for index in sorted(self._results)]
         return TaskResults(writer, fence, self.tally, results, list(self._spilled))
 
     def result_of(self, index: int) -> ItemResult | None:
-        """Return the result of an item, if it is held in memory."""
+        """Return the result of an item if it is in memory."""
         return self._results.get(index)
 
     def _count(self, result: ItemResult) -> None:
@@ -314,7 +316,7 @@
         self.held_bytes += len(result.body) + RESULT_OVERHEAD
 
     def next_commit(self) -> int:
-        """Return the number of the first checkpoint that can carry a result made now."""
+        """Return the index of the first checkpoint that can contain a result produced now."""
         return len(self._versions) + (self._saving is not None)
 
 
--- a/papayapier/batch/tasks.py
+++ b/papayapier/batch/tasks.py
@@ -1,8 +1,8 @@
-"""Split a job into tasks, the units that are owned, run and recorded as one.
+"""Split a job into tasks, the units of ownership, execution and recording.
 
-A task is a run of items inside one chunk of the input. Large tasks need few writes; small
-ones spread a small job over all instances, and keep small what one write of a checkpoint
-carries when items may not be repeated. So the size is chosen per job, at acceptance.
+A task is a range of items inside one chunk of the input. Large tasks need few writes. Small
+tasks spread a small job over all instances, and keep each checkpoint write small when items
+must not be repeated. The size is therefore chosen per job, at acceptance.
 """
 
 from collections.abc import Sequence
@@ -17,7 +17,9 @@
 
 
 class TaskSpan(NamedTuple):
-    """Place a task in its job's input: items start to stop of a chunk."""
+    """Locate a task in its job's input: the items from start up to, but not including, stop of
+    a chunk.
+    """
 
     task: int
     chunk: int
@@ -30,11 +32,11 @@
 
 
 def task_items(items: int, chunk_items: int, instances: int, idempotent: bool) -> int:
-    """Choose how many items a task of a new job may have."""
+    """Choose the maximum number of items of a new job's tasks."""
     served_by = min(MAX_INSTANCES, max(1, instances))
     wanted = chunk_items
     if items < served_by * chunk_items:
-        # Whole chunks would leave instances without a task.
+        # Tasks of complete chunks would be too few for all instances.
         wanted = max(MIN_TASK_ITEMS, -(-items // (TASKS_PER_INSTANCE * served_by)))
     if not idempotent:
         wanted = min(wanted, GUARDED_TASK_ITEMS)
@@ -42,7 +44,7 @@
 
 
 def split(chunks: Sequence[int], most_items: int) -> list[TaskSpan]:
-    """Return the tasks of a job in order; the tasks of one chunk differ by one item at most."""
+    """Return the tasks of a job in order; the tasks of one chunk differ by at most one item."""
     spans: list[TaskSpan] = []
     for chunk, count in enumerate(chunks):
         parts = -(-count // most_items)
@@ -54,7 +56,7 @@
 
 
 def place(spans: Sequence[TaskSpan], chunks: Sequence[int], item: int) -> tuple[TaskSpan, int]:
-    """Return the task of an item counted from 0 over the whole job, and its index there."""
+    """Return the task of an item (index in the job) and the item's index in that task."""
     chunk = 0
     while item >= chunks[chunk]:
         item -= chunks[chunk]
@@ -62,18 +64,18 @@
     for span in spans:
         if span.chunk == chunk and span.start <= item < span.stop:
             return span, item - span.start
-    raise AssertionError(f"no task has item {item} of chunk {chunk}")
+    raise AssertionError(f"no task contains item {item} of chunk {chunk}")
 
 
 def shard_of(job_id: str, task: int, shards: int) -> int:
     """Return the shard whose holder runs a task.
 
-    Tasks that follow each other are in different shards, so that a small job is spread
-    evenly; where it begins is drawn by hash, so that small jobs together are even too.
+    Consecutive tasks are in different shards, so that a small job is spread evenly. The first
+    shard follows from a hash of the job id, so that many small jobs are spread evenly as well.
     """
     return (xxhash.xxh3_64_intdigest(job_id.encode()) + task) % shards
 
 
 def home_shard(job_id: str, shards: int) -> int:
-    """Return the shard whose holder counts and ends a job."""
+    """Return the shard whose holder counts the job's results and ends it."""
     return xxhash.xxh3_64_intdigest(job_id.encode()) % shards
--- a/papayapier/batch/turns.py
+++ b/papayapier/batch/turns.py
@@ -1,9 +1,10 @@
-"""Decide in which order jobs get capacity, and how much of it each caller may take.
+"""Decide in which order jobs get capacity, and how much of it each caller may use.
 
-The order is that of policy.deadlines: least slack first. Alone it would let one caller with
-many early jobs take everything for hours. So while several callers have work for an upstream,
-each is held to an equal part of the capacity, a caller with a job at risk to a part several
-times as large; what one cannot use goes to the others, in the same order.
+The order is that of policy.deadlines: least slack first. By itself it would let one caller
+with many urgent jobs take all capacity for hours. Therefore, while several callers have items
+for an upstream, each is limited to an equal share of the capacity, and a caller with a job at
+risk to a share several times as large. What one caller cannot use goes to the others, in the
+same order.
 """
 
 from collections import Counter
@@ -36,7 +37,7 @@
         self._ended[upstream] += 1
 
     def update(self, elapsed_ms: int, busy: Iterable[str]) -> None:
-        """Take in what ended since the last update; idle upstreams keep their estimate."""
+        """Update the estimates of busy upstreams; idle upstreams keep theirs."""
         for upstream in busy:
             recent = self._ended.pop(upstream, 0) / max(1, elapsed_ms)
             known = self._rates.get(upstream)
@@ -46,12 +47,12 @@
                 self._rates[upstream] = known + SMOOTHING * (recent - known)
 
     def rate(self, upstream: str) -> float:
-        """Return items per ms; 0 when nothing is known."""
+        """Return items per ms; 0 if there is no estimate."""
         return self._rates.get(upstream, 0.0)
 
 
 class Turns:
-    """Keep the order of the jobs, and renew it now and then."""
+    """Order the jobs, and refresh the order periodically."""
 
     def __init__(
         self, clock: "Clock", rates: Rates, upstream_of: "Callable[[JobWork], str]"
@@ -63,11 +64,11 @@
         self._ordered_ms: int | None = None
 
     def forget(self) -> None:
-        """Order anew next time, because jobs have come or gone."""
+        """Discard the order, because jobs were added or removed."""
         self._ordered_ms = None
 
     def by_upstream(self, jobs: "Iterable[JobWork]") -> "dict[str, list[JobWork]]":
-        """Return the jobs of each upstream, the one to be served first in front."""
+        """Return the jobs of each upstream, the most urgent one first."""
         loads = [self.load(job) for job in jobs if job.runs()]
         by_id = {job.record.job_id: job for job in jobs}
         turns: dict[str, list[JobWork]] = {}
@@ -77,11 +78,11 @@
         return turns
 
     def served(self, jobs: "Collection[JobWork]") -> "dict[str, list[JobWork]]":
-        """Return, in the same order, the jobs to be looked at for each slice of items.
+        """Return, in the same order, the jobs to be considered for each slice of items.
 
-        These are all with open tasks, and the first few of each caller that have work to
-        hand out. Ordering and looking at all jobs for each slice would take more time than
-        the items when there are hundreds; so it is done now and then.
+        These are all jobs with open tasks, and the first few of each caller that have unsent
+        items. With hundreds of jobs, ordering and checking all of them for each slice would
+        take longer than sending the items, so this is done periodically.
         """
         now = self._clock.now()
         if self._ordered_ms is None or now - self._ordered_ms >= self._keep_ms(jobs):
@@ -91,11 +92,11 @@
         return self._served
 
     def _keep_ms(self, jobs: "Collection[JobWork]") -> int:
-        """Return how long an order is kept: longer with more jobs, less when it has run dry."""
+        """Return how long an order is valid: longer with more jobs, shorter if it is exhausted."""
         return DRY_MS if self.dry(jobs) else max(ORDER_MS, ORDER_JOB_MS * len(jobs))
 
     def dry(self, jobs: "Iterable[JobWork]") -> bool:
-        """Tell whether the jobs looked at have nothing to hand out, and others have."""
+        """Return whether the considered jobs have nothing to send while other jobs have."""
         if any(job.has_unsent() for job in self.busy()):
             return False
         return any(job.has_unsent() for job in jobs)
@@ -133,7 +134,7 @@
 
 
 def caller_caps(jobs: "Sequence[JobWork]", capacity: int) -> dict[str, int]:
-    """Return how many items of each caller may be in flight while others have work too."""
+    """Return how many items of each caller may be in flight while others have items too."""
     weights: dict[str, int] = {}
     for job in jobs:
         weight = RISK_WEIGHT if job.at_risk else 1
--- a/papayapier/batch/view.py
+++ b/papayapier/batch/view.py
@@ -1,8 +1,8 @@
-"""Answer callers' questions about jobs, items and files.
+"""Answer callers' requests about jobs, items and files.
 
-Only what is stored is shown. A result that is still in an instance's memory may be lost with
-it and come out differently the second time; once shown, a result must stay what it is. So
-the counts of a running job are lower bounds that only grow.
+Only stored data is returned. A result that is still in an instance's memory may be lost with
+the instance and come out differently when the item runs again, but a result that a caller has
+read must not change. Therefore the counts of a running job are lower bounds that only grow.
 """
 
 from collections.abc import AsyncIterator, Callable
@@ -44,7 +44,7 @@
 
 
 class ItemView(NamedTuple):
-    """Hold what is known of one item; result is None while it has not ended."""
+    """Hold what is stored of one item; result is None until the item has ended."""
 
     job: FoundJob
     span: TaskSpan
@@ -52,21 +52,21 @@
 
 
 class OutputFile(NamedTuple):
-    """Name the output of a job: its results, or its errors."""
+    """Identify an output file of a job: its results, or its errors."""
 
     job: FoundJob
     errors: bool
 
 
 class Views:
-    """Read for callers."""
+    """Read jobs, items and files for callers."""
 
     def __init__(self, deps: "BatchDeps", registry: "JobRegistry") -> None:
         self._deps = deps
         self._registry = registry
 
     async def job(self, caller: str, job_id: str) -> Result[FoundJob, Refusal]:
-        """Return a job with its counts as they are known now."""
+        """Return a job with its current counts."""
         found = await find_job(self._deps, caller, job_id)
         if isinstance(found, Err) or found.ok_value.ended:
             return found
@@ -92,7 +92,7 @@
                 work.tallies[task] = read.ok_value.tally
 
     async def jobs(self, caller: str, after: str, limit: int) -> Result[list[FoundJob], Refusal]:
-        """List a caller's jobs by id: ids that follow after, at most limit."""
+        """List a caller's jobs by id: up to limit + 1 ids that follow after."""
         prefix = caller_prefix(caller)
         names: set[str] = set()
         for kind in (keys.ACTIVE_PREFIX, keys.ENDED_PREFIX):
@@ -111,7 +111,7 @@
         return Ok(found)
 
     async def item(self, caller: str, job_id: str, custom_id: str) -> Result[ItemView, Refusal]:
-        """Return what is known of one item."""
+        """Return what is stored of one item."""
         found = await find_job(self._deps, caller, job_id)
         if isinstance(found, Err):
             return found
@@ -125,7 +125,7 @@
         return result.map(lambda one: ItemView(job, span, one))
 
     async def _item_number(self, job: FoundJob, custom_id: str) -> Result[int, Refusal]:
-        """Find the place of an id by the hashes kept with the input file."""
+        """Find the index of an id by the hashes stored with the input file."""
         missing = not_run(ErrorKind.NOT_FOUND, f"the job has no item {custom_id}")
         file = await find_file(self._deps, job.record.caller, job.record.file_id, deleted=True)
         if isinstance(file, Err):
@@ -164,7 +164,7 @@
         return found.map(lambda file: file.record)
 
     async def output(self, caller: str, file_id: str) -> Result[OutputFile, Refusal]:
-        """Find the job whose output a file id names."""
+        """Find the job to which the id of an output file belongs."""
         errors = file_id.startswith(ERROR_FILE)
         prefix = ERROR_FILE if errors else OUTPUT_FILE
         if not file_id.startswith(prefix):
@@ -175,7 +175,7 @@
     def output_lines(
         self, output: OutputFile, on_error: Callable[[OpenError], None]
     ) -> AsyncIterator[bytes]:
-        """Yield the lines of an output, a task at a time."""
+        """Yield the lines of an output file, task by task."""
         job = output.job
         states = ERRORS if output.errors else OUTPUT
         return stream_lines(self._deps, job.record, cancel_version(job), states, on_error)
@@ -183,7 +183,7 @@
     async def input_lines(
         self, file: FileRecord, on_error: Callable[[OpenError], None]
     ) -> AsyncIterator[bytes]:
-        """Yield the lines of an input file, a chunk at a time."""
+        """Yield the lines of an input file, chunk by chunk."""
         for chunk in range(len(file.chunks)):
             read = await read_chunk_patiently(self._deps, file.file_id, chunk)
             if isinstance(read, Err):
@@ -203,7 +203,7 @@
 
 
 def refusal_of(error: OpenError) -> Refusal:
-    """Refuse because something stored cannot be read."""
+    """Return the refusal for a stored object that cannot be read."""
     if isinstance(error, StoreError):
         return unavailable()
     return not_run(ErrorKind.INTERNAL, f"{error.key} is not readable")
--- a/papayapier/batch/work.py
+++ b/papayapier/batch/work.py
@@ -1,4 +1,4 @@
-"""Keep what one instance knows and runs of the active jobs."""
+"""Hold the active jobs and open tasks of one instance."""
 
 from collections import deque
 from typing import TYPE_CHECKING
@@ -12,10 +12,10 @@
 
 
 class ItemRun:
-    """Hold one item from its hand-over to the dispatch to its end.
+    """Track one item from the dispatch to its outcome.
 
-    maybe_sent is set when the dispatch asks whether the item may go to a replica. While it
-    is not set, the item provably has not run.
+    maybe_sent is set when the dispatch checks whether the item may be sent to a replica. Until
+    then, the item provably has not run.
     """
 
     __slots__ = ("deferred", "maybe_sent")
@@ -76,7 +76,7 @@
 
 
 class JobWork:
-    """Hold one active job, and the tasks of it that are this instance's to run."""
+    """Hold one active job and those of its tasks that this instance runs."""
 
     __slots__ = (
         "adopted",
@@ -116,7 +116,7 @@
         self.adopted: set[int] = set()
 
     def runs(self) -> bool:
-        """Tell whether items of the job may be started."""
+        """Return whether items of the job may be started."""
         return self.record.state is JobState.RUNNING
 
     def tasks_of(self, shard: int) -> list[int]:
@@ -124,7 +124,7 @@
         return [t for t, s in enumerate(self.shards) if s == shard and t not in self.done]
 
     def adopt(self, shard: int) -> None:
-        """Take the unfinished tasks of a shard into the pending ones."""
+        """Add the unfinished tasks of a shard to the pending tasks."""
         self.adopted.add(shard)
         known = self.opening.union(self.open, self.pending)
         self.pending.extend(task for task in self.tasks_of(shard) if task not in known)
@@ -136,7 +136,7 @@
         self.opening = {task for task in self.opening if self.shards[task] != shard}
 
     def on_done(self, task: int, tally: Tally | None) -> None:
-        """Note that a task's results are recorded."""
+        """Record that a task's results are stored."""
         self.done.add(task)
         if task in self.pending:
             self.pending.remove(task)
@@ -144,7 +144,7 @@
             self.tallies[task] = tally
 
     def has_unsent(self) -> bool:
-        """Tell whether items of the job could be handed out now or after opening a task."""
+        """Return whether items of the job could be sent now or after opening a task."""
         return bool(self.pending) or any(task.state.startable() for task in self.open.values())
 
     def items_left(self) -> int:
@@ -159,9 +159,9 @@
         return recorded + sum(len(task.state.ended) for task in self.open.values())
 
     def in_flight(self) -> int:
-        """Return how many items are running here."""
+        """Return how many items are running on this instance."""
         return sum(len(task.running) for task in self.open.values())
 
     def whole(self) -> bool:
-        """Tell whether the results of every task are recorded."""
+        """Return whether the results of every task are recorded."""
         return len(self.done) == len(self.spans)
