--- a/papayapier/batch/work.py
+++ b/papayapier/batch/active_jobs.py
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        job: "JobWork",
+        job: "ActiveJob",
         span: TaskSpan,
         shard: int,
         fence: int,
@@ -75,7 +75,7 @@
         self.closed = False
 
 
-class JobWork:
+class ActiveJob:
     """Hold one active job and those of its tasks that this instance runs."""
 
     __slots__ = (
--- a/papayapier/batch/background.py
+++ b/papayapier/batch/background.py
@@ -17,7 +17,7 @@
 
 T = TypeVar("T")
 
-AGAIN_MS: Final = 1_000
+RESTART_DELAY_MS: Final = 1_000
 
 
 def start(
@@ -37,7 +37,7 @@
     return done
 
 
-class Loop:
+class RestartingLoop:
     """Run a coroutine that never returns, and restart it after a failure."""
 
     def __init__(
@@ -56,7 +56,7 @@
 
     def _start_later(self) -> None:
         if not self._stopped:
-            self._again = self._clock.call_later(AGAIN_MS, self.start)
+            self._again = self._clock.call_later(RESTART_DELAY_MS, self.start)
 
     def stop(self) -> None:
         """Cancel the coroutine and do not restart it."""
--- a/papayapier/batch/commits.py
+++ b/papayapier/batch/commits.py
@@ -15,9 +15,9 @@
 from twisted.internet.defer import DeferredSemaphore
 
 from papayapier import codec, events
-from papayapier.batch import background, keys, saves
-from papayapier.batch.records import SPILL_BYTES, JobState, Tally
-from papayapier.batch.work import OpenTask
+from papayapier.batch import background, keys, store_access
+from papayapier.batch.active_jobs import OpenTask
+from papayapier.batch.records import SPILL_THRESHOLD_BYTES, JobState, Tally
 from papayapier.invariants import Promise, check
 from papayapier.store.api import StoreError
 from papayapier.store.watch import Pauses
@@ -25,12 +25,12 @@
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
 
-SAVES_AT_ONCE: Final = 4
+MAX_CONCURRENT_SAVES: Final = 4
 FIRST_CHECKPOINT_MS: Final = 15_000
-LONGEST_CHECKPOINT_MS: Final = 300_000
+MAX_CHECKPOINT_MS: Final = 300_000
 
 
-class CommitCalls(NamedTuple):
+class CommitCallbacks(NamedTuple):
     """Group the callbacks of commits to the runner.
 
     may_commit returns whether the lease of a shard is held now. saved reports that items may
@@ -45,15 +45,15 @@
     lost: Callable[[OpenTask], None]
 
 
-class Commits:
+class TaskCommitter:
     """Store the progress and results of open tasks."""
 
-    def __init__(self, deps: "BatchDeps", holder: str, calls: CommitCalls) -> None:
+    def __init__(self, deps: "BatchDeps", holder: str, calls: CommitCallbacks) -> None:
         self._deps = deps
         self._holder = holder
         self._calls = calls
         self._writes = 0
-        self._slots = DeferredSemaphore(SAVES_AT_ONCE)
+        self._slots = DeferredSemaphore(MAX_CONCURRENT_SAVES)
         self._delayed = False
 
     def on_opened(self, task: OpenTask) -> None:
@@ -130,7 +130,7 @@
         and a task that takes an hour costs a few writes instead of hundreds.
         """
         pause = task.checkpoint_pause * 2 or FIRST_CHECKPOINT_MS
-        task.checkpoint_pause = min(LONGEST_CHECKPOINT_MS, pause)
+        task.checkpoint_pause = min(MAX_CHECKPOINT_MS, pause)
         task.checkpoint_at = self._deps.clock.now() + task.checkpoint_pause
 
     async def _spill(self, task: OpenTask) -> None:
@@ -174,8 +174,8 @@
                 await self._deps.clock.sleep(pauses.next_ms())
                 continue
             self._check_cancel(task)
-            done = await saves.offer(self._deps, key, value, version, maybe_taken)
-            if isinstance(done, Ok) or done.err_value not in saves.BUSY:
+            done = await store_access.offer(self._deps, key, value, version, maybe_taken)
+            if isinstance(done, Ok) or done.err_value not in store_access.RETRYABLE_ERRORS:
                 self._note(delayed=False)
                 return done
             maybe_taken = maybe_taken or done.err_value is StoreError.LOST
@@ -201,7 +201,7 @@
 
 def _must_spill(task: OpenTask) -> bool:
     held = task.state.held_bytes
-    return held > SPILL_BYTES or (task.spill_wanted and held > 0)
+    return held > SPILL_THRESHOLD_BYTES or (task.spill_wanted and held > 0)
 
 
 def _name(task: OpenTask) -> str:
--- a/papayapier/batch/risk.py
+++ b/papayapier/batch/deadline_risk.py
@@ -14,15 +14,15 @@
 from papayapier.policy import deadlines
 
 if TYPE_CHECKING:
+    from papayapier.batch.active_jobs import ActiveJob
     from papayapier.batch.api import BatchDeps
     from papayapier.batch.registry import JobRegistry
     from papayapier.batch.runner import Runner
-    from papayapier.batch.work import JobWork
 
-ROUND_MS: Final = 1_000
+CHECK_INTERVAL_MS: Final = 1_000
 
 
-class RiskWatch:
+class DeadlineRiskMonitor:
     """Assess the active jobs periodically."""
 
     def __init__(
@@ -41,7 +41,7 @@
     async def run(self) -> None:
         """Assess all jobs periodically until cancelled."""
         while True:
-            await self._deps.clock.sleep(ROUND_MS)
+            await self._deps.clock.sleep(CHECK_INTERVAL_MS)
             self.judge()
 
     def judge(self) -> None:
@@ -60,7 +60,7 @@
                 self._judge_elsewhere(job, now)
         self._deps.metrics.jobs_at_risk.set(sum(job.at_risk for job in mine))
 
-    def _judge_in_turn(self, jobs: "list[JobWork]") -> None:
+    def _judge_in_turn(self, jobs: "list[ActiveJob]") -> None:
         in_front = 0
         for job in jobs:
             load = self._runner.turns.load(job)
@@ -68,7 +68,7 @@
             waiting = load._replace(items_left=in_front if load.items_left else 0)
             self._set(job, load, deadlines.at_risk(waiting, load.rate, self._deps.clock.wall()))
 
-    def _judge_elsewhere(self, job: "JobWork", now: int) -> None:
+    def _judge_elsewhere(self, job: "ActiveJob", now: int) -> None:
         """Assess a job that has no items left on this instance, from its recorded progress."""
         done = job.items_done()
         elapsed = max(1, now - job.seen_ms)
@@ -76,7 +76,7 @@
         load = self._runner.turns.load(job)._replace(items_left=left, rate=done / elapsed)
         self._set(job, load, deadlines.at_risk(load, load.rate, self._deps.clock.wall()))
 
-    def _set(self, job: "JobWork", load: deadlines.JobLoad, at_risk: bool) -> None:
+    def _set(self, job: "ActiveJob", load: deadlines.JobLoad, at_risk: bool) -> None:
         if at_risk != job.at_risk and self._holds_shard(job.home):
             self._report(load, at_risk)
         job.at_risk = at_risk
--- a/papayapier/batch/expiry.py
+++ b/papayapier/batch/expiry.py
@@ -11,9 +11,9 @@
 from result import Err, Ok, Result
 
 from papayapier import codec, events
-from papayapier.batch import keys, saves
-from papayapier.batch.ending import JOB_KIND
-from papayapier.batch.files import FILE_KIND, MARK
+from papayapier.batch import keys, store_access
+from papayapier.batch.files import EXPIRY_MARKER_VALUE, FILE_KIND
+from papayapier.batch.job_completion import JOB_KIND
 from papayapier.batch.lookup import find_file, unavailable
 from papayapier.batch.records import FileRecord
 from papayapier.batch.registry import JobRegistry
@@ -23,15 +23,15 @@
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
 
-PAGE: Final = 100
-DELETES_AT_ONCE: Final = 20
-BETWEEN_DELETES_MS: Final = 200
-ROUND_MS: Final = 60_000
+MAX_MARKERS_PER_CHECK: Final = 100
+DELETES_PER_PAGE: Final = 20
+DELETE_PAUSE_MS: Final = 200
+CHECK_INTERVAL_MS: Final = 60_000
 POSTPONE_MS: Final = 3_600_000
 DELETE_GRACE_MS: Final = 600_000
 
 
-class Due(NamedTuple):
+class DueMarker(NamedTuple):
     """Hold an expiry marker that is due."""
 
     entry: Entry
@@ -40,7 +40,7 @@
     object_id: str
 
 
-class Expiry:
+class ExpiryCleaner:
     """Delete what is due, while this instance is responsible for it."""
 
     def __init__(
@@ -53,13 +53,13 @@
     async def run(self) -> None:
         """Check periodically for due markers until cancelled."""
         while True:
-            await self._deps.clock.sleep(ROUND_MS)
+            await self._deps.clock.sleep(CHECK_INTERVAL_MS)
             if self._on_duty() and self._registry.complete():
                 await self.run_once()
 
     async def run_once(self) -> None:
         """Delete what is due now."""
-        listed = await self._deps.store.list(keys.EXPIRY_PREFIX, "", PAGE)
+        listed = await self._deps.store.list(keys.EXPIRY_PREFIX, "", MAX_MARKERS_PER_CHECK)
         if isinstance(listed, Err):
             return
         now = self._deps.clock.wall()
@@ -70,14 +70,14 @@
             if not await self._expire(due):
                 return
 
-    async def _expire(self, due: Due) -> bool:
+    async def _expire(self, due: DueMarker) -> bool:
         """Handle one marker; False means that the store did not answer."""
         if due.kind == JOB_KIND:
             done = await self._expire_job(due.object_id)
         else:
             done = await self._expire_file(due)
         if done:
-            await saves.delete(self._deps, due.entry.key, due.entry.version)
+            await store_access.delete(self._deps, due.entry.key, due.entry.version)
         return done
 
     async def _expire_job(self, job_id: str) -> bool:
@@ -91,7 +91,7 @@
         # The record is deleted last, because the job can be found only while it exists.
         return await self._delete_key(keys.ended_key(job_id), JOB_KIND, job_id)
 
-    async def _expire_file(self, due: Due) -> bool:
+    async def _expire_file(self, due: DueMarker) -> bool:
         file_id = due.object_id
         read = await self._deps.store.get(keys.file_key(file_id))
         if isinstance(read, Err) and read.err_value is not StoreError.NOT_FOUND:
@@ -108,7 +108,9 @@
         return await self._delete_key(keys.file_key(file_id), FILE_KIND, file_id)
 
     async def _mark_again(self, file_id: str, at_ms: int) -> bool:
-        marked = await saves.create(self._deps, keys.expiry_key(at_ms, FILE_KIND, file_id), MARK)
+        marked = await store_access.create(
+            self._deps, keys.expiry_key(at_ms, FILE_KIND, file_id), EXPIRY_MARKER_VALUE
+        )
         return isinstance(marked, Ok) or marked.err_value is StoreError.CONFLICT
 
     async def _delete_all(self, prefix: str) -> bool:
@@ -116,22 +118,22 @@
         to others.
         """
         while True:
-            listed = await self._deps.store.list(prefix, "", DELETES_AT_ONCE)
+            listed = await self._deps.store.list(prefix, "", DELETES_PER_PAGE)
             if isinstance(listed, Err):
                 return False
             if not listed.ok_value.objects:
                 return True
             for entry in listed.ok_value.objects:
-                deleted = await saves.delete(self._deps, entry.key, entry.version)
+                deleted = await store_access.delete(self._deps, entry.key, entry.version)
                 if isinstance(deleted, Err) and deleted.err_value is not StoreError.CONFLICT:
                     return False
-            await self._deps.clock.sleep(BETWEEN_DELETES_MS)
+            await self._deps.clock.sleep(DELETE_PAUSE_MS)
 
     async def _delete_key(self, key: str, kind: str, object_id: str) -> bool:
         read = await self._deps.store.get(key)
         if isinstance(read, Err):
             return read.err_value is StoreError.NOT_FOUND
-        deleted = await saves.delete(self._deps, key, read.ok_value.version)
+        deleted = await store_access.delete(self._deps, key, read.ok_value.version)
         if isinstance(deleted, Ok):
             events.emit(events.EXPIRED, kind=kind, id=object_id)
         return isinstance(deleted, Ok)
@@ -148,20 +150,22 @@
     if isinstance(found, Err):
         return found
     at_ms = deps.clock.wall() + DELETE_GRACE_MS
-    marked = await saves.create(deps, keys.expiry_key(at_ms, FILE_KIND, file_id), MARK)
+    marked = await store_access.create(
+        deps, keys.expiry_key(at_ms, FILE_KIND, file_id), EXPIRY_MARKER_VALUE
+    )
     if isinstance(marked, Err) and marked.err_value is not StoreError.CONFLICT:
         return Err(unavailable())
     record = found.ok_value.record._replace(deleted=True)
     key = keys.file_key(file_id)
-    done = await saves.update(deps, key, codec.pack(record), found.ok_value.version)
+    done = await store_access.update(deps, key, codec.pack(record), found.ok_value.version)
     if isinstance(done, Err):
         return Err(unavailable())
     return Ok(record)
 
 
-def _due(entry: Entry) -> Due:
+def _due(entry: Entry) -> DueMarker:
     at_ms, kind, object_id = entry.key[len(keys.EXPIRY_PREFIX) :].split("/")
-    return Due(entry, int(at_ms), kind, object_id)
+    return DueMarker(entry, int(at_ms), kind, object_id)
 
 
 def _file_record(value: bytes) -> FileRecord | None:
--- a/papayapier/batch/turns.py
+++ b/papayapier/batch/fair_scheduling.py
@@ -14,18 +14,18 @@
 from papayapier.policy import deadlines
 
 if TYPE_CHECKING:
-    from papayapier.batch.work import JobWork
+    from papayapier.batch.active_jobs import ActiveJob
     from papayapier.clock import Clock
 
-ORDER_MS: Final = 100
-ORDER_JOB_MS: Final = 2
-DRY_MS: Final = 20
-FIRST_JOBS: Final = 4
+MIN_REFRESH_MS: Final = 100
+REFRESH_MS_PER_JOB: Final = 2
+EXHAUSTED_REFRESH_MS: Final = 20
+CANDIDATES_PER_CALLER: Final = 4
 RISK_WEIGHT: Final = 3
 SMOOTHING: Final = 0.2
 
 
-class Rates:
+class ItemRates:
     """Estimate how many items of each upstream end per ms on this instance."""
 
     def __init__(self) -> None:
@@ -51,33 +51,33 @@
         return self._rates.get(upstream, 0.0)
 
 
-class Turns:
+class FairScheduler:
     """Order the jobs, and refresh the order periodically."""
 
     def __init__(
-        self, clock: "Clock", rates: Rates, upstream_of: "Callable[[JobWork], str]"
+        self, clock: "Clock", rates: ItemRates, upstream_of: "Callable[[ActiveJob], str]"
     ) -> None:
         self._clock = clock
         self._rates = rates
         self._upstream_of = upstream_of
-        self._served: dict[str, list[JobWork]] = {}
+        self._served: dict[str, list[ActiveJob]] = {}
         self._ordered_ms: int | None = None
 
     def forget(self) -> None:
         """Discard the order, because jobs were added or removed."""
         self._ordered_ms = None
 
-    def by_upstream(self, jobs: "Iterable[JobWork]") -> "dict[str, list[JobWork]]":
+    def by_upstream(self, jobs: "Iterable[ActiveJob]") -> "dict[str, list[ActiveJob]]":
         """Return the jobs of each upstream, the most urgent one first."""
         loads = [self.load(job) for job in jobs if job.runs()]
         by_id = {job.record.job_id: job for job in jobs}
-        turns: dict[str, list[JobWork]] = {}
+        turns: dict[str, list[ActiveJob]] = {}
         for job_id in deadlines.order(loads, self._clock.wall()):
             job = by_id[job_id]
             turns.setdefault(self._upstream_of(job), []).append(job)
         return turns
 
-    def served(self, jobs: "Collection[JobWork]") -> "dict[str, list[JobWork]]":
+    def served(self, jobs: "Collection[ActiveJob]") -> "dict[str, list[ActiveJob]]":
         """Return, in the same order, the jobs to be considered for each slice of items.
 
         These are all jobs with open tasks, and the first few of each caller that have unsent
@@ -91,17 +91,21 @@
             self._ordered_ms = now
         return self._served
 
-    def _keep_ms(self, jobs: "Collection[JobWork]") -> int:
+    def _keep_ms(self, jobs: "Collection[ActiveJob]") -> int:
         """Return how long an order is valid: longer with more jobs, shorter if it is exhausted."""
-        return DRY_MS if self.dry(jobs) else max(ORDER_MS, ORDER_JOB_MS * len(jobs))
+        return (
+            EXHAUSTED_REFRESH_MS
+            if self.dry(jobs)
+            else max(MIN_REFRESH_MS, REFRESH_MS_PER_JOB * len(jobs))
+        )
 
-    def dry(self, jobs: "Iterable[JobWork]") -> bool:
+    def dry(self, jobs: "Iterable[ActiveJob]") -> bool:
         """Return whether the considered jobs have nothing to send while other jobs have."""
         if any(job.has_unsent() for job in self.busy()):
             return False
         return any(job.has_unsent() for job in jobs)
 
-    def busy(self) -> "list[JobWork]":
+    def busy(self) -> "list[ActiveJob]":
         """Return the jobs that may have open tasks."""
         return [job for jobs in self._served.values() for job in jobs]
 
@@ -109,7 +113,7 @@
         """Return how many upstreams have jobs."""
         return len(self._served)
 
-    def load(self, job: "JobWork") -> deadlines.JobLoad:
+    def load(self, job: "ActiveJob") -> deadlines.JobLoad:
         """Describe to the policy what this instance has left of a job."""
         return deadlines.JobLoad(
             job_id=job.record.job_id,
@@ -121,11 +125,11 @@
         )
 
 
-def _first_of(jobs: "list[JobWork]") -> "list[JobWork]":
+def _first_of(jobs: "list[ActiveJob]") -> "list[ActiveJob]":
     counts: Counter[str] = Counter()
-    found: list[JobWork] = []
+    found: list[ActiveJob] = []
     for job in jobs:
-        waits = job.has_unsent() and counts[job.record.caller] < FIRST_JOBS
+        waits = job.has_unsent() and counts[job.record.caller] < CANDIDATES_PER_CALLER
         if waits:
             counts[job.record.caller] += 1
         if waits or job.open or job.opening:
@@ -133,7 +137,7 @@
     return found
 
 
-def caller_caps(jobs: "Sequence[JobWork]", capacity: int) -> dict[str, int]:
+def caller_caps(jobs: "Sequence[ActiveJob]", capacity: int) -> dict[str, int]:
     """Return how many items of each caller may be in flight while others have items too."""
     weights: dict[str, int] = {}
     for job in jobs:
--- a/papayapier/batch/files.py
+++ b/papayapier/batch/files.py
@@ -14,22 +14,22 @@
 from result import Err, Ok, Result
 
 from papayapier import codec, events
-from papayapier.batch import keys, saves
-from papayapier.batch.ids import BUCKETS, IdIndex
+from papayapier.batch import keys, store_access
+from papayapier.batch.ids import BUCKET_COUNT, IdIndex
 from papayapier.batch.lines import LineError, LineSplitter, endpoint_of, parse_line
-from papayapier.batch.records import CHUNK_BYTES, LINE_BYTES, FileRecord, InputItem
+from papayapier.batch.records import MAX_CHUNK_BYTES, MAX_LINE_BYTES, FileRecord, InputItem
 from papayapier.errors import ErrorKind, Refusal, not_run
 
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
 
-STORE_PATIENCE_MS: Final = 10_000
+STORE_TIMEOUT_MS: Final = 10_000
 MAX_ENDPOINTS: Final = 32
-BUCKETS_AT_ONCE: Final = 8
-ITEM_OVERHEAD: Final = 16
+BUCKETS_PER_SLICE: Final = 8
+ITEM_OVERHEAD_BYTES: Final = 16
 FILE_KIND: Final = "file"
-MARK: Final = b"1"
-NAME_CHARS: Final = 200
+EXPIRY_MARKER_VALUE: Final = b"1"
+MAX_NAME_CHARS: Final = 200
 
 
 class FileHead(NamedTuple):
@@ -81,7 +81,7 @@
 
     def rename(self, name: str) -> None:
         """Set the file name that a form contains."""
-        self.head = self.head._replace(name=name[:NAME_CHARS] or self.head.name)
+        self.head = self.head._replace(name=name[:MAX_NAME_CHARS] or self.head.name)
 
     async def feed(self, data: bytes) -> Refusal | None:
         """Process the next bytes, and store the chunks that they fill."""
@@ -95,7 +95,7 @@
             if refusal is not None:
                 return refusal
         if self._splitter.too_long():
-            return self._refuse(LineError(self._line + 1, f"over {LINE_BYTES} bytes"))
+            return self._refuse(LineError(self._line + 1, f"over {MAX_LINE_BYTES} bytes"))
         return None
 
     async def finish(self) -> Result[FileRecord, Refusal]:
@@ -122,7 +122,7 @@
         objects.
         """
         for chunk, version in enumerate(self._versions):
-            await saves.delete(self._deps, keys.chunk_key(self.head.file_id, chunk), version)
+            await store_access.delete(self._deps, keys.chunk_key(self.head.file_id, chunk), version)
         self._versions = []
 
     async def _take_line(self, line: bytes) -> Refusal | None:
@@ -148,9 +148,9 @@
         if len(self._endpoints) > MAX_ENDPOINTS:
             return self._refuse(LineError(self._line, f"over {MAX_ENDPOINTS} endpoints"))
         self._index.add(item.custom_id)
-        size = len(item.body) + len(item.custom_id) + len(item.url) + ITEM_OVERHEAD
+        size = len(item.body) + len(item.custom_id) + len(item.url) + ITEM_OVERHEAD_BYTES
         refusal = None
-        if self._items and self._chunk_bytes + size > CHUNK_BYTES:
+        if self._items and self._chunk_bytes + size > MAX_CHUNK_BYTES:
             refusal = await self._store_chunk()
         self._items.append(item)
         self._chunk_bytes += size
@@ -163,7 +163,7 @@
         if chunk == 0:
             head = self.head
             mark = keys.expiry_key(head.expires_ms, FILE_KIND, head.file_id)
-            refusal = await self._create(mark, MARK)
+            refusal = await self._create(mark, EXPIRY_MARKER_VALUE)
             if refusal is not None:
                 return refusal
         key = keys.chunk_key(self.head.file_id, chunk)
@@ -181,12 +181,12 @@
     async def _check_whole(self) -> Refusal | None:
         if not self._items and not self._counts:
             return not_run(ErrorKind.BAD_REQUEST, "the file has no items")
-        for bucket in range(BUCKETS):
+        for bucket in range(BUCKET_COUNT):
             duplicate = self._index.duplicate(bucket)
             if duplicate is not None:
                 reason = f"custom_id: the same as on line {duplicate.first + 1}"
                 return self._refuse(LineError(duplicate.second + 1, reason))
-            if len(self._counts) > 1 and bucket % BUCKETS_AT_ONCE == 0:
+            if len(self._counts) > 1 and bucket % BUCKETS_PER_SLICE == 0:
                 # Checking all ids of a large file at once would delay online requests for tens
                 # of milliseconds.
                 await self._deps.clock.sleep(0)
@@ -222,8 +222,8 @@
 
     async def _created(self, key: str, value: bytes) -> Result[int, Refusal]:
         deps = self._deps
-        done = await saves.patiently(
-            deps, STORE_PATIENCE_MS, lambda: saves.create(deps, key, value)
+        done = await store_access.patiently(
+            deps, STORE_TIMEOUT_MS, lambda: store_access.create(deps, key, value)
         )
         reason = "the file is not stored: the store does not answer"
         return done.map_err(lambda _: not_run(ErrorKind.STORE_UNAVAILABLE, reason))
--- a/papayapier/batch/ids.py
+++ b/papayapier/batch/ids.py
@@ -11,10 +11,10 @@
 
 import xxhash
 
-BLOCK_IDS: Final = 100_000
-INLINE_IDS: Final = 4_096
+IDS_PER_BLOCK: Final = 100_000
+MAX_INLINE_IDS: Final = 4_096
 HASH_BYTES: Final = 8
-BUCKETS: Final = 256
+BUCKET_COUNT: Final = 256
 
 
 class Duplicate(NamedTuple):
@@ -33,13 +33,13 @@
         self._hashes = array("Q")
         # Each bucket is checked for duplicates separately with a set of its own, which keeps the
         # time and the memory of one check small.
-        self._buckets = [array("Q") for _ in range(BUCKETS)]
+        self._buckets = [array("Q") for _ in range(BUCKET_COUNT)]
 
     def add(self, custom_id: str) -> None:
         """Add the id of the next item."""
         digest = _digest(custom_id)
         self._hashes.append(digest)
-        self._buckets[digest % BUCKETS].append(digest)
+        self._buckets[digest % BUCKET_COUNT].append(digest)
 
     def duplicate(self, bucket: int) -> Duplicate | None:
         """Return two items with the same id whose hash is in a bucket, or None."""
@@ -48,14 +48,14 @@
 
     def inline(self) -> bytes:
         """Return the complete index if it is small enough for the file's record."""
-        return self._hashes.tobytes() if len(self._hashes) <= INLINE_IDS else b""
+        return self._hashes.tobytes() if len(self._hashes) <= MAX_INLINE_IDS else b""
 
     def blocks(self) -> list[bytes]:
         """Return the index in blocks if it is too large for the file's record."""
-        if len(self._hashes) <= INLINE_IDS:
+        if len(self._hashes) <= MAX_INLINE_IDS:
             return []
-        starts = range(0, len(self._hashes), BLOCK_IDS)
-        return [self._hashes[start : start + BLOCK_IDS].tobytes() for start in starts]
+        starts = range(0, len(self._hashes), IDS_PER_BLOCK)
+        return [self._hashes[start : start + IDS_PER_BLOCK].tobytes() for start in starts]
 
     def _locate(self, bucket: "array[int]") -> Duplicate:
         seen: set[int] = set()
--- a/papayapier/batch/sending.py
+++ b/papayapier/batch/item_sender.py
@@ -8,11 +8,11 @@
 
 from papayapier import events
 from papayapier.batch import background
+from papayapier.batch.active_jobs import ItemRun, OpenTask
 from papayapier.batch.api import ItemCall
 from papayapier.batch.lines import ENGINE_URLS, SERVICE_URL
-from papayapier.batch.outcomes import SendAgain, judge
+from papayapier.batch.outcomes import ResendItem, judge
 from papayapier.batch.records import InputItem, ItemResult, ItemState
-from papayapier.batch.work import ItemRun, OpenTask
 from papayapier.errors import ErrorKind, Refusal, unknown
 from papayapier.upstream.api import Reply
 
@@ -21,11 +21,11 @@
     from papayapier.config.profiles import Profile
 
 FIRST_RETRY_MS: Final = 500
-LONGEST_RETRY_MS: Final = 30_000
-LATE_ITEM_MS: Final = 600_000
+MAX_RETRY_MS: Final = 30_000
+MIN_ITEM_TIMEOUT_MS: Final = 600_000
 
 
-class Sender:
+class ItemSender:
     """Send items, and report each change of a task's state to on_change."""
 
     def __init__(
@@ -67,7 +67,7 @@
             method=source.method,
             path=_path_at_upstream(source),
             body=source.body,
-            due_wall_ms=max(record.due_ms, self._deps.clock.wall() + LATE_ITEM_MS),
+            due_wall_ms=max(record.due_ms, self._deps.clock.wall() + MIN_ITEM_TIMEOUT_MS),
             still_allowed=still_allowed,
         )
         try:
@@ -108,7 +108,7 @@
             state.rules.idempotent,
             self._deps.clock.wall(),
         )
-        if isinstance(verdict, SendAgain):
+        if isinstance(verdict, ResendItem):
             again_at = self._deps.clock.now() + self._pause_ms(state.attempts_of(item))
             if not verdict.counted:
                 state.put_back(item, again_at)
@@ -120,7 +120,7 @@
         self._report(task, result, answer)
 
     def _pause_ms(self, attempts: int) -> int:
-        longest = min(LONGEST_RETRY_MS, FIRST_RETRY_MS << attempts)
+        longest = min(MAX_RETRY_MS, FIRST_RETRY_MS << attempts)
         return self._deps.rand.randint(longest // 2, longest)
 
     def _report(self, task: OpenTask, result: ItemResult, answer: Result[Reply, Refusal]) -> None:
--- a/papayapier/batch/feeder.py
+++ b/papayapier/batch/item_submitter.py
@@ -9,42 +9,47 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Final, NamedTuple
 
-from papayapier.batch.opener import InputRoom, input_bytes
-from papayapier.batch.records import CHUNK_BYTES
-from papayapier.batch.turns import DRY_MS, Rates, Turns, caller_caps
-from papayapier.batch.work import JobWork, OpenTask
+from papayapier.batch.active_jobs import ActiveJob, OpenTask
+from papayapier.batch.fair_scheduling import (
+    EXHAUSTED_REFRESH_MS,
+    FairScheduler,
+    ItemRates,
+    caller_caps,
+)
+from papayapier.batch.records import MAX_CHUNK_BYTES
+from papayapier.batch.task_opener import InputCapacity, input_bytes
 
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
     from papayapier.clock import Timer
     from papayapier.config.profiles import Profile
 
-SLICE_ITEMS: Final = 8
-OUTAGE_AHEAD_MS: Final = 60_000
+ITEMS_PER_SLICE: Final = 8
+PREFETCH_MS: Final = 60_000
 MIN_INTENTS: Final = 8
 MAX_INTENTS: Final = 64
 
 
-class FeederCalls(NamedTuple):
+class SubmitterCallbacks(NamedTuple):
     """Group the functions of the runner's other components; kick starts the storing of a task."""
 
-    profile_of: "Callable[[JobWork], Profile]"
+    profile_of: "Callable[[ActiveJob], Profile]"
     may_send: Callable[[OpenTask], bool]
     send: "Callable[[OpenTask, int, Profile], None]"
     kick: Callable[[OpenTask], None]
-    open_ahead: Callable[[list[JobWork], dict[str, int], int, InputRoom], None]
+    open_ahead: Callable[[list[ActiveJob], dict[str, int], int, InputCapacity], None]
 
 
-class Feeder:
+class ItemSubmitter:
     """Keep the dispatch supplied with items."""
 
     def __init__(
         self,
         deps: "BatchDeps",
-        jobs: dict[str, JobWork],
-        turns: Turns,
-        rates: Rates,
-        calls: FeederCalls,
+        jobs: dict[str, ActiveJob],
+        turns: FairScheduler,
+        rates: ItemRates,
+        calls: SubmitterCallbacks,
     ) -> None:
         self._deps = deps
         self._jobs = jobs
@@ -73,12 +78,12 @@
         if more:
             self.feed_soon()
         elif self._turns.dry(self._jobs.values()):
-            self._timer = self._deps.clock.call_later(DRY_MS, self._feed)
+            self._timer = self._deps.clock.call_later(EXHAUSTED_REFRESH_MS, self._feed)
 
-    def _serve(self, upstream: str, jobs: list[JobWork]) -> bool:
+    def _serve(self, upstream: str, jobs: list[ActiveJob]) -> bool:
         """Pass one slice of an upstream's items; return whether to continue at once."""
         room = self._deps.dispatch.room(upstream)
-        left = min(room, SLICE_ITEMS)
+        left = min(room, ITEMS_PER_SLICE)
         if self.bytes_held() >= self._limit():
             left = 0
             self._make_room()
@@ -96,11 +101,11 @@
             if left == 0:
                 break
             left -= self._send_of(job, left, room)
-        ahead = self._rates.rate(upstream) * OUTAGE_AHEAD_MS / max(1, len(caps))
+        ahead = self._rates.rate(upstream) * PREFETCH_MS / max(1, len(caps))
         self._calls.open_ahead(jobs, caps, int(ahead), self._input_room(jobs))
-        return left == 0 and room > SLICE_ITEMS
+        return left == 0 and room > ITEMS_PER_SLICE
 
-    def _input_room(self, jobs: list[JobWork]) -> InputRoom:
+    def _input_room(self, jobs: list[ActiveJob]) -> InputCapacity:
         """Return how many bytes of input may still be opened for an upstream's jobs.
 
         Input may use half of the memory, in equal shares for all upstreams, because the tasks
@@ -108,8 +113,8 @@
         first task of a caller without open tasks may use it.
         """
         upstreams = max(1, self._turns.upstreams())
-        share = max(CHUNK_BYTES, self._limit() // 2 // upstreams)
-        return InputRoom(share - input_bytes(jobs), self._limit() - self.input_bytes())
+        share = max(MAX_CHUNK_BYTES, self._limit() // 2 // upstreams)
+        return InputCapacity(share - input_bytes(jobs), self._limit() - self.input_bytes())
 
     def _make_room(self) -> None:
         """Store the results of the largest task although the task is unfinished.
@@ -123,7 +128,7 @@
             largest.spill_wanted = True
             self._calls.kick(largest)
 
-    def _send_of(self, job: JobWork, most: int, room: int) -> int:
+    def _send_of(self, job: ActiveJob, most: int, room: int) -> int:
         profile = self._calls.profile_of(job)
         sent = 0
         for task in list(job.open.values()):
--- a/papayapier/batch/ending.py
+++ b/papayapier/batch/job_completion.py
@@ -12,12 +12,12 @@
 from result import Err, Ok
 
 from papayapier import codec, events
-from papayapier.batch import keys, saves
+from papayapier.batch import keys, store_access
+from papayapier.batch.active_jobs import ActiveJob
 from papayapier.batch.opening import OpenError, Unreadable, read_results
 from papayapier.batch.records import Checkpoint, FileRecord, JobRecord, JobState, Tally
 from papayapier.batch.registry import JobRegistry
 from papayapier.batch.results import cancelled_tally, view_task
-from papayapier.batch.work import JobWork
 from papayapier.peer.messages import JobChanged
 from papayapier.store.api import StoreError
 
@@ -25,14 +25,14 @@
     from papayapier.batch.api import BatchDeps
 
 JOB_KIND: Final = "job"
-MARK: Final = b"1"
-LOOK_SHARE: Final = 10
-SHORTEST_LOOK_MS: Final = 500
-LONGEST_LOOK_MS: Final = 10_000
-ROUND_MS: Final = 100
+EXPIRY_MARKER_VALUE: Final = b"1"
+CHECK_AGE_DIVISOR: Final = 10
+MIN_CHECK_INTERVAL_MS: Final = 500
+MAX_CHECK_INTERVAL_MS: Final = 10_000
+CHECK_INTERVAL_MS: Final = 100
 
 
-class Ender:
+class JobFinisher:
     """End jobs, one at a time."""
 
     def __init__(
@@ -50,20 +50,20 @@
     async def run(self) -> None:
         """Check the jobs whose home shard is held here periodically until cancelled."""
         while True:
-            await self._deps.clock.sleep(ROUND_MS)
+            await self._deps.clock.sleep(CHECK_INTERVAL_MS)
             for job in list(self._registry.jobs.values()):
                 if self._holds_shard(job.home) and self._is_due(job):
                     await self._look(job)
 
-    def _is_due(self, job: JobWork) -> bool:
+    def _is_due(self, job: ActiveJob) -> bool:
         return self._deps.clock.now() >= job.next_look_ms
 
-    async def _look(self, job: JobWork) -> None:
+    async def _look(self, job: ActiveJob) -> None:
         now = self._deps.clock.now()
         # A check costs one listing. The interval grows with the age of the job, so that the cost
         # does not grow with the duration of a job, and a short job ends without much delay.
-        pause = (now - job.seen_ms) // LOOK_SHARE
-        job.next_look_ms = now + max(SHORTEST_LOOK_MS, min(LONGEST_LOOK_MS, pause))
+        pause = (now - job.seen_ms) // CHECK_AGE_DIVISOR
+        job.next_look_ms = now + max(MIN_CHECK_INTERVAL_MS, min(MAX_CHECK_INTERVAL_MS, pause))
         if job.record.state is JobState.CANCELLING:
             await self._end_cancelled(job)
             return
@@ -75,7 +75,7 @@
         if job.whole():
             await self._end_completed(job)
 
-    async def _end_completed(self, job: JobWork) -> None:
+    async def _end_completed(self, job: ActiveJob) -> None:
         tally = await self._count_recorded(job)
         # A cancel may have arrived while results were read. The record is then that of the
         # cancel, with its version, and the update below would revert the cancel.
@@ -84,7 +84,7 @@
         now = self._deps.clock.wall()
         record = job.record._replace(state=JobState.ENDING, tally=tally, tally_ms=now, ended_ms=now)
         key = keys.active_key(record.job_id)
-        done = await saves.update(self._deps, key, codec.pack(record), job.version)
+        done = await store_access.update(self._deps, key, codec.pack(record), job.version)
         if isinstance(done, Err):
             # Another instance ended or cancelled the job, or the reply was lost: read the record
             # again.
@@ -93,7 +93,7 @@
         self._registry.take(record, done.ok_value)
         await self._close(job, record._replace(state=JobState.COMPLETED))
 
-    async def _count_recorded(self, job: JobWork) -> Tally | None:
+    async def _count_recorded(self, job: ActiveJob) -> Tally | None:
         """Sum the tallies of all tasks; tallies that other instances recorded are read."""
         for task in range(len(job.spans)):
             if task in job.tallies:
@@ -105,7 +105,7 @@
             job.tallies[task] = read.ok_value.tally
         return sum_tallies(job.tallies.values())
 
-    async def _end_cancelled(self, job: JobWork) -> None:
+    async def _end_cancelled(self, job: ActiveJob) -> None:
         tally = Tally()
         for span in job.spans:
             if not job.record.profile.idempotent and not await self._seal(job, span.task):
@@ -124,7 +124,7 @@
         )
         await self._close(job, record)
 
-    async def _seal(self, job: JobWork, task: int) -> bool:
+    async def _seal(self, job: ActiveJob, task: int) -> bool:
         """Seal a checkpoint with a new version, so that no holder can add an intent to it.
 
         Otherwise a holder that was paused during the cancel could still store an intent and
@@ -137,7 +137,7 @@
             if read.err_value is not StoreError.NOT_FOUND:
                 return False
             sealed = Checkpoint(writer, 0, 0, [], [], [], [], [], sealed=True)
-            done = await saves.create(self._deps, key, codec.pack(sealed))
+            done = await store_access.create(self._deps, key, codec.pack(sealed))
             return isinstance(done, Ok)
         stored = read.ok_value
         checkpoint = codec.unpack(stored.value, Checkpoint)
@@ -146,24 +146,26 @@
         versions = [*checkpoint.ok_value.versions, stored.version]
         sealed = checkpoint.ok_value._replace(writer=writer, versions=versions, sealed=True)
         value = codec.pack(sealed)
-        done = await saves.update(self._deps, key, value, stored.version)
+        done = await store_access.update(self._deps, key, value, stored.version)
         return isinstance(done, Ok)
 
-    async def _close(self, job: JobWork, record: JobRecord) -> None:
+    async def _close(self, job: ActiveJob, record: JobRecord) -> None:
         """Move the record of a job to the ended jobs."""
         expires = record.ended_ms + self._deps.cfg.retention_ms
         record = record._replace(expires_ms=expires)
         mark = keys.expiry_key(expires, JOB_KIND, record.job_id)
-        marked = await saves.create(self._deps, mark, MARK)
+        marked = await store_access.create(self._deps, mark, EXPIRY_MARKER_VALUE)
         if isinstance(marked, Err) and marked.err_value is not StoreError.CONFLICT:
             return
         if not await self._keep_input(record, expires):
             return
-        ended = await saves.create(self._deps, keys.ended_key(record.job_id), codec.pack(record))
+        ended = await store_access.create(
+            self._deps, keys.ended_key(record.job_id), codec.pack(record)
+        )
         if isinstance(ended, Err) and ended.err_value is not StoreError.CONFLICT:
             return
         key = keys.active_key(record.job_id)
-        deleted = await saves.delete(self._deps, key, job.version)
+        deleted = await store_access.delete(self._deps, key, job.version)
         if isinstance(deleted, Err) and deleted.err_value is not StoreError.CONFLICT:
             return
         if isinstance(ended, Ok):
@@ -186,17 +188,17 @@
         if isinstance(file, Err) or file.ok_value.expires_ms >= until_ms:
             return True
         value = codec.pack(file.ok_value._replace(expires_ms=until_ms))
-        done = await saves.update(self._deps, key, value, read.ok_value.version)
+        done = await store_access.update(self._deps, key, value, read.ok_value.version)
         return isinstance(done, Ok)
 
-    def _report(self, job: JobWork, error: OpenError) -> None:
+    def _report(self, job: ActiveJob, error: OpenError) -> None:
         if isinstance(error, Unreadable):
             events.emit(events.INPUT_MISSING, key=error.key, reason=error.reason)
 
 
-async def refresh_done(deps: "BatchDeps", job: JobWork) -> bool:
+async def refresh_done(deps: "BatchDeps", job: ActiveJob) -> bool:
     """List which tasks of a job are recorded; return False if the store does not answer."""
-    listed = await saves.list_keys(deps, keys.results_prefix(job.record.job_id))
+    listed = await store_access.list_keys(deps, keys.results_prefix(job.record.job_id))
     if isinstance(listed, Err):
         return False
     for name in listed.ok_value.versions:
--- a/papayapier/batch/jobs.py
+++ b/papayapier/batch/jobs.py
@@ -13,7 +13,7 @@
 from result import Err, Ok, Result
 
 from papayapier import codec, events
-from papayapier.batch import keys, saves
+from papayapier.batch import keys, store_access
 from papayapier.batch.lookup import RETRY_AFTER_MS, FoundJob, find_file, find_job, unavailable
 from papayapier.batch.records import FileRecord, JobRecord, JobState
 from papayapier.batch.tasks import task_items
@@ -26,12 +26,12 @@
     from papayapier.batch.registry import JobRegistry
     from papayapier.config.profiles import Profile
 
-WINDOW: Final = re.compile(r"^([1-9][0-9]{0,5})([smhd])$")
+WINDOW_PATTERN: Final = re.compile(r"^([1-9][0-9]{0,5})([smhd])$")
 UNIT_MS: Final = {"s": 1_000, "m": 60_000, "h": 3_600_000, "d": 86_400_000}
-STORE_PATIENCE_MS: Final = 3_000
-FILE_MARGIN_MS: Final = 600_000
-MAX_METADATA: Final = 16
-CANCEL_TRIES: Final = 5
+STORE_TIMEOUT_MS: Final = 3_000
+MIN_FILE_LIFETIME_MS: Final = 600_000
+MAX_METADATA_ENTRIES: Final = 16
+MAX_CANCEL_ATTEMPTS: Final = 5
 
 
 class JobRequest(NamedTuple):
@@ -47,7 +47,7 @@
     due_ms: int
 
 
-class Jobs:
+class BatchJobService:
     """Serve the requests that create and cancel jobs."""
 
     def __init__(self, deps: "BatchDeps", registry: "JobRegistry") -> None:
@@ -111,8 +111,8 @@
         deps = self._deps
         value = codec.pack(record)
         key = keys.active_key(record.job_id)
-        created = await saves.patiently(
-            deps, STORE_PATIENCE_MS, lambda: saves.create(deps, key, value)
+        created = await store_access.patiently(
+            deps, STORE_TIMEOUT_MS, lambda: store_access.create(deps, key, value)
         )
         if isinstance(created, Err):
             return await self._not_created(req, record, created.err_value)
@@ -161,7 +161,7 @@
             # The store did not answer: keep the record, because its readers check for the ended
             # record too.
             return None
-        await saves.delete(self._deps, keys.active_key(record.job_id), version)
+        await store_access.delete(self._deps, keys.active_key(record.job_id), version)
         ended = codec.unpack(read.ok_value.value, JobRecord)
         if isinstance(ended, Err):
             return Err(not_run(ErrorKind.INTERNAL, "the job's record is not readable"))
@@ -197,13 +197,13 @@
         if isinstance(file, Err):
             return file
         record = file.ok_value.record
-        if record.expires_ms - self._deps.clock.wall() < FILE_MARGIN_MS:
+        if record.expires_ms - self._deps.clock.wall() < MIN_FILE_LIFETIME_MS:
             return Err(not_run(ErrorKind.NOT_FOUND, f"file {file_id} has expired"))
         return Ok(record)
 
     async def cancel(self, caller: str, job_id: str) -> Result[FoundJob, Refusal]:
         """Cancel a job; a job that is cancelled or ended already stays unchanged."""
-        for _ in range(CANCEL_TRIES):
+        for _ in range(MAX_CANCEL_ATTEMPTS):
             found = await find_job(self._deps, caller, job_id)
             if isinstance(found, Err):
                 return found
@@ -214,7 +214,7 @@
                 state=JobState.CANCELLING, cancel_ms=self._deps.clock.wall()
             )
             key = keys.active_key(job_id)
-            done = await saves.update(self._deps, key, codec.pack(record), job.version)
+            done = await store_access.update(self._deps, key, codec.pack(record), job.version)
             if isinstance(done, Ok):
                 return Ok(self._cancelled(record, done.ok_value))
             if done.err_value is StoreError.LOST:
@@ -249,7 +249,7 @@
 
 
 def _window_ms(window: str) -> int | None:
-    match = WINDOW.match(window)
+    match = WINDOW_PATTERN.match(window)
     return int(match[1]) * UNIT_MS[match[2]] if match else None
 
 
@@ -257,6 +257,6 @@
     if file.endpoints != [req.endpoint]:
         found = ", ".join(file.endpoints)
         return f"endpoint: {req.endpoint} expected, but the file's items are for {found}"
-    if len(req.metadata) > MAX_METADATA:
-        return f"metadata: over {MAX_METADATA} entries"
+    if len(req.metadata) > MAX_METADATA_ENTRIES:
+        return f"metadata: over {MAX_METADATA_ENTRIES} entries"
     return ""
--- a/papayapier/batch/keeper.py
+++ b/papayapier/batch/lease_manager.py
@@ -13,24 +13,24 @@
 from twisted.internet.defer import Deferred, gatherResults
 
 from papayapier import codec, events
-from papayapier.batch import background, keys, saves
-from papayapier.batch.leases import Lease, ShardHold, make_lease
+from papayapier.batch import background, keys, store_access
+from papayapier.batch.leases import Lease, ShardLease, make_lease
 from papayapier.batch.placement import owners
 from papayapier.batch.records import LeaseRecord
-from papayapier.batch.sessions import Observer, Session, instance_of
+from papayapier.batch.sessions import Session, SessionObserver, instance_of
 from papayapier.peer.messages import ShardsReleased
 from papayapier.store.api import StoreError
 
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
 
-HAND_OVER_MS: Final = 30_000
-SHORTEST_ROUND_MS: Final = 20
-TAKEN_AT_ONCE: Final = 16
-FREE: Final = ""
+HAND_OVER_TIMEOUT_MS: Final = 30_000
+MIN_ROUND_INTERVAL_MS: Final = 20
+MAX_TAKEN_PER_ROUND: Final = 16
+NO_HOLDER: Final = ""
 
 
-class KeeperCalls(NamedTuple):
+class LeaseCallbacks(NamedTuple):
     """Group the callbacks to the components that run the tasks of shards.
 
     on_held starts the tasks of a shard, on_lost drops them. hand_over stops them and stores
@@ -45,32 +45,32 @@
     on_revived: Callable[[], None]
 
 
-class _Seen(NamedTuple):
+class _StoredLease(NamedTuple):
     """Hold a lease as last read."""
 
     version: int
     record: LeaseRecord
 
 
-class Keeper:
+class LeaseManager:
     """Manage the leases of one instance."""
 
-    def __init__(self, deps: "BatchDeps", holder: str, calls: KeeperCalls) -> None:
+    def __init__(self, deps: "BatchDeps", holder: str, calls: LeaseCallbacks) -> None:
         self.session = Session(deps, holder, self._lapse)
         self._deps = deps
         self._holder = holder
         self._calls = calls
-        self._observer = Observer(deps.cfg.lease_ms)
-        self._holds = [ShardHold(shard) for shard in range(deps.cfg.shards)]
+        self._observer = SessionObserver(deps.cfg.lease_ms)
+        self._holds = [ShardLease(shard) for shard in range(deps.cfg.shards)]
         self._leases: list[Lease] = [make_lease(hold) for hold in self._holds]
-        self._seen: dict[int, _Seen] = {}
+        self._seen: dict[int, _StoredLease] = {}
         self._stopping = False
         self._hurry: Deferred[None] | None = None
-        self._loop = background.Loop(deps.clock, self._run, "lease keeper")
+        self._loop = background.RestartingLoop(deps.clock, self._run, "lease keeper")
 
     # Queries
 
-    def hold(self, shard: int) -> ShardHold | None:
+    def hold(self, shard: int) -> ShardLease | None:
         """Return the lease of a shard that is held or unconfirmed, or None."""
         hold = self._holds[shard]
         return hold if hold.ours or hold.doubtful else None
@@ -109,7 +109,7 @@
     async def _run(self) -> None:
         while True:
             more = await self._round()
-            await self._deps.clock.sleep(SHORTEST_ROUND_MS)
+            await self._deps.clock.sleep(MIN_ROUND_INTERVAL_MS)
             if not more:
                 await self._pause()
 
@@ -173,22 +173,22 @@
         key = keys.lease_key(shard)
         value = codec.pack(record)
         if version == 0:
-            done = await saves.create(self._deps, key, value)
+            done = await store_access.create(self._deps, key, value)
         else:
-            done = await saves.update(self._deps, key, value, version)
+            done = await store_access.update(self._deps, key, value, version)
         if isinstance(done, Ok):
-            self._seen[shard] = _Seen(done.ok_value, record)
+            self._seen[shard] = _StoredLease(done.ok_value, record)
         else:
             self._seen.pop(shard, None)
         return done
 
     async def _observe(self) -> bool:
         """Read the sessions and the changed leases; return False if the store does not answer."""
-        sessions = await saves.list_keys(self._deps, keys.SESSION_PREFIX)
+        sessions = await store_access.list_keys(self._deps, keys.SESSION_PREFIX)
         if isinstance(sessions, Err):
             return False
         self._observer.observe(sessions.ok_value.versions, self._deps.clock.now())
-        leases = await saves.list_keys(self._deps, keys.LEASE_PREFIX)
+        leases = await store_access.list_keys(self._deps, keys.LEASE_PREFIX)
         if isinstance(leases, Err):
             return False
         versions = {int(name): v for name, v in leases.ok_value.versions.items()}
@@ -211,7 +211,7 @@
         if isinstance(record, Err):
             events.emit(events.BATCH_BROKEN, work=f"lease {shard}", error=record.err_value)
             return True
-        self._seen[shard] = _Seen(read.ok_value.version, record.ok_value)
+        self._seen[shard] = _StoredLease(read.ok_value.version, record.ok_value)
         if record.ok_value.holder != self._holder:
             self._drop_if(shard, self._leases[shard].lose())
         return True
@@ -232,7 +232,7 @@
                 taken += await self._try_take(shard)
             elif state == "away" and not wanted:
                 await self._give_back(shard)
-            if taken == TAKEN_AT_ONCE:
+            if taken == MAX_TAKEN_PER_ROUND:
                 return True
         await self._remove_stale()
         return False
@@ -255,7 +255,7 @@
 
     def _is_free(self, record: LeaseRecord) -> bool:
         holder = record.holder
-        if holder in (FREE, self._holder) or not self._observer.known(holder):
+        if holder in (NO_HOLDER, self._holder) or not self._observer.known(holder):
             return True
         return self._observer.expired(holder, self._deps.clock.now())
 
@@ -269,7 +269,7 @@
         """
         seen = self._seen.get(shard)
         if seen is not None and seen.record.holder == self._holder:
-            await self._write(shard, seen.record._replace(holder=FREE), seen.version)
+            await self._write(shard, seen.record._replace(holder=NO_HOLDER), seen.version)
 
     def _begin_hand_over(self, shard: int) -> None:
         self._leases[shard].release()
@@ -277,10 +277,10 @@
 
     async def _hand_over(self, shard: int) -> None:
         lease = self._leases[shard]
-        await self._calls.hand_over(shard, HAND_OVER_MS)
+        await self._calls.hand_over(shard, HAND_OVER_TIMEOUT_MS)
         if lease.state() != "releasing":
             return
-        record = LeaseRecord(FREE, self._calls.careful(shard))
+        record = LeaseRecord(NO_HOLDER, self._calls.careful(shard))
         done = await self._write(shard, record, self._holds[shard].version)
         self._drop_if(shard, lease.released())
         if isinstance(done, Ok):
@@ -292,7 +292,7 @@
         holders = {seen.record.holder for seen in self._seen.values()}
         for holder, version in list(self._observer.versions.items()):
             if holder not in holders and self._observer.stale(holder, now):
-                await saves.delete(self._deps, keys.session_key(holder), version)
+                await store_access.delete(self._deps, keys.session_key(holder), version)
 
     # Planned stop
 
@@ -310,8 +310,8 @@
         self._deps.tell_peers(ShardsReleased(held))
 
     async def _stop_shard(self, shard: int) -> None:
-        await self._calls.hand_over(shard, HAND_OVER_MS)
+        await self._calls.hand_over(shard, HAND_OVER_TIMEOUT_MS)
         hold = self._holds[shard]
         lease = self._leases[shard]
         if hold.lossy and lease.state() == "releasing" and not self._calls.careful(shard):
-            await self._write(shard, LeaseRecord(FREE), hold.version)
+            await self._write(shard, LeaseRecord(NO_HOLDER), hold.version)
--- a/papayapier/batch/leases.py
+++ b/papayapier/batch/leases.py
@@ -49,7 +49,7 @@
         """Return the name of the state."""
 
 
-class ShardHold:
+class ShardLease:
     """Hold the data of one shard's lease while this instance has it.
 
     ours and doubtful duplicate the state, because they are read for every item.
@@ -66,7 +66,7 @@
         self.lossy = False
 
 
-_builder = TypeMachineBuilder(Lease, ShardHold)
+_builder = TypeMachineBuilder(Lease, ShardLease)
 _away = _builder.state("away")
 _taking = _builder.state("taking")
 _held = _builder.state("held")
@@ -100,7 +100,7 @@
 
 
 @_taking.upon(Lease.taken).to(_held)
-def _begin(_: Lease, hold: ShardHold, version: int, lossy: bool) -> None:
+def _begin(_: Lease, hold: ShardLease, version: int, lossy: bool) -> None:
     hold.version = version
     hold.fence = version
     hold.lossy = lossy
@@ -109,21 +109,21 @@
 
 
 @_doubtful.upon(Lease.confirmed).to(_held)
-def _go_on(_: Lease, hold: ShardHold, version: int) -> None:
+def _go_on(_: Lease, hold: ShardLease, version: int) -> None:
     hold.version = version
     hold.ours = True
     hold.doubtful = False
 
 
 @_held.upon(Lease.lapse).to(_doubtful)
-def _doubt(_: Lease, hold: ShardHold) -> bool:
+def _doubt(_: Lease, hold: ShardLease) -> bool:
     hold.ours = False
     hold.doubtful = True
     return False
 
 
 @_releasing.upon(Lease.released).to(_away)
-def _end(_: Lease, hold: ShardHold) -> bool:
+def _end(_: Lease, hold: ShardLease) -> bool:
     hold.ours = False
     events.emit(events.SHARD_RELEASED, shard=hold.shard)
     return True
@@ -133,7 +133,7 @@
 @_doubtful.upon(Lease.lose).to(_away)
 @_releasing.upon(Lease.lose).to(_away)
 @_releasing.upon(Lease.lapse).to(_away)
-def _drop(_: Lease, hold: ShardHold) -> bool:
+def _drop(_: Lease, hold: ShardLease) -> bool:
     hold.ours = False
     hold.doubtful = False
     events.emit(events.SHARD_LOST, shard=hold.shard)
--- a/papayapier/batch/lines.py
+++ b/papayapier/batch/lines.py
@@ -10,7 +10,7 @@
 from msgspec import Meta
 from result import Err, Ok, Result
 
-from papayapier.batch.records import LINE_BYTES, InputItem
+from papayapier.batch.records import MAX_LINE_BYTES, InputItem
 
 ENGINE_URLS: Final = ("/v1/chat/completions", "/v1/completions")
 SERVICE_URL: Final = "/services/"
@@ -61,7 +61,7 @@
 
     def too_long(self) -> bool:
         """Return whether the incomplete line already exceeds the limit."""
-        return self._size > LINE_BYTES
+        return self._size > MAX_LINE_BYTES
 
     def _keep(self, part: bytes) -> None:
         self._parts.append(part)
@@ -70,8 +70,8 @@
 
 def parse_line(line: bytes, number: int) -> Result[InputItem | None, LineError]:
     """Validate one line; a blank line gives None."""
-    if len(line) > LINE_BYTES:
-        return Err(LineError(number, f"over {LINE_BYTES} bytes"))
+    if len(line) > MAX_LINE_BYTES:
+        return Err(LineError(number, f"over {MAX_LINE_BYTES} bytes"))
     text = line.strip()
     if not text:
         return Ok(None)
--- a/papayapier/batch/opening.py
+++ b/papayapier/batch/opening.py
@@ -6,9 +6,9 @@
 
 from papayapier import codec, events
 from papayapier.batch import keys
+from papayapier.batch.active_jobs import ActiveJob, OpenTask
 from papayapier.batch.records import Checkpoint, InputItem, ItemResult, TaskResults, tally_of
 from papayapier.batch.task_state import TaskRules, TaskState
-from papayapier.batch.work import JobWork, OpenTask
 from papayapier.store.api import Store, StoreError
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
 
 
 async def open_task(
-    deps: "BatchDeps", job: JobWork, task: int, grant: Grant, idempotent: bool
+    deps: "BatchDeps", job: ActiveJob, task: int, grant: Grant, idempotent: bool
 ) -> Result[OpenTask, OpenError]:
     """Read the input and the checkpoint of a task."""
     span = job.spans[task]
--- a/papayapier/batch/outcomes.py
+++ b/papayapier/batch/outcomes.py
@@ -11,7 +11,13 @@
 import msgspec
 from result import Ok, Result
 
-from papayapier.batch.records import REASON_CHARS, RESULT_BYTES, InputItem, ItemResult, ItemState
+from papayapier.batch.records import (
+    MAX_REASON_CHARS,
+    MAX_RESULT_BYTES,
+    InputItem,
+    ItemResult,
+    ItemState,
+)
 from papayapier.errors import ErrorKind, Outcome, Refusal
 from papayapier.upstream.api import Reply
 
@@ -21,7 +27,7 @@
 STREAM_TYPE: Final = "text/event-stream"
 CHAT_URL: Final = "/v1/chat/completions"
 
-NOT_THE_ITEM: Final = frozenset(
+UNCOUNTED_REFUSALS: Final = frozenset(
     {
         ErrorKind.OVERLOADED,
         ErrorKind.CALLER_LIMIT,
@@ -32,18 +38,18 @@
         ErrorKind.CANCELLED,
     }
 )
-NEVER: Final = frozenset(
+FINAL_REFUSALS: Final = frozenset(
     {ErrorKind.BAD_REQUEST, ErrorKind.TOO_LARGE, ErrorKind.NOT_FOUND, ErrorKind.UNAUTHORIZED}
 )
 
 
-class Ended(NamedTuple):
+class EndItem(NamedTuple):
     """State that the item ends with this result."""
 
     result: ItemResult
 
 
-class SendAgain(NamedTuple):
+class ResendItem(NamedTuple):
     """State that the item is sent again; result is its outcome if no attempt is left."""
 
     counted: bool
@@ -72,7 +78,7 @@
     answer: Result[Reply, Refusal],
     idempotent: bool,
     now_wall: int,
-) -> Ended | SendAgain:
+) -> EndItem | ResendItem:
     """Classify the outcome of one send of an item."""
     if isinstance(answer, Ok):
         return _judge_reply(item, source, call_id, answer.ok_value, idempotent, now_wall)
@@ -81,12 +87,12 @@
 
 def _judge_reply(
     item: int, source: InputItem, call_id: str, reply: Reply, idempotent: bool, now_wall: int
-) -> Ended | SendAgain:
+) -> EndItem | ResendItem:
     body = _body_of(source, call_id, reply)
-    if len(body) > RESULT_BYTES:
-        reason = f"the reply has {len(body)} bytes, the limit is {RESULT_BYTES}"
+    if len(body) > MAX_RESULT_BYTES:
+        reason = f"the reply has {len(body)} bytes, the limit is {MAX_RESULT_BYTES}"
         failed = _result(item, source, ItemState.FAILED, ErrorKind.TOO_LARGE, reason, now_wall)
-        return Ended(failed)
+        return EndItem(failed)
     state = ItemState.COMPLETED if reply.status < FIRST_ERROR_STATUS else ItemState.FAILED
     kind = "" if state is ItemState.COMPLETED else ErrorKind.UPSTREAM_FAILED.value
     reason = "" if state is ItemState.COMPLETED else f"the upstream returned {reply.status}"
@@ -104,20 +110,20 @@
     )
     may_pass = reply.status == BUSY_STATUS or reply.status >= FIRST_SERVER_ERROR
     if may_pass and idempotent:
-        return SendAgain(counted=True, result=result)
-    return Ended(result)
+        return ResendItem(counted=True, result=result)
+    return EndItem(result)
 
 
 def _judge_refusal(
     item: int, source: InputItem, refusal: Refusal, idempotent: bool, now_wall: int
-) -> Ended | SendAgain:
+) -> EndItem | ResendItem:
     kind, outcome, reason, _ = refusal
     if outcome is Outcome.UNKNOWN and not idempotent:
-        return Ended(_result(item, source, ItemState.UNKNOWN, kind, reason, now_wall))
+        return EndItem(_result(item, source, ItemState.UNKNOWN, kind, reason, now_wall))
     result = _result(item, source, ItemState.FAILED, kind, reason, now_wall)
-    if kind in NEVER:
-        return Ended(result)
-    return SendAgain(kind not in NOT_THE_ITEM, result)
+    if kind in FINAL_REFUSALS:
+        return EndItem(result)
+    return ResendItem(kind not in UNCOUNTED_REFUSALS, result)
 
 
 def _result(
@@ -131,7 +137,7 @@
         body=b"",
         is_json=True,
         kind=kind.value,
-        reason=reason[:REASON_CHARS],
+        reason=reason[:MAX_REASON_CHARS],
         attempts=0,
         ended_ms=now_wall,
     )
--- a/papayapier/batch/records.py
+++ b/papayapier/batch/records.py
@@ -10,11 +10,11 @@
 from papayapier.config.profiles import Profile
 
 # The limits stay below the store's limit for an object, for the fields around the items.
-CHUNK_BYTES: Final = 450_000
-SPILL_BYTES: Final = 700_000
-LINE_BYTES: Final = 700_000
-RESULT_BYTES: Final = 200_000
-REASON_CHARS: Final = 300
+MAX_CHUNK_BYTES: Final = 450_000
+SPILL_THRESHOLD_BYTES: Final = 700_000
+MAX_LINE_BYTES: Final = 700_000
+MAX_RESULT_BYTES: Final = 200_000
+MAX_REASON_CHARS: Final = 300
 
 
 class InputItem(NamedTuple):
--- a/papayapier/batch/registry.py
+++ b/papayapier/batch/registry.py
@@ -10,35 +10,35 @@
 from result import Err
 
 from papayapier import codec, events
-from papayapier.batch import background, keys, saves
+from papayapier.batch import background, keys, store_access
+from papayapier.batch.active_jobs import ActiveJob
 from papayapier.batch.records import JobRecord
-from papayapier.batch.work import JobWork
 from papayapier.store.api import Change, StoreError
 from papayapier.store.watch import Follower, FollowPace, Pauses
 
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
 
-PACE: Final = FollowPace(watch_ms=20_000, poll_ms=60_000)
+FOLLOW_PACE: Final = FollowPace(watch_ms=20_000, poll_ms=60_000)
 
 
 class JobListeners(NamedTuple):
     """Group the callbacks for jobs that are added, changed and removed."""
 
-    on_new: Callable[[JobWork], None]
-    on_changed: Callable[[JobWork], None]
-    on_gone: Callable[[JobWork], None]
+    on_new: Callable[[ActiveJob], None]
+    on_changed: Callable[[ActiveJob], None]
+    on_gone: Callable[[ActiveJob], None]
 
 
 class JobRegistry:
     """Hold the active jobs by id."""
 
     def __init__(self, deps: "BatchDeps", listeners: JobListeners) -> None:
-        self.jobs: dict[str, JobWork] = {}
+        self.jobs: dict[str, ActiveJob] = {}
         self._deps = deps
         self._listeners = listeners
         self._follower = Follower(
-            deps.store, deps.clock, deps.rand, keys.ACTIVE_PREFIX, self._on_change, PACE
+            deps.store, deps.clock, deps.rand, keys.ACTIVE_PREFIX, self._on_change, FOLLOW_PACE
         )
         self._unread: dict[str, int] = {}
         self._reading = False
@@ -56,7 +56,7 @@
     def complete(self) -> bool:
         """Return whether every job that was recently active is known here."""
         listed = self._follower.listed_ms
-        recent = listed is not None and self._deps.clock.now() - listed <= 2 * PACE.poll_ms
+        recent = listed is not None and self._deps.clock.now() - listed <= 2 * FOLLOW_PACE.poll_ms
         return recent and not self._unread
 
     def hear(self, job_id: str, version: int) -> None:
@@ -66,12 +66,12 @@
             self._unread[job_id] = max(version, self._unread.get(job_id, 0))
             self._read_soon()
 
-    def take(self, record: JobRecord, version: int) -> JobWork:
+    def take(self, record: JobRecord, version: int) -> ActiveJob:
         """Update a job from a record that was read or written; an older version is ignored."""
         known = self.jobs.get(record.job_id)
         if known is None:
             now = self._deps.clock.now()
-            job = JobWork(record, version, self._deps.cfg.shards, now)
+            job = ActiveJob(record, version, self._deps.cfg.shards, now)
             self.jobs[record.job_id] = job
             self._listeners.on_new(job)
             return job
@@ -142,5 +142,5 @@
         ended = await self._deps.store.get(keys.ended_key(job_id))
         if isinstance(ended, Err):
             return False if ended.err_value is StoreError.NOT_FOUND else None
-        await saves.delete(self._deps, keys.active_key(job_id), version)
+        await store_access.delete(self._deps, keys.active_key(job_id), version)
         return True
--- a/papayapier/batch/results.py
+++ b/papayapier/batch/results.py
@@ -13,7 +13,7 @@
 from result import Err, Ok, Result
 
 from papayapier import codec
-from papayapier.batch import keys, saves
+from papayapier.batch import keys, store_access
 from papayapier.batch.opening import OpenError, Unreadable, read_chunk, read_spilled
 from papayapier.batch.records import (
     Checkpoint,
@@ -32,8 +32,8 @@
     from papayapier.batch.api import BatchDeps
 
 NO_CANCEL: Final = 0
-READ_PATIENCE_MS: Final = 30_000
-LINES_AT_ONCE: Final = 100
+READ_TIMEOUT_MS: Final = 30_000
+LINES_PER_PIECE: Final = 100
 OUTPUT: Final = frozenset({ItemState.COMPLETED})
 ERRORS: Final = frozenset({ItemState.FAILED, ItemState.UNKNOWN, ItemState.CANCELLED})
 
@@ -156,8 +156,8 @@
             results = results + rest.ok_value
         wanted = [result for result in results if result.state in states]
         # Encoding a complete task at once would delay online requests.
-        for start in range(0, len(wanted), LINES_AT_ONCE):
-            piece = wanted[start : start + LINES_AT_ONCE]
+        for start in range(0, len(wanted), LINES_PER_PIECE):
+            piece = wanted[start : start + LINES_PER_PIECE]
             yield b"".join(output_line(record, span, result) for result in piece)
 
 
@@ -173,8 +173,8 @@
 async def _view_patiently(
     deps: "BatchDeps", record: JobRecord, span: TaskSpan, cancel_version: int
 ) -> Result[TaskView, OpenError]:
-    return await saves.patiently(
-        deps, READ_PATIENCE_MS, lambda: view_task(deps.store, record, span, cancel_version)
+    return await store_access.patiently(
+        deps, READ_TIMEOUT_MS, lambda: view_task(deps.store, record, span, cancel_version)
     )
 
 
@@ -182,8 +182,8 @@
     deps: "BatchDeps", file_id: str, chunk: int
 ) -> Result[list[InputItem], OpenError]:
     """Read one chunk of an input file; retry for a limited time while the store is unavailable."""
-    return await saves.patiently(
-        deps, READ_PATIENCE_MS, lambda: read_chunk(deps.store, file_id, chunk)
+    return await store_access.patiently(
+        deps, READ_TIMEOUT_MS, lambda: read_chunk(deps.store, file_id, chunk)
     )
 
 
--- a/papayapier/batch/runner.py
+++ b/papayapier/batch/runner.py
@@ -8,14 +8,14 @@
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING, Final, NamedTuple
 
-from papayapier.batch.commits import CommitCalls, Commits
-from papayapier.batch.feeder import Feeder, FeederCalls
-from papayapier.batch.opener import Opener
+from papayapier.batch.active_jobs import ActiveJob, OpenTask
+from papayapier.batch.commits import CommitCallbacks, TaskCommitter
+from papayapier.batch.fair_scheduling import FairScheduler, ItemRates
+from papayapier.batch.item_sender import ItemSender
+from papayapier.batch.item_submitter import ItemSubmitter, SubmitterCallbacks
 from papayapier.batch.opening import Grant
 from papayapier.batch.records import Tally
-from papayapier.batch.sending import Sender
-from papayapier.batch.turns import Rates, Turns
-from papayapier.batch.work import JobWork, OpenTask
+from papayapier.batch.task_opener import TaskOpener
 
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
@@ -26,7 +26,7 @@
 HAND_OVER_POLL_MS: Final = 20
 
 
-class Holds(NamedTuple):
+class LeaseQueries(NamedTuple):
     """Group the runner's queries about leases.
 
     grant returns the lease under which a job's tasks in a shard may be opened. may_send
@@ -34,49 +34,53 @@
     be repeated. may_commit returns whether the shard's progress and results may be stored now.
     """
 
-    grant: Callable[[JobWork, int], Grant | None]
+    grant: Callable[[ActiveJob, int], Grant | None]
     may_send: Callable[[int, bool], bool]
     may_commit: Callable[[int], bool]
 
 
-class RunnerCalls(NamedTuple):
+class RunnerCallbacks(NamedTuple):
     """Group the runner's callbacks: a task is recorded, or another holder has the task."""
 
-    recorded: Callable[[JobWork], None]
-    superseded: Callable[[JobWork], None]
+    recorded: Callable[[ActiveJob], None]
+    superseded: Callable[[ActiveJob], None]
 
 
 class Runner:
     """Run the tasks of the shards that this instance holds."""
 
-    def __init__(self, deps: "BatchDeps", holder: str, holds: Holds, calls: RunnerCalls) -> None:
-        self.jobs: dict[str, JobWork] = {}
+    def __init__(
+        self, deps: "BatchDeps", holder: str, holds: LeaseQueries, calls: RunnerCallbacks
+    ) -> None:
+        self.jobs: dict[str, ActiveJob] = {}
         self._deps = deps
         self._holds = holds
         self._calls = calls
-        commit_calls = CommitCalls(
+        commit_calls = CommitCallbacks(
             holds.may_commit, self._on_saved, self._on_recorded, self._on_given_up, self._on_lost
         )
-        self._commits = Commits(deps, holder, commit_calls)
-        self.rates = Rates()
-        self.turns = Turns(deps.clock, self.rates, lambda job: self.profile_of(job).upstream)
-        self._sender = Sender(deps, self._may_send, self._on_change, self.rates.on_ended)
-        self._opener = Opener(deps, holds.grant, self.profile_of, self._on_opened, self._go_on)
-        feeder_calls = FeederCalls(
+        self._commits = TaskCommitter(deps, holder, commit_calls)
+        self.rates = ItemRates()
+        self.turns = FairScheduler(
+            deps.clock, self.rates, lambda job: self.profile_of(job).upstream
+        )
+        self._sender = ItemSender(deps, self._may_send, self._on_change, self.rates.on_ended)
+        self._opener = TaskOpener(deps, holds.grant, self.profile_of, self._on_opened, self._go_on)
+        feeder_calls = SubmitterCallbacks(
             self.profile_of,
             self._may_send,
             self._sender.send,
             self._commits.kick,
             self._opener.open_ahead,
         )
-        self._feeder = Feeder(deps, self.jobs, self.turns, self.rates, feeder_calls)
+        self._feeder = ItemSubmitter(deps, self.jobs, self.turns, self.rates, feeder_calls)
         self._tick_timer: Timer | None = None
         self._stopping = False
         deps.dispatch.watch_room(self._go_on)
 
-    # Jobs and shards
+    # BatchJobService and shards
 
-    def adopt(self, job: JobWork, shard: int) -> None:
+    def adopt(self, job: ActiveJob, shard: int) -> None:
         """Run the unfinished tasks of a job in a held shard."""
         self.jobs[job.record.job_id] = job
         job.adopt(shard)
@@ -84,7 +88,7 @@
         self._keep_ticking()
         self._feeder.feed_soon()
 
-    def drop_job(self, job: JobWork) -> None:
+    def drop_job(self, job: ActiveJob) -> None:
         """Stop all tasks of a job at once, without storing their progress."""
         self.jobs.pop(job.record.job_id, None)
         self.turns.forget()
@@ -155,7 +159,7 @@
         """Return the size of all data that open tasks keep in memory."""
         return self._feeder.bytes_held()
 
-    def profile_of(self, job: JobWork) -> "Profile":
+    def profile_of(self, job: ActiveJob) -> "Profile":
         """Return the current profile; items that must not be repeated at acceptance stay so."""
         accepted = job.record.profile
         current = self._deps.profile(accepted.name) or accepted
--- a/papayapier/batch/sessions.py
+++ b/papayapier/batch/sessions.py
@@ -17,7 +17,7 @@
 from result import Err, Ok, Result
 
 from papayapier import codec
-from papayapier.batch import keys, saves
+from papayapier.batch import keys, store_access
 from papayapier.batch.records import SessionRecord
 from papayapier.policy.ownership import LeaseView, holder_may_act
 from papayapier.store.api import StoreError
@@ -25,9 +25,9 @@
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
 
-MARGIN_SHARE: Final = 10
-STALE_LEASES: Final = 20
-END_TRIES: Final = 3
+MARGIN_DIVISOR: Final = 10
+STALE_AFTER_LEASES: Final = 20
+MAX_END_ATTEMPTS: Final = 3
 
 
 class Session:
@@ -64,7 +64,7 @@
         done = await self._write(value)
         if isinstance(done, Err) and done.err_value in (StoreError.CONFLICT, StoreError.LOST):
             done = await self._read_own(value)
-        self.silent = isinstance(done, Err) and done.err_value in saves.BUSY
+        self.silent = isinstance(done, Err) and done.err_value in store_access.RETRYABLE_ERRORS
         if isinstance(done, Err):
             return False
         self._version = done.ok_value
@@ -95,17 +95,17 @@
     async def end(self) -> None:
         """Delete the session, which releases all its leases at once."""
         self._ended = True
-        for _ in range(END_TRIES):
+        for _ in range(MAX_END_ATTEMPTS):
             # A renewal may still be in flight, so each attempt reads the version again.
             read = await self._deps.store.get(self._key)
             if isinstance(read, Err):
                 return
-            deleted = await saves.delete(self._deps, self._key, read.ok_value.version)
+            deleted = await store_access.delete(self._deps, self._key, read.ok_value.version)
             if isinstance(deleted, Ok):
                 return
 
 
-class Observer:
+class SessionObserver:
     """Decide from their last changes whether other sessions are live."""
 
     def __init__(self, lease_ms: int) -> None:
@@ -136,7 +136,7 @@
     def stale(self, holder: str, now: int) -> bool:
         """Return whether a session expired so long ago that it can be deleted."""
         view = self._views.get(holder)
-        return view is not None and view.expired(STALE_LEASES * self._lease_ms, now, 0)
+        return view is not None and view.expired(STALE_AFTER_LEASES * self._lease_ms, now, 0)
 
     def alive(self, now: int) -> list[str]:
         """Return the holders whose session exists and has not expired."""
@@ -145,7 +145,7 @@
 
 def margin_ms(lease_ms: int) -> int:
     """Return the fraction of a lease that allows for clocks of different rates."""
-    return lease_ms // MARGIN_SHARE
+    return lease_ms // MARGIN_DIVISOR
 
 
 def instance_of(holder: str) -> str:
--- a/papayapier/batch/start.py
+++ b/papayapier/batch/start.py
@@ -6,19 +6,19 @@
 from result import Result
 
 from papayapier.batch import background
+from papayapier.batch.active_jobs import ActiveJob
 from papayapier.batch.api import BatchDeps
-from papayapier.batch.ending import Ender, refresh_done
-from papayapier.batch.expiry import Expiry, delete_file
+from papayapier.batch.deadline_risk import DeadlineRiskMonitor
+from papayapier.batch.expiry import ExpiryCleaner, delete_file
 from papayapier.batch.files import FileIntake
-from papayapier.batch.jobs import Jobs
-from papayapier.batch.keeper import Keeper, KeeperCalls
+from papayapier.batch.job_completion import JobFinisher, refresh_done
+from papayapier.batch.jobs import BatchJobService
+from papayapier.batch.lease_manager import LeaseCallbacks, LeaseManager
 from papayapier.batch.opening import Grant
 from papayapier.batch.records import FileRecord, JobState
 from papayapier.batch.registry import JobListeners, JobRegistry
-from papayapier.batch.risk import RiskWatch
-from papayapier.batch.runner import Holds, Runner, RunnerCalls
-from papayapier.batch.view import Views
-from papayapier.batch.work import JobWork
+from papayapier.batch.runner import LeaseQueries, Runner, RunnerCallbacks
+from papayapier.batch.view import JobReader
 from papayapier.errors import Refusal
 from papayapier.peer.messages import JobChanged, Message, ShardsReleased
 from papayapier.store.watch import Pauses
@@ -41,8 +41,8 @@
     """Group what the rest of the program uses of batch processing."""
 
     deps: BatchDeps
-    jobs: Jobs
-    views: Views
+    jobs: BatchJobService
+    views: JobReader
     registry: JobRegistry
     on_peer: Callable[[Message], None]
     on_members_changed: Callable[[], None]
@@ -60,12 +60,12 @@
 
 def start_batch(deps: BatchDeps) -> Batch:
     """Start batch processing on one instance."""
-    parts = _Parts(deps)
+    parts = _Components(deps)
     parts.start()
     return Batch(
         deps=deps,
-        jobs=Jobs(deps, parts.registry),
-        views=Views(deps, parts.registry),
+        jobs=BatchJobService(deps, parts.registry),
+        views=JobReader(deps, parts.registry),
         registry=parts.registry,
         on_peer=parts.on_peer,
         on_members_changed=parts.keeper.kick,
@@ -74,7 +74,7 @@
     )
 
 
-class _Parts:
+class _Components:
     """Hold the components of batch processing, and forward events that concern several of them."""
 
     def __init__(self, deps: BatchDeps) -> None:
@@ -83,22 +83,24 @@
         self.registry = JobRegistry(
             deps, JobListeners(self._on_new, self._on_changed, self._on_gone)
         )
-        keeper_calls = KeeperCalls(
+        keeper_calls = LeaseCallbacks(
             self._on_held, self._on_lost, self._hand_over, self._careful, self._on_revived
         )
         lease_deps = deps._replace(store=deps.lease_store or deps.store)
-        self.keeper = Keeper(lease_deps, holder, keeper_calls)
-        holds = Holds(self._grant, self.keeper.may_send, self.keeper.may_commit)
+        self.keeper = LeaseManager(lease_deps, holder, keeper_calls)
+        holds = LeaseQueries(self._grant, self.keeper.may_send, self.keeper.may_commit)
         self._runner = Runner(
-            deps, holder, holds, RunnerCalls(self._on_recorded, self._on_superseded)
+            deps, holder, holds, RunnerCallbacks(self._on_recorded, self._on_superseded)
         )
-        self._ender = Ender(deps, holder, self.registry, self.keeper.may_commit)
-        self._expiry = Expiry(deps, self.registry, lambda: self.keeper.may_commit(EXPIRY_SHARD))
-        self._risk = RiskWatch(deps, self.registry, self._runner, self.keeper.may_commit)
+        self._ender = JobFinisher(deps, holder, self.registry, self.keeper.may_commit)
+        self._expiry = ExpiryCleaner(
+            deps, self.registry, lambda: self.keeper.may_commit(EXPIRY_SHARD)
+        )
+        self._risk = DeadlineRiskMonitor(deps, self.registry, self._runner, self.keeper.may_commit)
         self._loops = [
-            background.Loop(deps.clock, self._ender.run, "ending of jobs"),
-            background.Loop(deps.clock, self._expiry.run, "expiry"),
-            background.Loop(deps.clock, self._risk.run, "watch for jobs at risk"),
+            background.RestartingLoop(deps.clock, self._ender.run, "ending of jobs"),
+            background.RestartingLoop(deps.clock, self._expiry.run, "expiry"),
+            background.RestartingLoop(deps.clock, self._risk.run, "watch for jobs at risk"),
         ]
         self._to_adopt: dict[str, set[int]] = {}
         self._adopting = False
@@ -172,34 +174,34 @@
             self._adopt_later(job, held - job.adopted)
         self._runner.on_holds_changed()
 
-    def _grant(self, job: JobWork, shard: int) -> Grant | None:
+    def _grant(self, job: ActiveJob, shard: int) -> Grant | None:
         hold = self.keeper.hold(shard)
         if hold is None or not self.keeper.may_commit(shard):
             return None
         return Grant(shard, hold.fence, shard in job.careful)
 
-    # Jobs
+    # BatchJobService
 
-    def _on_new(self, job: JobWork) -> None:
+    def _on_new(self, job: ActiveJob) -> None:
         self._adopt_later(job, set(self.keeper.held()))
 
-    def _on_changed(self, job: JobWork) -> None:
+    def _on_changed(self, job: ActiveJob) -> None:
         job.next_look_ms = self._deps.clock.now()
         if not job.runs():
             self._runner.drop_job(job)
 
-    def _on_gone(self, job: JobWork) -> None:
+    def _on_gone(self, job: ActiveJob) -> None:
         self._to_adopt.pop(job.record.job_id, None)
         self._runner.drop_job(job)
 
-    def _on_recorded(self, job: JobWork) -> None:
+    def _on_recorded(self, job: ActiveJob) -> None:
         if job.whole():
             job.next_look_ms = self._deps.clock.now()
 
-    def _on_superseded(self, job: JobWork) -> None:
+    def _on_superseded(self, job: ActiveJob) -> None:
         self._adopt_later(job, set(self.keeper.held()))
 
-    def _adopt_later(self, job: JobWork, shards: set[int]) -> None:
+    def _adopt_later(self, job: ActiveJob, shards: set[int]) -> None:
         """Adopt a job's tasks in some shards, after reading which tasks are finished already."""
         if job.record.state is not JobState.RUNNING or not shards:
             return
--- a/papayapier/batch/saves.py
+++ b/papayapier/batch/store_access.py
@@ -21,15 +21,15 @@
 T = TypeVar("T")
 E = TypeVar("E")
 
-BUSY: Final = frozenset({StoreError.UNAVAILABLE, StoreError.LIMITED, StoreError.LOST})
-SETTLE_MS: Final = 5_000
-PAGE: Final = 1_000
+RETRYABLE_ERRORS: Final = frozenset({StoreError.UNAVAILABLE, StoreError.LIMITED, StoreError.LOST})
+MAX_SETTLE_MS: Final = 5_000
+PAGE_KEYS: Final = 1_000
 
 
 async def create(deps: "BatchDeps", key: str, value: bytes) -> Result[int, StoreError]:
     """Create an object; CONFLICT means that a different value exists."""
     settling = Settling(deps.store, deps.clock, deps.rand)
-    return await create_settled(settling, key, value, deps.clock.now() + SETTLE_MS)
+    return await create_settled(settling, key, value, deps.clock.now() + MAX_SETTLE_MS)
 
 
 async def update(
@@ -37,13 +37,13 @@
 ) -> Result[int, StoreError]:
     """Update an object at a known version; CONFLICT means that another writer was faster."""
     settling = Settling(deps.store, deps.clock, deps.rand)
-    return await update_settled(settling, key, value, version, deps.clock.now() + SETTLE_MS)
+    return await update_settled(settling, key, value, version, deps.clock.now() + MAX_SETTLE_MS)
 
 
 async def delete(deps: "BatchDeps", key: str, version: int) -> Result[int, StoreError]:
     """Delete an object at a known version."""
     settling = Settling(deps.store, deps.clock, deps.rand)
-    return await delete_settled(settling, key, version, deps.clock.now() + SETTLE_MS)
+    return await delete_settled(settling, key, version, deps.clock.now() + MAX_SETTLE_MS)
 
 
 async def offer(
@@ -73,7 +73,7 @@
     until = deps.clock.now() + limit_ms
     while True:
         done = await call()
-        if isinstance(done, Ok) or done.err_value not in BUSY:
+        if isinstance(done, Ok) or done.err_value not in RETRYABLE_ERRORS:
             return done
         pause = pauses.next_ms()
         if deps.clock.now() + pause >= until:
@@ -81,25 +81,25 @@
         await deps.clock.sleep(pause)
 
 
-class Keys(NamedTuple):
+class ListedKeys(NamedTuple):
     """Hold the last parts of listed keys with their versions, in order."""
 
     versions: dict[str, int]
     revision: int
 
 
-async def list_keys(deps: "BatchDeps", prefix: str) -> Result[Keys, StoreError]:
+async def list_keys(deps: "BatchDeps", prefix: str) -> Result[ListedKeys, StoreError]:
     """List all keys under a prefix, page by page."""
     found: dict[str, int] = {}
     after = ""
     revision: int | None = None
     while True:
-        listed = await deps.store.list(prefix, after, PAGE)
+        listed = await deps.store.list(prefix, after, PAGE_KEYS)
         if isinstance(listed, Err):
             return listed
         page: Listing = listed.ok_value
         revision = page.revision if revision is None else revision
         found.update((keys.last_part(entry.key), entry.version) for entry in page.objects)
         if not page.more or not page.objects:
-            return Ok(Keys(found, revision))
+            return Ok(ListedKeys(found, revision))
         after = page.objects[-1].key
--- a/papayapier/batch/opener.py
+++ b/papayapier/batch/task_opener.py
@@ -9,9 +9,9 @@
 
 from papayapier import events
 from papayapier.batch import background
+from papayapier.batch.active_jobs import ActiveJob, OpenTask
 from papayapier.batch.opening import Grant, OpenError, Unreadable, open_task
-from papayapier.batch.records import CHUNK_BYTES
-from papayapier.batch.work import JobWork, OpenTask
+from papayapier.batch.records import MAX_CHUNK_BYTES
 from papayapier.store.api import StoreError
 from papayapier.store.watch import Pauses
 
@@ -19,26 +19,26 @@
     from papayapier.batch.api import BatchDeps
     from papayapier.config.profiles import Profile
 
-AHEAD: Final = 2
-MIN_AHEAD: Final = 16
+AHEAD_FACTOR: Final = 2
+MIN_AHEAD_ITEMS: Final = 16
 UNREADABLE_PAUSE_MS: Final = 30_000
 
 
-class InputRoom(NamedTuple):
+class InputCapacity(NamedTuple):
     """Limit the bytes of input to be opened: the share of one upstream, and the total."""
 
     share: int
     most: int
 
 
-class Opener:
+class TaskOpener:
     """Open pending tasks of jobs; a task that cannot be opened now stays pending."""
 
     def __init__(
         self,
         deps: "BatchDeps",
-        grant: Callable[[JobWork, int], Grant | None],
-        profile_of: "Callable[[JobWork], Profile]",
+        grant: Callable[[ActiveJob, int], Grant | None],
+        profile_of: "Callable[[ActiveJob], Profile]",
         on_opened: Callable[[OpenTask], None],
         go_on: Callable[[], None],
     ) -> None:
@@ -50,7 +50,7 @@
         self._pauses = Pauses(deps.rand)
 
     def open_ahead(
-        self, jobs: list[JobWork], caps: dict[str, int], items: int, room: InputRoom
+        self, jobs: list[ActiveJob], caps: dict[str, int], items: int, room: InputCapacity
     ) -> None:
         """Open the next tasks of an upstream when a caller's open tasks will soon have no unsent
         items.
@@ -68,30 +68,30 @@
             ahead[job.record.caller] += _unsent(job)
         for job in jobs:
             caller = job.record.caller
-            wanted = max(MIN_AHEAD, AHEAD * caps[caller], items)
+            wanted = max(MIN_AHEAD_ITEMS, AHEAD_FACTOR * caps[caller], items)
             if ahead[caller] >= wanted:
                 continue
             for task in [task for task in job.pending if self._may_open(job, task)]:
                 room_bytes = room.share if ahead[caller] else room.most
-                if ahead[caller] >= wanted or room_bytes < CHUNK_BYTES:
+                if ahead[caller] >= wanted or room_bytes < MAX_CHUNK_BYTES:
                     break
                 ahead[caller] += job.spans[task].size()
-                room = InputRoom(room.share - CHUNK_BYTES, room.most - CHUNK_BYTES)
+                room = InputCapacity(room.share - MAX_CHUNK_BYTES, room.most - MAX_CHUNK_BYTES)
                 self._open_soon(job, task)
 
-    def _open_soon(self, job: JobWork, task: int) -> None:
+    def _open_soon(self, job: ActiveJob, task: int) -> None:
         job.pending.remove(task)
         job.opening.add(task)
         again = partial(self._put_back_later, job, task, UNREADABLE_PAUSE_MS)
         background.start(self._open(job, task), f"opening of task {task}", again)
 
-    def _may_open(self, job: JobWork, task: int) -> bool:
+    def _may_open(self, job: ActiveJob, task: int) -> bool:
         """Return whether a task's lease is held; if the lease is unconfirmed, the task stays
         pending.
         """
         return self._grant(job, job.shards[task]) is not None
 
-    async def _open(self, job: JobWork, task: int) -> None:
+    async def _open(self, job: ActiveJob, task: int) -> None:
         grant = self._grant(job, job.shards[task])
         if grant is None:
             job.opening.discard(task)
@@ -116,7 +116,7 @@
             return
         self._on_opened(opened.ok_value)
 
-    def _open_later(self, job: JobWork, task: int, error: OpenError) -> None:
+    def _open_later(self, job: ActiveJob, task: int, error: OpenError) -> None:
         pause: float = UNREADABLE_PAUSE_MS
         if isinstance(error, StoreError):
             pause = self._pauses.next_ms()
@@ -125,26 +125,26 @@
 
         self._put_back_later(job, task, pause)
 
-    def _put_back_later(self, job: JobWork, task: int, pause: float) -> None:
+    def _put_back_later(self, job: ActiveJob, task: int, pause: float) -> None:
         self._deps.clock.call_later(pause, partial(self._put_back, job, task))
 
-    def _put_back(self, job: JobWork, task: int) -> None:
+    def _put_back(self, job: ActiveJob, task: int) -> None:
         if task in job.opening:
             job.opening.discard(task)
             job.pending.appendleft(task)
             self._go_on()
 
 
-def input_bytes(jobs: Iterable[JobWork]) -> int:
+def input_bytes(jobs: Iterable[ActiveJob]) -> int:
     """Return the input size of jobs' open tasks, with an upper bound for those being opened."""
     held = 0
     for job in jobs:
-        held += len(job.opening) * CHUNK_BYTES
+        held += len(job.opening) * MAX_CHUNK_BYTES
         held += sum(task.input_bytes for task in job.open.values())
     return held
 
 
-def _unsent(job: JobWork) -> int:
+def _unsent(job: ActiveJob) -> int:
     opening = sum(job.spans[task].size() for task in job.opening)
     states = [task.state for task in job.open.values()]
     return opening + sum(state.startable() + state.unintended() for state in states)
--- a/papayapier/batch/task_state.py
+++ b/papayapier/batch/task_state.py
@@ -31,7 +31,7 @@
 from papayapier.errors import ErrorKind
 from papayapier.invariants import Promise, check
 
-RESULT_OVERHEAD: Final = 64
+RESULT_OVERHEAD_BYTES: Final = 64
 
 
 class TaskRules(NamedTuple):
@@ -89,7 +89,7 @@
         self._results: dict[int, ItemResult] = {}
         self._retries: list[Retry] = []
         self._running: set[int] = set()
-        self._saving: _Saving | None = None
+        self._saving: _PendingSave | None = None
         self._spilled: list[str] = []
         self._suspects: deque[int] = deque()
         self._versions: list[int] = []
@@ -253,7 +253,7 @@
 
     def snapshot(self, writer: str, fence: int, withdraw: bool = False) -> Checkpoint:
         """Return the checkpoint to store; withdraw omits intents that were not sent."""
-        self._saving = _Saving(
+        self._saving = _PendingSave(
             intended=list(self._intending),
             retried=[retry.item for retry in self._retries if retry.needs_save],
         )
@@ -313,14 +313,14 @@
 
     def _keep(self, result: ItemResult) -> None:
         self._results[result.item] = result
-        self.held_bytes += len(result.body) + RESULT_OVERHEAD
+        self.held_bytes += len(result.body) + RESULT_OVERHEAD_BYTES
 
     def next_commit(self) -> int:
         """Return the index of the first checkpoint that can contain a result produced now."""
         return len(self._versions) + (self._saving is not None)
 
 
-class _Saving(NamedTuple):
+class _PendingSave(NamedTuple):
     """Hold what waits for the snapshot that is being stored."""
 
     intended: list[int]
--- a/papayapier/batch/tasks.py
+++ b/papayapier/batch/tasks.py
@@ -13,7 +13,7 @@
 MIN_TASK_ITEMS: Final = 50
 MAX_INSTANCES: Final = 16
 TASKS_PER_INSTANCE: Final = 2
-GUARDED_TASK_ITEMS: Final = 100
+MAX_NON_IDEMPOTENT_TASK_ITEMS: Final = 100
 
 
 class TaskSpan(NamedTuple):
@@ -39,7 +39,7 @@
         # Tasks of complete chunks would be too few for all instances.
         wanted = max(MIN_TASK_ITEMS, -(-items // (TASKS_PER_INSTANCE * served_by)))
     if not idempotent:
-        wanted = min(wanted, GUARDED_TASK_ITEMS)
+        wanted = min(wanted, MAX_NON_IDEMPOTENT_TASK_ITEMS)
     return min(wanted, chunk_items)
 
 
--- a/papayapier/batch/view.py
+++ b/papayapier/batch/view.py
@@ -11,14 +11,14 @@
 from result import Err, Ok, Result
 
 from papayapier.batch import ids, keys
-from papayapier.batch.ending import refresh_done, sum_tallies
+from papayapier.batch.job_completion import refresh_done, sum_tallies
 from papayapier.batch.jobs import caller_prefix
 from papayapier.batch.lookup import FoundJob, find_file, find_job, unavailable
 from papayapier.batch.opening import OpenError, read_chunk, read_results
 from papayapier.batch.records import FileRecord, ItemResult, JobState
 from papayapier.batch.results import (
     ERRORS,
-    LINES_AT_ONCE,
+    LINES_PER_PIECE,
     NO_CANCEL,
     OUTPUT,
     TaskView,
@@ -33,14 +33,14 @@
 from papayapier.store.api import StoreError
 
 if TYPE_CHECKING:
+    from papayapier.batch.active_jobs import ActiveJob
     from papayapier.batch.api import BatchDeps
     from papayapier.batch.registry import JobRegistry
-    from papayapier.batch.work import JobWork
 
 OUTPUT_FILE: Final = "file-out-"
 ERROR_FILE: Final = "file-err-"
-LIST_AGAIN_MS: Final = 1_000
-TALLIES_AT_ONCE: Final = 16
+LIST_INTERVAL_MS: Final = 1_000
+MAX_TALLIES_PER_READ: Final = 16
 
 
 class ItemView(NamedTuple):
@@ -58,7 +58,7 @@
     errors: bool
 
 
-class Views:
+class JobReader:
     """Read jobs, items and files for callers."""
 
     def __init__(self, deps: "BatchDeps", registry: "JobRegistry") -> None:
@@ -78,15 +78,15 @@
             return found
         now = self._deps.clock.now()
         if now >= work.list_again_ms:
-            work.list_again_ms = now + LIST_AGAIN_MS
+            work.list_again_ms = now + LIST_INTERVAL_MS
             await refresh_done(self._deps, work)
             await self._read_tallies(work)
         tally = sum_tallies(work.tallies.values())
         return found._replace(record=found.record._replace(tally=tally))
 
-    async def _read_tallies(self, work: "JobWork") -> None:
+    async def _read_tallies(self, work: "ActiveJob") -> None:
         missing = sorted(work.done.difference(work.tallies))
-        for task in missing[:TALLIES_AT_ONCE]:
+        for task in missing[:MAX_TALLIES_PER_READ]:
             read = await read_results(self._deps.store, work.record.job_id, task)
             if isinstance(read, Ok):
                 work.tallies[task] = read.ok_value.tally
@@ -139,7 +139,7 @@
             if isinstance(read, Err):
                 return Err(unavailable())
             there = ids.find(read.ok_value.value, custom_id)
-            number = None if there is None else block * ids.BLOCK_IDS + there
+            number = None if there is None else block * ids.IDS_PER_BLOCK + there
         return Err(missing) if number is None else Ok(number)
 
     async def _result_of(
@@ -190,8 +190,8 @@
                 on_error(read.err_value)
                 return
             items = read.ok_value
-            for start in range(0, len(items), LINES_AT_ONCE):
-                piece = items[start : start + LINES_AT_ONCE]
+            for start in range(0, len(items), LINES_PER_PIECE):
+                piece = items[start : start + LINES_PER_PIECE]
                 yield b"".join(input_line(item) for item in piece)
 
 
--- a/tests/test_batch_parts.py
+++ b/tests/test_batch_parts.py
@@ -9,12 +9,12 @@
 from result import Err, Ok
 from twisted.internet.defer import Deferred
 
-from papayapier.batch import ids, keys, saves
+from papayapier.batch import ids, keys, store_access
+from papayapier.batch.fair_scheduling import caller_caps
 from papayapier.batch.files import FileIntake
 from papayapier.batch.lines import LineError, endpoint_of, parse_line
 from papayapier.batch.placement import owners
 from papayapier.batch.tasks import place, split, task_items
-from papayapier.batch.turns import caller_caps
 from papayapier.entry.streaming import write_all
 from papayapier.errors import ErrorKind
 from papayapier.settings import BatchSettings
@@ -112,9 +112,9 @@
 class TestIds:
     def test_place_of_an_id_in_blocks(self) -> None:
         index = ids.IdIndex()
-        for n in range(ids.BLOCK_IDS + 10):
+        for n in range(ids.IDS_PER_BLOCK + 10):
             index.add(f"c{n}")
-        assert not any(map(index.duplicate, range(ids.BUCKETS))) and index.inline() == b""
+        assert not any(map(index.duplicate, range(ids.BUCKET_COUNT))) and index.inline() == b""
         first, second = index.blocks()
         assert ids.find(first, "c99999") == 99_999 and ids.find(first, "c100003") is None
         assert ids.find(second, "c100003") == 3
@@ -221,11 +221,11 @@
         deps = world.start("a").deps
         world.platform.fail(Fault.LOST_AFTER, call="create", key="x")
         world.platform.fail(Fault.LOST_BEFORE, key="x", times=1_000)
-        first = world.settle(saves.offer(deps, "x", b"mine", 0, False))
+        first = world.settle(store_access.offer(deps, "x", b"mine", 0, False))
         assert first == Err(StoreError.LOST)
         world.platform.clear_faults()
-        assert isinstance(now(saves.offer(deps, "x", b"mine", 0, True)), Ok)
-        assert now(saves.offer(deps, "x", b"other", 0, True)) == Err(StoreError.CONFLICT)
+        assert isinstance(now(store_access.offer(deps, "x", b"mine", 0, True)), Ok)
+        assert now(store_access.offer(deps, "x", b"other", 0, True)) == Err(StoreError.CONFLICT)
 
 
 class TestExpiry:
