--- a/papayapier/batch/active_jobs.py
+++ b/papayapier/batch/active_jobs.py
@@ -5,7 +5,7 @@
 
 from papayapier.batch.records import InputItem, JobRecord, JobState, Tally
 from papayapier.batch.task_state import TaskState
-from papayapier.batch.tasks import TaskSpan, home_shard, shard_of, split
+from papayapier.batch.tasks import TaskSpan, home_shard, shard_of, split_tasks
 
 if TYPE_CHECKING:
     from twisted.internet.defer import Deferred
@@ -29,13 +29,13 @@
     """Hold one task that this instance runs."""
 
     __slots__ = (
-        "checkpoint_at",
-        "checkpoint_pause",
+        "checkpoint_interval_ms",
         "closed",
         "fence",
         "input_bytes",
         "items",
         "job",
+        "next_checkpoint_ms",
         "reopen",
         "running",
         "saving",
@@ -67,8 +67,8 @@
         self.input_bytes = sum(len(item.body) + len(item.custom_id) for item in items)
         self.running: dict[int, ItemRun] = {}
         self.saving = False
-        self.checkpoint_at = 0
-        self.checkpoint_pause = 0
+        self.next_checkpoint_ms = 0
+        self.checkpoint_interval_ms = 0
         self.stopping = False
         self.spill_wanted = False
         self.reopen = False
@@ -81,16 +81,16 @@
     __slots__ = (
         "adopted",
         "at_risk",
-        "careful",
-        "done",
+        "cautious_shards",
+        "first_seen_ms",
         "home",
-        "list_again_ms",
-        "next_look_ms",
+        "next_check_ms",
+        "next_list_ms",
         "open",
         "opening",
         "pending",
         "record",
-        "seen_ms",
+        "recorded",
         "shards",
         "spans",
         "tallies",
@@ -100,28 +100,32 @@
     def __init__(self, record: JobRecord, version: int, shard_count: int, now: int) -> None:
         self.record = record
         self.version = version
-        self.spans = split(record.chunks, record.task_items)
-        self.shards = [shard_of(record.job_id, s.task, shard_count) for s in self.spans]
+        self.spans = split_tasks(record.chunks, record.task_items)
+        self.shards = [shard_of(record.job_id, span.task, shard_count) for span in self.spans]
         self.home = home_shard(record.job_id, shard_count)
         self.pending: deque[int] = deque()
         self.open: dict[int, OpenTask] = {}
         self.opening: set[int] = set()
-        self.done: set[int] = set()
+        self.recorded: set[int] = set()
         self.tallies: dict[int, Tally] = {}
-        self.list_again_ms = 0
-        self.seen_ms = now
-        self.next_look_ms = now
+        self.next_list_ms = 0
+        self.first_seen_ms = now
+        self.next_check_ms = now
         self.at_risk = False
-        self.careful: set[int] = set()
+        self.cautious_shards: set[int] = set()
         self.adopted: set[int] = set()
 
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         """Return whether items of the job may be started."""
         return self.record.state is JobState.RUNNING
 
     def tasks_of(self, shard: int) -> list[int]:
         """Return the unfinished tasks of a shard."""
-        return [t for t, s in enumerate(self.shards) if s == shard and t not in self.done]
+        return [
+            task
+            for task, task_shard in enumerate(self.shards)
+            if task_shard == shard and task not in self.recorded
+        ]
 
     def adopt(self, shard: int) -> None:
         """Add the unfinished tasks of a shard to the pending tasks."""
@@ -129,15 +133,15 @@
         known = self.opening.union(self.open, self.pending)
         self.pending.extend(task for task in self.tasks_of(shard) if task not in known)
 
-    def forget(self, shard: int) -> None:
+    def drop_pending(self, shard: int) -> None:
         """Drop the pending tasks of a shard."""
         self.adopted.discard(shard)
         self.pending = deque(task for task in self.pending if self.shards[task] != shard)
         self.opening = {task for task in self.opening if self.shards[task] != shard}
 
-    def on_done(self, task: int, tally: Tally | None) -> None:
+    def on_recorded(self, task: int, tally: Tally | None) -> None:
         """Record that a task's results are stored."""
-        self.done.add(task)
+        self.recorded.add(task)
         if task in self.pending:
             self.pending.remove(task)
         if tally is not None:
@@ -145,23 +149,25 @@
 
     def has_unsent(self) -> bool:
         """Return whether items of the job could be sent now or after opening a task."""
-        return bool(self.pending) or any(task.state.startable() for task in self.open.values())
+        return bool(self.pending) or any(
+            task.state.startable_count() for task in self.open.values()
+        )
 
     def items_left(self) -> int:
         """Return how many items this instance still has to run."""
         waiting = sum(self.spans[task].size() for task in self.pending)
         waiting += sum(self.spans[task].size() for task in self.opening)
-        return waiting + sum(task.state.left() for task in self.open.values())
+        return waiting + sum(task.state.remaining() for task in self.open.values())
 
     def items_done(self) -> int:
         """Return how many items of the whole job are known to have ended."""
-        recorded = sum(self.spans[task].size() for task in self.done)
-        return recorded + sum(len(task.state.ended) for task in self.open.values())
+        recorded_items = sum(self.spans[task].size() for task in self.recorded)
+        return recorded_items + sum(len(task.state.ended) for task in self.open.values())
 
     def in_flight(self) -> int:
         """Return how many items are running on this instance."""
         return sum(len(task.running) for task in self.open.values())
 
-    def whole(self) -> bool:
+    def all_recorded(self) -> bool:
         """Return whether the results of every task are recorded."""
-        return len(self.done) == len(self.spans)
+        return len(self.recorded) == len(self.spans)
--- a/papayapier/batch/api.py
+++ b/papayapier/batch/api.py
@@ -34,9 +34,7 @@
     still_allowed: Callable[[], bool]
 
     def work(self) -> str:
-        """Return the request fingerprint, which is the same on every instance and for every
-        attempt.
-        """
+        """Return the request fingerprint, the same on every instance and for every attempt."""
         return name_work(self.method, self.profile.upstream, self.path, self.body)
 
 
--- a/papayapier/batch/background.py
+++ b/papayapier/batch/background.py
@@ -21,10 +21,12 @@
 
 
 def start(
-    work: Coroutine[Deferred[Any], Any, T], name: str, on_failure: Callable[[], None] | None = None
+    coroutine: Coroutine[Deferred[Any], Any, T],
+    name: str,
+    on_failure: Callable[[], None] | None = None,
 ) -> Deferred[T | None]:
     """Start a coroutine; the returned Deferred never fails, and cancels the coroutine."""
-    done: Deferred[T | None] = Deferred.fromCoroutine(work)
+    deferred: Deferred[T | None] = Deferred.fromCoroutine(coroutine)
 
     def report(failure: Failure) -> None:
         if isinstance(failure.value, CancelledError):
@@ -33,35 +35,38 @@
         if on_failure is not None:
             on_failure()
 
-    done.addErrback(report)
-    return done
+    deferred.addErrback(report)
+    return deferred
 
 
 class RestartingLoop:
     """Run a coroutine that never returns, and restart it after a failure."""
 
     def __init__(
-        self, clock: "Clock", make: Callable[[], Coroutine[Deferred[Any], Any, None]], name: str
+        self,
+        clock: "Clock",
+        make_coroutine: Callable[[], Coroutine[Deferred[Any], Any, None]],
+        name: str,
     ) -> None:
         self._clock = clock
-        self._make = make
+        self._make_coroutine = make_coroutine
         self._name = name
         self._running: Deferred[None] | None = None
-        self._again: Timer | None = None
+        self._restart_timer: Timer | None = None
         self._stopped = False
 
     def start(self) -> None:
         """Start the coroutine."""
-        self._running = start(self._make(), self._name, self._start_later)
+        self._running = start(self._make_coroutine(), self._name, self._restart_later)
 
-    def _start_later(self) -> None:
+    def _restart_later(self) -> None:
         if not self._stopped:
-            self._again = self._clock.call_later(RESTART_DELAY_MS, self.start)
+            self._restart_timer = self._clock.call_later(RESTART_DELAY_MS, self.start)
 
     def stop(self) -> None:
         """Cancel the coroutine and do not restart it."""
         self._stopped = True
-        if self._again is not None and self._again.active():
-            self._again.cancel()
+        if self._restart_timer is not None and self._restart_timer.active():
+            self._restart_timer.cancel()
         if self._running is not None:
             self._running.cancel()
--- a/papayapier/batch/deadline_risk.py
+++ b/papayapier/batch/deadline_risk.py
@@ -36,47 +36,53 @@
         self._registry = registry
         self._runner = runner
         self._holds_shard = holds_shard
-        self._judged_ms = deps.clock.now()
+        self._assessed_ms = deps.clock.now()
 
     async def run(self) -> None:
         """Assess all jobs periodically until cancelled."""
         while True:
             await self._deps.clock.sleep(CHECK_INTERVAL_MS)
-            self.judge()
+            self.assess_all()
 
-    def judge(self) -> None:
+    def assess_all(self) -> None:
         """Assess every job, and report those whose home shard is held here."""
         now = self._deps.clock.now()
-        turns = self._runner.turns.by_upstream(self._runner.jobs.values())
-        busy = [name for name, jobs in turns.items() if any(job.in_flight() for job in jobs)]
-        self._runner.rates.update(now - self._judged_ms, busy)
-        self._judged_ms = now
-        for jobs in turns.values():
-            self._judge_in_turn(jobs)
-        judged = {job.record.job_id for jobs in turns.values() for job in jobs}
-        mine = [job for job in self._registry.jobs.values() if self._holds_shard(job.home)]
-        for job in mine:
-            if job.record.job_id not in judged:
-                self._judge_elsewhere(job, now)
-        self._deps.metrics.jobs_at_risk.set(sum(job.at_risk for job in mine))
+        jobs_by_upstream = self._runner.scheduler.order_by_upstream(self._runner.jobs.values())
+        busy = [
+            name for name, jobs in jobs_by_upstream.items() if any(job.in_flight() for job in jobs)
+        ]
+        self._runner.rates.update(now - self._assessed_ms, busy)
+        self._assessed_ms = now
+        for jobs in jobs_by_upstream.values():
+            self._assess_queued(jobs)
+        assessed = {job.record.job_id for jobs in jobs_by_upstream.values() for job in jobs}
+        home_jobs = [job for job in self._registry.jobs.values() if self._holds_shard(job.home)]
+        for job in home_jobs:
+            if job.record.job_id not in assessed:
+                self._assess_remote(job, now)
+        self._deps.metrics.jobs_at_risk.set(sum(job.at_risk for job in home_jobs))
 
-    def _judge_in_turn(self, jobs: "list[ActiveJob]") -> None:
-        in_front = 0
+    def _assess_queued(self, jobs: "list[ActiveJob]") -> None:
+        items_ahead = 0
         for job in jobs:
-            load = self._runner.turns.load(job)
-            in_front += load.items_left
-            waiting = load._replace(items_left=in_front if load.items_left else 0)
-            self._set(job, load, deadlines.at_risk(waiting, load.rate, self._deps.clock.wall()))
+            load = self._runner.scheduler.load(job)
+            items_ahead += load.items_left
+            waiting = load._replace(items_left=items_ahead if load.items_left else 0)
+            self._set_at_risk(
+                job, load, deadlines.at_risk(waiting, load.rate, self._deps.clock.wall())
+            )
 
-    def _judge_elsewhere(self, job: "ActiveJob", now: int) -> None:
+    def _assess_remote(self, job: "ActiveJob", now: int) -> None:
         """Assess a job that has no items left on this instance, from its recorded progress."""
-        done = job.items_done()
-        elapsed = max(1, now - job.seen_ms)
-        left = job.record.items() - done
-        load = self._runner.turns.load(job)._replace(items_left=left, rate=done / elapsed)
-        self._set(job, load, deadlines.at_risk(load, load.rate, self._deps.clock.wall()))
+        ended_items = job.items_done()
+        elapsed = max(1, now - job.first_seen_ms)
+        left = job.record.items() - ended_items
+        load = self._runner.scheduler.load(job)._replace(
+            items_left=left, rate=ended_items / elapsed
+        )
+        self._set_at_risk(job, load, deadlines.at_risk(load, load.rate, self._deps.clock.wall()))
 
-    def _set(self, job: "ActiveJob", load: deadlines.JobLoad, at_risk: bool) -> None:
+    def _set_at_risk(self, job: "ActiveJob", load: deadlines.JobLoad, at_risk: bool) -> None:
         if at_risk != job.at_risk and self._holds_shard(job.home):
             self._report(load, at_risk)
         job.at_risk = at_risk
--- a/papayapier/batch/expiry.py
+++ b/papayapier/batch/expiry.py
@@ -44,17 +44,17 @@
     """Delete what is due, while this instance is responsible for it."""
 
     def __init__(
-        self, deps: "BatchDeps", registry: JobRegistry, on_duty: Callable[[], bool]
+        self, deps: "BatchDeps", registry: JobRegistry, is_responsible: Callable[[], bool]
     ) -> None:
         self._deps = deps
         self._registry = registry
-        self._on_duty = on_duty
+        self._is_responsible = is_responsible
 
     async def run(self) -> None:
         """Check periodically for due markers until cancelled."""
         while True:
             await self._deps.clock.sleep(CHECK_INTERVAL_MS)
-            if self._on_duty() and self._registry.complete():
+            if self._is_responsible() and self._registry.is_complete():
                 await self.run_once()
 
     async def run_once(self) -> None:
@@ -64,21 +64,21 @@
             return
         now = self._deps.clock.wall()
         for entry in listed.ok_value.objects:
-            due = _due(entry)
-            if due.at_ms > now:
+            marker = _parse_marker(entry)
+            if marker.at_ms > now:
                 return
-            if not await self._expire(due):
+            if not await self._handle_marker(marker):
                 return
 
-    async def _expire(self, due: DueMarker) -> bool:
+    async def _handle_marker(self, marker: DueMarker) -> bool:
         """Handle one marker; False means that the store did not answer."""
-        if due.kind == JOB_KIND:
-            done = await self._expire_job(due.object_id)
+        if marker.kind == JOB_KIND:
+            outcome = await self._expire_job(marker.object_id)
         else:
-            done = await self._expire_file(due)
-        if done:
-            await store_access.delete(self._deps, due.entry.key, due.entry.version)
-        return done
+            outcome = await self._expire_file(marker)
+        if outcome:
+            await store_access.delete(self._deps, marker.entry.key, marker.entry.version)
+        return outcome
 
     async def _expire_job(self, job_id: str) -> bool:
         for prefix in (
@@ -91,31 +91,32 @@
         # The record is deleted last, because the job can be found only while it exists.
         return await self._delete_key(keys.ended_key(job_id), JOB_KIND, job_id)
 
-    async def _expire_file(self, due: DueMarker) -> bool:
-        file_id = due.object_id
+    async def _expire_file(self, marker: DueMarker) -> bool:
+        file_id = marker.object_id
         read = await self._deps.store.get(keys.file_key(file_id))
         if isinstance(read, Err) and read.err_value is not StoreError.NOT_FOUND:
             return False
         record = _file_record(read.ok_value.value) if isinstance(read, Ok) else None
         now = self._deps.clock.wall()
         if record is not None and not record.deleted and record.expires_ms > now:
-            return await self._mark_again(file_id, record.expires_ms)
+            return await self._postpone(file_id, record.expires_ms)
         if any(job.record.file_id == file_id for job in self._registry.jobs.values()):
-            return await self._mark_again(file_id, now + POSTPONE_MS)
+            return await self._postpone(file_id, now + POSTPONE_MS)
         for prefix in (keys.chunk_prefix(file_id), keys.index_prefix(file_id)):
             if not await self._delete_all(prefix):
                 return False
         return await self._delete_key(keys.file_key(file_id), FILE_KIND, file_id)
 
-    async def _mark_again(self, file_id: str, at_ms: int) -> bool:
+    async def _postpone(self, file_id: str, at_ms: int) -> bool:
         marked = await store_access.create(
             self._deps, keys.expiry_key(at_ms, FILE_KIND, file_id), EXPIRY_MARKER_VALUE
         )
         return isinstance(marked, Ok) or marked.err_value is StoreError.CONFLICT
 
     async def _delete_all(self, prefix: str) -> bool:
-        """Delete all objects under a prefix in small groups, with pauses that leave the store
-        to others.
+        """Delete all objects under a prefix.
+
+        Objects are deleted in small groups with pauses, to leave the store to other calls.
         """
         while True:
             listed = await self._deps.store.list(prefix, "", DELETES_PER_PAGE)
@@ -157,13 +158,13 @@
         return Err(unavailable())
     record = found.ok_value.record._replace(deleted=True)
     key = keys.file_key(file_id)
-    done = await store_access.update(deps, key, codec.pack(record), found.ok_value.version)
-    if isinstance(done, Err):
+    outcome = await store_access.update(deps, key, codec.pack(record), found.ok_value.version)
+    if isinstance(outcome, Err):
         return Err(unavailable())
     return Ok(record)
 
 
-def _due(entry: Entry) -> DueMarker:
+def _parse_marker(entry: Entry) -> DueMarker:
     at_ms, kind, object_id = entry.key[len(keys.EXPIRY_PREFIX) :].split("/")
     return DueMarker(entry, int(at_ms), kind, object_id)
 
--- a/papayapier/batch/fair_scheduling.py
+++ b/papayapier/batch/fair_scheduling.py
@@ -60,24 +60,24 @@
         self._clock = clock
         self._rates = rates
         self._upstream_of = upstream_of
-        self._served: dict[str, list[ActiveJob]] = {}
+        self._candidates: dict[str, list[ActiveJob]] = {}
         self._ordered_ms: int | None = None
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Discard the order, because jobs were added or removed."""
         self._ordered_ms = None
 
-    def by_upstream(self, jobs: "Iterable[ActiveJob]") -> "dict[str, list[ActiveJob]]":
+    def order_by_upstream(self, jobs: "Iterable[ActiveJob]") -> "dict[str, list[ActiveJob]]":
         """Return the jobs of each upstream, the most urgent one first."""
-        loads = [self.load(job) for job in jobs if job.runs()]
+        loads = [self.load(job) for job in jobs if job.is_running()]
         by_id = {job.record.job_id: job for job in jobs}
-        turns: dict[str, list[ActiveJob]] = {}
+        ordered: dict[str, list[ActiveJob]] = {}
         for job_id in deadlines.order(loads, self._clock.wall()):
             job = by_id[job_id]
-            turns.setdefault(self._upstream_of(job), []).append(job)
-        return turns
+            ordered.setdefault(self._upstream_of(job), []).append(job)
+        return ordered
 
-    def served(self, jobs: "Collection[ActiveJob]") -> "dict[str, list[ActiveJob]]":
+    def candidates(self, jobs: "Collection[ActiveJob]") -> "dict[str, list[ActiveJob]]":
         """Return, in the same order, the jobs to be considered for each slice of items.
 
         These are all jobs with open tasks, and the first few of each caller that have unsent
@@ -85,33 +85,35 @@
         take longer than sending the items, so this is done periodically.
         """
         now = self._clock.now()
-        if self._ordered_ms is None or now - self._ordered_ms >= self._keep_ms(jobs):
-            turns = self.by_upstream(jobs)
-            self._served = {upstream: _first_of(turns[upstream]) for upstream in turns}
+        if self._ordered_ms is None or now - self._ordered_ms >= self._refresh_ms(jobs):
+            ordered = self.order_by_upstream(jobs)
+            self._candidates = {
+                upstream: _select_candidates(ordered[upstream]) for upstream in ordered
+            }
             self._ordered_ms = now
-        return self._served
+        return self._candidates
 
-    def _keep_ms(self, jobs: "Collection[ActiveJob]") -> int:
+    def _refresh_ms(self, jobs: "Collection[ActiveJob]") -> int:
         """Return how long an order is valid: longer with more jobs, shorter if it is exhausted."""
         return (
             EXHAUSTED_REFRESH_MS
-            if self.dry(jobs)
+            if self.is_exhausted(jobs)
             else max(MIN_REFRESH_MS, REFRESH_MS_PER_JOB * len(jobs))
         )
 
-    def dry(self, jobs: "Iterable[ActiveJob]") -> bool:
+    def is_exhausted(self, jobs: "Iterable[ActiveJob]") -> bool:
         """Return whether the considered jobs have nothing to send while other jobs have."""
-        if any(job.has_unsent() for job in self.busy()):
+        if any(job.has_unsent() for job in self.candidate_jobs()):
             return False
         return any(job.has_unsent() for job in jobs)
 
-    def busy(self) -> "list[ActiveJob]":
+    def candidate_jobs(self) -> "list[ActiveJob]":
         """Return the jobs that may have open tasks."""
-        return [job for jobs in self._served.values() for job in jobs]
+        return [job for jobs in self._candidates.values() for job in jobs]
 
-    def upstreams(self) -> int:
+    def upstream_count(self) -> int:
         """Return how many upstreams have jobs."""
-        return len(self._served)
+        return len(self._candidates)
 
     def load(self, job: "ActiveJob") -> deadlines.JobLoad:
         """Describe to the policy what this instance has left of a job."""
@@ -125,19 +127,19 @@
         )
 
 
-def _first_of(jobs: "list[ActiveJob]") -> "list[ActiveJob]":
+def _select_candidates(jobs: "list[ActiveJob]") -> "list[ActiveJob]":
     counts: Counter[str] = Counter()
-    found: list[ActiveJob] = []
+    selected: list[ActiveJob] = []
     for job in jobs:
-        waits = job.has_unsent() and counts[job.record.caller] < CANDIDATES_PER_CALLER
-        if waits:
+        is_candidate = job.has_unsent() and counts[job.record.caller] < CANDIDATES_PER_CALLER
+        if is_candidate:
             counts[job.record.caller] += 1
-        if waits or job.open or job.opening:
-            found.append(job)
-    return found
+        if is_candidate or job.open or job.opening:
+            selected.append(job)
+    return selected
 
 
-def caller_caps(jobs: "Sequence[ActiveJob]", capacity: int) -> dict[str, int]:
+def caller_limits(jobs: "Sequence[ActiveJob]", capacity: int) -> dict[str, int]:
     """Return how many items of each caller may be in flight while others have items too."""
     weights: dict[str, int] = {}
     for job in jobs:
--- a/papayapier/batch/files.py
+++ b/papayapier/batch/files.py
@@ -91,7 +91,7 @@
             reason = f"the file has more than {self._deps.cfg.max_file_bytes} bytes"
             return not_run(ErrorKind.TOO_LARGE, reason)
         for line in self._splitter.feed(data):
-            refusal = await self._take_line(line)
+            refusal = await self._process_line(line)
             if refusal is not None:
                 return refusal
         if self._splitter.too_long():
@@ -100,8 +100,8 @@
 
     async def finish(self) -> Result[FileRecord, Refusal]:
         """Store the remaining items and the record, with which the file exists."""
-        refusal = await self._take_line(self._splitter.rest())
-        refusal = refusal or await self._check_whole()
+        refusal = await self._process_line(self._splitter.rest())
+        refusal = refusal or await self._check_complete()
         if refusal is None and self._items:
             refusal = await self._store_chunk()
         if refusal is None:
@@ -109,7 +109,7 @@
         if refusal is not None:
             return Err(refusal)
         record = self._record()
-        refusal = await self._create(keys.file_key(record.file_id), codec.pack(record))
+        refusal = await self._store_object(keys.file_key(record.file_id), codec.pack(record))
         if refusal is not None:
             return Err(refusal)
         events.emit(
@@ -118,14 +118,12 @@
         return Ok(record)
 
     async def abandon(self) -> None:
-        """Delete the chunks of a refused file; its expiry marker leads to the remaining
-        objects.
-        """
+        """Delete the chunks of a refused file; its expiry marker covers the other objects."""
         for chunk, version in enumerate(self._versions):
             await store_access.delete(self._deps, keys.chunk_key(self.head.file_id, chunk), version)
         self._versions = []
 
-    async def _take_line(self, line: bytes) -> Refusal | None:
+    async def _process_line(self, line: bytes) -> Refusal | None:
         self._line += 1
         parsed = parse_line(line, self._line)
         if isinstance(parsed, Err):
@@ -138,9 +136,9 @@
         # its line number.
         if self._blank_line:
             return self._refuse(LineError(self._blank_line, "blank line between items"))
-        return await self._take_item(item)
+        return await self._add_item(item)
 
-    async def _take_item(self, item: InputItem) -> Refusal | None:
+    async def _add_item(self, item: InputItem) -> Refusal | None:
         if self._line > self._deps.cfg.max_items:
             reason = f"line {self._line}: over {self._deps.cfg.max_items} items"
             return not_run(ErrorKind.TOO_LARGE, reason)
@@ -163,11 +161,11 @@
         if chunk == 0:
             head = self.head
             mark = keys.expiry_key(head.expires_ms, FILE_KIND, head.file_id)
-            refusal = await self._create(mark, EXPIRY_MARKER_VALUE)
+            refusal = await self._store_object(mark, EXPIRY_MARKER_VALUE)
             if refusal is not None:
                 return refusal
         key = keys.chunk_key(self.head.file_id, chunk)
-        created = await self._created(key, codec.pack(self._items))
+        created = await self._create_object(key, codec.pack(self._items))
         refusal = None
         if isinstance(created, Err):
             refusal = created.err_value
@@ -178,7 +176,7 @@
         self._chunk_bytes = 0
         return refusal
 
-    async def _check_whole(self) -> Refusal | None:
+    async def _check_complete(self) -> Refusal | None:
         if not self._items and not self._counts:
             return not_run(ErrorKind.BAD_REQUEST, "the file has no items")
         for bucket in range(BUCKET_COUNT):
@@ -194,7 +192,7 @@
 
     async def _store_index(self) -> Refusal | None:
         for block, hashes in enumerate(self._index.blocks()):
-            refusal = await self._create(keys.index_key(self.head.file_id, block), hashes)
+            refusal = await self._store_object(keys.index_key(self.head.file_id, block), hashes)
             if refusal is not None:
                 return refusal
         return None
@@ -216,17 +214,17 @@
             id_blocks=len(self._index.blocks()),
         )
 
-    async def _create(self, key: str, value: bytes) -> Refusal | None:
-        created = await self._created(key, value)
+    async def _store_object(self, key: str, value: bytes) -> Refusal | None:
+        created = await self._create_object(key, value)
         return created.err_value if isinstance(created, Err) else None
 
-    async def _created(self, key: str, value: bytes) -> Result[int, Refusal]:
+    async def _create_object(self, key: str, value: bytes) -> Result[int, Refusal]:
         deps = self._deps
-        done = await store_access.patiently(
+        written = await store_access.retry_while_unavailable(
             deps, STORE_TIMEOUT_MS, lambda: store_access.create(deps, key, value)
         )
         reason = "the file is not stored: the store does not answer"
-        return done.map_err(lambda _: not_run(ErrorKind.STORE_UNAVAILABLE, reason))
+        return written.map_err(lambda _: not_run(ErrorKind.STORE_UNAVAILABLE, reason))
 
     def _refuse(self, error: LineError) -> Refusal:
         events.emit(
--- a/papayapier/batch/ids.py
+++ b/papayapier/batch/ids.py
@@ -67,7 +67,7 @@
         raise AssertionError("the bucket has no duplicate")
 
 
-def find(block: bytes, custom_id: str) -> int | None:
+def find_position(block: bytes, custom_id: str) -> int | None:
     """Return the position of an id in a block of hashes."""
     hashes = array("Q")
     hashes.frombytes(block)
--- a/papayapier/batch/item_sender.py
+++ b/papayapier/batch/item_sender.py
@@ -11,7 +11,7 @@
 from papayapier.batch.active_jobs import ItemRun, OpenTask
 from papayapier.batch.api import ItemCall
 from papayapier.batch.lines import ENGINE_URLS, SERVICE_URL
-from papayapier.batch.outcomes import ResendItem, judge
+from papayapier.batch.outcomes import ResendItem, classify
 from papayapier.batch.records import InputItem, ItemResult, ItemState
 from papayapier.errors import ErrorKind, Refusal, unknown
 from papayapier.upstream.api import Reply
@@ -44,14 +44,14 @@
         """Pass an item that was taken from the task's state to the dispatch."""
         run = ItemRun()
         task.running[item] = run
-        work = self._run(task, item, run, profile)
+        coroutine = self._run(task, item, run, profile)
         failed = unknown(ErrorKind.INTERNAL, "the dispatch failed")
         run.deferred = background.start(
-            work, f"item {item}", lambda: self._on_answer(task, item, run, Err(failed))
+            coroutine, f"item {item}", lambda: self._on_outcome(task, item, run, Err(failed))
         )
 
     async def _run(self, task: OpenTask, item: int, run: ItemRun, profile: "Profile") -> None:
-        source = task.items[item]
+        input_item = task.items[item]
 
         def still_allowed() -> bool:
             if not self._may_send(task):
@@ -64,69 +64,69 @@
             call_id=call_id(task, item),
             caller=record.caller,
             profile=profile,
-            method=source.method,
-            path=_path_at_upstream(source),
-            body=source.body,
+            method=input_item.method,
+            path=_path_at_upstream(input_item),
+            body=input_item.body,
             due_wall_ms=max(record.due_ms, self._deps.clock.wall() + MIN_ITEM_TIMEOUT_MS),
             still_allowed=still_allowed,
         )
         try:
-            answer = await self._deps.dispatch.run(call)
+            outcome = await self._deps.dispatch.run(call)
         except CancelledError:
             self._on_cancelled(task, item, run)
             return
-        if isinstance(answer, Ok):
+        if isinstance(outcome, Ok):
             self._on_ended(profile.upstream)
-        self._on_answer(task, item, run, answer)
+        self._on_outcome(task, item, run, outcome)
 
     def _on_cancelled(self, task: OpenTask, item: int, run: ItemRun) -> None:
         if task.running.pop(item, None) is None or task.closed:
             return
         if task.state.rules.idempotent or not run.maybe_sent:
-            task.state.put_back(item, self._deps.clock.now())
+            task.state.requeue(item, self._deps.clock.now())
         else:
             reason = "stopped while it was running"
             refusal = unknown(ErrorKind.OUTCOME_UNKNOWN, reason)
-            self._settle(task, item, Err(refusal))
+            self._apply_outcome(task, item, Err(refusal))
         self._on_change(task)
 
-    def _on_answer(
-        self, task: OpenTask, item: int, run: ItemRun, answer: Result[Reply, Refusal]
+    def _on_outcome(
+        self, task: OpenTask, item: int, run: ItemRun, outcome: Result[Reply, Refusal]
     ) -> None:
         if task.running.pop(item, None) is None or task.closed:
             return
-        self._settle(task, item, answer)
+        self._apply_outcome(task, item, outcome)
         self._on_change(task)
 
-    def _settle(self, task: OpenTask, item: int, answer: Result[Reply, Refusal]) -> None:
+    def _apply_outcome(self, task: OpenTask, item: int, outcome: Result[Reply, Refusal]) -> None:
         state = task.state
-        verdict = judge(
+        decision = classify(
             item,
             task.items[item],
             call_id(task, item),
-            answer,
+            outcome,
             state.rules.idempotent,
             self._deps.clock.wall(),
         )
-        if isinstance(verdict, ResendItem):
-            again_at = self._deps.clock.now() + self._pause_ms(state.attempts_of(item))
-            if not verdict.counted:
-                state.put_back(item, again_at)
+        if isinstance(decision, ResendItem):
+            retry_at_ms = self._deps.clock.now() + self._pause_ms(state.attempts_of(item))
+            if not decision.counts_as_attempt:
+                state.requeue(item, retry_at_ms)
                 return
-            if state.fail_attempt(item, again_at):
+            if state.fail_attempt(item, retry_at_ms):
                 return
-        result = verdict.result._replace(attempts=state.attempts_of(item))
-        state.end(result)
-        self._report(task, result, answer)
+        result = decision.result._replace(attempts=state.attempts_of(item))
+        state.end_item(result)
+        self._report(task, result, outcome)
 
     def _pause_ms(self, attempts: int) -> int:
-        longest = min(MAX_RETRY_MS, FIRST_RETRY_MS << attempts)
-        return self._deps.rand.randint(longest // 2, longest)
+        max_ms = min(MAX_RETRY_MS, FIRST_RETRY_MS << attempts)
+        return self._deps.rand.randint(max_ms // 2, max_ms)
 
-    def _report(self, task: OpenTask, result: ItemResult, answer: Result[Reply, Refusal]) -> None:
+    def _report(self, task: OpenTask, result: ItemResult, outcome: Result[Reply, Refusal]) -> None:
         self._deps.metrics.batch_items.labels(result.state.value).inc()
-        if isinstance(answer, Ok):
-            self._deps.metrics.batch_tokens.inc(answer.ok_value.tokens)
+        if isinstance(outcome, Ok):
+            self._deps.metrics.batch_tokens.inc(outcome.ok_value.tokens)
         if result.state is ItemState.COMPLETED:
             return
         event = events.ITEM_UNKNOWN if result.state is ItemState.UNKNOWN else events.ITEM_FAILED
@@ -144,9 +144,9 @@
     return f"{task.job.record.job_id}-{task.span.task}-{item}"
 
 
-def _path_at_upstream(source: InputItem) -> str:
+def _path_at_upstream(input_item: InputItem) -> str:
     """Return the path at the replica, without the name of the service."""
-    if source.url in ENGINE_URLS:
-        return source.url
-    rest = source.url[len(SERVICE_URL) :].partition("/")[2]
+    if input_item.url in ENGINE_URLS:
+        return input_item.url
+    rest = input_item.url[len(SERVICE_URL) :].partition("/")[2]
     return "/" + rest
--- a/papayapier/batch/item_submitter.py
+++ b/papayapier/batch/item_submitter.py
@@ -14,7 +14,7 @@
     EXHAUSTED_REFRESH_MS,
     FairScheduler,
     ItemRates,
-    caller_caps,
+    caller_limits,
 )
 from papayapier.batch.records import MAX_CHUNK_BYTES
 from papayapier.batch.task_opener import InputCapacity, input_bytes
@@ -31,12 +31,15 @@
 
 
 class SubmitterCallbacks(NamedTuple):
-    """Group the functions of the runner's other components; kick starts the storing of a task."""
+    """Group the functions of the runner's other components.
+
+    request_save starts the storing of a task.
+    """
 
     profile_of: "Callable[[ActiveJob], Profile]"
     may_send: Callable[[OpenTask], bool]
     send: "Callable[[OpenTask, int, Profile], None]"
-    kick: Callable[[OpenTask], None]
+    request_save: Callable[[OpenTask], None]
     open_ahead: Callable[[list[ActiveJob], dict[str, int], int, InputCapacity], None]
 
 
@@ -47,15 +50,15 @@
         self,
         deps: "BatchDeps",
         jobs: dict[str, ActiveJob],
-        turns: FairScheduler,
+        scheduler: FairScheduler,
         rates: ItemRates,
-        calls: SubmitterCallbacks,
+        callbacks: SubmitterCallbacks,
     ) -> None:
         self._deps = deps
         self._jobs = jobs
-        self._turns = turns
+        self._scheduler = scheduler
         self._rates = rates
-        self._calls = calls
+        self._callbacks = callbacks
         self._timer: Timer | None = None
         self._stopped = False
 
@@ -65,119 +68,119 @@
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
-    def feed_soon(self) -> None:
+    def submit_soon(self) -> None:
         """Pass items to the dispatch in the next iteration of the event loop."""
         if self._timer is None and not self._stopped and self._jobs:
-            self._timer = self._deps.clock.call_later(0, self._feed)
+            self._timer = self._deps.clock.call_later(0, self._submit)
 
-    def _feed(self) -> None:
+    def _submit(self) -> None:
         self._timer = None
-        more = False
-        for upstream, jobs in self._turns.served(self._jobs.values()).items():
-            more = self._serve(upstream, jobs) or more
-        if more:
-            self.feed_soon()
-        elif self._turns.dry(self._jobs.values()):
-            self._timer = self._deps.clock.call_later(EXHAUSTED_REFRESH_MS, self._feed)
-
-    def _serve(self, upstream: str, jobs: list[ActiveJob]) -> bool:
+        has_more = False
+        for upstream, jobs in self._scheduler.candidates(self._jobs.values()).items():
+            has_more = self._submit_slice(upstream, jobs) or has_more
+        if has_more:
+            self.submit_soon()
+        elif self._scheduler.is_exhausted(self._jobs.values()):
+            self._timer = self._deps.clock.call_later(EXHAUSTED_REFRESH_MS, self._submit)
+
+    def _submit_slice(self, upstream: str, jobs: list[ActiveJob]) -> bool:
         """Pass one slice of an upstream's items; return whether to continue at once."""
-        room = self._deps.dispatch.room(upstream)
-        left = min(room, ITEMS_PER_SLICE)
-        if self.bytes_held() >= self._limit():
-            left = 0
-            self._make_room()
+        free_slots = self._deps.dispatch.room(upstream)
+        slots_left = min(free_slots, ITEMS_PER_SLICE)
+        if self.buffered_bytes() >= self._memory_limit():
+            slots_left = 0
+            self._free_memory()
         running = sum(job.in_flight() for job in jobs)
-        caps = caller_caps(jobs, room + running)
-        flying: Counter[str] = Counter()
+        limits = caller_limits(jobs, free_slots + running)
+        in_flight_counts: Counter[str] = Counter()
         for job in jobs:
-            flying[job.record.caller] += job.in_flight()
+            in_flight_counts[job.record.caller] += job.in_flight()
         for job in jobs:
             caller = job.record.caller
-            sent = self._send_of(job, min(left, caps[caller] - flying[caller]), room)
-            flying[caller] += sent
-            left -= sent
+            sent = self._send_job_items(
+                job, min(slots_left, limits[caller] - in_flight_counts[caller]), free_slots
+            )
+            in_flight_counts[caller] += sent
+            slots_left -= sent
         for job in jobs:
-            if left == 0:
+            if slots_left == 0:
                 break
-            left -= self._send_of(job, left, room)
-        ahead = self._rates.rate(upstream) * PREFETCH_MS / max(1, len(caps))
-        self._calls.open_ahead(jobs, caps, int(ahead), self._input_room(jobs))
-        return left == 0 and room > ITEMS_PER_SLICE
+            slots_left -= self._send_job_items(job, slots_left, free_slots)
+        ahead = self._rates.rate(upstream) * PREFETCH_MS / max(1, len(limits))
+        self._callbacks.open_ahead(jobs, limits, int(ahead), self._input_capacity(jobs))
+        return slots_left == 0 and free_slots > ITEMS_PER_SLICE
 
-    def _input_room(self, jobs: list[ActiveJob]) -> InputCapacity:
+    def _input_capacity(self, jobs: list[ActiveJob]) -> InputCapacity:
         """Return how many bytes of input may still be opened for an upstream's jobs.
 
         Input may use half of the memory, in equal shares for all upstreams, because the tasks
         of a stalled upstream keep their input. The other half is for results, except that the
         first task of a caller without open tasks may use it.
         """
-        upstreams = max(1, self._turns.upstreams())
-        share = max(MAX_CHUNK_BYTES, self._limit() // 2 // upstreams)
-        return InputCapacity(share - input_bytes(jobs), self._limit() - self.input_bytes())
+        upstreams = max(1, self._scheduler.upstream_count())
+        share = max(MAX_CHUNK_BYTES, self._memory_limit() // 2 // upstreams)
+        return InputCapacity(share - input_bytes(jobs), self._memory_limit() - self.input_bytes())
 
-    def _make_room(self) -> None:
+    def _free_memory(self) -> None:
         """Store the results of the largest task although the task is unfinished.
 
         Otherwise results of unfinished tasks could fill the memory, and no task could run to
         its end.
         """
-        tasks = [task for job in self._turns.busy() for task in job.open.values()]
-        largest = max(tasks, key=lambda task: task.state.held_bytes, default=None)
+        tasks = [task for job in self._scheduler.candidate_jobs() for task in job.open.values()]
+        largest = max(tasks, key=lambda task: task.state.result_bytes, default=None)
         if largest is not None and not any(task.spill_wanted for task in tasks):
             largest.spill_wanted = True
-            self._calls.kick(largest)
+            self._callbacks.request_save(largest)
 
-    def _send_of(self, job: ActiveJob, most: int, room: int) -> int:
-        profile = self._calls.profile_of(job)
+    def _send_job_items(self, job: ActiveJob, max_items: int, free_slots: int) -> int:
+        profile = self._callbacks.profile_of(job)
         sent = 0
         for task in list(job.open.values()):
             if task.state.rules.idempotent and not profile.idempotent:
                 self._reopen(task)
-            sent += self._send_some(task, most - sent, profile)
-            self._intend_some(task, room)
+            sent += self._send_task_items(task, max_items - sent, profile)
+            self._intend_items(task, free_slots)
         return sent
 
     def _reopen(self, task: OpenTask) -> None:
-        """Stop a task whose items must no longer be repeated, and open it again under that
-        rule.
-        """
+        """Stop a task whose items must no longer be repeated, to reopen it under that rule."""
         if not task.stopping:
             task.stopping = True
             task.reopen = True
-            self._calls.kick(task)
+            self._callbacks.request_save(task)
 
-    def _send_some(self, task: OpenTask, most: int, profile: "Profile") -> int:
+    def _send_task_items(self, task: OpenTask, max_items: int, profile: "Profile") -> int:
         sent = 0
-        while sent < most and self._calls.may_send(task):
-            item = task.state.take()
+        while sent < max_items and self._callbacks.may_send(task):
+            item = task.state.take_item()
             if item is None:
                 break
-            self._calls.send(task, item, profile)
+            self._callbacks.send(task, item, profile)
             sent += 1
         return sent
 
-    def _intend_some(self, task: OpenTask, room: int) -> None:
-        """Store the next intents shortly before they are needed.
+    def _intend_items(self, task: OpenTask, free_slots: int) -> None:
+        """Choose the next intents, and store them, shortly before they are needed.
 
         Items that are intended but not sent end as unknown if the instance is lost, so the
         number of intents is limited to what the present capacity can run.
         """
         running = len(task.running)
-        if room == 0 or task.stopping or task.state.startable() > running // 2:
+        if free_slots == 0 or task.stopping or task.state.startable_count() > running // 2:
             return
-        most = max(MIN_INTENTS, min(MAX_INTENTS, room + running))
-        if task.state.intend(most):
-            self._calls.kick(task)
+        max_items = max(MIN_INTENTS, min(MAX_INTENTS, free_slots + running))
+        if task.state.intend(max_items):
+            self._callbacks.request_save(task)
 
-    def bytes_held(self) -> int:
+    def buffered_bytes(self) -> int:
         """Return the size of all data that open tasks keep in memory."""
-        tasks = [task for job in self._turns.busy() for task in job.open.values()]
-        return self.input_bytes() + sum(task.state.held_bytes for task in tasks)
+        tasks = [task for job in self._scheduler.candidate_jobs() for task in job.open.values()]
+        return self.input_bytes() + sum(task.state.result_bytes for task in tasks)
 
     def input_bytes(self) -> int:
         """Return the size of all open tasks' input, and an upper bound for those being opened."""
-        return input_bytes(self._turns.busy())
+        return input_bytes(self._scheduler.candidate_jobs())
 
-    def _limit(self) -> int:
+    def _memory_limit(self) -> int:
         return self._deps.cfg.result_buffer_bytes
--- a/papayapier/batch/job_completion.py
+++ b/papayapier/batch/job_completion.py
@@ -27,9 +27,9 @@
 JOB_KIND: Final = "job"
 EXPIRY_MARKER_VALUE: Final = b"1"
 CHECK_AGE_DIVISOR: Final = 10
-MIN_CHECK_INTERVAL_MS: Final = 500
-MAX_CHECK_INTERVAL_MS: Final = 10_000
-CHECK_INTERVAL_MS: Final = 100
+MIN_JOB_CHECK_MS: Final = 500
+MAX_JOB_CHECK_MS: Final = 10_000
+LOOP_INTERVAL_MS: Final = 100
 
 
 class JobFinisher:
@@ -50,29 +50,29 @@
     async def run(self) -> None:
         """Check the jobs whose home shard is held here periodically until cancelled."""
         while True:
-            await self._deps.clock.sleep(CHECK_INTERVAL_MS)
+            await self._deps.clock.sleep(LOOP_INTERVAL_MS)
             for job in list(self._registry.jobs.values()):
                 if self._holds_shard(job.home) and self._is_due(job):
-                    await self._look(job)
+                    await self._check_job(job)
 
     def _is_due(self, job: ActiveJob) -> bool:
-        return self._deps.clock.now() >= job.next_look_ms
+        return self._deps.clock.now() >= job.next_check_ms
 
-    async def _look(self, job: ActiveJob) -> None:
+    async def _check_job(self, job: ActiveJob) -> None:
         now = self._deps.clock.now()
         # A check costs one listing. The interval grows with the age of the job, so that the cost
         # does not grow with the duration of a job, and a short job ends without much delay.
-        pause = (now - job.seen_ms) // CHECK_AGE_DIVISOR
-        job.next_look_ms = now + max(MIN_CHECK_INTERVAL_MS, min(MAX_CHECK_INTERVAL_MS, pause))
+        interval_ms = (now - job.first_seen_ms) // CHECK_AGE_DIVISOR
+        job.next_check_ms = now + max(MIN_JOB_CHECK_MS, min(MAX_JOB_CHECK_MS, interval_ms))
         if job.record.state is JobState.CANCELLING:
             await self._end_cancelled(job)
             return
         if job.record.state is JobState.ENDING:
-            await self._close(job, job.record._replace(state=JobState.COMPLETED))
+            await self._move_to_ended(job, job.record._replace(state=JobState.COMPLETED))
             return
-        if not job.whole() and not await refresh_done(self._deps, job):
+        if not job.all_recorded() and not await refresh_recorded(self._deps, job):
             return
-        if job.whole():
+        if job.all_recorded():
             await self._end_completed(job)
 
     async def _end_completed(self, job: ActiveJob) -> None:
@@ -84,14 +84,14 @@
         now = self._deps.clock.wall()
         record = job.record._replace(state=JobState.ENDING, tally=tally, tally_ms=now, ended_ms=now)
         key = keys.active_key(record.job_id)
-        done = await store_access.update(self._deps, key, codec.pack(record), job.version)
-        if isinstance(done, Err):
+        written = await store_access.update(self._deps, key, codec.pack(record), job.version)
+        if isinstance(written, Err):
             # Another instance ended or cancelled the job, or the reply was lost: read the record
             # again.
             await self._registry.read(record.job_id)
             return
-        self._registry.take(record, done.ok_value)
-        await self._close(job, record._replace(state=JobState.COMPLETED))
+        self._registry.apply_record(record, written.ok_value)
+        await self._move_to_ended(job, record._replace(state=JobState.COMPLETED))
 
     async def _count_recorded(self, job: ActiveJob) -> Tally | None:
         """Sum the tallies of all tasks; tallies that other instances recorded are read."""
@@ -122,7 +122,7 @@
             ended_ms=self._deps.clock.wall(),
             cancel_version=job.version,
         )
-        await self._close(job, record)
+        await self._move_to_ended(job, record)
 
     async def _seal(self, job: ActiveJob, task: int) -> bool:
         """Seal a checkpoint with a new version, so that no holder can add an intent to it.
@@ -137,8 +137,8 @@
             if read.err_value is not StoreError.NOT_FOUND:
                 return False
             sealed = Checkpoint(writer, 0, 0, [], [], [], [], [], sealed=True)
-            done = await store_access.create(self._deps, key, codec.pack(sealed))
-            return isinstance(done, Ok)
+            written = await store_access.create(self._deps, key, codec.pack(sealed))
+            return isinstance(written, Ok)
         stored = read.ok_value
         checkpoint = codec.unpack(stored.value, Checkpoint)
         if isinstance(checkpoint, Err):
@@ -146,18 +146,18 @@
         versions = [*checkpoint.ok_value.versions, stored.version]
         sealed = checkpoint.ok_value._replace(writer=writer, versions=versions, sealed=True)
         value = codec.pack(sealed)
-        done = await store_access.update(self._deps, key, value, stored.version)
-        return isinstance(done, Ok)
+        written = await store_access.update(self._deps, key, value, stored.version)
+        return isinstance(written, Ok)
 
-    async def _close(self, job: ActiveJob, record: JobRecord) -> None:
+    async def _move_to_ended(self, job: ActiveJob, record: JobRecord) -> None:
         """Move the record of a job to the ended jobs."""
         expires = record.ended_ms + self._deps.cfg.retention_ms
         record = record._replace(expires_ms=expires)
-        mark = keys.expiry_key(expires, JOB_KIND, record.job_id)
-        marked = await store_access.create(self._deps, mark, EXPIRY_MARKER_VALUE)
+        marker_key = keys.expiry_key(expires, JOB_KIND, record.job_id)
+        marked = await store_access.create(self._deps, marker_key, EXPIRY_MARKER_VALUE)
         if isinstance(marked, Err) and marked.err_value is not StoreError.CONFLICT:
             return
-        if not await self._keep_input(record, expires):
+        if not await self._extend_input_retention(record, expires):
             return
         ended = await store_access.create(
             self._deps, keys.ended_key(record.job_id), codec.pack(record)
@@ -176,9 +176,9 @@
                 **record.tally._asdict(),
             )
         self._deps.tell_peers(JobChanged(record.job_id, job.version))
-        self._registry.drop(record.job_id)
+        self._registry.remove(record.job_id)
 
-    async def _keep_input(self, record: JobRecord, until_ms: int) -> bool:
+    async def _extend_input_retention(self, record: JobRecord, until_ms: int) -> bool:
         """Keep the input as long as the results, which are looked up by the ids in it."""
         key = keys.file_key(record.file_id)
         read = await self._deps.store.get(key)
@@ -188,21 +188,21 @@
         if isinstance(file, Err) or file.ok_value.expires_ms >= until_ms:
             return True
         value = codec.pack(file.ok_value._replace(expires_ms=until_ms))
-        done = await store_access.update(self._deps, key, value, read.ok_value.version)
-        return isinstance(done, Ok)
+        written = await store_access.update(self._deps, key, value, read.ok_value.version)
+        return isinstance(written, Ok)
 
     def _report(self, job: ActiveJob, error: OpenError) -> None:
         if isinstance(error, Unreadable):
             events.emit(events.INPUT_MISSING, key=error.key, reason=error.reason)
 
 
-async def refresh_done(deps: "BatchDeps", job: ActiveJob) -> bool:
+async def refresh_recorded(deps: "BatchDeps", job: ActiveJob) -> bool:
     """List which tasks of a job are recorded; return False if the store does not answer."""
     listed = await store_access.list_keys(deps, keys.results_prefix(job.record.job_id))
     if isinstance(listed, Err):
         return False
     for name in listed.ok_value.versions:
-        job.on_done(int(name), None)
+        job.on_recorded(int(name), None)
     return True
 
 
--- a/papayapier/batch/jobs.py
+++ b/papayapier/batch/jobs.py
@@ -16,7 +16,7 @@
 from papayapier.batch import keys, store_access
 from papayapier.batch.lookup import RETRY_AFTER_MS, FoundJob, find_file, find_job, unavailable
 from papayapier.batch.records import FileRecord, JobRecord, JobState
-from papayapier.batch.tasks import task_items
+from papayapier.batch.tasks import choose_task_items
 from papayapier.errors import ErrorKind, Refusal, not_run, unknown
 from papayapier.peer.messages import JobChanged
 from papayapier.store.api import StoreError
@@ -54,73 +54,77 @@
         self._deps = deps
         self._registry = registry
 
-    async def accept(self, req: JobRequest) -> Result[FoundJob, Refusal]:
+    async def accept(self, request: JobRequest) -> Result[FoundJob, Refusal]:
         """Accept a job, or return the job that the same request created before."""
-        if req.key:
+        if request.key:
             # This precedes all checks of the request: the file or the profile of an accepted job
             # may no longer exist, and "not run" would be false.
-            found = await self._find_sent_before(req)
+            found = await self._find_existing(request)
             if found is not None:
                 return found
-        return await self._accept_new(req)
+        return await self._accept_new(request)
 
-    async def _find_sent_before(self, req: JobRequest) -> Result[FoundJob, Refusal] | None:
-        found = await find_job(self._deps, req.caller, _job_id(req.caller, req.key))
+    async def _find_existing(self, request: JobRequest) -> Result[FoundJob, Refusal] | None:
+        found = await find_job(self._deps, request.caller, _job_id(request.caller, request.key))
         if isinstance(found, Ok):
-            return await self._same(req, found.ok_value)
+            return await self._match_existing(request, found.ok_value)
         if found.err_value.kind is ErrorKind.NOT_FOUND:
             return None
         reason = "it is unknown whether a job with this key was accepted before"
         return Err(unknown(found.err_value.kind, reason, RETRY_AFTER_MS))
 
-    async def _same(self, req: JobRequest, found: FoundJob) -> Result[FoundJob, Refusal]:
+    async def _match_existing(
+        self, request: JobRequest, found: FoundJob
+    ) -> Result[FoundJob, Refusal]:
         """Compare a request with the job that has its key.
 
         Files are compared by content: a client that assumes that a job failed may upload the
         same file again, under a new id.
         """
         record = found.record
-        same = record.request_sha256 == _request_sha256(req)
-        if same and record.file_id != req.file_id:
-            file = await find_file(self._deps, req.caller, req.file_id)
-            same = isinstance(file, Ok) and file.ok_value.record.sha256 == record.file_sha256
-        if not same:
+        matches = record.request_sha256 == _request_sha256(request)
+        if matches and record.file_id != request.file_id:
+            file = await find_file(self._deps, request.caller, request.file_id)
+            matches = isinstance(file, Ok) and file.ok_value.record.sha256 == record.file_sha256
+        if not matches:
             reason = f"the key was used for job {record.job_id} with different content"
             return Err(not_run(ErrorKind.KEY_CONFLICT, reason))
         events.emit(events.JOB_RESENT, job=record.job_id, caller=record.caller)
         return Ok(found)
 
-    async def _accept_new(self, req: JobRequest) -> Result[FoundJob, Refusal]:
-        profile = self._deps.profile(req.profile)
+    async def _accept_new(self, request: JobRequest) -> Result[FoundJob, Refusal]:
+        profile = self._deps.profile(request.profile)
         if profile is None:
-            reason = f"no profile is named {req.profile}"
+            reason = f"no profile is named {request.profile}"
             return Err(not_run(ErrorKind.UNKNOWN_PROFILE, reason))
-        window = _window_ms(req.window)
+        window = _window_ms(request.window)
         if window is None:
-            reason = f"completion_window: expected a number with s, m, h or d, got {req.window}"
+            reason = f"completion_window: expected a number with s, m, h or d, got {request.window}"
             return Err(not_run(ErrorKind.BAD_REQUEST, reason))
-        file = await self._usable_file(req.caller, req.file_id)
+        file = await self._usable_file(request.caller, request.file_id)
         if isinstance(file, Err):
             return file
-        fault = _fault(req, file.ok_value)
+        fault = _invalid_reason(request, file.ok_value)
         if fault:
             return Err(not_run(ErrorKind.BAD_REQUEST, fault))
-        return await self._create(req, self._new_record(req, profile, window, file.ok_value))
+        return await self._create(
+            request, self._new_record(request, profile, window, file.ok_value)
+        )
 
-    async def _create(self, req: JobRequest, record: JobRecord) -> Result[FoundJob, Refusal]:
+    async def _create(self, request: JobRequest, record: JobRecord) -> Result[FoundJob, Refusal]:
         deps = self._deps
         value = codec.pack(record)
         key = keys.active_key(record.job_id)
-        created = await store_access.patiently(
+        created = await store_access.retry_while_unavailable(
             deps, STORE_TIMEOUT_MS, lambda: store_access.create(deps, key, value)
         )
         if isinstance(created, Err):
-            return await self._not_created(req, record, created.err_value)
+            return await self._on_create_failed(request, record, created.err_value)
         if record.key:
-            ended = await self._ended_before(req, record, created.ok_value)
+            ended = await self._undo_if_ended(request, record, created.ok_value)
             if ended is not None:
                 return ended
-        self._registry.take(record, created.ok_value)
+        self._registry.apply_record(record, created.ok_value)
         deps.tell_peers(JobChanged(record.job_id, created.ok_value))
         events.emit(
             events.JOB_ACCEPTED,
@@ -131,12 +135,16 @@
         )
         return Ok(FoundJob(record, created.ok_value, False))
 
-    async def _not_created(
-        self, req: JobRequest, record: JobRecord, error: StoreError
+    async def _on_create_failed(
+        self, request: JobRequest, record: JobRecord, error: StoreError
     ) -> Result[FoundJob, Refusal]:
         if error is StoreError.CONFLICT:
             found = await find_job(self._deps, record.caller, record.job_id)
-            return await self._same(req, found.ok_value) if isinstance(found, Ok) else found
+            return (
+                await self._match_existing(request, found.ok_value)
+                if isinstance(found, Ok)
+                else found
+            )
         reason = "the job is not stored"
         if error is StoreError.LOST:
             # The write may have taken effect or may still do so. A retry with the same key finds
@@ -145,8 +153,8 @@
             return Err(unknown(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
         return Err(not_run(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
 
-    async def _ended_before(
-        self, req: JobRequest, record: JobRecord, version: int
+    async def _undo_if_ended(
+        self, request: JobRequest, record: JobRecord, version: int
     ) -> Result[FoundJob, Refusal] | None:
         """Undo the acceptance of a job that ended while this request searched for it.
 
@@ -165,30 +173,32 @@
         ended = codec.unpack(read.ok_value.value, JobRecord)
         if isinstance(ended, Err):
             return Err(not_run(ErrorKind.INTERNAL, "the job's record is not readable"))
-        return await self._same(req, FoundJob(ended.ok_value, read.ok_value.version, True))
+        return await self._match_existing(
+            request, FoundJob(ended.ok_value, read.ok_value.version, True)
+        )
 
     def _new_record(
-        self, req: JobRequest, profile: "Profile", window: int, file: FileRecord
+        self, request: JobRequest, profile: "Profile", window: int, file: FileRecord
     ) -> JobRecord:
         deps = self._deps
         now = deps.clock.wall()
         instances = len(deps.live_instances())
-        size = task_items(file.items(), deps.cfg.chunk_items, instances, profile.idempotent)
+        size = choose_task_items(file.items(), deps.cfg.chunk_items, instances, profile.idempotent)
         return JobRecord(
-            job_id=_job_id(req.caller, req.key or f"{deps.rand.getrandbits(128):032x}"),
-            caller=req.caller,
-            key=req.key,
-            request_sha256=_request_sha256(req),
+            job_id=_job_id(request.caller, request.key or f"{deps.rand.getrandbits(128):032x}"),
+            caller=request.caller,
+            key=request.key,
+            request_sha256=_request_sha256(request),
             file_id=file.file_id,
             file_sha256=file.sha256,
-            endpoint=req.endpoint,
-            window=req.window,
-            metadata=req.metadata,
+            endpoint=request.endpoint,
+            window=request.window,
+            metadata=request.metadata,
             profile=profile,
             chunks=file.chunks,
             task_items=size,
             created_ms=now,
-            due_ms=req.due_ms or now + min(window, profile.due_ms),
+            due_ms=request.due_ms or now + min(window, profile.due_ms),
         )
 
     async def _usable_file(self, caller: str, file_id: str) -> Result[FileRecord, Refusal]:
@@ -214,18 +224,18 @@
                 state=JobState.CANCELLING, cancel_ms=self._deps.clock.wall()
             )
             key = keys.active_key(job_id)
-            done = await store_access.update(self._deps, key, codec.pack(record), job.version)
-            if isinstance(done, Ok):
-                return Ok(self._cancelled(record, done.ok_value))
-            if done.err_value is StoreError.LOST:
+            written = await store_access.update(self._deps, key, codec.pack(record), job.version)
+            if isinstance(written, Ok):
+                return Ok(self._on_cancelled(record, written.ok_value))
+            if written.err_value is StoreError.LOST:
                 reason = "it is unknown whether the cancel was stored"
                 return Err(unknown(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
-            if done.err_value is not StoreError.CONFLICT:
+            if written.err_value is not StoreError.CONFLICT:
                 return Err(unavailable())
         return Err(not_run(ErrorKind.VERSION_CONFLICT, "the job's record keeps changing"))
 
-    def _cancelled(self, record: JobRecord, version: int) -> FoundJob:
-        self._registry.take(record, version)
+    def _on_cancelled(self, record: JobRecord, version: int) -> FoundJob:
+        self._registry.apply_record(record, version)
         self._deps.tell_peers(JobChanged(record.job_id, version))
         events.emit(events.JOB_CANCELLED, job=record.job_id, caller=record.caller)
         return FoundJob(record, version, False)
@@ -241,10 +251,10 @@
     return caller_prefix(caller) + digest[:32]
 
 
-def _request_sha256(req: JobRequest) -> str:
+def _request_sha256(request: JobRequest) -> str:
     """Hash the fields, except the file, in which two requests for the same job must agree."""
-    metadata = sorted(req.metadata.items())
-    parts = (req.endpoint, req.window, req.profile, req.due_ms, metadata)
+    metadata = sorted(request.metadata.items())
+    parts = (request.endpoint, request.window, request.profile, request.due_ms, metadata)
     return hashlib.sha256(codec.pack(parts)).hexdigest()
 
 
@@ -253,10 +263,10 @@
     return int(match[1]) * UNIT_MS[match[2]] if match else None
 
 
-def _fault(req: JobRequest, file: FileRecord) -> str:
-    if file.endpoints != [req.endpoint]:
+def _invalid_reason(request: JobRequest, file: FileRecord) -> str:
+    if file.endpoints != [request.endpoint]:
         found = ", ".join(file.endpoints)
-        return f"endpoint: {req.endpoint} expected, but the file's items are for {found}"
-    if len(req.metadata) > MAX_METADATA_ENTRIES:
+        return f"endpoint: {request.endpoint} expected, but the file's items are for {found}"
+    if len(request.metadata) > MAX_METADATA_ENTRIES:
         return f"metadata: over {MAX_METADATA_ENTRIES} entries"
     return ""
--- a/papayapier/batch/keys.py
+++ b/papayapier/batch/keys.py
@@ -16,9 +16,7 @@
 
 
 def file_key(file_id: str) -> str:
-    """Return the key of an input file's record, which exists once the file is completely
-    stored.
-    """
+    """Return the key of an input file's record, which is created after all other objects."""
     return f"{FILE_PREFIX}{file_id}"
 
 
@@ -68,9 +66,7 @@
 
 
 def results_key(job_id: str, task: int) -> str:
-    """Return the key of a finished task's results; creating that object records them exactly
-    once.
-    """
+    """Return the key of a finished task's results; creating that object records them once."""
     return f"{results_prefix(job_id)}{task:06d}"
 
 
--- a/papayapier/batch/lease_manager.py
+++ b/papayapier/batch/lease_manager.py
@@ -14,8 +14,8 @@
 
 from papayapier import codec, events
 from papayapier.batch import background, keys, store_access
-from papayapier.batch.leases import Lease, ShardLease, make_lease
-from papayapier.batch.placement import owners
+from papayapier.batch.leases import LeaseMachine, ShardLease, make_lease_machine
+from papayapier.batch.placement import assign_shards
 from papayapier.batch.records import LeaseRecord
 from papayapier.batch.sessions import Session, SessionObserver, instance_of
 from papayapier.peer.messages import ShardsReleased
@@ -33,16 +33,16 @@
 class LeaseCallbacks(NamedTuple):
     """Group the callbacks to the components that run the tasks of shards.
 
-    on_held starts the tasks of a shard, on_lost drops them. hand_over stops them and stores
-    their progress. careful returns whether tasks are left that were running when the shard's
-    previous holder was lost.
+    on_acquired starts the tasks of a shard, on_lost drops them. hand_over stops them and
+    stores their progress. is_cautious returns whether tasks are left that were running when
+    the shard's previous holder was lost.
     """
 
-    on_held: Callable[[int], None]
+    on_acquired: Callable[[int], None]
     on_lost: Callable[[int], None]
     hand_over: Callable[[int, int], Awaitable[None]]
-    careful: Callable[[int], bool]
-    on_revived: Callable[[], None]
+    is_cautious: Callable[[int], bool]
+    on_leases_confirmed: Callable[[], None]
 
 
 class _StoredLease(NamedTuple):
@@ -55,29 +55,31 @@
 class LeaseManager:
     """Manage the leases of one instance."""
 
-    def __init__(self, deps: "BatchDeps", holder: str, calls: LeaseCallbacks) -> None:
-        self.session = Session(deps, holder, self._lapse)
+    def __init__(self, deps: "BatchDeps", holder: str, callbacks: LeaseCallbacks) -> None:
+        self.session = Session(deps, holder, self._on_session_lapsed)
         self._deps = deps
         self._holder = holder
-        self._calls = calls
-        self._observer = SessionObserver(deps.cfg.lease_ms)
-        self._holds = [ShardLease(shard) for shard in range(deps.cfg.shards)]
-        self._leases: list[Lease] = [make_lease(hold) for hold in self._holds]
-        self._seen: dict[int, _StoredLease] = {}
+        self._callbacks = callbacks
+        self._session_observer = SessionObserver(deps.cfg.lease_ms)
+        self._shard_leases = [ShardLease(shard) for shard in range(deps.cfg.shards)]
+        self._machines: list[LeaseMachine] = [
+            make_lease_machine(shard_lease) for shard_lease in self._shard_leases
+        ]
+        self._stored_leases: dict[int, _StoredLease] = {}
         self._stopping = False
-        self._hurry: Deferred[None] | None = None
-        self._loop = background.RestartingLoop(deps.clock, self._run, "lease keeper")
+        self._wakeup: Deferred[None] | None = None
+        self._loop = background.RestartingLoop(deps.clock, self._run, "lease manager")
 
     # Queries
 
-    def hold(self, shard: int) -> ShardLease | None:
+    def active_lease(self, shard: int) -> ShardLease | None:
         """Return the lease of a shard that is held or unconfirmed, or None."""
-        hold = self._holds[shard]
-        return hold if hold.ours or hold.doubtful else None
+        shard_lease = self._shard_leases[shard]
+        return shard_lease if shard_lease.is_held or shard_lease.unconfirmed else None
 
     def may_commit(self, shard: int) -> bool:
         """Return whether progress of a shard may be stored now."""
-        return self._holds[shard].ours and self.session.may_act()
+        return self._shard_leases[shard].is_held and self.session.may_act()
 
     def may_send(self, shard: int, idempotent: bool) -> bool:
         """Return whether items of a shard may be sent now.
@@ -88,11 +90,13 @@
         """
         if self.may_commit(shard):
             return True
-        return idempotent and self.session.silent and self.hold(shard) is not None
+        return (
+            idempotent and self.session.store_unavailable and self.active_lease(shard) is not None
+        )
 
-    def held(self) -> list[int]:
+    def held_shards(self) -> list[int]:
         """Return the shards whose lease is held."""
-        return [hold.shard for hold in self._holds if hold.ours]
+        return [shard_lease.shard for shard_lease in self._shard_leases if shard_lease.is_held]
 
     # Rounds
 
@@ -100,72 +104,70 @@
         """Start the rounds."""
         self._loop.start()
 
-    def kick(self) -> None:
+    def wake(self) -> None:
         """Start the next round now."""
-        hurry, self._hurry = self._hurry, None
-        if hurry is not None:
-            hurry.callback(None)
+        wakeup, self._wakeup = self._wakeup, None
+        if wakeup is not None:
+            wakeup.callback(None)
 
     async def _run(self) -> None:
         while True:
-            more = await self._round()
+            has_more = await self._run_round()
             await self._deps.clock.sleep(MIN_ROUND_INTERVAL_MS)
-            if not more:
-                await self._pause()
+            if not has_more:
+                await self._wait_for_next_round()
 
-    async def _pause(self) -> None:
+    async def _wait_for_next_round(self) -> None:
         pause = self._deps.cfg.renew_ms * self._deps.rand.uniform(0.8, 1.0)
-        self._hurry = Deferred()
-        timer = self._deps.clock.call_later(pause, self.kick)
+        self._wakeup = Deferred()
+        timer = self._deps.clock.call_later(pause, self.wake)
         try:
-            await self._hurry
+            await self._wakeup
         finally:
             if timer.active():
                 timer.cancel()
 
-    async def _round(self) -> bool:
+    async def _run_round(self) -> bool:
         """Renew the session, read the leases and act; return whether to continue at once."""
         if not self.session.may_act():
-            self._lapse()
+            self._on_session_lapsed()
         if not await self.session.renew():
             return False
-        if any(hold.doubtful for hold in self._holds):
-            await self._confirm()
-        if not await self._observe():
+        if any(shard_lease.unconfirmed for shard_lease in self._shard_leases):
+            await self._confirm_leases()
+        if not await self._read_leases():
             return False
-        return await self._act()
-
-    def _lapse(self) -> None:
-        ours = self.held()
-        if ours:
-            events.emit(events.LEASES_LAPSED, shards=len(ours))
-        for shard in ours:
-            self._drop_if(shard, self._leases[shard].lapse())
-
-    async def _confirm(self) -> None:
-        """Write each unconfirmed lease again: if another instance was first, the write
-        conflicts.
-        """
-        for shard, lease in enumerate(self._leases):
-            if self._holds[shard].doubtful:
-                await self._confirm_one(shard, lease)
-        if any(hold.doubtful for hold in self._holds):
+        return await self._apply_placement()
+
+    def _on_session_lapsed(self) -> None:
+        lapsed = self.held_shards()
+        if lapsed:
+            events.emit(events.LEASES_LAPSED, shards=len(lapsed))
+        for shard in lapsed:
+            self._drop_shard_if(shard, self._machines[shard].lapse())
+
+    async def _confirm_leases(self) -> None:
+        """Write each unconfirmed lease again; this conflicts if another instance was first."""
+        for shard, machine in enumerate(self._machines):
+            if self._shard_leases[shard].unconfirmed:
+                await self._confirm_lease(shard, machine)
+        if any(shard_lease.unconfirmed for shard_lease in self._shard_leases):
             return
-        events.emit(events.LEASES_REVIVED, shards=len(self.held()))
-        self._calls.on_revived()
-
-    async def _confirm_one(self, shard: int, lease: Lease) -> None:
-        hold = self._holds[shard]
-        record = LeaseRecord(self._holder, hold.lossy)
-        done = await self._write(shard, record, hold.version)
-        if isinstance(done, Ok):
-            lease.confirmed(done.ok_value)
-        elif done.err_value is StoreError.CONFLICT:
-            self._drop_if(shard, lease.lose())
-
-    def _drop_if(self, shard: int, dropped: bool) -> None:
+        events.emit(events.LEASES_REVIVED, shards=len(self.held_shards()))
+        self._callbacks.on_leases_confirmed()
+
+    async def _confirm_lease(self, shard: int, machine: LeaseMachine) -> None:
+        shard_lease = self._shard_leases[shard]
+        record = LeaseRecord(self._holder, shard_lease.holder_lost)
+        written = await self._write(shard, record, shard_lease.version)
+        if isinstance(written, Ok):
+            machine.confirmed(written.ok_value)
+        elif written.err_value is StoreError.CONFLICT:
+            self._drop_shard_if(shard, machine.lose())
+
+    def _drop_shard_if(self, shard: int, dropped: bool) -> None:
         if dropped:
-            self._calls.on_lost(shard)
+            self._callbacks.on_lost(shard)
 
     async def _write(
         self, shard: int, record: LeaseRecord, version: int
@@ -173,36 +175,34 @@
         key = keys.lease_key(shard)
         value = codec.pack(record)
         if version == 0:
-            done = await store_access.create(self._deps, key, value)
+            written = await store_access.create(self._deps, key, value)
         else:
-            done = await store_access.update(self._deps, key, value, version)
-        if isinstance(done, Ok):
-            self._seen[shard] = _StoredLease(done.ok_value, record)
+            written = await store_access.update(self._deps, key, value, version)
+        if isinstance(written, Ok):
+            self._stored_leases[shard] = _StoredLease(written.ok_value, record)
         else:
-            self._seen.pop(shard, None)
-        return done
+            self._stored_leases.pop(shard, None)
+        return written
 
-    async def _observe(self) -> bool:
+    async def _read_leases(self) -> bool:
         """Read the sessions and the changed leases; return False if the store does not answer."""
         sessions = await store_access.list_keys(self._deps, keys.SESSION_PREFIX)
         if isinstance(sessions, Err):
             return False
-        self._observer.observe(sessions.ok_value.versions, self._deps.clock.now())
+        self._session_observer.observe(sessions.ok_value.versions, self._deps.clock.now())
         leases = await store_access.list_keys(self._deps, keys.LEASE_PREFIX)
         if isinstance(leases, Err):
             return False
         versions = {int(name): v for name, v in leases.ok_value.versions.items()}
-        for shard in range(len(self._leases)):
-            if not await self._look(shard, versions.get(shard, 0)):
+        for shard in range(len(self._machines)):
+            if not await self._read_lease(shard, versions.get(shard, 0)):
                 return False
         return True
 
-    async def _look(self, shard: int, version: int) -> bool:
-        """Check a lease's listed version; read the lease if that version is newer than the
-        known one.
-        """
-        seen = self._seen.get(shard)
-        if version == 0 or (seen is not None and seen.version >= version):
+    async def _read_lease(self, shard: int, version: int) -> bool:
+        """Read a lease if its listed version is newer than the known one."""
+        stored = self._stored_leases.get(shard)
+        if version == 0 or (stored is not None and stored.version >= version):
             return True
         read = await self._deps.store.get(keys.lease_key(shard))
         if isinstance(read, Err):
@@ -211,87 +211,89 @@
         if isinstance(record, Err):
             events.emit(events.BATCH_BROKEN, work=f"lease {shard}", error=record.err_value)
             return True
-        self._seen[shard] = _StoredLease(read.ok_value.version, record.ok_value)
+        self._stored_leases[shard] = _StoredLease(read.ok_value.version, record.ok_value)
         if record.ok_value.holder != self._holder:
-            self._drop_if(shard, self._leases[shard].lose())
+            self._drop_shard_if(shard, self._machines[shard].lose())
         return True
 
     # Acting
 
-    async def _act(self) -> bool:
-        alive = {instance_of(holder) for holder in self._observer.alive(self._deps.clock.now())}
+    async def _apply_placement(self) -> bool:
+        alive = {
+            instance_of(holder) for holder in self._session_observer.alive(self._deps.clock.now())
+        }
         alive.add(self._deps.instance)
-        wanted_at = owners(len(self._leases), alive)
-        taken = 0
-        for shard, lease in enumerate(self._leases):
-            wanted = wanted_at[shard] == self._deps.instance
-            state = lease.state()
-            if state == "held" and not wanted:
+        assigned = assign_shards(len(self._machines), alive)
+        taken_count = 0
+        for shard, machine in enumerate(self._machines):
+            is_assigned = assigned[shard] == self._deps.instance
+            state = machine.state()
+            if state == "held" and not is_assigned:
                 self._begin_hand_over(shard)
-            elif state == "away" and wanted and not self._stopping:
-                taken += await self._try_take(shard)
-            elif state == "away" and not wanted:
-                await self._give_back(shard)
-            if taken == MAX_TAKEN_PER_ROUND:
+            elif state == "away" and is_assigned and not self._stopping:
+                taken_count += await self._try_take_lease(shard)
+            elif state == "away" and not is_assigned:
+                await self._release_unheld(shard)
+            if taken_count == MAX_TAKEN_PER_ROUND:
                 return True
-        await self._remove_stale()
+        await self._delete_stale_sessions()
         return False
 
-    async def _try_take(self, shard: int) -> bool:
-        seen = self._seen.get(shard)
-        if seen is not None and not self._is_free(seen.record):
+    async def _try_take_lease(self, shard: int) -> bool:
+        stored = self._stored_leases.get(shard)
+        if stored is not None and not self._is_free(stored.record):
             return False
-        lease = self._leases[shard]
-        lease.take()
-        lossy = seen is not None and (seen.record.lossy or self._was_lost(seen.record))
-        version = 0 if seen is None else seen.version
-        done = await self._write(shard, LeaseRecord(self._holder, lossy), version)
-        if isinstance(done, Err) or not self.session.may_act():
-            lease.not_taken()
+        machine = self._machines[shard]
+        machine.take()
+        holder_lost = stored is not None and (
+            stored.record.holder_lost or self._is_holder_lost(stored.record)
+        )
+        version = 0 if stored is None else stored.version
+        written = await self._write(shard, LeaseRecord(self._holder, holder_lost), version)
+        if isinstance(written, Err) or not self.session.may_act():
+            machine.not_taken()
             return False
-        lease.taken(done.ok_value, lossy)
-        self._calls.on_held(shard)
+        machine.taken(written.ok_value, holder_lost)
+        self._callbacks.on_acquired(shard)
         return True
 
     def _is_free(self, record: LeaseRecord) -> bool:
         holder = record.holder
-        if holder in (NO_HOLDER, self._holder) or not self._observer.known(holder):
+        if holder in (NO_HOLDER, self._holder) or not self._session_observer.has_session(holder):
             return True
-        return self._observer.expired(holder, self._deps.clock.now())
+        return self._session_observer.expired(holder, self._deps.clock.now())
 
-    def _was_lost(self, record: LeaseRecord) -> bool:
+    def _is_holder_lost(self, record: LeaseRecord) -> bool:
         """Return whether a holder ended without releasing its shards."""
-        return record.holder != self._holder and self._observer.known(record.holder)
+        return record.holder != self._holder and self._session_observer.has_session(record.holder)
 
-    async def _give_back(self, shard: int) -> None:
-        """Release a lease that the store shows as ours, but that is neither held nor assigned
-        here.
-        """
-        seen = self._seen.get(shard)
-        if seen is not None and seen.record.holder == self._holder:
-            await self._write(shard, seen.record._replace(holder=NO_HOLDER), seen.version)
+    async def _release_unheld(self, shard: int) -> None:
+        """Release a lease that is stored as ours, but neither held nor assigned here."""
+        stored = self._stored_leases.get(shard)
+        if stored is not None and stored.record.holder == self._holder:
+            await self._write(shard, stored.record._replace(holder=NO_HOLDER), stored.version)
 
     def _begin_hand_over(self, shard: int) -> None:
-        self._leases[shard].release()
+        self._machines[shard].release()
         background.start(self._hand_over(shard), f"hand-over of shard {shard}")
 
     async def _hand_over(self, shard: int) -> None:
-        lease = self._leases[shard]
-        await self._calls.hand_over(shard, HAND_OVER_TIMEOUT_MS)
-        if lease.state() != "releasing":
+        machine = self._machines[shard]
+        await self._callbacks.hand_over(shard, HAND_OVER_TIMEOUT_MS)
+        if machine.state() != "releasing":
             return
-        record = LeaseRecord(NO_HOLDER, self._calls.careful(shard))
-        done = await self._write(shard, record, self._holds[shard].version)
-        self._drop_if(shard, lease.released())
-        if isinstance(done, Ok):
+        record = LeaseRecord(NO_HOLDER, self._callbacks.is_cautious(shard))
+        written = await self._write(shard, record, self._shard_leases[shard].version)
+        self._drop_shard_if(shard, machine.released())
+        if isinstance(written, Ok):
             self._deps.tell_peers(ShardsReleased([shard]))
 
-    async def _remove_stale(self) -> None:
+    async def _delete_stale_sessions(self) -> None:
         """Delete the session of a run that ended long ago and holds no lease."""
         now = self._deps.clock.now()
-        holders = {seen.record.holder for seen in self._seen.values()}
-        for holder, version in list(self._observer.versions.items()):
-            if holder not in holders and self._observer.stale(holder, now):
+        holders = {stored.record.holder for stored in self._stored_leases.values()}
+        for holder, version in list(self._session_observer.versions.items()):
+            if holder not in holders and self._session_observer.stale(holder, now):
                 await store_access.delete(self._deps, keys.session_key(holder), version)
 
     # Planned stop
@@ -299,19 +301,23 @@
     async def stop(self) -> None:
         """Hand over all shards, then release all leases with one write."""
         self._stopping = True
-        held = self.held()
-        for shard in held:
-            self._leases[shard].release()
-        await gatherResults([Deferred.fromCoroutine(self._stop_shard(shard)) for shard in held])
+        shards = self.held_shards()
+        for shard in shards:
+            self._machines[shard].release()
+        await gatherResults([Deferred.fromCoroutine(self._stop_shard(shard)) for shard in shards])
         await self.session.end()
         self._loop.stop()
-        for shard in held:
-            self._drop_if(shard, self._leases[shard].released())
-        self._deps.tell_peers(ShardsReleased(held))
+        for shard in shards:
+            self._drop_shard_if(shard, self._machines[shard].released())
+        self._deps.tell_peers(ShardsReleased(shards))
 
     async def _stop_shard(self, shard: int) -> None:
-        await self._calls.hand_over(shard, HAND_OVER_TIMEOUT_MS)
-        hold = self._holds[shard]
-        lease = self._leases[shard]
-        if hold.lossy and lease.state() == "releasing" and not self._calls.careful(shard):
-            await self._write(shard, LeaseRecord(NO_HOLDER), hold.version)
+        await self._callbacks.hand_over(shard, HAND_OVER_TIMEOUT_MS)
+        shard_lease = self._shard_leases[shard]
+        machine = self._machines[shard]
+        if (
+            shard_lease.holder_lost
+            and machine.state() == "releasing"
+            and not self._callbacks.is_cautious(shard)
+        ):
+            await self._write(shard, LeaseRecord(NO_HOLDER), shard_lease.version)
--- a/papayapier/batch/leases.py
+++ b/papayapier/batch/leases.py
@@ -18,14 +18,14 @@
 from papayapier import events
 
 
-class Lease(Protocol):
+class LeaseMachine(Protocol):
     """Define the inputs and queries of the state machine."""
 
     def take(self) -> None:
         """Handle the start of a write of the lease."""
 
-    def taken(self, version: int, lossy: bool) -> None:
-        """Handle a successful write of the lease; lossy: the previous holder was lost."""
+    def taken(self, version: int, holder_lost: bool) -> None:
+        """Handle a successful write of the lease; holder_lost: the previous holder was lost."""
 
     def not_taken(self) -> None:
         """Handle a failed write of the lease."""
@@ -52,92 +52,92 @@
 class ShardLease:
     """Hold the data of one shard's lease while this instance has it.
 
-    ours and doubtful duplicate the state, because they are read for every item.
+    is_held and unconfirmed duplicate the state, because they are read for every item.
     """
 
-    __slots__ = ("doubtful", "fence", "lossy", "ours", "shard", "version")
+    __slots__ = ("fence", "holder_lost", "is_held", "shard", "unconfirmed", "version")
 
     def __init__(self, shard: int) -> None:
         self.shard = shard
-        self.ours = False
-        self.doubtful = False
+        self.is_held = False
+        self.unconfirmed = False
         self.fence = 0
         self.version = 0
-        self.lossy = False
+        self.holder_lost = False
 
 
-_builder = TypeMachineBuilder(Lease, ShardLease)
+_builder = TypeMachineBuilder(LeaseMachine, ShardLease)
 _away = _builder.state("away")
 _taking = _builder.state("taking")
 _held = _builder.state("held")
 _doubtful = _builder.state("doubtful")
 _releasing = _builder.state("releasing")
 
-_away.upon(Lease.take).to(_taking).returns(None)
-_taking.upon(Lease.not_taken).to(_away).returns(None)
-_held.upon(Lease.release).to(_releasing).returns(None)
+_away.upon(LeaseMachine.take).to(_taking).returns(None)
+_taking.upon(LeaseMachine.not_taken).to(_away).returns(None)
+_held.upon(LeaseMachine.release).to(_releasing).returns(None)
 
 for _state in (_away, _taking, _doubtful):
-    _state.upon(Lease.lapse).loop().returns(False)
+    _state.upon(LeaseMachine.lapse).loop().returns(False)
 for _state in (_away, _taking, _doubtful, _releasing):
-    _state.upon(Lease.release).loop().returns(None)
+    _state.upon(LeaseMachine.release).loop().returns(None)
 for _state in (_away, _taking, _held, _releasing):
-    _state.upon(Lease.confirmed).loop().returns(None)
+    _state.upon(LeaseMachine.confirmed).loop().returns(None)
 for _state in (_away, _taking, _held, _doubtful):
-    _state.upon(Lease.released).loop().returns(False)
+    _state.upon(LeaseMachine.released).loop().returns(False)
 for _state in (_away, _held, _doubtful, _releasing):
-    _state.upon(Lease.taken).loop().returns(None)
-    _state.upon(Lease.not_taken).loop().returns(None)
+    _state.upon(LeaseMachine.taken).loop().returns(None)
+    _state.upon(LeaseMachine.not_taken).loop().returns(None)
 for _state in (_taking, _held, _doubtful, _releasing):
-    _state.upon(Lease.take).loop().returns(None)
-_away.upon(Lease.lose).loop().returns(False)
-_taking.upon(Lease.lose).to(_away).returns(False)
-_away.upon(Lease.state).loop().returns("away")
-_taking.upon(Lease.state).loop().returns("taking")
-_held.upon(Lease.state).loop().returns("held")
-_doubtful.upon(Lease.state).loop().returns("doubtful")
-_releasing.upon(Lease.state).loop().returns("releasing")
-
-
-@_taking.upon(Lease.taken).to(_held)
-def _begin(_: Lease, hold: ShardLease, version: int, lossy: bool) -> None:
-    hold.version = version
-    hold.fence = version
-    hold.lossy = lossy
-    hold.ours = True
-    events.emit(events.SHARD_TAKEN, shard=hold.shard, fence=version, lossy=lossy)
-
-
-@_doubtful.upon(Lease.confirmed).to(_held)
-def _go_on(_: Lease, hold: ShardLease, version: int) -> None:
-    hold.version = version
-    hold.ours = True
-    hold.doubtful = False
-
-
-@_held.upon(Lease.lapse).to(_doubtful)
-def _doubt(_: Lease, hold: ShardLease) -> bool:
-    hold.ours = False
-    hold.doubtful = True
+    _state.upon(LeaseMachine.take).loop().returns(None)
+_away.upon(LeaseMachine.lose).loop().returns(False)
+_taking.upon(LeaseMachine.lose).to(_away).returns(False)
+_away.upon(LeaseMachine.state).loop().returns("away")
+_taking.upon(LeaseMachine.state).loop().returns("taking")
+_held.upon(LeaseMachine.state).loop().returns("held")
+_doubtful.upon(LeaseMachine.state).loop().returns("doubtful")
+_releasing.upon(LeaseMachine.state).loop().returns("releasing")
+
+
+@_taking.upon(LeaseMachine.taken).to(_held)
+def _on_taken(_: LeaseMachine, shard_lease: ShardLease, version: int, holder_lost: bool) -> None:
+    shard_lease.version = version
+    shard_lease.fence = version
+    shard_lease.holder_lost = holder_lost
+    shard_lease.is_held = True
+    events.emit(events.SHARD_TAKEN, shard=shard_lease.shard, fence=version, lossy=holder_lost)
+
+
+@_doubtful.upon(LeaseMachine.confirmed).to(_held)
+def _on_confirmed(_: LeaseMachine, shard_lease: ShardLease, version: int) -> None:
+    shard_lease.version = version
+    shard_lease.is_held = True
+    shard_lease.unconfirmed = False
+
+
+@_held.upon(LeaseMachine.lapse).to(_doubtful)
+def _on_lapsed(_: LeaseMachine, shard_lease: ShardLease) -> bool:
+    shard_lease.is_held = False
+    shard_lease.unconfirmed = True
     return False
 
 
-@_releasing.upon(Lease.released).to(_away)
-def _end(_: Lease, hold: ShardLease) -> bool:
-    hold.ours = False
-    events.emit(events.SHARD_RELEASED, shard=hold.shard)
+@_releasing.upon(LeaseMachine.released).to(_away)
+def _on_released(_: LeaseMachine, shard_lease: ShardLease) -> bool:
+    shard_lease.is_held = False
+    events.emit(events.SHARD_RELEASED, shard=shard_lease.shard)
     return True
 
 
-@_held.upon(Lease.lose).to(_away)
-@_doubtful.upon(Lease.lose).to(_away)
-@_releasing.upon(Lease.lose).to(_away)
-@_releasing.upon(Lease.lapse).to(_away)
-def _drop(_: Lease, hold: ShardLease) -> bool:
-    hold.ours = False
-    hold.doubtful = False
-    events.emit(events.SHARD_LOST, shard=hold.shard)
+@_held.upon(LeaseMachine.lose).to(_away)
+@_doubtful.upon(LeaseMachine.lose).to(_away)
+@_releasing.upon(LeaseMachine.lose).to(_away)
+@_releasing.upon(LeaseMachine.lapse).to(_away)
+def _on_lost(_: LeaseMachine, shard_lease: ShardLease) -> bool:
+    shard_lease.is_held = False
+    shard_lease.unconfirmed = False
+    events.emit(events.SHARD_LOST, shard=shard_lease.shard)
     return True
 
 
-make_lease: Final = _builder.build()
+make_lease_machine: Final = _builder.build()
--- a/papayapier/batch/lines.py
+++ b/papayapier/batch/lines.py
@@ -46,13 +46,13 @@
     def feed(self, data: bytes) -> list[bytes]:
         """Return the lines that are complete now."""
         first, *rest = data.split(b"\n")
-        self._keep(first)
+        self._buffer(first)
         if not rest:
             return []
         lines = [b"".join(self._parts), *rest[:-1]]
         self._parts = []
         self._size = 0
-        self._keep(rest[-1])
+        self._buffer(rest[-1])
         return lines
 
     def rest(self) -> bytes:
@@ -63,7 +63,7 @@
         """Return whether the incomplete line already exceeds the limit."""
         return self._size > MAX_LINE_BYTES
 
-    def _keep(self, part: bytes) -> None:
+    def _buffer(self, part: bytes) -> None:
         self._parts.append(part)
         self._size += len(part)
 
@@ -80,7 +80,7 @@
     except (msgspec.MsgspecError, UnicodeDecodeError) as exc:
         return Err(LineError(number, str(exc)))
     body = bytes(parsed.body)
-    reason = _fault(parsed, body)
+    reason = _invalid_reason(parsed, body)
     if reason:
         return Err(LineError(number, reason))
     return Ok(InputItem(parsed.custom_id, parsed.method, parsed.url, body))
@@ -96,7 +96,7 @@
     return SERVICE_URL + name if name else ""
 
 
-def _fault(parsed: _Line, body: bytes) -> str:
+def _invalid_reason(parsed: _Line, body: bytes) -> str:
     if parsed.method not in METHODS:
         return f"method: {parsed.method} is not served"
     endpoint = endpoint_of(parsed.url)
--- a/papayapier/batch/opening.py
+++ b/papayapier/batch/opening.py
@@ -16,11 +16,11 @@
 
 
 class Grant(NamedTuple):
-    """Hold the lease under which a task is opened; lossy: all its items are run cautiously."""
+    """Hold the lease under which a task is opened; cautious: its items are suspect."""
 
     shard: int
     fence: int
-    lossy: bool
+    cautious: bool
 
 
 class Unreadable(NamedTuple):
@@ -52,7 +52,7 @@
     read = await deps.store.get(key)
     if isinstance(read, Err) and read.err_value is not StoreError.NOT_FOUND:
         return Err(read.err_value)
-    rules = TaskRules(idempotent, deps.cfg.item_attempts, grant.lossy)
+    rules = TaskRules(idempotent, deps.cfg.item_attempts, grant.cautious)
     if isinstance(read, Err):
         state = TaskState(span.size(), rules)
         return Ok(OpenTask(job, span, grant.shard, grant.fence, items, state, 0))
@@ -86,19 +86,19 @@
     if isinstance(spilled, Err):
         return spilled
     # Intents without a result were running at the lost holder.
-    lost = bool(checkpoint.intents)
-    state = TaskState(len(items), rules._replace(cautious=rules.cautious or lost))
+    holder_lost = bool(checkpoint.intents)
+    state = TaskState(len(items), rules._replace(cautious=rules.cautious or holder_lost))
     state.resume(checkpoint, version, spilled.ok_value)
-    if lost:
+    if holder_lost:
         ids = [item.custom_id for item in items]
-        state.on_loss(checkpoint.intents, ids, deps.clock.wall())
+        state.on_holder_lost(checkpoint.intents, ids, deps.clock.wall())
         _report_loss(deps, spilled.ok_value + checkpoint.results, state)
     return Ok(state)
 
 
-def _report_loss(deps: "BatchDeps", before: list[ItemResult], state: TaskState) -> None:
+def _report_loss(deps: "BatchDeps", earlier_results: list[ItemResult], state: TaskState) -> None:
     """Count the items that ended because their holder was lost."""
-    known = tally_of(before)
+    known = tally_of(earlier_results)
     for name in ("failed", "unknown"):
         count = getattr(state.tally, name) - getattr(known, name)
         if count:
--- a/papayapier/batch/outcomes.py
+++ b/papayapier/batch/outcomes.py
@@ -52,7 +52,7 @@
 class ResendItem(NamedTuple):
     """State that the item is sent again; result is its outcome if no attempt is left."""
 
-    counted: bool
+    counts_as_attempt: bool
     result: ItemResult
 
 
@@ -71,34 +71,34 @@
     usage: Usage
 
 
-def judge(
+def classify(
     item: int,
-    source: InputItem,
+    input_item: InputItem,
     call_id: str,
-    answer: Result[Reply, Refusal],
+    outcome: Result[Reply, Refusal],
     idempotent: bool,
     now_wall: int,
 ) -> EndItem | ResendItem:
     """Classify the outcome of one send of an item."""
-    if isinstance(answer, Ok):
-        return _judge_reply(item, source, call_id, answer.ok_value, idempotent, now_wall)
-    return _judge_refusal(item, source, answer.err_value, idempotent, now_wall)
+    if isinstance(outcome, Ok):
+        return _classify_reply(item, input_item, call_id, outcome.ok_value, idempotent, now_wall)
+    return _classify_refusal(item, input_item, outcome.err_value, idempotent, now_wall)
 
 
-def _judge_reply(
-    item: int, source: InputItem, call_id: str, reply: Reply, idempotent: bool, now_wall: int
+def _classify_reply(
+    item: int, input_item: InputItem, call_id: str, reply: Reply, idempotent: bool, now_wall: int
 ) -> EndItem | ResendItem:
-    body = _body_of(source, call_id, reply)
+    body = _body_of(input_item, call_id, reply)
     if len(body) > MAX_RESULT_BYTES:
         reason = f"the reply has {len(body)} bytes, the limit is {MAX_RESULT_BYTES}"
-        failed = _result(item, source, ItemState.FAILED, ErrorKind.TOO_LARGE, reason, now_wall)
+        failed = _result(item, input_item, ItemState.FAILED, ErrorKind.TOO_LARGE, reason, now_wall)
         return EndItem(failed)
     state = ItemState.COMPLETED if reply.status < FIRST_ERROR_STATUS else ItemState.FAILED
     kind = "" if state is ItemState.COMPLETED else ErrorKind.UPSTREAM_FAILED.value
     reason = "" if state is ItemState.COMPLETED else f"the upstream returned {reply.status}"
     result = ItemResult(
         item=item,
-        custom_id=source.custom_id,
+        custom_id=input_item.custom_id,
         state=state,
         status=reply.status,
         body=body,
@@ -108,30 +108,30 @@
         attempts=0,
         ended_ms=now_wall,
     )
-    may_pass = reply.status == BUSY_STATUS or reply.status >= FIRST_SERVER_ERROR
-    if may_pass and idempotent:
-        return ResendItem(counted=True, result=result)
+    is_transient = reply.status == BUSY_STATUS or reply.status >= FIRST_SERVER_ERROR
+    if is_transient and idempotent:
+        return ResendItem(counts_as_attempt=True, result=result)
     return EndItem(result)
 
 
-def _judge_refusal(
-    item: int, source: InputItem, refusal: Refusal, idempotent: bool, now_wall: int
+def _classify_refusal(
+    item: int, input_item: InputItem, refusal: Refusal, idempotent: bool, now_wall: int
 ) -> EndItem | ResendItem:
     kind, outcome, reason, _ = refusal
     if outcome is Outcome.UNKNOWN and not idempotent:
-        return EndItem(_result(item, source, ItemState.UNKNOWN, kind, reason, now_wall))
-    result = _result(item, source, ItemState.FAILED, kind, reason, now_wall)
+        return EndItem(_result(item, input_item, ItemState.UNKNOWN, kind, reason, now_wall))
+    result = _result(item, input_item, ItemState.FAILED, kind, reason, now_wall)
     if kind in FINAL_REFUSALS:
         return EndItem(result)
     return ResendItem(kind not in UNCOUNTED_REFUSALS, result)
 
 
 def _result(
-    item: int, source: InputItem, state: ItemState, kind: ErrorKind, reason: str, now_wall: int
+    item: int, input_item: InputItem, state: ItemState, kind: ErrorKind, reason: str, now_wall: int
 ) -> ItemResult:
     return ItemResult(
         item=item,
-        custom_id=source.custom_id,
+        custom_id=input_item.custom_id,
         state=state,
         status=0,
         body=b"",
@@ -143,19 +143,19 @@
     )
 
 
-def _body_of(source: InputItem, call_id: str, reply: Reply) -> bytes:
+def _body_of(input_item: InputItem, call_id: str, reply: Reply) -> bytes:
     """Return the reply's body; a streamed reply is converted to its unstreamed form."""
     if not reply.content_type.startswith(STREAM_TYPE):
         return reply.body
-    chat = source.url == CHAT_URL
+    is_chat = input_item.url == CHAT_URL
     choice: dict[str, object] = {"index": 0, "finish_reason": reply.finish_reason}
-    if chat:
+    if is_chat:
         choice["message"] = {"role": "assistant", "content": reply.text}
     else:
         choice["text"] = reply.text
     generated = Generated(
         id=call_id,
-        object="chat.completion" if chat else "text_completion",
+        object="chat.completion" if is_chat else "text_completion",
         choices=[choice],
         usage=Usage(completion_tokens=reply.tokens),
     )
--- a/papayapier/batch/placement.py
+++ b/papayapier/batch/placement.py
@@ -13,14 +13,14 @@
 from papayapier.policy.rendezvous import score
 
 
-def owners(shards: int, instances: Collection[str]) -> list[str]:
+def assign_shards(shards: int, instances: Collection[str]) -> list[str]:
     """Return the instance that should hold each shard."""
     share = -(-shards // len(instances))
     loads: Counter[str] = Counter()
-    found: list[str] = []
+    assigned: list[str] = []
     for shard in range(shards):
         free = [instance for instance in instances if loads[instance] < share]
-        _, owner = max((score(str(shard), instance), instance) for instance in free)
-        loads[owner] += 1
-        found.append(owner)
-    return found
+        _, chosen = max((score(str(shard), instance), instance) for instance in free)
+        loads[chosen] += 1
+        assigned.append(chosen)
+    return assigned
--- a/papayapier/batch/records.py
+++ b/papayapier/batch/records.py
@@ -174,10 +174,10 @@
 
 
 class LeaseRecord(NamedTuple):
-    """Hold the owner of a shard; lossy: the previous holder was lost while it ran tasks."""
+    """Hold the owner of a shard; holder_lost: the previous holder was lost while it ran tasks."""
 
     holder: str
-    lossy: bool = False
+    holder_lost: bool = False
 
 
 class SessionRecord(NamedTuple):
--- a/papayapier/batch/registry.py
+++ b/papayapier/batch/registry.py
@@ -27,7 +27,7 @@
 
     on_new: Callable[[ActiveJob], None]
     on_changed: Callable[[ActiveJob], None]
-    on_gone: Callable[[ActiveJob], None]
+    on_removed: Callable[[ActiveJob], None]
 
 
 class JobRegistry:
@@ -53,20 +53,20 @@
         self._stopped = True
         self._follower.stop()
 
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether every job that was recently active is known here."""
         listed = self._follower.listed_ms
         recent = listed is not None and self._deps.clock.now() - listed <= 2 * FOLLOW_PACE.poll_ms
         return recent and not self._unread
 
-    def hear(self, job_id: str, version: int) -> None:
+    def on_version_reported(self, job_id: str, version: int) -> None:
         """Handle a report that a job's record has a newer version."""
         known = self.jobs.get(job_id)
         if known is None or known.version < version:
             self._unread[job_id] = max(version, self._unread.get(job_id, 0))
             self._read_soon()
 
-    def take(self, record: JobRecord, version: int) -> ActiveJob:
+    def apply_record(self, record: JobRecord, version: int) -> ActiveJob:
         """Update a job from a record that was read or written; an older version is ignored."""
         known = self.jobs.get(record.job_id)
         if known is None:
@@ -81,19 +81,19 @@
             self._listeners.on_changed(known)
         return known
 
-    def drop(self, job_id: str) -> None:
+    def remove(self, job_id: str) -> None:
         """Remove a job that is no longer active."""
         self._unread.pop(job_id, None)
         job = self.jobs.pop(job_id, None)
         if job is not None:
-            self._listeners.on_gone(job)
+            self._listeners.on_removed(job)
 
     def _on_change(self, change: Change) -> None:
         job_id = keys.last_part(change.key)
         if change.deleted:
-            self.drop(job_id)
+            self.remove(job_id)
         else:
-            self.hear(job_id, change.version)
+            self.on_version_reported(job_id, change.version)
 
     def _read_soon(self) -> None:
         if not self._reading and not self._stopped:
@@ -116,10 +116,10 @@
         """Read one job's record and update the job; False means that the store did not answer."""
         read = await self._deps.store.get(keys.active_key(job_id))
         if isinstance(read, Err):
-            gone = read.err_value is StoreError.NOT_FOUND
-            if gone:
-                self.drop(job_id)
-            return gone
+            is_absent = read.err_value is StoreError.NOT_FOUND
+            if is_absent:
+                self.remove(job_id)
+            return is_absent
         record = codec.unpack(read.ok_value.value, JobRecord)
         if isinstance(record, Err):
             events.emit(events.BATCH_BROKEN, work=f"job {job_id}", error=record.err_value)
@@ -129,12 +129,11 @@
             ended = await self._has_ended(job_id, version)
             if ended is not False:
                 return ended is True
-        self.take(record.ok_value, version)
+        self.apply_record(record.ok_value, version)
         return True
 
     async def _has_ended(self, job_id: str, version: int) -> bool | None:
-        """Delete the active record of a job that has ended; None means that the store did not
-        answer.
+        """Delete the active record of an ended job; None means that the store did not answer.
 
         A job that is submitted again may be accepted between its end and the deletion of its
         active record. It would run a second time; the ended record reveals this.
--- a/papayapier/batch/results.py
+++ b/papayapier/batch/results.py
@@ -25,7 +25,7 @@
     TaskResults,
     tally_of,
 )
-from papayapier.batch.tasks import TaskSpan, split
+from papayapier.batch.tasks import TaskSpan, split_tasks
 from papayapier.store.api import Store, Stored, StoreError
 
 if TYPE_CHECKING:
@@ -53,7 +53,7 @@
     final = await _get(store, keys.results_key(record.job_id, span.task))
     if isinstance(final, Err):
         return final
-    if final.ok_value is not None and _counts(final.ok_value.version, cancel_version):
+    if final.ok_value is not None and _is_counted(final.ok_value.version, cancel_version):
         return await _view_final(store, span, final.ok_value)
     progress = await _get(store, keys.progress_key(record.job_id, span.task))
     if isinstance(progress, Err):
@@ -86,7 +86,7 @@
     results = [
         result
         for result in spilled.ok_value + checkpoint.ok_value.results
-        if _counts(versions[result.commit], cancel_version)
+        if _is_counted(versions[result.commit], cancel_version)
     ]
     return Ok(_view(span, results, checkpoint.ok_value.intents))
 
@@ -98,7 +98,7 @@
     return TaskView(results, open_items, [item for item in intents if item not in ended])
 
 
-def _counts(version: int, cancel_version: int) -> bool:
+def _is_counted(version: int, cancel_version: int) -> bool:
     return cancel_version == NO_CANCEL or version <= cancel_version
 
 
@@ -113,12 +113,12 @@
     record: JobRecord, view: TaskView, items: list[InputItem], span: TaskSpan
 ) -> list[ItemResult]:
     """Return the results of the open items of a cancelled job."""
-    guarded = frozenset(() if record.profile.idempotent else view.intents)
+    maybe_run = frozenset(() if record.profile.idempotent else view.intents)
     results: list[ItemResult] = []
     for item in view.open_items:
-        state = ItemState.UNKNOWN if item in guarded else ItemState.CANCELLED
+        state = ItemState.UNKNOWN if item in maybe_run else ItemState.CANCELLED
         custom_id = items[span.start + item].custom_id
-        reason = "running when the job was cancelled" if item in guarded else "never ran"
+        reason = "running when the job was cancelled" if item in maybe_run else "never ran"
         results.append(
             ItemResult(
                 item, custom_id, state, 0, b"", True, "cancelled", reason, 0, record.cancel_ms
@@ -129,8 +129,8 @@
 
 def cancelled_tally(record: JobRecord, view: TaskView) -> Tally:
     """Count the outcomes of a task of a cancelled job."""
-    guarded = 0 if record.profile.idempotent else len(view.intents)
-    open_tally = Tally(unknown=guarded, cancelled=len(view.open_items) - guarded)
+    maybe_run = 0 if record.profile.idempotent else len(view.intents)
+    open_tally = Tally(unknown=maybe_run, cancelled=len(view.open_items) - maybe_run)
     return tally_of(view.results).plus(open_tally)
 
 
@@ -142,8 +142,8 @@
     on_error: Callable[[OpenError], None],
 ) -> AsyncIterator[bytes]:
     """Yield the lines of a job's output, task by task."""
-    for span in split(record.chunks, record.task_items):
-        view = await _view_patiently(deps, record, span, cancel_version)
+    for span in split_tasks(record.chunks, record.task_items):
+        view = await _view_with_retry(deps, record, span, cancel_version)
         if isinstance(view, Err):
             on_error(view.err_value)
             return
@@ -166,23 +166,23 @@
 ) -> Result[list[ItemResult], OpenError]:
     if not view.open_items:
         return Ok([])
-    chunk = await read_chunk_patiently(deps, record.file_id, span.chunk)
+    chunk = await read_chunk_with_retry(deps, record.file_id, span.chunk)
     return chunk.map(lambda items: cancelled_results(record, view, items, span))
 
 
-async def _view_patiently(
+async def _view_with_retry(
     deps: "BatchDeps", record: JobRecord, span: TaskSpan, cancel_version: int
 ) -> Result[TaskView, OpenError]:
-    return await store_access.patiently(
+    return await store_access.retry_while_unavailable(
         deps, READ_TIMEOUT_MS, lambda: view_task(deps.store, record, span, cancel_version)
     )
 
 
-async def read_chunk_patiently(
+async def read_chunk_with_retry(
     deps: "BatchDeps", file_id: str, chunk: int
 ) -> Result[list[InputItem], OpenError]:
     """Read one chunk of an input file; retry for a limited time while the store is unavailable."""
-    return await store_access.patiently(
+    return await store_access.retry_while_unavailable(
         deps, READ_TIMEOUT_MS, lambda: read_chunk(deps.store, file_id, chunk)
     )
 
--- a/papayapier/batch/runner.py
+++ b/papayapier/batch/runner.py
@@ -1,8 +1,8 @@
 """Run the tasks of the shards that this instance holds, from adoption to hand-over.
 
-The components are independent of each other: the opener reads tasks, the feeder passes their
-items to the dispatch, the sender processes their outcomes, and commits store progress and
-results.
+The components are independent of each other: the opener reads tasks, the submitter passes
+their items to the dispatch, the sender processes their outcomes, and the committer stores
+progress and results.
 """
 
 from collections.abc import Callable, Iterator
@@ -42,67 +42,75 @@
 class RunnerCallbacks(NamedTuple):
     """Group the runner's callbacks: a task is recorded, or another holder has the task."""
 
-    recorded: Callable[[ActiveJob], None]
-    superseded: Callable[[ActiveJob], None]
+    task_recorded: Callable[[ActiveJob], None]
+    task_superseded: Callable[[ActiveJob], None]
 
 
 class Runner:
     """Run the tasks of the shards that this instance holds."""
 
     def __init__(
-        self, deps: "BatchDeps", holder: str, holds: LeaseQueries, calls: RunnerCallbacks
+        self, deps: "BatchDeps", holder: str, leases: LeaseQueries, callbacks: RunnerCallbacks
     ) -> None:
         self.jobs: dict[str, ActiveJob] = {}
         self._deps = deps
-        self._holds = holds
-        self._calls = calls
-        commit_calls = CommitCallbacks(
-            holds.may_commit, self._on_saved, self._on_recorded, self._on_given_up, self._on_lost
+        self._leases = leases
+        self._callbacks = callbacks
+        commit_callbacks = CommitCallbacks(
+            leases.may_commit,
+            self._on_saved,
+            self._on_recorded,
+            self._on_handed_over,
+            self._on_superseded,
         )
-        self._commits = TaskCommitter(deps, holder, commit_calls)
+        self._committer = TaskCommitter(deps, holder, commit_callbacks)
         self.rates = ItemRates()
-        self.turns = FairScheduler(
+        self.scheduler = FairScheduler(
             deps.clock, self.rates, lambda job: self.profile_of(job).upstream
         )
-        self._sender = ItemSender(deps, self._may_send, self._on_change, self.rates.on_ended)
-        self._opener = TaskOpener(deps, holds.grant, self.profile_of, self._on_opened, self._go_on)
-        feeder_calls = SubmitterCallbacks(
+        self._sender = ItemSender(deps, self._may_send, self._on_task_changed, self.rates.on_ended)
+        self._opener = TaskOpener(
+            deps, leases.grant, self.profile_of, self._on_opened, self._submit_soon
+        )
+        submitter_callbacks = SubmitterCallbacks(
             self.profile_of,
             self._may_send,
             self._sender.send,
-            self._commits.kick,
+            self._committer.request_save,
             self._opener.open_ahead,
         )
-        self._feeder = ItemSubmitter(deps, self.jobs, self.turns, self.rates, feeder_calls)
+        self._submitter = ItemSubmitter(
+            deps, self.jobs, self.scheduler, self.rates, submitter_callbacks
+        )
         self._tick_timer: Timer | None = None
         self._stopping = False
-        deps.dispatch.watch_room(self._go_on)
+        deps.dispatch.watch_room(self._submit_soon)
 
-    # BatchJobService and shards
+    # Jobs and shards
 
     def adopt(self, job: ActiveJob, shard: int) -> None:
         """Run the unfinished tasks of a job in a held shard."""
         self.jobs[job.record.job_id] = job
         job.adopt(shard)
-        self.turns.forget()
-        self._keep_ticking()
-        self._feeder.feed_soon()
+        self.scheduler.invalidate()
+        self._schedule_tick()
+        self._submitter.submit_soon()
 
     def drop_job(self, job: ActiveJob) -> None:
         """Stop all tasks of a job at once, without storing their progress."""
         self.jobs.pop(job.record.job_id, None)
-        self.turns.forget()
+        self.scheduler.invalidate()
         job.pending.clear()
         job.opening.clear()
         for task in list(job.open.values()):
-            self._drop(task)
+            self._drop_task(task)
 
     def drop_shard(self, shard: int) -> None:
         """Stop the tasks of a shard that another instance holds now."""
         for job in self.jobs.values():
-            job.forget(shard)
+            job.drop_pending(shard)
             for task in [task for task in job.open.values() if task.shard == shard]:
-                self._drop(task)
+                self._drop_task(task)
 
     async def hand_over(self, shard: int, limit_ms: int) -> None:
         """Stop the tasks of a shard and store their progress.
@@ -110,34 +118,36 @@
         Repeatable items are stopped; other items that were sent run to their end, for at most
         the limit.
         """
-        until = self._deps.clock.now() + limit_ms
-        self._stop_shard(shard, patient=True)
-        while any(self._open_in(shard)):
-            if self._deps.clock.now() >= until:
-                self._stop_shard(shard, patient=False)
-                until = self._deps.clock.now() + limit_ms
-            if not self._holds.may_commit(shard):
+        deadline_ms = self._deps.clock.now() + limit_ms
+        self._stop_shard(shard, wait_for_sent=True)
+        while any(self._open_tasks(shard)):
+            if self._deps.clock.now() >= deadline_ms:
+                self._stop_shard(shard, wait_for_sent=False)
+                deadline_ms = self._deps.clock.now() + limit_ms
+            if not self._leases.may_commit(shard):
                 self.drop_shard(shard)
             await self._deps.clock.sleep(HAND_OVER_POLL_MS)
 
-    def _stop_shard(self, shard: int, patient: bool) -> None:
+    def _stop_shard(self, shard: int, wait_for_sent: bool) -> None:
         for job in self.jobs.values():
-            job.forget(shard)
-        for task in list(self._open_in(shard)):
+            job.drop_pending(shard)
+        for task in list(self._open_tasks(shard)):
             task.stopping = True
             idempotent = task.state.rules.idempotent
             for run in list(task.running.values()):
-                if run.deferred is not None and (idempotent or not patient or not run.maybe_sent):
+                if run.deferred is not None and (
+                    idempotent or not wait_for_sent or not run.maybe_sent
+                ):
                     run.deferred.cancel()
-            self._commits.kick(task)
+            self._committer.request_save(task)
 
-    def _open_in(self, shard: int) -> Iterator[OpenTask]:
+    def _open_tasks(self, shard: int) -> Iterator[OpenTask]:
         for job in self.jobs.values():
             for task in list(job.open.values()):
                 if task.shard == shard:
                     yield task
 
-    def _drop(self, task: OpenTask) -> None:
+    def _drop_task(self, task: OpenTask) -> None:
         task.closed = True
         task.job.open.pop(task.span.task, None)
         for run in list(task.running.values()):
@@ -148,16 +158,16 @@
     def begin_stop(self) -> None:
         """Send and open no more items."""
         self._stopping = True
-        self._feeder.stop()
+        self._submitter.stop()
 
     def stop(self) -> None:
         """Stop the timer."""
         if self._tick_timer is not None and self._tick_timer.active():
             self._tick_timer.cancel()
 
-    def bytes_held(self) -> int:
+    def buffered_bytes(self) -> int:
         """Return the size of all data that open tasks keep in memory."""
-        return self._feeder.bytes_held()
+        return self._submitter.buffered_bytes()
 
     def profile_of(self, job: ActiveJob) -> "Profile":
         """Return the current profile; items that must not be repeated at acceptance stay so."""
@@ -168,54 +178,54 @@
         return current
 
     def _may_send(self, task: OpenTask) -> bool:
-        if task.closed or task.stopping or self._stopping or not task.job.runs():
+        if task.closed or task.stopping or self._stopping or not task.job.is_running():
             return False
-        return self._holds.may_send(task.shard, task.state.rules.idempotent)
+        return self._leases.may_send(task.shard, task.state.rules.idempotent)
 
     # Events
 
-    def _go_on(self) -> None:
-        self._feeder.feed_soon()
+    def _submit_soon(self) -> None:
+        self._submitter.submit_soon()
 
-    def on_holds_changed(self) -> None:
+    def on_leases_confirmed(self) -> None:
         """Continue what waited for the confirmation of a lease."""
         for job in list(self.jobs.values()):
             for task in list(job.open.values()):
-                self._commits.kick(task)
-        self._feeder.feed_soon()
+                self._committer.request_save(task)
+        self._submitter.submit_soon()
 
-    def _on_change(self, task: OpenTask) -> None:
-        self._commits.kick(task)
-        self._feeder.feed_soon()
+    def _on_task_changed(self, task: OpenTask) -> None:
+        self._committer.request_save(task)
+        self._submitter.submit_soon()
 
     def _on_opened(self, task: OpenTask) -> None:
         if self._stopping:
             return
         task.job.open[task.span.task] = task
-        self._commits.on_opened(task)
-        self._on_change(task)
+        self._committer.on_opened(task)
+        self._on_task_changed(task)
 
     def _on_saved(self, task: OpenTask) -> None:
-        task.state.wake(self._deps.clock.now())
-        self._feeder.feed_soon()
+        task.state.wake_retries(self._deps.clock.now())
+        self._submitter.submit_soon()
 
     def _on_recorded(self, task: OpenTask, tally: Tally) -> None:
-        self._drop(task)
-        task.job.on_done(task.span.task, tally)
-        self._calls.recorded(task.job)
-        self._feeder.feed_soon()
+        self._drop_task(task)
+        task.job.on_recorded(task.span.task, tally)
+        self._callbacks.task_recorded(task.job)
+        self._submitter.submit_soon()
 
-    def _on_given_up(self, task: OpenTask) -> None:
-        self._drop(task)
+    def _on_handed_over(self, task: OpenTask) -> None:
+        self._drop_task(task)
         if task.reopen:
             task.job.pending.append(task.span.task)
-            self._feeder.feed_soon()
+            self._submitter.submit_soon()
 
-    def _on_lost(self, task: OpenTask) -> None:
-        self._drop(task)
-        self._calls.superseded(task.job)
+    def _on_superseded(self, task: OpenTask) -> None:
+        self._drop_task(task)
+        self._callbacks.task_superseded(task.job)
 
-    def _keep_ticking(self) -> None:
+    def _schedule_tick(self) -> None:
         if self._tick_timer is None and not self._stopping:
             self._tick_timer = self._deps.clock.call_later(TICK_MS, self._tick)
 
@@ -225,8 +235,8 @@
         now = self._deps.clock.now()
         for job in list(self.jobs.values()):
             for task in list(job.open.values()):
-                task.state.wake(now)
-                self._commits.kick(task)
-        self._feeder.feed_soon()
+                task.state.wake_retries(now)
+                self._committer.request_save(task)
+        self._submitter.submit_soon()
         if self.jobs:
-            self._keep_ticking()
+            self._schedule_tick()
--- a/papayapier/batch/sessions.py
+++ b/papayapier/batch/sessions.py
@@ -35,7 +35,7 @@
 
     def __init__(self, deps: "BatchDeps", holder: str, on_lapse: Callable[[], None]) -> None:
         self.holder = holder
-        self.silent = False
+        self.store_unavailable = False
         self._deps = deps
         self._on_lapse = on_lapse
         self._key = keys.session_key(holder)
@@ -53,21 +53,21 @@
         return holder_may_act(self._sent_ms, cfg.lease_ms, now, margin_ms(cfg.lease_ms))
 
     async def renew(self) -> bool:
-        """Renew the session; return False if success is not confirmed. silent: the store is
-        unavailable.
-        """
+        """Renew the session and set store_unavailable; False means it is unconfirmed."""
         if self._ended:
             return False
         sent_ms = self._deps.clock.now()
         self._renewals += 1
         value = codec.pack(SessionRecord(self.holder, self._renewals))
-        done = await self._write(value)
-        if isinstance(done, Err) and done.err_value in (StoreError.CONFLICT, StoreError.LOST):
-            done = await self._read_own(value)
-        self.silent = isinstance(done, Err) and done.err_value in store_access.RETRYABLE_ERRORS
-        if isinstance(done, Err):
+        renewed = await self._write(value)
+        if isinstance(renewed, Err) and renewed.err_value in (StoreError.CONFLICT, StoreError.LOST):
+            renewed = await self._read_stored(value)
+        self.store_unavailable = (
+            isinstance(renewed, Err) and renewed.err_value in store_access.RETRYABLE_ERRORS
+        )
+        if isinstance(renewed, Err):
             return False
-        self._version = done.ok_value
+        self._version = renewed.ok_value
         # After a pause of the process, or after a late reply, other instances may have taken the
         # shards. They must not be relied on until each lease is confirmed.
         if not self.may_act():
@@ -80,13 +80,13 @@
             return await self._deps.store.create(self._key, value)
         return await self._deps.store.update(self._key, value, self._version)
 
-    async def _read_own(self, value: bytes) -> Result[int, StoreError]:
+    async def _read_stored(self, value: bytes) -> Result[int, StoreError]:
         """Read the stored session: this renewal, an earlier one that arrived late, or none."""
         read = await self._deps.store.get(self._key)
         if isinstance(read, Ok):
             self._version = read.ok_value.version
-            own = read.ok_value.value == value
-            return Ok(read.ok_value.version) if own else Err(StoreError.CONFLICT)
+            is_own = read.ok_value.value == value
+            return Ok(read.ok_value.version) if is_own else Err(StoreError.CONFLICT)
         if read.err_value is StoreError.NOT_FOUND:
             self._version = 0
             return Err(StoreError.CONFLICT)
@@ -112,19 +112,19 @@
         self.versions: dict[str, int] = {}
         self._lease_ms = lease_ms
         self._views: dict[str, LeaseView] = {}
-        self._seen_ms = 0
+        self._observed_ms = 0
 
     def observe(self, versions: dict[str, int], now: int) -> None:
         """Update the sessions' versions from a listing."""
-        if now - self._seen_ms > self._lease_ms // 2:
+        if now - self._observed_ms > self._lease_ms // 2:
             self._views = {}
-        self._seen_ms = now
+        self._observed_ms = now
         self.versions = versions
         self._views = {holder: self._views.get(holder) or LeaseView() for holder in versions}
         for holder, version in versions.items():
             self._views[holder].observe(version, now)
 
-    def known(self, holder: str) -> bool:
+    def has_session(self, holder: str) -> bool:
         """Return whether a holder has a session."""
         return holder in self.versions
 
--- a/papayapier/batch/start.py
+++ b/papayapier/batch/start.py
@@ -11,7 +11,7 @@
 from papayapier.batch.deadline_risk import DeadlineRiskMonitor
 from papayapier.batch.expiry import ExpiryCleaner, delete_file
 from papayapier.batch.files import FileIntake
-from papayapier.batch.job_completion import JobFinisher, refresh_done
+from papayapier.batch.job_completion import JobFinisher, refresh_recorded
 from papayapier.batch.jobs import BatchJobService
 from papayapier.batch.lease_manager import LeaseCallbacks, LeaseManager
 from papayapier.batch.opening import Grant
@@ -34,7 +34,7 @@
     jobs_at_risk: int
     open_tasks: int
     items_in_flight: int
-    bytes_held: int
+    buffered_bytes: int
 
 
 class Batch(NamedTuple):
@@ -60,17 +60,17 @@
 
 def start_batch(deps: BatchDeps) -> Batch:
     """Start batch processing on one instance."""
-    parts = _Components(deps)
-    parts.start()
+    components = _Components(deps)
+    components.start()
     return Batch(
         deps=deps,
-        jobs=BatchJobService(deps, parts.registry),
-        views=JobReader(deps, parts.registry),
-        registry=parts.registry,
-        on_peer=parts.on_peer,
-        on_members_changed=parts.keeper.kick,
-        status=parts.status,
-        stop=parts.stop,
+        jobs=BatchJobService(deps, components.registry),
+        views=JobReader(deps, components.registry),
+        registry=components.registry,
+        on_peer=components.on_peer,
+        on_members_changed=components.lease_manager.wake,
+        status=components.status,
+        stop=components.stop,
     )
 
 
@@ -81,26 +81,34 @@
         self._deps = deps
         holder = f"{deps.instance}.{deps.boot:x}"
         self.registry = JobRegistry(
-            deps, JobListeners(self._on_new, self._on_changed, self._on_gone)
+            deps, JobListeners(self._on_new, self._on_changed, self._on_removed)
         )
-        keeper_calls = LeaseCallbacks(
-            self._on_held, self._on_lost, self._hand_over, self._careful, self._on_revived
+        lease_callbacks = LeaseCallbacks(
+            self._on_acquired,
+            self._on_lost,
+            self._hand_over,
+            self._is_cautious,
+            self._on_leases_confirmed,
         )
         lease_deps = deps._replace(store=deps.lease_store or deps.store)
-        self.keeper = LeaseManager(lease_deps, holder, keeper_calls)
-        holds = LeaseQueries(self._grant, self.keeper.may_send, self.keeper.may_commit)
+        self.lease_manager = LeaseManager(lease_deps, holder, lease_callbacks)
+        lease_queries = LeaseQueries(
+            self._grant, self.lease_manager.may_send, self.lease_manager.may_commit
+        )
         self._runner = Runner(
-            deps, holder, holds, RunnerCallbacks(self._on_recorded, self._on_superseded)
+            deps, holder, lease_queries, RunnerCallbacks(self._on_recorded, self._on_superseded)
+        )
+        self._finisher = JobFinisher(deps, holder, self.registry, self.lease_manager.may_commit)
+        self._cleaner = ExpiryCleaner(
+            deps, self.registry, lambda: self.lease_manager.may_commit(EXPIRY_SHARD)
         )
-        self._ender = JobFinisher(deps, holder, self.registry, self.keeper.may_commit)
-        self._expiry = ExpiryCleaner(
-            deps, self.registry, lambda: self.keeper.may_commit(EXPIRY_SHARD)
+        self._risk_monitor = DeadlineRiskMonitor(
+            deps, self.registry, self._runner, self.lease_manager.may_commit
         )
-        self._risk = DeadlineRiskMonitor(deps, self.registry, self._runner, self.keeper.may_commit)
         self._loops = [
-            background.RestartingLoop(deps.clock, self._ender.run, "ending of jobs"),
-            background.RestartingLoop(deps.clock, self._expiry.run, "expiry"),
-            background.RestartingLoop(deps.clock, self._risk.run, "watch for jobs at risk"),
+            background.RestartingLoop(deps.clock, self._finisher.run, "completion of jobs"),
+            background.RestartingLoop(deps.clock, self._cleaner.run, "expiry"),
+            background.RestartingLoop(deps.clock, self._risk_monitor.run, "watch for jobs at risk"),
         ]
         self._to_adopt: dict[str, set[int]] = {}
         self._adopting = False
@@ -108,14 +116,14 @@
     def start(self) -> None:
         """Start all background loops."""
         self.registry.start()
-        self.keeper.start()
+        self.lease_manager.start()
         for loop in self._loops:
             loop.start()
 
     async def stop(self) -> None:
         """Hand over the tasks that run here, and stop."""
         self._runner.begin_stop()
-        await self.keeper.stop()
+        await self.lease_manager.stop()
         for loop in self._loops:
             loop.stop()
         self.registry.stop()
@@ -124,82 +132,82 @@
     def on_peer(self, message: Message) -> None:
         """Handle a message from another instance."""
         if isinstance(message, JobChanged):
-            self.registry.hear(message.job_id, message.version)
+            self.registry.on_version_reported(message.job_id, message.version)
         elif isinstance(message, ShardsReleased):
-            self.keeper.kick()
+            self.lease_manager.wake()
 
     def status(self) -> BatchStatus:
         """Summarise the state of batch processing on this instance."""
         jobs = list(self.registry.jobs.values())
         return BatchStatus(
-            shards_held=len(self.keeper.held()),
+            shards_held=len(self.lease_manager.held_shards()),
             active_jobs=len(jobs),
             jobs_at_risk=sum(job.at_risk for job in jobs),
             open_tasks=sum(len(job.open) for job in jobs),
             items_in_flight=sum(job.in_flight() for job in jobs),
-            bytes_held=self._runner.bytes_held(),
+            buffered_bytes=self._runner.buffered_bytes(),
         )
 
     # Leases
 
-    def _on_held(self, shard: int) -> None:
-        hold = self.keeper.hold(shard)
+    def _on_acquired(self, shard: int) -> None:
+        shard_lease = self.lease_manager.active_lease(shard)
         for job in self.registry.jobs.values():
-            if hold is not None and hold.lossy:
-                job.careful.add(shard)
+            if shard_lease is not None and shard_lease.holder_lost:
+                job.cautious_shards.add(shard)
             self._adopt_later(job, {shard})
-        self._count_shards()
+        self._update_shard_metric()
 
     def _on_lost(self, shard: int) -> None:
         self._runner.drop_shard(shard)
         for job in self.registry.jobs.values():
-            job.careful.discard(shard)
+            job.cautious_shards.discard(shard)
         for shards in self._to_adopt.values():
             shards.discard(shard)
-        self._count_shards()
+        self._update_shard_metric()
 
-    def _count_shards(self) -> None:
-        self._deps.metrics.shards_held.set(len(self.keeper.held()))
+    def _update_shard_metric(self) -> None:
+        self._deps.metrics.shards_held.set(len(self.lease_manager.held_shards()))
 
     async def _hand_over(self, shard: int, limit_ms: int) -> None:
         await self._runner.hand_over(shard, limit_ms)
 
-    def _careful(self, shard: int) -> bool:
-        return any(shard in job.careful for job in self.registry.jobs.values())
+    def _is_cautious(self, shard: int) -> bool:
+        return any(shard in job.cautious_shards for job in self.registry.jobs.values())
 
-    def _on_revived(self) -> None:
+    def _on_leases_confirmed(self) -> None:
         # No instance has adopted the jobs that appeared while the leases were unconfirmed.
-        held = set(self.keeper.held())
+        held = set(self.lease_manager.held_shards())
         for job in self.registry.jobs.values():
             self._adopt_later(job, held - job.adopted)
-        self._runner.on_holds_changed()
+        self._runner.on_leases_confirmed()
 
     def _grant(self, job: ActiveJob, shard: int) -> Grant | None:
-        hold = self.keeper.hold(shard)
-        if hold is None or not self.keeper.may_commit(shard):
+        shard_lease = self.lease_manager.active_lease(shard)
+        if shard_lease is None or not self.lease_manager.may_commit(shard):
             return None
-        return Grant(shard, hold.fence, shard in job.careful)
+        return Grant(shard, shard_lease.fence, shard in job.cautious_shards)
 
-    # BatchJobService
+    # Jobs
 
     def _on_new(self, job: ActiveJob) -> None:
-        self._adopt_later(job, set(self.keeper.held()))
+        self._adopt_later(job, set(self.lease_manager.held_shards()))
 
     def _on_changed(self, job: ActiveJob) -> None:
-        job.next_look_ms = self._deps.clock.now()
-        if not job.runs():
+        job.next_check_ms = self._deps.clock.now()
+        if not job.is_running():
             self._runner.drop_job(job)
 
-    def _on_gone(self, job: ActiveJob) -> None:
+    def _on_removed(self, job: ActiveJob) -> None:
         self._to_adopt.pop(job.record.job_id, None)
         self._runner.drop_job(job)
 
     def _on_recorded(self, job: ActiveJob) -> None:
-        if job.whole():
-            job.next_look_ms = self._deps.clock.now()
+        if job.all_recorded():
+            job.next_check_ms = self._deps.clock.now()
 
     def _on_superseded(self, job: ActiveJob) -> None:
-        self._adopt_later(job, set(self.keeper.held()))
+        self._adopt_later(job, set(self.lease_manager.held_shards()))
 
     def _adopt_later(self, job: ActiveJob, shards: set[int]) -> None:
         """Adopt a job's tasks in some shards, after reading which tasks are finished already."""
@@ -216,12 +224,12 @@
             while self._to_adopt:
                 job_id = next(iter(self._to_adopt))
                 job = self.registry.jobs.get(job_id)
-                if job is not None and not await refresh_done(self._deps, job):
+                if job is not None and not await refresh_recorded(self._deps, job):
                     await self._deps.clock.sleep(pauses.next_ms())
                     continue
                 shards = self._to_adopt.pop(job_id, set())
-                if job is not None and job.runs():
-                    for shard in sorted(shards.intersection(self.keeper.held())):
+                if job is not None and job.is_running():
+                    for shard in sorted(shards.intersection(self.lease_manager.held_shards())):
                         self._runner.adopt(job, shard)
         finally:
             self._adopting = False
--- a/papayapier/batch/store_access.py
+++ b/papayapier/batch/store_access.py
@@ -46,18 +46,18 @@
     return await delete_settled(settling, key, version, deps.clock.now() + MAX_SETTLE_MS)
 
 
-async def offer(
-    deps: "BatchDeps", key: str, value: bytes, version: int, maybe_taken: bool
+async def retry_safe_write(
+    deps: "BatchDeps", key: str, value: bytes, version: int, maybe_stored: bool
 ) -> Result[int, StoreError]:
     """Write an object that an earlier attempt with the same value may have written already."""
     if version == 0:
-        done = await create(deps, key, value)
+        outcome = await create(deps, key, value)
     else:
-        done = await update(deps, key, value, version)
-    if isinstance(done, Ok) or done.err_value in (StoreError.UNAVAILABLE, StoreError.LIMITED):
-        return done
-    if done.err_value is StoreError.CONFLICT and not maybe_taken:
-        return done
+        outcome = await update(deps, key, value, version)
+    if isinstance(outcome, Ok) or outcome.err_value in (StoreError.UNAVAILABLE, StoreError.LIMITED):
+        return outcome
+    if outcome.err_value is StoreError.CONFLICT and not maybe_stored:
+        return outcome
     read = await deps.store.get(key)
     if isinstance(read, Ok) and read.ok_value.version > version:
         own = read.ok_value.value == value
@@ -65,19 +65,19 @@
     return Err(StoreError.LOST)
 
 
-async def patiently(
+async def retry_while_unavailable(
     deps: "BatchDeps", limit_ms: int, call: Callable[[], Awaitable[Result[T, E]]]
 ) -> Result[T, E]:
     """Repeat a call with growing pauses, for a limited time, while the store is unavailable."""
     pauses = Pauses(deps.rand)
-    until = deps.clock.now() + limit_ms
+    deadline_ms = deps.clock.now() + limit_ms
     while True:
-        done = await call()
-        if isinstance(done, Ok) or done.err_value not in RETRYABLE_ERRORS:
-            return done
+        outcome = await call()
+        if isinstance(outcome, Ok) or outcome.err_value not in RETRYABLE_ERRORS:
+            return outcome
         pause = pauses.next_ms()
-        if deps.clock.now() + pause >= until:
-            return done
+        if deps.clock.now() + pause >= deadline_ms:
+            return outcome
         await deps.clock.sleep(pause)
 
 
--- a/papayapier/batch/task_opener.py
+++ b/papayapier/batch/task_opener.py
@@ -28,7 +28,7 @@
     """Limit the bytes of input to be opened: the share of one upstream, and the total."""
 
     share: int
-    most: int
+    total: int
 
 
 class TaskOpener:
@@ -40,22 +40,21 @@
         grant: Callable[[ActiveJob, int], Grant | None],
         profile_of: "Callable[[ActiveJob], Profile]",
         on_opened: Callable[[OpenTask], None],
-        go_on: Callable[[], None],
+        submit_soon: Callable[[], None],
     ) -> None:
         self._deps = deps
         self._grant = grant
         self._profile_of = profile_of
         self._on_opened = on_opened
-        self._go_on = go_on
+        self._submit_soon = submit_soon
         self._pauses = Pauses(deps.rand)
 
     def open_ahead(
-        self, jobs: list[ActiveJob], caps: dict[str, int], items: int, room: InputCapacity
+        self, jobs: list[ActiveJob], limits: dict[str, int], min_items: int, capacity: InputCapacity
     ) -> None:
-        """Open the next tasks of an upstream when a caller's open tasks will soon have no unsent
-        items.
+        """Open the next tasks of an upstream before a caller's open tasks have no unsent items.
 
-        The given number of items of each caller is opened ahead, so that items can still be
+        At least min_items items of each caller are opened ahead, so that items can still be
         sent for a while when the store does not answer; for ordinary tasks this costs no
         write.
 
@@ -65,30 +64,30 @@
         """
         ahead: Counter[str] = Counter()
         for job in jobs:
-            ahead[job.record.caller] += _unsent(job)
+            ahead[job.record.caller] += _unsent_count(job)
         for job in jobs:
             caller = job.record.caller
-            wanted = max(MIN_AHEAD_ITEMS, AHEAD_FACTOR * caps[caller], items)
-            if ahead[caller] >= wanted:
+            target = max(MIN_AHEAD_ITEMS, AHEAD_FACTOR * limits[caller], min_items)
+            if ahead[caller] >= target:
                 continue
             for task in [task for task in job.pending if self._may_open(job, task)]:
-                room_bytes = room.share if ahead[caller] else room.most
-                if ahead[caller] >= wanted or room_bytes < MAX_CHUNK_BYTES:
+                available_bytes = capacity.share if ahead[caller] else capacity.total
+                if ahead[caller] >= target or available_bytes < MAX_CHUNK_BYTES:
                     break
                 ahead[caller] += job.spans[task].size()
-                room = InputCapacity(room.share - MAX_CHUNK_BYTES, room.most - MAX_CHUNK_BYTES)
+                capacity = InputCapacity(
+                    capacity.share - MAX_CHUNK_BYTES, capacity.total - MAX_CHUNK_BYTES
+                )
                 self._open_soon(job, task)
 
     def _open_soon(self, job: ActiveJob, task: int) -> None:
         job.pending.remove(task)
         job.opening.add(task)
-        again = partial(self._put_back_later, job, task, UNREADABLE_PAUSE_MS)
-        background.start(self._open(job, task), f"opening of task {task}", again)
+        on_failure = partial(self._put_back_later, job, task, UNREADABLE_PAUSE_MS)
+        background.start(self._open(job, task), f"opening of task {task}", on_failure)
 
     def _may_open(self, job: ActiveJob, task: int) -> bool:
-        """Return whether a task's lease is held; if the lease is unconfirmed, the task stays
-        pending.
-        """
+        """Return whether a task's lease is held; an unconfirmed lease leaves the task pending."""
         return self._grant(job, job.shards[task]) is not None
 
     async def _open(self, job: ActiveJob, task: int) -> None:
@@ -100,23 +99,23 @@
         idempotent = self._profile_of(job).idempotent
         opened = await open_task(self._deps, job, task, grant, idempotent)
         if isinstance(opened, Err):
-            self._open_later(job, task, opened.err_value)
+            self._on_open_failed(job, task, opened.err_value)
             return
         self._pauses.reset()
         if task not in job.opening:
             return
         job.opening.discard(task)
-        if task in job.done:
+        if task in job.recorded:
             return
         # The lease may have changed hands in the meantime, and the data that was read may be
         # outdated.
         if self._grant(job, grant.shard) != grant:
             job.pending.appendleft(task)
-            self._go_on()
+            self._submit_soon()
             return
         self._on_opened(opened.ok_value)
 
-    def _open_later(self, job: ActiveJob, task: int, error: OpenError) -> None:
+    def _on_open_failed(self, job: ActiveJob, task: int, error: OpenError) -> None:
         pause: float = UNREADABLE_PAUSE_MS
         if isinstance(error, StoreError):
             pause = self._pauses.next_ms()
@@ -132,19 +131,19 @@
         if task in job.opening:
             job.opening.discard(task)
             job.pending.appendleft(task)
-            self._go_on()
+            self._submit_soon()
 
 
 def input_bytes(jobs: Iterable[ActiveJob]) -> int:
     """Return the input size of jobs' open tasks, with an upper bound for those being opened."""
-    held = 0
+    total = 0
     for job in jobs:
-        held += len(job.opening) * MAX_CHUNK_BYTES
-        held += sum(task.input_bytes for task in job.open.values())
-    return held
+        total += len(job.opening) * MAX_CHUNK_BYTES
+        total += sum(task.input_bytes for task in job.open.values())
+    return total
 
 
-def _unsent(job: ActiveJob) -> int:
+def _unsent_count(job: ActiveJob) -> int:
     opening = sum(job.spans[task].size() for task in job.opening)
     states = [task.state for task in job.open.values()]
-    return opening + sum(state.startable() + state.unintended() for state in states)
+    return opening + sum(state.startable_count() + state.unintended_count() for state in states)
--- a/papayapier/batch/task_state.py
+++ b/papayapier/batch/task_state.py
@@ -55,9 +55,9 @@
 
     __slots__ = (
         "_attempts",
-        "_intending",
         "_intents",
         "_losses",
+        "_new_intents",
         "_pending",
         "_ready",
         "_results",
@@ -68,7 +68,7 @@
         "_suspects",
         "_versions",
         "ended",
-        "held_bytes",
+        "result_bytes",
         "rules",
         "size",
         "tally",
@@ -78,10 +78,10 @@
         self.size = size
         self.rules = rules
         self.tally = Tally()
-        self.held_bytes = 0
+        self.result_bytes = 0
         self.ended: set[int] = set()
         self._attempts: dict[int, int] = {}
-        self._intending: list[int] = []
+        self._new_intents: list[int] = []
         self._intents: set[int] = set()
         self._losses = 0
         self._pending: deque[int] = deque(range(size))
@@ -103,13 +103,13 @@
         self._spilled = list(checkpoint.spilled)
         self._attempts = dict(checkpoint.attempts)
         for result in spilled:
-            self._count(result)
+            self._count_result(result)
         for result in checkpoint.results:
-            self._count(result)
-            self._keep(result)
+            self._count_result(result)
+            self._buffer_result(result)
         self._pending = deque(i for i in range(self.size) if i not in self.ended)
 
-    def on_loss(self, intents: Iterable[int], custom_ids: list[str], now_wall: int) -> None:
+    def on_holder_lost(self, intents: Iterable[int], custom_ids: list[str], now_wall: int) -> None:
         """Handle the items that the lost holder may have been running."""
         self._losses += 1
         for index in intents:
@@ -119,16 +119,16 @@
             self._attempts[index] = attempts
             if not self.rules.idempotent:
                 reason = "the instance was lost while the item may have been running"
-                self._end_lost(index, ItemState.UNKNOWN, custom_ids[index], reason, now_wall)
+                self._end_on_loss(index, ItemState.UNKNOWN, custom_ids[index], reason, now_wall)
             elif attempts >= self.rules.item_attempts:
                 reason = f"the instance was lost while it ran the item, {attempts} times"
-                self._end_lost(index, ItemState.FAILED, custom_ids[index], reason, now_wall)
+                self._end_on_loss(index, ItemState.FAILED, custom_ids[index], reason, now_wall)
             else:
                 self._suspects.append(index)
-        apart = self.ended.union(self._suspects)
-        self._pending = deque(i for i in self._pending if i not in apart)
+        excluded = self.ended.union(self._suspects)
+        self._pending = deque(i for i in self._pending if i not in excluded)
 
-    def _end_lost(
+    def _end_on_loss(
         self, index: int, state: ItemState, custom_id: str, reason: str, now_wall: int
     ) -> None:
         attempts = self._attempts[index]
@@ -137,8 +137,8 @@
         result = ItemResult(
             index, custom_id, state, 0, b"", True, kind, reason, attempts, now_wall, commit
         )
-        self._count(result)
-        self._keep(result)
+        self._count_result(result)
+        self._buffer_result(result)
 
     # Sending
 
@@ -146,27 +146,27 @@
         """Return whether items must be stored as intents before they are sent."""
         return self.rules.cautious or not self.rules.idempotent
 
-    def startable(self) -> int:
+    def startable_count(self) -> int:
         """Return how many items may be sent now without a prior write."""
         waiting = 0 if self.needs_intents() else len(self._pending)
         return len(self._ready) + waiting
 
-    def unintended(self) -> int:
+    def unintended_count(self) -> int:
         """Return how many items still have to be stored as intents."""
         return len(self._pending) + len(self._suspects) if self.needs_intents() else 0
 
-    def intend(self, most: int) -> int:
+    def intend(self, max_items: int) -> int:
         """Choose the next intents; they become startable when a checkpoint is stored."""
-        if not self.needs_intents() or self._intending or self._ready:
+        if not self.needs_intents() or self._new_intents or self._ready:
             return 0
-        while self._pending and len(self._intending) < most:
-            self._intending.append(self._pending.popleft())
-        if not self._intending and self._suspects and not self._intents:
-            self._intending.append(self._suspects.popleft())
-        self._intents.update(self._intending)
-        return len(self._intending)
-
-    def take(self) -> int | None:
+        while self._pending and len(self._new_intents) < max_items:
+            self._new_intents.append(self._pending.popleft())
+        if not self._new_intents and self._suspects and not self._intents:
+            self._new_intents.append(self._suspects.popleft())
+        self._intents.update(self._new_intents)
+        return len(self._new_intents)
+
+    def take_item(self) -> int | None:
         """Return an item to be sent now and count it as running, or None."""
         if self._ready:
             index = self._ready.popleft()
@@ -187,7 +187,7 @@
         """Return how many items are running."""
         return len(self._running)
 
-    def left(self) -> int:
+    def remaining(self) -> int:
         """Return how many items have not ended."""
         return self.size - len(self.ended)
 
@@ -197,7 +197,7 @@
 
     # Ending
 
-    def end(self, result: ItemResult) -> None:
+    def end_item(self, result: ItemResult) -> None:
         """Record the outcome of a running item."""
         check(
             result.item in self._running and result.item not in self.ended,
@@ -205,12 +205,13 @@
             item=result.item,
         )
         self._running.discard(result.item)
-        self._count(result)
-        self._keep(result._replace(commit=self.next_commit()))
+        self._count_result(result)
+        self._buffer_result(result._replace(commit=self.next_commit()))
 
     def fail_attempt(self, index: int, at_ms: int) -> bool:
-        """Count a failed attempt and schedule a retry; if it was the last attempt, return
-        False and leave the item running.
+        """Count a failed attempt and schedule a retry.
+
+        If it was the last attempt, return False and leave the item running.
         """
         attempts = self._attempts.get(index, 0) + 1
         self._attempts[index] = attempts
@@ -220,12 +221,12 @@
         self._retries.append(Retry(index, at_ms, needs_save=True))
         return True
 
-    def put_back(self, index: int, at_ms: int) -> None:
+    def requeue(self, index: int, at_ms: int) -> None:
         """Schedule another send of a running item that provably has not run."""
         self._running.discard(index)
         self._retries.append(Retry(index, at_ms, needs_save=False))
 
-    def wake(self, now: int) -> int | None:
+    def wake_retries(self, now: int) -> int | None:
         """Make due retries startable; return when the next one is due."""
         waiting: list[Retry] = []
         for retry in self._retries:
@@ -241,20 +242,20 @@
 
     def must_save(self) -> bool:
         """Return whether an item waits for a checkpoint before it may be sent."""
-        return bool(self._intending) or any(retry.needs_save for retry in self._retries)
+        return bool(self._new_intents) or any(retry.needs_save for retry in self._retries)
 
-    def has_news(self) -> bool:
+    def has_unstored_results(self) -> bool:
         """Return whether there are results that no stored checkpoint contains."""
         return any(result.commit >= len(self._versions) for result in self._results.values())
 
-    def unstored(self) -> bool:
+    def has_unstored_state(self) -> bool:
         """Return whether a later holder would miss state that no checkpoint contains."""
-        return self.has_news() or self.must_save() or bool(self._intents)
+        return self.has_unstored_results() or self.must_save() or bool(self._intents)
 
     def snapshot(self, writer: str, fence: int, withdraw: bool = False) -> Checkpoint:
         """Return the checkpoint to store; withdraw omits intents that were not sent."""
         self._saving = _PendingSave(
-            intended=list(self._intending),
+            new_intents=list(self._new_intents),
             retried=[retry.item for retry in self._retries if retry.needs_save],
         )
         intents = self._intents & self._running if withdraw else self._intents
@@ -276,27 +277,29 @@
             return
         self._saving = None
         self._versions.append(version)
-        self._ready.extend(saving.intended)
-        self._intending = [index for index in self._intending if index not in saving.intended]
+        self._ready.extend(saving.new_intents)
+        self._new_intents = [
+            index for index in self._new_intents if index not in saving.new_intents
+        ]
         self._retries = [
             retry._replace(needs_save=retry.needs_save and retry.item not in saving.retried)
             for retry in self._retries
         ]
 
-    def take_spill(self) -> list[ItemResult]:
+    def take_results(self) -> list[ItemResult]:
         """Remove and return the results in memory, to be stored as a separate object."""
         results = list(self._results.values())
         self._results = {}
-        self.held_bytes = 0
+        self.result_bytes = 0
         return results
 
     def on_spilled(self, key: str) -> None:
         """Add the stored object to the checkpoints that follow."""
         self._spilled.append(key)
 
-    def final(self, writer: str, fence: int) -> TaskResults:
+    def final_results(self, writer: str, fence: int) -> TaskResults:
         """Return the results of the complete task."""
-        check(len(self.ended) == self.size, Promise.COMPLETE_ONCE, left=self.left())
+        check(len(self.ended) == self.size, Promise.COMPLETE_ONCE, left=self.remaining())
         check(self.tally.total() == self.size, Promise.COMPLETE_ONCE, tally=self.tally)
         results = [self._results[index] for index in sorted(self._results)]
         return TaskResults(writer, fence, self.tally, results, list(self._spilled))
@@ -305,15 +308,15 @@
         """Return the result of an item if it is in memory."""
         return self._results.get(index)
 
-    def _count(self, result: ItemResult) -> None:
+    def _count_result(self, result: ItemResult) -> None:
         check(result.item not in self.ended, Promise.COMPLETE_ONCE, item=result.item)
         self.ended.add(result.item)
         self._intents.discard(result.item)
         self.tally = self.tally.plus(tally_of([result]))
 
-    def _keep(self, result: ItemResult) -> None:
+    def _buffer_result(self, result: ItemResult) -> None:
         self._results[result.item] = result
-        self.held_bytes += len(result.body) + RESULT_OVERHEAD_BYTES
+        self.result_bytes += len(result.body) + RESULT_OVERHEAD_BYTES
 
     def next_commit(self) -> int:
         """Return the index of the first checkpoint that can contain a result produced now."""
@@ -323,5 +326,5 @@
 class _PendingSave(NamedTuple):
     """Hold what waits for the snapshot that is being stored."""
 
-    intended: list[int]
+    new_intents: list[int]
     retried: list[int]
--- a/papayapier/batch/tasks.py
+++ b/papayapier/batch/tasks.py
@@ -17,9 +17,7 @@
 
 
 class TaskSpan(NamedTuple):
-    """Locate a task in its job's input: the items from start up to, but not including, stop of
-    a chunk.
-    """
+    """Locate a task in its job's input: items start to stop - 1 of a chunk."""
 
     task: int
     chunk: int
@@ -31,23 +29,23 @@
         return self.stop - self.start
 
 
-def task_items(items: int, chunk_items: int, instances: int, idempotent: bool) -> int:
+def choose_task_items(items: int, chunk_items: int, instances: int, idempotent: bool) -> int:
     """Choose the maximum number of items of a new job's tasks."""
-    served_by = min(MAX_INSTANCES, max(1, instances))
-    wanted = chunk_items
-    if items < served_by * chunk_items:
+    instance_count = min(MAX_INSTANCES, max(1, instances))
+    size = chunk_items
+    if items < instance_count * chunk_items:
         # Tasks of complete chunks would be too few for all instances.
-        wanted = max(MIN_TASK_ITEMS, -(-items // (TASKS_PER_INSTANCE * served_by)))
+        size = max(MIN_TASK_ITEMS, -(-items // (TASKS_PER_INSTANCE * instance_count)))
     if not idempotent:
-        wanted = min(wanted, MAX_NON_IDEMPOTENT_TASK_ITEMS)
-    return min(wanted, chunk_items)
+        size = min(size, MAX_NON_IDEMPOTENT_TASK_ITEMS)
+    return min(size, chunk_items)
 
 
-def split(chunks: Sequence[int], most_items: int) -> list[TaskSpan]:
+def split_tasks(chunks: Sequence[int], max_items: int) -> list[TaskSpan]:
     """Return the tasks of a job in order; the tasks of one chunk differ by at most one item."""
     spans: list[TaskSpan] = []
     for chunk, count in enumerate(chunks):
-        parts = -(-count // most_items)
+        parts = -(-count // max_items)
         for part in range(parts):
             start = count * part // parts
             stop = count * (part + 1) // parts
@@ -55,7 +53,9 @@
     return spans
 
 
-def place(spans: Sequence[TaskSpan], chunks: Sequence[int], item: int) -> tuple[TaskSpan, int]:
+def locate_item(
+    spans: Sequence[TaskSpan], chunks: Sequence[int], item: int
+) -> tuple[TaskSpan, int]:
     """Return the task of an item (index in the job) and the item's index in that task."""
     chunk = 0
     while item >= chunks[chunk]:
--- a/papayapier/batch/view.py
+++ b/papayapier/batch/view.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from papayapier.batch import ids, keys
-from papayapier.batch.job_completion import refresh_done, sum_tallies
+from papayapier.batch.job_completion import refresh_recorded, sum_tallies
 from papayapier.batch.jobs import caller_prefix
 from papayapier.batch.lookup import FoundJob, find_file, find_job, unavailable
 from papayapier.batch.opening import OpenError, read_chunk, read_results
@@ -24,11 +24,11 @@
     TaskView,
     cancelled_results,
     input_line,
-    read_chunk_patiently,
+    read_chunk_with_retry,
     stream_lines,
     view_task,
 )
-from papayapier.batch.tasks import TaskSpan, place, split
+from papayapier.batch.tasks import TaskSpan, locate_item, split_tasks
 from papayapier.errors import ErrorKind, Refusal, not_run
 from papayapier.store.api import StoreError
 
@@ -73,36 +73,36 @@
         return Ok(await self._with_counts(found.ok_value))
 
     async def _with_counts(self, found: FoundJob) -> FoundJob:
-        work = self._registry.jobs.get(found.record.job_id)
-        if work is None or found.record.state is not JobState.RUNNING:
+        active_job = self._registry.jobs.get(found.record.job_id)
+        if active_job is None or found.record.state is not JobState.RUNNING:
             return found
         now = self._deps.clock.now()
-        if now >= work.list_again_ms:
-            work.list_again_ms = now + LIST_INTERVAL_MS
-            await refresh_done(self._deps, work)
-            await self._read_tallies(work)
-        tally = sum_tallies(work.tallies.values())
+        if now >= active_job.next_list_ms:
+            active_job.next_list_ms = now + LIST_INTERVAL_MS
+            await refresh_recorded(self._deps, active_job)
+            await self._read_tallies(active_job)
+        tally = sum_tallies(active_job.tallies.values())
         return found._replace(record=found.record._replace(tally=tally))
 
-    async def _read_tallies(self, work: "ActiveJob") -> None:
-        missing = sorted(work.done.difference(work.tallies))
+    async def _read_tallies(self, active_job: "ActiveJob") -> None:
+        missing = sorted(active_job.recorded.difference(active_job.tallies))
         for task in missing[:MAX_TALLIES_PER_READ]:
-            read = await read_results(self._deps.store, work.record.job_id, task)
+            read = await read_results(self._deps.store, active_job.record.job_id, task)
             if isinstance(read, Ok):
-                work.tallies[task] = read.ok_value.tally
+                active_job.tallies[task] = read.ok_value.tally
 
     async def jobs(self, caller: str, after: str, limit: int) -> Result[list[FoundJob], Refusal]:
         """List a caller's jobs by id: up to limit + 1 ids that follow after."""
         prefix = caller_prefix(caller)
-        names: set[str] = set()
-        for kind in (keys.ACTIVE_PREFIX, keys.ENDED_PREFIX):
-            start = kind + after if after else ""
-            listed = await self._deps.store.list(kind + prefix, start, limit + 1)
+        job_ids: set[str] = set()
+        for key_prefix in (keys.ACTIVE_PREFIX, keys.ENDED_PREFIX):
+            start = key_prefix + after if after else ""
+            listed = await self._deps.store.list(key_prefix + prefix, start, limit + 1)
             if isinstance(listed, Err):
                 return Err(unavailable())
-            names.update(keys.last_part(entry.key) for entry in listed.ok_value.objects)
+            job_ids.update(keys.last_part(entry.key) for entry in listed.ok_value.objects)
         found: list[FoundJob] = []
-        for job_id in sorted(names)[: limit + 1]:
+        for job_id in sorted(job_ids)[: limit + 1]:
             job = await find_job(self._deps, caller, job_id)
             if isinstance(job, Ok):
                 found.append(job.ok_value)
@@ -116,31 +116,33 @@
         if isinstance(found, Err):
             return found
         job = found.ok_value
-        number = await self._item_number(job, custom_id)
-        if isinstance(number, Err):
-            return number
+        item_index = await self._item_index(job, custom_id)
+        if isinstance(item_index, Err):
+            return item_index
         chunks = job.record.chunks
-        span, item = place(split(chunks, job.record.task_items), chunks, number.ok_value)
+        span, item = locate_item(
+            split_tasks(chunks, job.record.task_items), chunks, item_index.ok_value
+        )
         result = await self._result_of(job, span, item)
-        return result.map(lambda one: ItemView(job, span, one))
+        return result.map(lambda found_result: ItemView(job, span, found_result))
 
-    async def _item_number(self, job: FoundJob, custom_id: str) -> Result[int, Refusal]:
+    async def _item_index(self, job: FoundJob, custom_id: str) -> Result[int, Refusal]:
         """Find the index of an id by the hashes stored with the input file."""
         missing = not_run(ErrorKind.NOT_FOUND, f"the job has no item {custom_id}")
         file = await find_file(self._deps, job.record.caller, job.record.file_id, deleted=True)
         if isinstance(file, Err):
             return file
         record = file.ok_value.record
-        number = ids.find(record.id_hashes, custom_id)
+        item_index = ids.find_position(record.id_hashes, custom_id)
         for block in range(record.id_blocks):
-            if number is not None:
+            if item_index is not None:
                 break
             read = await self._deps.store.get(keys.index_key(job.record.file_id, block))
             if isinstance(read, Err):
                 return Err(unavailable())
-            there = ids.find(read.ok_value.value, custom_id)
-            number = None if there is None else block * ids.IDS_PER_BLOCK + there
-        return Err(missing) if number is None else Ok(number)
+            position = ids.find_position(read.ok_value.value, custom_id)
+            item_index = None if position is None else block * ids.IDS_PER_BLOCK + position
+        return Err(missing) if item_index is None else Ok(item_index)
 
     async def _result_of(
         self, job: FoundJob, span: TaskSpan, item: int
@@ -185,7 +187,7 @@
     ) -> AsyncIterator[bytes]:
         """Yield the lines of an input file, chunk by chunk."""
         for chunk in range(len(file.chunks)):
-            read = await read_chunk_patiently(self._deps, file.file_id, chunk)
+            read = await read_chunk_with_retry(self._deps, file.file_id, chunk)
             if isinstance(read, Err):
                 on_error(read.err_value)
                 return
--- a/tests/test_batch_machines.py
+++ b/tests/test_batch_machines.py
@@ -58,7 +58,7 @@
 
     @rule()
     def send(self) -> None:
-        item = self.state.take()
+        item = self.state.take_item()
         if item is not None:
             self.sends[item] += 1
             self.running.append(item)
@@ -67,24 +67,24 @@
     @rule(pick=st.integers(0, SIZE))
     def answer(self, pick: int) -> None:
         item = self.running.pop(pick % len(self.running))
-        self.state.end(result(item, ItemState.COMPLETED))
+        self.state.end_item(result(item, ItemState.COMPLETED))
 
     @precondition(lambda self: self.running and self.idempotent)
     @rule(pick=st.integers(0, SIZE))
     def fail(self, pick: int) -> None:
         item = self.running.pop(pick % len(self.running))
         if not self.state.fail_attempt(item, 0):
-            self.state.end(result(item, ItemState.FAILED))
+            self.state.end_item(result(item, ItemState.FAILED))
 
     @precondition(lambda self: self.running and self.idempotent)
     @rule(pick=st.integers(0, SIZE))
     def put_back(self, pick: int) -> None:
         item = self.running.pop(pick % len(self.running))
-        self.state.put_back(item, 0)
+        self.state.requeue(item, 0)
 
     @rule()
     def wake(self) -> None:
-        self.state.wake(1)
+        self.state.wake_retries(1)
 
     @precondition(lambda self: self.pending_save is None)
     @rule()
@@ -113,12 +113,12 @@
         if self.stored is not None:
             self.state.resume(self.stored, self.version, [])
             if self.stored.intents:
-                self.state.on_loss(self.stored.intents, IDS, 0)
+                self.state.on_holder_lost(self.stored.intents, IDS, 0)
 
-    @precondition(lambda self: self.state.left() == 0)
+    @precondition(lambda self: self.state.remaining() == 0)
     @rule()
     def record(self) -> None:
-        final = self.state.final("w", 1)
+        final = self.state.final_results("w", 1)
         assert sorted(one.item for one in final.results) == list(range(SIZE))
 
     @invariant()
@@ -134,7 +134,7 @@
     def counts_add_up(self) -> None:
         if hasattr(self, "state"):
             assert self.state.tally.total() == len(self.state.ended)
-            assert self.state.left() + len(self.state.ended) == SIZE
+            assert self.state.remaining() + len(self.state.ended) == SIZE
 
 
 def result(item: int, state: ItemState) -> ItemResult:
--- a/tests/test_batch_parts.py
+++ b/tests/test_batch_parts.py
@@ -10,11 +10,11 @@
 from twisted.internet.defer import Deferred
 
 from papayapier.batch import ids, keys, store_access
-from papayapier.batch.fair_scheduling import caller_caps
+from papayapier.batch.fair_scheduling import caller_limits
 from papayapier.batch.files import FileIntake
 from papayapier.batch.lines import LineError, endpoint_of, parse_line
-from papayapier.batch.placement import owners
-from papayapier.batch.tasks import place, split, task_items
+from papayapier.batch.placement import assign_shards
+from papayapier.batch.tasks import choose_task_items, locate_item, split_tasks
 from papayapier.entry.streaming import write_all
 from papayapier.errors import ErrorKind
 from papayapier.settings import BatchSettings
@@ -116,8 +116,11 @@
             index.add(f"c{n}")
         assert not any(map(index.duplicate, range(ids.BUCKET_COUNT))) and index.inline() == b""
         first, second = index.blocks()
-        assert ids.find(first, "c99999") == 99_999 and ids.find(first, "c100003") is None
-        assert ids.find(second, "c100003") == 3
+        assert (
+            ids.find_position(first, "c99999") == 99_999
+            and ids.find_position(first, "c100003") is None
+        )
+        assert ids.find_position(second, "c100003") == 3
 
 
 class TestTasks:
@@ -128,28 +131,28 @@
         pick=st.integers(0, 1_000),
     )
     def test_tasks_cover_every_item_once(self, chunks: list[int], most: int, pick: int) -> None:
-        spans = split(chunks, most)
+        spans = split_tasks(chunks, most)
         covered = [(s.chunk, n) for s in spans for n in range(s.start, s.stop)]
         assert covered == [(c, n) for c, count in enumerate(chunks) for n in range(count)]
         assert max(span.size() for span in spans) <= most
         item = pick % sum(chunks)
-        span, within = place(spans, chunks, item)
+        span, within = locate_item(spans, chunks, item)
         assert covered[item] == (span.chunk, span.start + within)
 
     def test_size_of_tasks(self) -> None:
-        assert task_items(300, 1_000, 6, True) == 50
-        assert task_items(5_999, 1_000, 6, True) == 500
-        assert task_items(6_000, 1_000, 6, True) == 1_000
-        assert task_items(750_000, 1_000, 6, True) == 1_000
-        assert task_items(750_000, 1_000, 6, False) == 100
+        assert choose_task_items(300, 1_000, 6, True) == 50
+        assert choose_task_items(5_999, 1_000, 6, True) == 500
+        assert choose_task_items(6_000, 1_000, 6, True) == 1_000
+        assert choose_task_items(750_000, 1_000, 6, True) == 1_000
+        assert choose_task_items(750_000, 1_000, 6, False) == 100
 
 
 class TestPlacement:
     def test_shares_are_even_and_few_shards_move(self) -> None:
         names = [f"entry-{n}" for n in range(6)]
-        before = owners(32, names)
+        before = assign_shards(32, names)
         assert set(Counter(before).values()) <= {2, 5, 6}
-        after = owners(32, names[1:])
+        after = assign_shards(32, names[1:])
         moved = sum(a != b for a, b in zip(before, after, strict=True) if a != "entry-0")
         assert moved <= 16
 
@@ -161,11 +164,11 @@
         jobs = []
         for caller in ("north", "south"):
             record = world.submit(batch, world.upload(batch, 5)).record
-            job = batch.registry.take(record._replace(job_id=caller, caller=caller), 1)
+            job = batch.registry.apply_record(record._replace(job_id=caller, caller=caller), 1)
             jobs.append(job)
-        assert caller_caps(jobs, 16) == {"north": 8, "south": 8}
+        assert caller_limits(jobs, 16) == {"north": 8, "south": 8}
         jobs[1].at_risk = True
-        assert caller_caps(jobs, 16) == {"north": 4, "south": 12}
+        assert caller_limits(jobs, 16) == {"north": 4, "south": 12}
 
     def test_many_early_jobs_do_not_starve_another_caller(self) -> None:
         # Symptom: a caller's small job waits for hours behind another caller's jobs.
@@ -221,11 +224,13 @@
         deps = world.start("a").deps
         world.platform.fail(Fault.LOST_AFTER, call="create", key="x")
         world.platform.fail(Fault.LOST_BEFORE, key="x", times=1_000)
-        first = world.settle(store_access.offer(deps, "x", b"mine", 0, False))
+        first = world.settle(store_access.retry_safe_write(deps, "x", b"mine", 0, False))
         assert first == Err(StoreError.LOST)
         world.platform.clear_faults()
-        assert isinstance(now(store_access.offer(deps, "x", b"mine", 0, True)), Ok)
-        assert now(store_access.offer(deps, "x", b"other", 0, True)) == Err(StoreError.CONFLICT)
+        assert isinstance(now(store_access.retry_safe_write(deps, "x", b"mine", 0, True)), Ok)
+        assert now(store_access.retry_safe_write(deps, "x", b"other", 0, True)) == Err(
+            StoreError.CONFLICT
+        )
 
 
 class TestExpiry:
