--- a/tests/batch_world.py
+++ b/tests/batch_world.py
@@ -1,9 +1,9 @@
-"""Run batch work of several instances on an in-memory platform and a scripted fleet.
+"""Run batch jobs of several instances on an in-memory platform and a fake upstream.
 
-Each instance runs behind a Gate. While the gate is shut, nothing of the instance runs: its
-timers, the answers of the store and of the fleet, and its peers' messages wait, as they do
-for a process that is stopped by a signal. An instance that is lost is one whose gate is
-never opened again. Its calls that are under way at the store and the fleet take effect.
+Each instance runs behind a gate. While the gate is closed, nothing of the instance runs: its
+timers, the replies of the store and of the upstream, and its peers' messages wait, as for a
+process that is stopped by a signal. The gate of a lost instance is never opened again. Its
+calls in flight to the store and the upstream take effect.
 """
 
 import json
@@ -34,7 +34,7 @@
 from tests.fake_store import FakePlatform
 
 T = TypeVar("T")
-Answer = Result[Reply, Refusal]
+ReplyResult = Result[Reply, Refusal]
 
 DEFAULTS = BatchSettings(shards=8)
 URL = "/v1/chat/completions"
@@ -46,47 +46,47 @@
 }
 
 
-class BrokenWork(logbook.Handler):  # type: ignore[misc]
-    """Collect the failures of background work, which are logged and not raised."""
+class BackgroundFailures(logbook.Handler):  # type: ignore[misc]
+    """Collect the failures of background coroutines, which are logged and not raised."""
 
     def __init__(self) -> None:
         super().__init__(logbook.ERROR, bubble=True)
-        self.seen: list[Any] = []
+        self.failures: list[Any] = []
 
     def emit(self, record: logbook.LogRecord) -> None:
         if record.extra["event"] is events.BATCH_BROKEN:
-            self.seen.append(record.extra["fields"])
+            self.failures.append(record.extra["fields"])
 
 
-BROKEN_WORK = BrokenWork()
-BROKEN_WORK.push_application()
+BACKGROUND_FAILURES = BackgroundFailures()
+BACKGROUND_FAILURES.push_application()
 
 
 class Gate:
-    """Hold back what would run in an instance that is paused."""
+    """Delay everything that would run in a paused instance."""
 
     def __init__(self) -> None:
-        self.shut = False
+        self.is_closed = False
         self._waiting: list[Callable[[], object]] = []
 
     def run(self, call: Callable[[], object]) -> None:
         """Run a call now, or when the gate opens."""
-        if self.shut:
+        if self.is_closed:
             self._waiting.append(call)
         else:
             call()
 
     def open(self) -> None:
-        """Run what has waited, in its order."""
-        self.shut = False
+        """Run the waiting calls in order."""
+        self.is_closed = False
         waiting, self._waiting = self._waiting, []
         for call in waiting:
             self.run(call)
 
-    async def behind(self, work: Awaitable[T]) -> T:
-        """Await something outside, and come back through the gate."""
+    async def await_open(self, work: Awaitable[T]) -> T:
+        """Await an external operation, and return its result when the gate is open."""
         done = await work
-        if self.shut:
+        if self.is_closed:
             opened: Deferred[None] = Deferred()
             self._waiting.append(lambda: opened.callback(None))
             await opened
@@ -114,7 +114,7 @@
 
 
 class _Timer:
-    """Let a timer be cancelled also when it is due and waits at the gate."""
+    """Wrap a timer that can also be cancelled while it is due and waits at the gate."""
 
     def __init__(self, timer: Any) -> None:
         self.cancelled = False
@@ -130,77 +130,78 @@
 
 
 def gated_store(store: Store, gate: Gate) -> Store:
-    """Make the answers of a store wait at the gate."""
+    """Delay the replies of a store while the gate is closed."""
 
     def wrap(call: Any) -> Any:
-        return lambda *args: gate.behind(call(*args))
+        return lambda *args: gate.await_open(call(*args))
 
     return store._replace(**{name: wrap(getattr(store, name)) for name in STORE_CALLS})
 
 
-class FakeFleet:
-    """Answer items, and count how often each call ran and was cancelled.
+class FakeUpstream:
+    """Reply to items, and count how often each call ran and was cancelled.
 
-    With hold set, items run until a test answers them. on_run sees every send.
+    With hold_replies set, items run until a test releases them. on_run is called for every
+    send.
     """
 
     def __init__(self, slots: int = 8) -> None:
         self.slots = slots
-        self.hold = False
-        self.runs: Counter[str] = Counter()
+        self.hold_replies = False
+        self.run_counts: Counter[str] = Counter()
         self.cancelled: Counter[str] = Counter()
-        self.held: list[tuple[ItemCall, Deferred[Answer]]] = []
-        self.answer: Callable[[ItemCall], Answer] = lambda call: Ok(reply(call.call_id))
+        self.unanswered: list[tuple[ItemCall, Deferred[ReplyResult]]] = []
+        self.make_outcome: Callable[[ItemCall], ReplyResult] = lambda call: Ok(reply(call.call_id))
         self.on_run: Callable[[str, ItemCall], None] = lambda _instance, _call: None
 
     def dispatch(self, instance: str, gate: Gate) -> BatchDispatch:
-        """Make the dispatch of one instance."""
+        """Create the dispatch of one instance."""
         running: set[str] = set()
 
-        async def run(call: ItemCall) -> Answer:
+        async def run(call: ItemCall) -> ReplyResult:
             assert call.still_allowed()
-            self.runs[call.call_id] += 1
+            self.run_counts[call.call_id] += 1
             self.on_run(instance, call)
-            if not self.hold:
-                return self._end(call)
+            if not self.hold_replies:
+                return self._make_result(call)
             running.add(call.call_id)
             try:
-                return await gate.behind(self._wait(call))
+                return await gate.await_open(self._wait(call))
             finally:
                 running.discard(call.call_id)
 
         return BatchDispatch(lambda _: self.slots - len(running), run, lambda _: None)
 
-    def _wait(self, call: ItemCall) -> Deferred[Answer]:
-        def cancel(_: Deferred[Answer]) -> None:
+    def _wait(self, call: ItemCall) -> Deferred[ReplyResult]:
+        def cancel(_: Deferred[ReplyResult]) -> None:
             self.cancelled[call.call_id] += 1
-            self.held = [one for one in self.held if one[1] is not waiting]
+            self.unanswered = [entry for entry in self.unanswered if entry[1] is not waiting]
 
-        waiting: Deferred[Answer] = Deferred(cancel)
-        self.held.append((call, waiting))
+        waiting: Deferred[ReplyResult] = Deferred(cancel)
+        self.unanswered.append((call, waiting))
         return waiting
 
-    def release(self, most: int = 1_000_000) -> None:
-        """Answer items that are held."""
-        for _ in range(min(most, len(self.held))):
-            call, waiting = self.held.pop(0)
-            waiting.callback(self._end(call))
+    def release(self, max_items: int = 1_000_000) -> None:
+        """Reply to items that are running."""
+        for _ in range(min(max_items, len(self.unanswered))):
+            call, waiting = self.unanswered.pop(0)
+            waiting.callback(self._make_result(call))
 
-    def _end(self, call: ItemCall) -> Answer:
-        answer = self.answer(call)
-        if isinstance(answer, Err) and answer.err_value.outcome is Outcome.NOT_RUN:
-            self.runs[call.call_id] -= 1
-        return answer
+    def _make_result(self, call: ItemCall) -> ReplyResult:
+        reply_result = self.make_outcome(call)
+        if isinstance(reply_result, Err) and reply_result.err_value.outcome is Outcome.NOT_RUN:
+            self.run_counts[call.call_id] -= 1
+        return reply_result
 
 
 def reply(text: str, status: int = 200) -> Reply:
-    """Make an answer."""
+    """Create a reply."""
     body = json.dumps({"text": text}).encode()
     return Reply(status, "application/json", body, "", 1, "stop", None, 1, 1)
 
 
-def now(work: Any) -> Any:
-    """Return the result of a coroutine that ends at once."""
+def result_now(work: Any) -> Any:
+    """Return the result of a coroutine that finishes without waiting."""
     out: list[Any] = []
     Deferred.fromCoroutine(work).addBoth(out.append)
     assert out, "still waiting"
@@ -208,21 +209,21 @@
 
 
 class World:
-    """Hold a platform, a fleet and instances on one fake clock."""
+    """Hold a platform, an upstream and instances that share a fake clock."""
 
     def __init__(self, cfg: BatchSettings = DEFAULTS, clock: Clock | None = None) -> None:
         invariants.raise_on_failure(True)
         invariants.BROKEN.clear()
-        BROKEN_WORK.seen.clear()
+        BACKGROUND_FAILURES.failures.clear()
         self.fake = fake_clock()
         self.clock = clock or self.fake.clock
         self.platform = FakePlatform(self.clock)
-        self.fleet = FakeFleet()
+        self.upstream = FakeUpstream()
         self.cfg = cfg
         self.rand = random.Random(7)
         self.instances: dict[str, Batch] = {}
         self.gates: dict[str, Gate] = {}
-        self.peers_cut = False
+        self.peers_disconnected = False
         self.profiles = dict(PROFILES)
 
     def start(self, name: str) -> Batch:
@@ -233,40 +234,40 @@
             clock=clock,
             rand=self.rand,
             store=gated_store(self.platform.store(name), gate),
-            dispatch=self.fleet.dispatch(name, gate),
+            dispatch=self.upstream.dispatch(name, gate),
             cfg=self.cfg,
             instance=name,
             boot=self.rand.getrandbits(32),
             profile=self.profiles.get,
             live_instances=lambda: list(self.instances),
-            tell_peers=lambda message: self._tell(name, message),
+            tell_peers=lambda message: self._broadcast(name, message),
             metrics=make_metrics(),
         )
         self.instances[name] = start_batch(deps)
         return self.instances[name]
 
-    def _tell(self, sender: str, message: Message) -> None:
+    def _broadcast(self, sender: str, message: Message) -> None:
         for name, batch in self.instances.items():
-            if name != sender and not self.peers_cut:
-                self.clock.call_later(0, partial(self._hear, name, batch, message))
+            if name != sender and not self.peers_disconnected:
+                self.clock.call_later(0, partial(self._deliver, name, batch, message))
 
-    def _hear(self, name: str, batch: Batch, message: Message) -> None:
+    def _deliver(self, name: str, batch: Batch, message: Message) -> None:
         self.gates[name].run(partial(batch.on_peer, message))
 
-    def lose(self, name: str) -> None:
-        """Lose an instance for good."""
-        self.gates[name].shut = True
+    def crash(self, name: str) -> None:
+        """Stop an instance permanently, as a crash does."""
+        self.gates[name].is_closed = True
         del self.instances[name]
 
     def advance(self, ms: int, step: int = 50) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         for _ in range(0, ms, step):
             self.fake.advance(step)
         assert invariants.broken_count() == 0, invariants.BROKEN
-        assert BROKEN_WORK.seen == []
+        assert BACKGROUND_FAILURES.failures == []
 
-    def settle(self, work: Any) -> Any:
-        """Return the result of a coroutine, letting as much time pass as it needs."""
+    def run_until_done(self, work: Any) -> Any:
+        """Return the result of a coroutine, advancing the clock as far as needed."""
         out: list[Any] = []
         Deferred.fromCoroutine(work).addBoth(out.append)
         for _ in range(500):
@@ -276,41 +277,43 @@
         raise AssertionError("still waiting")
 
     def upload(self, batch: Batch, count: int) -> FileRecord:
-        """Upload a file of so many items."""
+        """Upload a file with the given number of items."""
         intake = batch.new_file(CALLER, "in.jsonl", "batch")
         for n in range(count):
             line = {"custom_id": f"c{n}", "url": URL, "body": {"n": n}}
-            assert now(intake.feed(json.dumps(line).encode() + b"\n")) is None
-        done: Result[FileRecord, Refusal] = self.settle(intake.finish())
+            assert result_now(intake.feed(json.dumps(line).encode() + b"\n")) is None
+        done: Result[FileRecord, Refusal] = self.run_until_done(intake.finish())
         return done.unwrap()
 
     def request(self, file: FileRecord, profile: str = "notes", key: str = "") -> JobRequest:
-        """Make the request for a job."""
+        """Create the request for a job."""
         return JobRequest(CALLER, key, file.file_id, URL, "24h", {}, profile, 0)
 
     def submit(
         self, batch: Batch, file: FileRecord, profile: str = "notes", key: str = ""
     ) -> FoundJob:
         """Submit a job."""
-        done: Result[FoundJob, Refusal] = now(batch.jobs.accept(self.request(file, profile, key)))
+        done: Result[FoundJob, Refusal] = result_now(
+            batch.jobs.accept(self.request(file, profile, key))
+        )
         return done.unwrap()
 
     def job(self, batch: Batch, found: FoundJob) -> FoundJob:
         """Read a job."""
-        done: Result[FoundJob, Refusal] = now(batch.views.job(CALLER, found.record.job_id))
+        done: Result[FoundJob, Refusal] = result_now(batch.views.job(CALLER, found.record.job_id))
         return done.unwrap()
 
     def lines(self, batch: Batch, found: FoundJob) -> list[Any]:
-        """Read every line of a job's results and errors."""
+        """Return every line of a job's results and errors."""
         lines: list[Any] = []
         for prefix in ("file-out-", "file-err-"):
-            output = now(batch.views.output(CALLER, prefix + found.record.job_id)).unwrap()
+            output = result_now(batch.views.output(CALLER, prefix + found.record.job_id)).unwrap()
             errors: list[Any] = []
-            text = now(_joined(batch.views.output_lines(output, errors.append)))
+            text = result_now(_join_pieces(batch.views.output_lines(output, errors.append)))
             assert not errors
             lines += [json.loads(line) for line in text.splitlines()]
         return lines
 
 
-async def _joined(pieces: Any) -> bytes:
+async def _join_pieces(pieces: Any) -> bytes:
     return b"".join([piece async for piece in pieces])
--- a/tests/test_batch_http.py
+++ b/tests/test_batch_http.py
@@ -1,4 +1,4 @@
-"""Test the routes for files and batch jobs over real sockets."""
+"""Test the routes for files and batch jobs over loopback connections."""
 
 import io
 import json
@@ -118,7 +118,7 @@
 
         return Deferred.fromCoroutine(run())
 
-    def test_malformed_line_is_named_and_nothing_is_kept(self) -> Deferred[None]:
+    def test_malformed_line_is_refused_and_nothing_is_stored(self) -> Deferred[None]:
         async def run() -> None:
             data = lines(2500) + b'{"custom_id": "x", "url": "/v1/chat/completions", "bod\n'
             code, refused = await self.upload(data)
--- a/tests/test_batch_machines.py
+++ b/tests/test_batch_machines.py
@@ -1,4 +1,4 @@
-"""Test batch work by hypothesis state machines: the core of a task, and whole instances."""
+"""Test batch processing with hypothesis state machines: one task's state, and whole instances."""
 
 import random
 from collections import Counter
@@ -31,13 +31,13 @@
 SIZE = 6
 ATTEMPTS = 3
 IDS = [f"c{n}" for n in range(SIZE)]
-SETTLED_MS = 120_000
+MAX_SETTLE_MS = 120_000
 
 
 class TaskMachine(RuleBasedStateMachine):
     """Run one task through holders that are lost and replaced at any point.
 
-    sends counts what replicas saw. stored is the checkpoint in the store, as it was packed.
+    sends counts the sends to replicas. stored is the checkpoint in the store.
     """
 
     @initialize(idempotent=st.booleans())
@@ -94,7 +94,7 @@
     @precondition(lambda self: self.pending_save is not None)
     @rule(told=st.booleans())
     def take_checkpoint(self, told: bool) -> None:
-        """Let the store take the checkpoint; the holder may be lost before it hears of it."""
+        """Store the checkpoint; the holder may be lost before it receives the reply."""
         self.version += 1
         self.stored = self.pending_save
         self.pending_save = None
@@ -105,7 +105,7 @@
 
     @rule()
     def lose(self) -> None:
-        """Lose the holder: the next one knows what is stored, and no more."""
+        """Replace the holder by one that knows only what is stored."""
         self.losses += 1
         self.running = []
         self.pending_save = None
@@ -119,7 +119,7 @@
     @rule()
     def record(self) -> None:
         final = self.state.final_results("w", 1)
-        assert sorted(one.item for one in final.results) == list(range(SIZE))
+        assert sorted(entry.item for entry in final.results) == list(range(SIZE))
 
     @invariant()
     def nothing_runs_too_often(self) -> None:
@@ -128,7 +128,7 @@
         if not self.idempotent:
             assert max(self.sends.values(), default=0) <= 1
         ended = [self.state.result_of(item) for item in self.state.ended]
-        assert all(one is not None and one.attempts <= ATTEMPTS for one in ended)
+        assert all(entry is not None and entry.attempts <= ATTEMPTS for entry in ended)
 
     @invariant()
     def counts_add_up(self) -> None:
@@ -142,17 +142,17 @@
 
 
 class WorldMachine(RuleBasedStateMachine):
-    """Run jobs on several instances while everything fails that may fail.
+    """Run jobs on several instances under injected faults.
 
-    At the end every fault is taken away, and every accepted job must end with one result an
-    item; the fleet's own counts tell what ran how often.
+    At the end all faults are removed; then every accepted job must end with one result per
+    item. The fake upstream counts how often each item ran.
     """
 
     @initialize(seed=st.integers(0, 1_000))
     def begin(self, seed: int) -> None:
         self.world = World()
         self.world.rand = random.Random(seed)
-        self.world.fleet.hold = True
+        self.world.upstream.hold_replies = True
         self.jobs: dict[str, FoundJob] = {}
         self.files: dict[str, Any] = {}
         self.cancelled: set[str] = set()
@@ -164,7 +164,7 @@
         self.world.advance(3_000)
 
     def open_names(self) -> list[str]:
-        return [name for name in self.world.instances if not self.world.gates[name].shut]
+        return [name for name in self.world.instances if not self.world.gates[name].is_closed]
 
     def pick(self, number: int) -> str:
         names = self.open_names()
@@ -176,7 +176,7 @@
 
     @rule(most=st.sampled_from([1, 10, 1_000]))
     def answer(self, most: int) -> None:
-        self.world.fleet.release(most)
+        self.world.upstream.release(most)
         self.world.advance(100)
 
     @rule(kind=st.sampled_from(["ok", "crash", "away"]))
@@ -186,7 +186,7 @@
             "crash": lambda call: Err(refused_unknown(ErrorKind.UPSTREAM_FAILED, "crash")),
             "away": lambda call: Err(not_run(ErrorKind.NO_UPSTREAM, "away")),
         }
-        self.world.fleet.answer = answers[kind]
+        self.world.upstream.make_outcome = answers[kind]
 
     @precondition(lambda self: len(self.jobs) < 4 and self.open_names())
     @rule(number=st.integers(0, 9), profile=st.sampled_from(["notes", "bookings"]))
@@ -237,12 +237,12 @@
     @precondition(lambda self: len(self.open_names()) > 1)
     @rule(number=st.integers(0, 9))
     def lose(self, number: int) -> None:
-        self.world.lose(self.pick(number))
+        self.world.crash(self.pick(number))
 
     @precondition(lambda self: len(self.open_names()) > 1)
     @rule(number=st.integers(0, 9))
     def pause(self, number: int) -> None:
-        self.world.gates[self.pick(number)].shut = True
+        self.world.gates[self.pick(number)].is_closed = True
 
     @rule()
     def go_on(self) -> None:
@@ -270,7 +270,7 @@
 
     @rule(cut=st.booleans())
     def cut_peers(self, cut: bool) -> None:
-        self.world.peers_cut = cut
+        self.world.peers_disconnected = cut
 
     @rule(down=st.booleans())
     def outage(self, down: bool) -> None:
@@ -287,20 +287,24 @@
         world = self.world
         world.platform.down = False
         world.platform.clear_faults()
-        world.fleet.answer = lambda call: Ok(reply(call.call_id))
-        world.fleet.hold = False
+        world.upstream.make_outcome = lambda call: Ok(reply(call.call_id))
+        world.upstream.hold_replies = False
         self.go_on()
-        for _ in range(SETTLED_MS // 1_000):
-            world.fleet.release()
+        for _ in range(MAX_SETTLE_MS // 1_000):
+            world.upstream.release()
             world.advance(1_000, step=100)
             if self.all_ended():
                 break
         assert not self.failures, self.failures
         for key in self.jobs:
             self.check(key)
-        guarded = [found for key, found in self.jobs.items() if self.files[key][1] == "bookings"]
-        for found in guarded:
-            runs = [n for call, n in world.fleet.runs.items() if found.record.job_id in call]
+        non_idempotent = [
+            found for key, found in self.jobs.items() if self.files[key][1] == "bookings"
+        ]
+        for found in non_idempotent:
+            runs = [
+                n for call, n in world.upstream.run_counts.items() if found.record.job_id in call
+            ]
             assert max(runs, default=0) <= 1
 
     failures: list[Any]
@@ -320,7 +324,7 @@
         assert found.ended, found.record
         lines = world.lines(batch, found)
         assert Counter(line["custom_id"] for line in lines) == Counter(f"c{n}" for n in range(70))
-        counted = Counter((one["error"] or {"state": "completed"})["state"] for one in lines)
+        counted = Counter((entry["error"] or {"state": "completed"})["state"] for entry in lines)
         assert counted == Counter({k: v for k, v in found.record.tally._asdict().items() if v})
         was_cancelled = found.record.state is JobState.CANCELLED
         assert was_cancelled or key not in self.cancelled
--- a/tests/test_batch_parts.py
+++ b/tests/test_batch_parts.py
@@ -1,4 +1,4 @@
-"""Test the parts of batch work one by one."""
+"""Test the modules of batch processing separately."""
 
 import json
 from collections import Counter
@@ -20,12 +20,12 @@
 from papayapier.settings import BatchSettings
 from papayapier.store.api import StoreError
 from papayapier.upstream.api import Reply
-from tests.batch_world import CALLER, DEFAULTS, PROFILES, URL, World, now
+from tests.batch_world import CALLER, DEFAULTS, PROFILES, URL, World, result_now
 from tests.fake_store import Fault
 
 DERANDOMIZED = settings(derandomize=True, deadline=None, database=None, max_examples=60)
 DAY_MS = 86_400_000
-KEPT_MS = 1_500_000
+RETENTION_MS = 1_500_000
 
 
 def line(custom_id: str = "c", url: str = URL, body: str = "{}", **more: Any) -> bytes:
@@ -34,12 +34,12 @@
 
 
 class TestLines:
-    def test_body_is_kept_as_it_came(self) -> None:
+    def test_body_bytes_are_unchanged(self) -> None:
         parsed = parse_line(line(body='{"b":1,  "a": 1.50}'), 1)
         item = parsed.unwrap()
         assert item is not None and item.body == b'{"b":1,  "a": 1.50}'
 
-    def test_faults_are_named(self) -> None:
+    def test_invalid_lines_are_refused_with_reason(self) -> None:
         faults = {
             line(custom_id=""): "length >= 1",
             line(url="/v1/unknown"): "url: /v1/unknown is not served",
@@ -75,11 +75,13 @@
         while data:
             piece, data = data[: cuts[0]], data[cuts[0] :]
             cuts = cuts[1:] + cuts[:1]
-            assert now(intake.feed(piece)) is None
-        record = world.settle(intake.finish()).unwrap()
+            assert result_now(intake.feed(piece)) is None
+        record = world.run_until_done(intake.finish()).unwrap()
         assert record.items() == count and max(record.chunks) <= 10
-        lines = now(joined(world.instances["a"].views.input_lines(record, print)))
-        assert [json.loads(one)["body"]["n"] for one in lines.splitlines()] == list(range(count))
+        lines = result_now(join_pieces(world.instances["a"].views.input_lines(record, print)))
+        assert [json.loads(entry)["body"]["n"] for entry in lines.splitlines()] == list(
+            range(count)
+        )
 
     def test_refusals_name_the_line(self) -> None:
         cases = {
@@ -91,26 +93,28 @@
         }
         for data, reason in cases.items():
             _, intake = self.intake(max_items=5)
-            refusal = now(intake.feed(data)) or now(intake.finish()).unwrap_err()
+            refusal = result_now(intake.feed(data)) or result_now(intake.finish()).unwrap_err()
             assert refusal.reason.startswith(reason)
 
     def test_file_over_its_bound(self) -> None:
         _, intake = self.intake(max_file_bytes=1_000)
-        assert now(intake.feed(line() + b"\n" + b" " * 900)) is None
-        assert now(intake.feed(b" " * 900)).kind is ErrorKind.TOO_LARGE
+        assert result_now(intake.feed(line() + b"\n" + b" " * 900)) is None
+        assert result_now(intake.feed(b" " * 900)).kind is ErrorKind.TOO_LARGE
 
     def test_large_items_make_small_chunks(self) -> None:
         world, intake = self.intake()
         for n in range(20):
-            assert now(intake.feed(line(f"c{n}", body=json.dumps({"t": "x" * 99_000})))) is None
-            now(intake.feed(b"\n"))
-        record = world.settle(intake.finish()).unwrap()
+            assert (
+                result_now(intake.feed(line(f"c{n}", body=json.dumps({"t": "x" * 99_000})))) is None
+            )
+            result_now(intake.feed(b"\n"))
+        record = world.run_until_done(intake.finish()).unwrap()
         assert sum(record.chunks) == 20 and max(record.chunks) <= 4
-        assert max(len(one.value) for one in world.platform.objects.values()) < 1_000_000
+        assert max(len(entry.value) for entry in world.platform.objects.values()) < 1_000_000
 
 
 class TestIds:
-    def test_place_of_an_id_in_blocks(self) -> None:
+    def test_position_of_id_in_blocks(self) -> None:
         index = ids.IdIndex()
         for n in range(ids.IDS_PER_BLOCK + 10):
             index.add(f"c{n}")
@@ -157,8 +161,8 @@
         assert moved <= 16
 
 
-class TestCallerCaps:
-    def test_parts_are_equal_but_for_jobs_at_risk(self) -> None:
+class TestCallerLimits:
+    def test_shares_are_equal_except_for_jobs_at_risk(self) -> None:
         world = World()
         batch = world.start("a")
         jobs = []
@@ -171,94 +175,101 @@
         assert caller_limits(jobs, 16) == {"north": 4, "south": 12}
 
     def test_many_early_jobs_do_not_starve_another_caller(self) -> None:
-        # Symptom: a caller's small job waits for hours behind another caller's jobs.
-        # Sequence: one caller submits large jobs with early due times, then the other comes.
-        # Cause: capacity goes by due time alone.
+        """Check that a caller's small job does not wait for hours behind another caller's jobs.
+
+        One caller submits large jobs with early due times before the other caller's job;
+        capacity must not be assigned by due time alone.
+        """
         world = World()
-        world.fleet.hold = True
+        world.upstream.hold_replies = True
         batch = world.start("a")
         world.advance(2_000)
         file = world.upload(batch, 400)
         early = world.request(file)._replace(due_ms=world.clock.wall() + 60_000)
-        now(batch.jobs.accept(early)).unwrap()
+        result_now(batch.jobs.accept(early)).unwrap()
         later = world.request(file)._replace(due_ms=world.clock.wall() + DAY_MS)
         intake = batch.new_file("karavany", "in", "batch")
-        now(intake.feed(line()))
-        small = later._replace(caller="karavany", file_id=now(intake.finish()).unwrap().file_id)
+        result_now(intake.feed(line()))
+        small = later._replace(
+            caller="karavany", file_id=result_now(intake.finish()).unwrap().file_id
+        )
         world.advance(200)
-        accepted = now(batch.jobs.accept(small)).unwrap()
+        accepted = result_now(batch.jobs.accept(small)).unwrap()
         world.advance(200)
-        world.fleet.release(1)
+        world.upstream.release(1)
         world.advance(1_000)
-        assert any(accepted.record.job_id in call.call_id for call, _ in world.fleet.held)
+        assert any(accepted.record.job_id in call.call_id for call, _ in world.upstream.unanswered)
 
 
-class TestRisk:
-    def test_job_at_risk_is_told_early(self) -> None:
+class TestDeadlineRisk:
+    def test_job_at_risk_is_reported_early(self) -> None:
         world = World()
-        world.fleet.hold = True
+        world.upstream.hold_replies = True
         batch = world.start("a")
         world.advance(2_000)
         request = world.request(world.upload(batch, 400))
         due = world.clock.wall() + 120_000
-        now(batch.jobs.accept(request._replace(due_ms=due))).unwrap()
+        result_now(batch.jobs.accept(request._replace(due_ms=due))).unwrap()
         for _ in range(10):
             world.advance(1_000)
-            world.fleet.release(1)
+            world.upstream.release(1)
         gauge = batch.deps.metrics.registry.get_sample_value
         assert gauge("papayapier_jobs_at_risk") == 1
         assert world.clock.wall() < due - 100_000
-        world.fleet.hold = False
-        world.fleet.release()
+        world.upstream.hold_replies = False
+        world.upstream.release()
         world.advance(3_000)
         assert gauge("papayapier_jobs_at_risk") == 0
 
 
-class TestSaves:
-    def test_offer_after_a_lost_answer_finds_its_own_value(self) -> None:
-        # Symptom: a task drops its results, though the store has them.
-        # Sequence: the write takes effect, its answer and all repeats are lost; minutes later
-        # the same write is offered again and conflicts.
-        # Cause: the conflict is taken for another writer's.
+class TestStoreAccess:
+    def test_retry_after_lost_reply_finds_own_value(self) -> None:
+        """Check that a task does not drop results that the store has.
+
+        A write takes effect, but its reply and those of all retries are lost. Minutes later the
+        same write is retried and conflicts; this must not be attributed to another writer.
+        """
         world = World()
         deps = world.start("a").deps
         world.platform.fail(Fault.LOST_AFTER, call="create", key="x")
         world.platform.fail(Fault.LOST_BEFORE, key="x", times=1_000)
-        first = world.settle(store_access.retry_safe_write(deps, "x", b"mine", 0, False))
+        first = world.run_until_done(store_access.retry_safe_write(deps, "x", b"mine", 0, False))
         assert first == Err(StoreError.LOST)
         world.platform.clear_faults()
-        assert isinstance(now(store_access.retry_safe_write(deps, "x", b"mine", 0, True)), Ok)
-        assert now(store_access.retry_safe_write(deps, "x", b"other", 0, True)) == Err(
+        assert isinstance(
+            result_now(store_access.retry_safe_write(deps, "x", b"mine", 0, True)), Ok
+        )
+        assert result_now(store_access.retry_safe_write(deps, "x", b"other", 0, True)) == Err(
             StoreError.CONFLICT
         )
 
 
 class TestExpiry:
-    def test_what_is_past_its_time_goes(self) -> None:
-        world = World(DEFAULTS._replace(retention_ms=KEPT_MS))
+    def test_expired_objects_are_deleted(self) -> None:
+        world = World(DEFAULTS._replace(retention_ms=RETENTION_MS))
         batch = world.start("a")
         world.advance(2_000)
         job = world.submit(batch, world.upload(batch, 100))
         unused = world.upload(batch, 5)
         world.advance(5_000)
         assert world.job(batch, job).ended
-        now(batch.delete_file(CALLER, unused.file_id)).unwrap()
+        result_now(batch.delete_file(CALLER, unused.file_id)).unwrap()
         world.advance(800_000, step=1_000)
         assert not keys_of(world, unused.file_id)
         assert keys_of(world, job.record.job_id) and keys_of(world, job.record.file_id)
-        world.advance(KEPT_MS, step=1_000)
+        world.advance(RETENTION_MS, step=1_000)
         assert not keys_of(world, job.record.job_id) and not keys_of(world, job.record.file_id)
         assert not [key for key in world.platform.objects if key.startswith("expiry/")]
 
     def test_input_of_an_active_job_stays(self) -> None:
-        world = World(DEFAULTS._replace(retention_ms=KEPT_MS))
-        world.fleet.hold = True
+        world = World(DEFAULTS._replace(retention_ms=RETENTION_MS))
+        world.upstream.hold_replies = True
         batch = world.start("a")
         world.advance(2_000)
         job = world.submit(batch, world.upload(batch, 100))
-        refused = now(batch.delete_file(CALLER, job.record.file_id)).unwrap_err()
+        refused = result_now(batch.delete_file(CALLER, job.record.file_id)).unwrap_err()
         assert refused.kind is ErrorKind.STILL_RUNNING
-        world.advance(KEPT_MS + 200_000, step=1_000)
+        world.advance(RETENTION_MS + 200_000, step=1_000)
         assert keys_of(world, job.record.file_id)
 
 
@@ -269,59 +280,62 @@
         world.advance(2_000)
         text = json.dumps({"text": "x" * 90_000}).encode()
         big = Reply(200, "application/json", text, "", 1, "stop", None, 1, 1)
-        world.fleet.answer = lambda call: Ok(big)
+        world.upstream.make_outcome = lambda call: Ok(big)
         job = world.submit(batch, world.upload(batch, 60))
         world.advance(5_000)
         assert world.job(batch, job).record.tally.completed == 60
         lines = world.lines(batch, job)
-        assert len({one["custom_id"] for one in lines}) == 60
+        assert len({entry["custom_id"] for entry in lines}) == 60
         assert any(key.startswith(keys.spill_prefix("")[:6]) for key in world.platform.objects)
 
     def test_memory_full_of_unfinished_tasks(self) -> None:
-        # Symptom: batch work stands still for good, with the store and the fleet well.
-        # Sequence: the open tasks' results reach the bound before any task is finished.
-        # Cause: only finished tasks are stored, and at the bound nothing is sent.
+        """Check that batch jobs do not stall when open tasks' results fill the memory.
+
+        The bound is reached before any task is finished, and at the bound nothing is sent; so
+        the results of unfinished tasks must be stored as well.
+        """
         world = World(DEFAULTS._replace(result_buffer_bytes=1_000_000))
         batch = world.start("a")
         world.advance(2_000)
         text = json.dumps({"text": "x" * 60_000}).encode()
         big = Reply(200, "application/json", text, "", 1, "stop", None, 1, 1)
-        world.fleet.answer = lambda call: Ok(big)
+        world.upstream.make_outcome = lambda call: Ok(big)
         jobs = [world.submit(batch, world.upload(batch, 60), name) for name in PROFILES]
         world.advance(20_000)
         assert all(world.job(batch, job).ended for job in jobs)
 
 
 class TestStreaming:
-    def test_slow_reader_stops_the_reading(self) -> None:
-        # Symptom: an instance runs out of memory while a caller downloads results.
-        # Sequence: the caller reads slowly; the pieces are read from the store at full speed.
-        # Cause: nothing waits for the connection.
+    def test_slow_reader_pauses_store_reads(self) -> None:
+        """Check that a slow download of results does not exhaust an instance's memory.
+
+        The store must not be read faster than the connection accepts data.
+        """
         request: Any = SlowRequest()
         done: list[bool] = []
         Deferred.fromCoroutine(write_all(request, request.pieces())).addCallback(done.append)
-        assert (request.made, done) == (1, [])
-        request.pace.resumeProducing()
-        assert (request.made, done) == (2, [])
-        request.pace.stopProducing()
-        assert (request.made, done) == (2, [False])
+        assert (request.piece_count, done) == (1, [])
+        request.producer.resumeProducing()
+        assert (request.piece_count, done) == (2, [])
+        request.producer.stopProducing()
+        assert (request.piece_count, done) == (2, [False])
 
 
 class SlowRequest:
     """Pause the writer after each piece."""
 
-    pace: Any = None
-    made = 0
+    producer: Any = None
+    piece_count = 0
 
-    def registerProducer(self, pace: Any, _streaming: bool) -> None:  # noqa: N802
-        self.pace = pace
+    def registerProducer(self, producer: Any, _streaming: bool) -> None:  # noqa: N802
+        self.producer = producer
 
     def write(self, _data: bytes) -> None:
-        self.pace.pauseProducing()
+        self.producer.pauseProducing()
 
     async def pieces(self) -> Any:
         for _ in range(5):
-            self.made += 1
+            self.piece_count += 1
             yield b"piece"
 
 
@@ -330,5 +344,5 @@
     return [key for key in kept if part in key]
 
 
-async def joined(pieces: Any) -> bytes:
+async def join_pieces(pieces: Any) -> bytes:
     return b"".join([piece async for piece in pieces])
