--- a/papayapier/batch/jobs.py
+++ b/papayapier/batch/jobs.py
@@ -104,9 +104,9 @@
         file = await self._usable_file(request.caller, request.file_id)
         if isinstance(file, Err):
             return file
-        fault = _invalid_reason(request, file.ok_value)
-        if fault:
-            return Err(not_run(ErrorKind.BAD_REQUEST, fault))
+        invalid_reason = _invalid_reason(request, file.ok_value)
+        if invalid_reason:
+            return Err(not_run(ErrorKind.BAD_REQUEST, invalid_reason))
         return await self._create(
             request, self._new_record(request, profile, window, file.ok_value)
         )
--- a/papayapier/batch/results.py
+++ b/papayapier/batch/results.py
@@ -34,8 +34,8 @@
 NO_CANCEL: Final = 0
 READ_TIMEOUT_MS: Final = 30_000
 LINES_PER_PIECE: Final = 100
-OUTPUT: Final = frozenset({ItemState.COMPLETED})
-ERRORS: Final = frozenset({ItemState.FAILED, ItemState.UNKNOWN, ItemState.CANCELLED})
+OUTPUT_STATES: Final = frozenset({ItemState.COMPLETED})
+ERROR_STATES: Final = frozenset({ItemState.FAILED, ItemState.UNKNOWN, ItemState.CANCELLED})
 
 
 class TaskView(NamedTuple):
@@ -154,10 +154,10 @@
                 on_error(rest.err_value)
                 return
             results = results + rest.ok_value
-        wanted = [result for result in results if result.state in states]
+        selected = [result for result in results if result.state in states]
         # Encoding a complete task at once would delay online requests.
-        for start in range(0, len(wanted), LINES_PER_PIECE):
-            piece = wanted[start : start + LINES_PER_PIECE]
+        for start in range(0, len(selected), LINES_PER_PIECE):
+            piece = selected[start : start + LINES_PER_PIECE]
             yield b"".join(output_line(record, span, result) for result in piece)
 
 
@@ -187,7 +187,7 @@
     )
 
 
-def input_line(item: InputItem) -> bytes:
+def encode_input_line(item: InputItem) -> bytes:
     """Encode an item as a line of its input file."""
     line = {
         "custom_id": item.custom_id,
--- a/papayapier/batch/view.py
+++ b/papayapier/batch/view.py
@@ -17,13 +17,13 @@
 from papayapier.batch.opening import OpenError, read_chunk, read_results
 from papayapier.batch.records import FileRecord, ItemResult, JobState
 from papayapier.batch.results import (
-    ERRORS,
+    ERROR_STATES,
     LINES_PER_PIECE,
     NO_CANCEL,
-    OUTPUT,
+    OUTPUT_STATES,
     TaskView,
     cancelled_results,
-    input_line,
+    encode_input_line,
     read_chunk_with_retry,
     stream_lines,
     view_task,
@@ -179,7 +179,7 @@
     ) -> AsyncIterator[bytes]:
         """Yield the lines of an output file, task by task."""
         job = output.job
-        states = ERRORS if output.errors else OUTPUT
+        states = ERROR_STATES if output.errors else OUTPUT_STATES
         return stream_lines(self._deps, job.record, cancel_version(job), states, on_error)
 
     async def input_lines(
@@ -194,7 +194,7 @@
             items = read.ok_value
             for start in range(0, len(items), LINES_PER_PIECE):
                 piece = items[start : start + LINES_PER_PIECE]
-                yield b"".join(input_line(item) for item in piece)
+                yield b"".join(encode_input_line(item) for item in piece)
 
 
 def cancel_version(job: FoundJob) -> int:
