--- a/papayapier/batch/lookup.py
+++ b/papayapier/batch/lookup.py
@@ -37,7 +37,7 @@
 ) -> Result[FoundFile, Refusal]:
     """Read the record of a caller's file; deleted: also return a file marked for deletion."""
     missing = not_run(ErrorKind.NOT_FOUND, f"no file is named {file_id}")
-    if not _is_name(file_id):
+    if not _is_valid_id(file_id):
         return Err(missing)
     read = await deps.store.get(keys.file_key(file_id))
     if isinstance(read, Err):
@@ -54,7 +54,7 @@
 async def find_job(deps: "BatchDeps", caller: str, job_id: str) -> Result[FoundJob, Refusal]:
     """Find a caller's job, active or ended."""
     missing = not_run(ErrorKind.NOT_FOUND, f"no job is named {job_id}")
-    if not _is_name(job_id):
+    if not _is_valid_id(job_id):
         return Err(missing)
     for key, ended in ((keys.active_key(job_id), False), (keys.ended_key(job_id), True)):
         read = await deps.store.get(key)
@@ -70,7 +70,7 @@
     return Err(missing)
 
 
-def _is_name(text: str) -> bool:
+def _is_valid_id(text: str) -> bool:
     """Return whether a caller's text can be part of a key."""
     return re.fullmatch(r"[A-Za-z0-9_-]{1,100}", text) is not None
 
--- a/papayapier/batch/records.py
+++ b/papayapier/batch/records.py
@@ -53,7 +53,7 @@
 
 
 class Tally(NamedTuple):
-    """Count ended items by their outcome; cancelled items were never sent."""
+    """Count ended items by their outcome; cancelled items never ran."""
 
     completed: int = 0
     failed: int = 0
--- a/papayapier/batch/runner.py
+++ b/papayapier/batch/runner.py
@@ -116,7 +116,7 @@
         """Stop the tasks of a shard and store their progress.
 
         Repeatable items are stopped; other items that were sent run to their end, for at most
-        the limit.
+        limit_ms.
         """
         deadline_ms = self._deps.clock.now() + limit_ms
         self._stop_shard(shard, wait_for_sent=True)
@@ -170,7 +170,7 @@
         return self._submitter.buffered_bytes()
 
     def profile_of(self, job: ActiveJob) -> "Profile":
-        """Return the current profile; items that must not be repeated at acceptance stay so."""
+        """Return the current profile; a job accepted as non-idempotent stays non-idempotent."""
         accepted = job.record.profile
         current = self._deps.profile(accepted.name) or accepted
         if current.idempotent and not accepted.idempotent:
--- a/papayapier/batch/task_state.py
+++ b/papayapier/batch/task_state.py
@@ -222,7 +222,10 @@
         return True
 
     def requeue(self, index: int, at_ms: int) -> None:
-        """Schedule another send of a running item that provably has not run."""
+        """Schedule another send of a running item without counting a failed attempt.
+
+        The item may be repeated, or it provably has not run.
+        """
         self._running.discard(index)
         self._retries.append(Retry(index, at_ms, needs_save=False))
 
