--- a/papayapier/batch/work.py
+++ b/papayapier/batch/active_jobs.py
@@ -1,21 +1,21 @@
-"""Keep what one instance knows and runs of the active jobs."""
+"""Hold the active jobs and open tasks of one instance."""
 
 from collections import deque
 from typing import TYPE_CHECKING
 
 from papayapier.batch.records import InputItem, JobRecord, JobState, Tally
 from papayapier.batch.task_state import TaskState
-from papayapier.batch.tasks import TaskSpan, home_shard, shard_of, split
+from papayapier.batch.tasks import TaskSpan, home_shard, shard_of, split_tasks
 
 if TYPE_CHECKING:
     from twisted.internet.defer import Deferred
 
 
 class ItemRun:
-    """Hold one item from its hand-over to the dispatch to its end.
+    """Track one item from the dispatch to its outcome.
 
-    maybe_sent is set when the dispatch asks whether the item may go to a replica. While it
-    is not set, the item provably has not run.
+    maybe_sent is set when the dispatch checks whether the item may be sent to a replica. Until
+    then, the item provably has not run.
     """
 
     __slots__ = ("deferred", "maybe_sent")
@@ -29,13 +29,13 @@
     """Hold one task that this instance runs."""
 
     __slots__ = (
-        "checkpoint_at",
-        "checkpoint_pause",
+        "checkpoint_interval_ms",
         "closed",
         "fence",
         "input_bytes",
         "items",
         "job",
+        "next_checkpoint_ms",
         "reopen",
         "running",
         "saving",
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        job: "JobWork",
+        job: "ActiveJob",
         span: TaskSpan,
         shard: int,
         fence: int,
@@ -67,30 +67,30 @@
         self.input_bytes = sum(len(item.body) + len(item.custom_id) for item in items)
         self.running: dict[int, ItemRun] = {}
         self.saving = False
-        self.checkpoint_at = 0
-        self.checkpoint_pause = 0
+        self.next_checkpoint_ms = 0
+        self.checkpoint_interval_ms = 0
         self.stopping = False
         self.spill_wanted = False
         self.reopen = False
         self.closed = False
 
 
-class JobWork:
-    """Hold one active job, and the tasks of it that are this instance's to run."""
+class ActiveJob:
+    """Hold one active job and those of its tasks that this instance runs."""
 
     __slots__ = (
         "adopted",
         "at_risk",
-        "careful",
-        "done",
+        "cautious_shards",
+        "first_seen_ms",
         "home",
-        "list_again_ms",
-        "next_look_ms",
+        "next_check_ms",
+        "next_list_ms",
         "open",
         "opening",
         "pending",
         "record",
-        "seen_ms",
+        "recorded",
         "shards",
         "spans",
         "tallies",
@@ -100,68 +100,74 @@
     def __init__(self, record: JobRecord, version: int, shard_count: int, now: int) -> None:
         self.record = record
         self.version = version
-        self.spans = split(record.chunks, record.task_items)
-        self.shards = [shard_of(record.job_id, s.task, shard_count) for s in self.spans]
+        self.spans = split_tasks(record.chunks, record.task_items)
+        self.shards = [shard_of(record.job_id, span.task, shard_count) for span in self.spans]
         self.home = home_shard(record.job_id, shard_count)
         self.pending: deque[int] = deque()
         self.open: dict[int, OpenTask] = {}
         self.opening: set[int] = set()
-        self.done: set[int] = set()
+        self.recorded: set[int] = set()
         self.tallies: dict[int, Tally] = {}
-        self.list_again_ms = 0
-        self.seen_ms = now
-        self.next_look_ms = now
+        self.next_list_ms = 0
+        self.first_seen_ms = now
+        self.next_check_ms = now
         self.at_risk = False
-        self.careful: set[int] = set()
+        self.cautious_shards: set[int] = set()
         self.adopted: set[int] = set()
 
-    def runs(self) -> bool:
-        """Tell whether items of the job may be started."""
+    def is_running(self) -> bool:
+        """Return whether items of the job may be started."""
         return self.record.state is JobState.RUNNING
 
     def tasks_of(self, shard: int) -> list[int]:
         """Return the unfinished tasks of a shard."""
-        return [t for t, s in enumerate(self.shards) if s == shard and t not in self.done]
+        return [
+            task
+            for task, task_shard in enumerate(self.shards)
+            if task_shard == shard and task not in self.recorded
+        ]
 
     def adopt(self, shard: int) -> None:
-        """Take the unfinished tasks of a shard into the pending ones."""
+        """Add the unfinished tasks of a shard to the pending tasks."""
         self.adopted.add(shard)
         known = self.opening.union(self.open, self.pending)
         self.pending.extend(task for task in self.tasks_of(shard) if task not in known)
 
-    def forget(self, shard: int) -> None:
+    def drop_pending(self, shard: int) -> None:
         """Drop the pending tasks of a shard."""
         self.adopted.discard(shard)
         self.pending = deque(task for task in self.pending if self.shards[task] != shard)
         self.opening = {task for task in self.opening if self.shards[task] != shard}
 
-    def on_done(self, task: int, tally: Tally | None) -> None:
-        """Note that a task's results are recorded."""
-        self.done.add(task)
+    def on_recorded(self, task: int, tally: Tally | None) -> None:
+        """Record that a task's results are stored."""
+        self.recorded.add(task)
         if task in self.pending:
             self.pending.remove(task)
         if tally is not None:
             self.tallies[task] = tally
 
     def has_unsent(self) -> bool:
-        """Tell whether items of the job could be handed out now or after opening a task."""
-        return bool(self.pending) or any(task.state.startable() for task in self.open.values())
+        """Return whether items of the job could be sent now or after opening a task."""
+        return bool(self.pending) or any(
+            task.state.startable_count() for task in self.open.values()
+        )
 
     def items_left(self) -> int:
         """Return how many items this instance still has to run."""
         waiting = sum(self.spans[task].size() for task in self.pending)
         waiting += sum(self.spans[task].size() for task in self.opening)
-        return waiting + sum(task.state.left() for task in self.open.values())
+        return waiting + sum(task.state.remaining() for task in self.open.values())
 
     def items_done(self) -> int:
         """Return how many items of the whole job are known to have ended."""
-        recorded = sum(self.spans[task].size() for task in self.done)
-        return recorded + sum(len(task.state.ended) for task in self.open.values())
+        recorded_items = sum(self.spans[task].size() for task in self.recorded)
+        return recorded_items + sum(len(task.state.ended) for task in self.open.values())
 
     def in_flight(self) -> int:
-        """Return how many items are running here."""
+        """Return how many items are running on this instance."""
         return sum(len(task.running) for task in self.open.values())
 
-    def whole(self) -> bool:
-        """Tell whether the results of every task are recorded."""
-        return len(self.done) == len(self.spans)
+    def all_recorded(self) -> bool:
+        """Return whether the results of every task are recorded."""
+        return len(self.recorded) == len(self.spans)
--- a/papayapier/batch/expiry.py
+++ b/papayapier/batch/expiry.py
@@ -1,8 +1,8 @@
-"""Delete files and jobs whose retention has passed.
+"""Delete files and jobs whose retention time has passed.
 
-Marks with the time in their key make this cheap: one listing shows what is due, whatever
-the number of objects kept. A mark is created before the object that it is for, so nothing is
-kept for ever. It only says when to look: the record says whether the time was extended.
+The keys of expiry markers start with the time, so that one listing shows what is due, whatever
+the number of stored objects. A marker is created before its object, so nothing is kept for
+ever. It only triggers a check: the record shows whether the time was extended.
 """
 
 from collections.abc import Callable
@@ -11,9 +11,9 @@
 from result import Err, Ok, Result
 
 from papayapier import codec, events
-from papayapier.batch import keys, saves
-from papayapier.batch.ending import JOB_KIND
-from papayapier.batch.files import FILE_KIND, MARK
+from papayapier.batch import keys, store_access
+from papayapier.batch.files import EXPIRY_MARKER_VALUE, FILE_KIND
+from papayapier.batch.job_completion import JOB_KIND
 from papayapier.batch.lookup import find_file, unavailable
 from papayapier.batch.records import FileRecord
 from papayapier.batch.registry import JobRegistry
@@ -23,16 +23,16 @@
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
 
-PAGE: Final = 100
-DELETES_AT_ONCE: Final = 20
-BETWEEN_DELETES_MS: Final = 200
-ROUND_MS: Final = 60_000
+MAX_MARKERS_PER_CHECK: Final = 100
+DELETES_PER_PAGE: Final = 20
+DELETE_PAUSE_MS: Final = 200
+CHECK_INTERVAL_MS: Final = 60_000
 POSTPONE_MS: Final = 3_600_000
 DELETE_GRACE_MS: Final = 600_000
 
 
-class Due(NamedTuple):
-    """Hold a mark that is due."""
+class DueMarker(NamedTuple):
+    """Hold an expiry marker that is due."""
 
     entry: Entry
     at_ms: int
@@ -40,45 +40,45 @@
     object_id: str
 
 
-class Expiry:
-    """Delete what is due, while this instance has the duty."""
+class ExpiryCleaner:
+    """Delete what is due, while this instance is responsible for it."""
 
     def __init__(
-        self, deps: "BatchDeps", registry: JobRegistry, on_duty: Callable[[], bool]
+        self, deps: "BatchDeps", registry: JobRegistry, is_responsible: Callable[[], bool]
     ) -> None:
         self._deps = deps
         self._registry = registry
-        self._on_duty = on_duty
+        self._is_responsible = is_responsible
 
     async def run(self) -> None:
-        """Look for what is due until cancelled."""
+        """Check periodically for due markers until cancelled."""
         while True:
-            await self._deps.clock.sleep(ROUND_MS)
-            if self._on_duty() and self._registry.complete():
+            await self._deps.clock.sleep(CHECK_INTERVAL_MS)
+            if self._is_responsible() and self._registry.is_complete():
                 await self.run_once()
 
     async def run_once(self) -> None:
         """Delete what is due now."""
-        listed = await self._deps.store.list(keys.EXPIRY_PREFIX, "", PAGE)
+        listed = await self._deps.store.list(keys.EXPIRY_PREFIX, "", MAX_MARKERS_PER_CHECK)
         if isinstance(listed, Err):
             return
         now = self._deps.clock.wall()
         for entry in listed.ok_value.objects:
-            due = _due(entry)
-            if due.at_ms > now:
+            marker = _parse_marker(entry)
+            if marker.at_ms > now:
                 return
-            if not await self._expire(due):
+            if not await self._handle_marker(marker):
                 return
 
-    async def _expire(self, due: Due) -> bool:
-        """Handle one mark; False says that the store did not answer."""
-        if due.kind == JOB_KIND:
-            done = await self._expire_job(due.object_id)
+    async def _handle_marker(self, marker: DueMarker) -> bool:
+        """Handle one marker; False means that the store did not answer."""
+        if marker.kind == JOB_KIND:
+            outcome = await self._expire_job(marker.object_id)
         else:
-            done = await self._expire_file(due)
-        if done:
-            await saves.delete(self._deps, due.entry.key, due.entry.version)
-        return done
+            outcome = await self._expire_file(marker)
+        if outcome:
+            await store_access.delete(self._deps, marker.entry.key, marker.entry.version)
+        return outcome
 
     async def _expire_job(self, job_id: str) -> bool:
         for prefix in (
@@ -88,48 +88,53 @@
         ):
             if not await self._delete_all(prefix):
                 return False
-        # The record goes last: while it is there, the job is known and can be looked for.
+        # The record is deleted last, because the job can be found only while it exists.
         return await self._delete_key(keys.ended_key(job_id), JOB_KIND, job_id)
 
-    async def _expire_file(self, due: Due) -> bool:
-        file_id = due.object_id
+    async def _expire_file(self, marker: DueMarker) -> bool:
+        file_id = marker.object_id
         read = await self._deps.store.get(keys.file_key(file_id))
         if isinstance(read, Err) and read.err_value is not StoreError.NOT_FOUND:
             return False
         record = _file_record(read.ok_value.value) if isinstance(read, Ok) else None
         now = self._deps.clock.wall()
         if record is not None and not record.deleted and record.expires_ms > now:
-            return await self._mark_again(file_id, record.expires_ms)
+            return await self._postpone(file_id, record.expires_ms)
         if any(job.record.file_id == file_id for job in self._registry.jobs.values()):
-            return await self._mark_again(file_id, now + POSTPONE_MS)
+            return await self._postpone(file_id, now + POSTPONE_MS)
         for prefix in (keys.chunk_prefix(file_id), keys.index_prefix(file_id)):
             if not await self._delete_all(prefix):
                 return False
         return await self._delete_key(keys.file_key(file_id), FILE_KIND, file_id)
 
-    async def _mark_again(self, file_id: str, at_ms: int) -> bool:
-        marked = await saves.create(self._deps, keys.expiry_key(at_ms, FILE_KIND, file_id), MARK)
+    async def _postpone(self, file_id: str, at_ms: int) -> bool:
+        marked = await store_access.create(
+            self._deps, keys.expiry_key(at_ms, FILE_KIND, file_id), EXPIRY_MARKER_VALUE
+        )
         return isinstance(marked, Ok) or marked.err_value is StoreError.CONFLICT
 
     async def _delete_all(self, prefix: str) -> bool:
-        """Delete all objects under a prefix, a few at a time, to leave the store to others."""
+        """Delete all objects under a prefix.
+
+        Objects are deleted in small groups with pauses, to leave the store to other calls.
+        """
         while True:
-            listed = await self._deps.store.list(prefix, "", DELETES_AT_ONCE)
+            listed = await self._deps.store.list(prefix, "", DELETES_PER_PAGE)
             if isinstance(listed, Err):
                 return False
             if not listed.ok_value.objects:
                 return True
             for entry in listed.ok_value.objects:
-                deleted = await saves.delete(self._deps, entry.key, entry.version)
+                deleted = await store_access.delete(self._deps, entry.key, entry.version)
                 if isinstance(deleted, Err) and deleted.err_value is not StoreError.CONFLICT:
                     return False
-            await self._deps.clock.sleep(BETWEEN_DELETES_MS)
+            await self._deps.clock.sleep(DELETE_PAUSE_MS)
 
     async def _delete_key(self, key: str, kind: str, object_id: str) -> bool:
         read = await self._deps.store.get(key)
         if isinstance(read, Err):
             return read.err_value is StoreError.NOT_FOUND
-        deleted = await saves.delete(self._deps, key, read.ok_value.version)
+        deleted = await store_access.delete(self._deps, key, read.ok_value.version)
         if isinstance(deleted, Ok):
             events.emit(events.EXPIRED, kind=kind, id=object_id)
         return isinstance(deleted, Ok)
@@ -138,28 +143,30 @@
 async def delete_file(
     deps: "BatchDeps", registry: JobRegistry, caller: str, file_id: str
 ) -> Result[FileRecord, Refusal]:
-    """Mark a file as deleted; its objects go some time later, when no request can use it."""
+    """Mark a file as deleted; its objects are deleted later, when no request can use them."""
     if any(job.record.file_id == file_id for job in registry.jobs.values()):
-        reason = f"a job that has not ended uses file {file_id}"
+        reason = f"an active job uses file {file_id}"
         return Err(not_run(ErrorKind.STILL_RUNNING, reason))
     found = await find_file(deps, caller, file_id)
     if isinstance(found, Err):
         return found
     at_ms = deps.clock.wall() + DELETE_GRACE_MS
-    marked = await saves.create(deps, keys.expiry_key(at_ms, FILE_KIND, file_id), MARK)
+    marked = await store_access.create(
+        deps, keys.expiry_key(at_ms, FILE_KIND, file_id), EXPIRY_MARKER_VALUE
+    )
     if isinstance(marked, Err) and marked.err_value is not StoreError.CONFLICT:
         return Err(unavailable())
     record = found.ok_value.record._replace(deleted=True)
     key = keys.file_key(file_id)
-    done = await saves.update(deps, key, codec.pack(record), found.ok_value.version)
-    if isinstance(done, Err):
+    outcome = await store_access.update(deps, key, codec.pack(record), found.ok_value.version)
+    if isinstance(outcome, Err):
         return Err(unavailable())
     return Ok(record)
 
 
-def _due(entry: Entry) -> Due:
+def _parse_marker(entry: Entry) -> DueMarker:
     at_ms, kind, object_id = entry.key[len(keys.EXPIRY_PREFIX) :].split("/")
-    return Due(entry, int(at_ms), kind, object_id)
+    return DueMarker(entry, int(at_ms), kind, object_id)
 
 
 def _file_record(value: bytes) -> FileRecord | None:
--- a/papayapier/batch/files.py
+++ b/papayapier/batch/files.py
@@ -1,10 +1,11 @@
-"""Take in an uploaded file: stream it into chunk objects, then create its record.
+"""Receive an uploaded file: stream it into chunk objects, then create its record.
 
-Nothing of a file counts until its record exists, and the record is written last. What an
-abandoned upload leaves behind is found by its expiry mark, which is written first.
+A file does not exist until its record does, and the record is written last. The expiry marker
+is written first, so that the objects of an abandoned upload are deleted later.
 
-Memory is bounded by one chunk, one line and 16 bytes an item. Each feed() returns only when
-the chunks it filled are stored, so a fast client waits for the store and not in memory.
+Memory is bounded by one chunk, one line and 16 bytes per item. Each feed() returns only when
+the chunks that it filled are stored, so that a fast client waits for the store instead of
+filling the memory.
 """
 
 import hashlib
@@ -13,26 +14,26 @@
 from result import Err, Ok, Result
 
 from papayapier import codec, events
-from papayapier.batch import keys, saves
-from papayapier.batch.ids import BUCKETS, IdIndex
+from papayapier.batch import keys, store_access
+from papayapier.batch.ids import BUCKET_COUNT, IdIndex
 from papayapier.batch.lines import LineError, LineSplitter, endpoint_of, parse_line
-from papayapier.batch.records import CHUNK_BYTES, LINE_BYTES, FileRecord, InputItem
+from papayapier.batch.records import MAX_CHUNK_BYTES, MAX_LINE_BYTES, FileRecord, InputItem
 from papayapier.errors import ErrorKind, Refusal, not_run
 
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
 
-STORE_PATIENCE_MS: Final = 10_000
+STORE_TIMEOUT_MS: Final = 10_000
 MAX_ENDPOINTS: Final = 32
-BUCKETS_AT_ONCE: Final = 8
-ITEM_OVERHEAD: Final = 16
+BUCKETS_PER_SLICE: Final = 8
+ITEM_OVERHEAD_BYTES: Final = 16
 FILE_KIND: Final = "file"
-MARK: Final = b"1"
-NAME_CHARS: Final = 200
+EXPIRY_MARKER_VALUE: Final = b"1"
+MAX_NAME_CHARS: Final = 200
 
 
 class FileHead(NamedTuple):
-    """Name a file that is being taken in."""
+    """Describe a file that is being uploaded."""
 
     file_id: str
     caller: str
@@ -43,7 +44,7 @@
 
 
 class FileIntake:
-    """Store one file while it streams in."""
+    """Store one file while it is uploaded."""
 
     __slots__ = (
         "_blank_line",
@@ -79,28 +80,28 @@
         self._versions: list[int] = []
 
     def rename(self, name: str) -> None:
-        """Take the name that a form gives to its file."""
-        self.head = self.head._replace(name=name[:NAME_CHARS] or self.head.name)
+        """Set the file name that a form contains."""
+        self.head = self.head._replace(name=name[:MAX_NAME_CHARS] or self.head.name)
 
     async def feed(self, data: bytes) -> Refusal | None:
-        """Take the next bytes, and store the chunks that they fill."""
+        """Process the next bytes, and store the chunks that they fill."""
         self._sha256.update(data)
         self._byte_count += len(data)
         if self._byte_count > self._deps.cfg.max_file_bytes:
-            reason = f"the file is over {self._deps.cfg.max_file_bytes} bytes"
+            reason = f"the file has more than {self._deps.cfg.max_file_bytes} bytes"
             return not_run(ErrorKind.TOO_LARGE, reason)
         for line in self._splitter.feed(data):
-            refusal = await self._take_line(line)
+            refusal = await self._process_line(line)
             if refusal is not None:
                 return refusal
         if self._splitter.too_long():
-            return self._refuse(LineError(self._line + 1, f"over {LINE_BYTES} bytes"))
+            return self._refuse(LineError(self._line + 1, f"over {MAX_LINE_BYTES} bytes"))
         return None
 
     async def finish(self) -> Result[FileRecord, Refusal]:
-        """Store the rest and the record; from then on the file exists."""
-        refusal = await self._take_line(self._splitter.rest())
-        refusal = refusal or await self._check_whole()
+        """Store the remaining items and the record, with which the file exists."""
+        refusal = await self._process_line(self._splitter.rest())
+        refusal = refusal or await self._check_complete()
         if refusal is None and self._items:
             refusal = await self._store_chunk()
         if refusal is None:
@@ -108,7 +109,7 @@
         if refusal is not None:
             return Err(refusal)
         record = self._record()
-        refusal = await self._create(keys.file_key(record.file_id), codec.pack(record))
+        refusal = await self._store_object(keys.file_key(record.file_id), codec.pack(record))
         if refusal is not None:
             return Err(refusal)
         events.emit(
@@ -117,12 +118,12 @@
         return Ok(record)
 
     async def abandon(self) -> None:
-        """Delete the chunks of a file that was refused; its expiry mark finds the rest."""
+        """Delete the chunks of a refused file; its expiry marker covers the other objects."""
         for chunk, version in enumerate(self._versions):
-            await saves.delete(self._deps, keys.chunk_key(self.head.file_id, chunk), version)
+            await store_access.delete(self._deps, keys.chunk_key(self.head.file_id, chunk), version)
         self._versions = []
 
-    async def _take_line(self, line: bytes) -> Refusal | None:
+    async def _process_line(self, line: bytes) -> Refusal | None:
         self._line += 1
         parsed = parse_line(line, self._line)
         if isinstance(parsed, Err):
@@ -131,12 +132,13 @@
         if item is None:
             self._blank_line = self._blank_line or self._line
             return None
-        # Blank lines may only end a file: then an item's place tells its line.
+        # Blank lines are only allowed at the end of a file, so that an item's index determines
+        # its line number.
         if self._blank_line:
             return self._refuse(LineError(self._blank_line, "blank line between items"))
-        return await self._take_item(item)
+        return await self._add_item(item)
 
-    async def _take_item(self, item: InputItem) -> Refusal | None:
+    async def _add_item(self, item: InputItem) -> Refusal | None:
         if self._line > self._deps.cfg.max_items:
             reason = f"line {self._line}: over {self._deps.cfg.max_items} items"
             return not_run(ErrorKind.TOO_LARGE, reason)
@@ -144,9 +146,9 @@
         if len(self._endpoints) > MAX_ENDPOINTS:
             return self._refuse(LineError(self._line, f"over {MAX_ENDPOINTS} endpoints"))
         self._index.add(item.custom_id)
-        size = len(item.body) + len(item.custom_id) + len(item.url) + ITEM_OVERHEAD
+        size = len(item.body) + len(item.custom_id) + len(item.url) + ITEM_OVERHEAD_BYTES
         refusal = None
-        if self._items and self._chunk_bytes + size > CHUNK_BYTES:
+        if self._items and self._chunk_bytes + size > MAX_CHUNK_BYTES:
             refusal = await self._store_chunk()
         self._items.append(item)
         self._chunk_bytes += size
@@ -159,11 +161,11 @@
         if chunk == 0:
             head = self.head
             mark = keys.expiry_key(head.expires_ms, FILE_KIND, head.file_id)
-            refusal = await self._create(mark, MARK)
+            refusal = await self._store_object(mark, EXPIRY_MARKER_VALUE)
             if refusal is not None:
                 return refusal
         key = keys.chunk_key(self.head.file_id, chunk)
-        created = await self._created(key, codec.pack(self._items))
+        created = await self._create_object(key, codec.pack(self._items))
         refusal = None
         if isinstance(created, Err):
             refusal = created.err_value
@@ -174,23 +176,23 @@
         self._chunk_bytes = 0
         return refusal
 
-    async def _check_whole(self) -> Refusal | None:
+    async def _check_complete(self) -> Refusal | None:
         if not self._items and not self._counts:
             return not_run(ErrorKind.BAD_REQUEST, "the file has no items")
-        for bucket in range(BUCKETS):
+        for bucket in range(BUCKET_COUNT):
             duplicate = self._index.duplicate(bucket)
             if duplicate is not None:
                 reason = f"custom_id: the same as on line {duplicate.first + 1}"
                 return self._refuse(LineError(duplicate.second + 1, reason))
-            if len(self._counts) > 1 and bucket % BUCKETS_AT_ONCE == 0:
-                # Looking through all ids of a large file at once would hold up online
-                # requests for tens of milliseconds.
+            if len(self._counts) > 1 and bucket % BUCKETS_PER_SLICE == 0:
+                # Checking all ids of a large file at once would delay online requests for tens
+                # of milliseconds.
                 await self._deps.clock.sleep(0)
         return None
 
     async def _store_index(self) -> Refusal | None:
         for block, hashes in enumerate(self._index.blocks()):
-            refusal = await self._create(keys.index_key(self.head.file_id, block), hashes)
+            refusal = await self._store_object(keys.index_key(self.head.file_id, block), hashes)
             if refusal is not None:
                 return refusal
         return None
@@ -212,17 +214,17 @@
             id_blocks=len(self._index.blocks()),
         )
 
-    async def _create(self, key: str, value: bytes) -> Refusal | None:
-        created = await self._created(key, value)
+    async def _store_object(self, key: str, value: bytes) -> Refusal | None:
+        created = await self._create_object(key, value)
         return created.err_value if isinstance(created, Err) else None
 
-    async def _created(self, key: str, value: bytes) -> Result[int, Refusal]:
+    async def _create_object(self, key: str, value: bytes) -> Result[int, Refusal]:
         deps = self._deps
-        done = await saves.patiently(
-            deps, STORE_PATIENCE_MS, lambda: saves.create(deps, key, value)
+        written = await store_access.retry_while_unavailable(
+            deps, STORE_TIMEOUT_MS, lambda: store_access.create(deps, key, value)
         )
         reason = "the file is not stored: the store does not answer"
-        return done.map_err(lambda _: not_run(ErrorKind.STORE_UNAVAILABLE, reason))
+        return written.map_err(lambda _: not_run(ErrorKind.STORE_UNAVAILABLE, reason))
 
     def _refuse(self, error: LineError) -> Refusal:
         events.emit(
--- a/papayapier/batch/lookup.py
+++ b/papayapier/batch/lookup.py
@@ -25,7 +25,7 @@
 
 
 class FoundJob(NamedTuple):
-    """Hold a job's record and its version; ended says which of the two records it is."""
+    """Hold a job's record and its version; ended: the record is that of an ended job."""
 
     record: JobRecord
     version: int
@@ -35,9 +35,9 @@
 async def find_file(
     deps: "BatchDeps", caller: str, file_id: str, deleted: bool = False
 ) -> Result[FoundFile, Refusal]:
-    """Read the record of a caller's file; deleted finds one marked for deletion as well."""
+    """Read the record of a caller's file; deleted: also return a file marked for deletion."""
     missing = not_run(ErrorKind.NOT_FOUND, f"no file is named {file_id}")
-    if not _is_name(file_id):
+    if not _is_valid_id(file_id):
         return Err(missing)
     read = await deps.store.get(keys.file_key(file_id))
     if isinstance(read, Err):
@@ -54,7 +54,7 @@
 async def find_job(deps: "BatchDeps", caller: str, job_id: str) -> Result[FoundJob, Refusal]:
     """Find a caller's job, active or ended."""
     missing = not_run(ErrorKind.NOT_FOUND, f"no job is named {job_id}")
-    if not _is_name(job_id):
+    if not _is_valid_id(job_id):
         return Err(missing)
     for key, ended in ((keys.active_key(job_id), False), (keys.ended_key(job_id), True)):
         read = await deps.store.get(key)
@@ -70,11 +70,11 @@
     return Err(missing)
 
 
-def _is_name(text: str) -> bool:
-    """Tell whether a caller's text can be part of a key."""
+def _is_valid_id(text: str) -> bool:
+    """Return whether a caller's text can be part of a key."""
     return re.fullmatch(r"[A-Za-z0-9_-]{1,100}", text) is not None
 
 
 def unavailable() -> Refusal:
-    """Refuse because the store does not answer."""
+    """Return the refusal for a store that does not answer."""
     return not_run(ErrorKind.STORE_UNAVAILABLE, "the store does not answer", RETRY_AFTER_MS)
--- a/papayapier/batch/opening.py
+++ b/papayapier/batch/opening.py
@@ -1,4 +1,4 @@
-"""Open a task: read its input and what an earlier holder has left of it."""
+"""Open a task: read its input and what an earlier holder has stored of it."""
 
 from typing import TYPE_CHECKING, NamedTuple
 
@@ -6,9 +6,9 @@
 
 from papayapier import codec, events
 from papayapier.batch import keys
+from papayapier.batch.active_jobs import ActiveJob, OpenTask
 from papayapier.batch.records import Checkpoint, InputItem, ItemResult, TaskResults, tally_of
 from papayapier.batch.task_state import TaskRules, TaskState
-from papayapier.batch.work import JobWork, OpenTask
 from papayapier.store.api import Store, StoreError
 
 if TYPE_CHECKING:
@@ -16,22 +16,22 @@
 
 
 class Grant(NamedTuple):
-    """Say under which lease a task is opened; lossy asks for care with every item."""
+    """Hold the lease under which a task is opened; cautious: its items are suspect."""
 
     shard: int
     fence: int
-    lossy: bool
+    cautious: bool
 
 
 class Unreadable(NamedTuple):
-    """Say that an object is there but cannot be used, or should be there and is not."""
+    """Report an object that cannot be decoded, or that should exist but does not."""
 
     key: str
     reason: str
 
 
 class Sealed(NamedTuple):
-    """Say that the job was cancelled, which this instance has not heard of yet."""
+    """Report that the job was cancelled, which this instance has not received yet."""
 
     key: str
 
@@ -40,7 +40,7 @@
 
 
 async def open_task(
-    deps: "BatchDeps", job: JobWork, task: int, grant: Grant, idempotent: bool
+    deps: "BatchDeps", job: ActiveJob, task: int, grant: Grant, idempotent: bool
 ) -> Result[OpenTask, OpenError]:
     """Read the input and the checkpoint of a task."""
     span = job.spans[task]
@@ -52,7 +52,7 @@
     read = await deps.store.get(key)
     if isinstance(read, Err) and read.err_value is not StoreError.NOT_FOUND:
         return Err(read.err_value)
-    rules = TaskRules(idempotent, deps.cfg.item_attempts, grant.lossy)
+    rules = TaskRules(idempotent, deps.cfg.item_attempts, grant.cautious)
     if isinstance(read, Err):
         state = TaskState(span.size(), rules)
         return Ok(OpenTask(job, span, grant.shard, grant.fence, items, state, 0))
@@ -85,20 +85,20 @@
     spilled = await read_spilled(deps.store, checkpoint.spilled)
     if isinstance(spilled, Err):
         return spilled
-    # Intents without a result were under way at the holder that was lost.
-    lost = bool(checkpoint.intents)
-    state = TaskState(len(items), rules._replace(cautious=rules.cautious or lost))
+    # Intents without a result were running at the lost holder.
+    holder_lost = bool(checkpoint.intents)
+    state = TaskState(len(items), rules._replace(cautious=rules.cautious or holder_lost))
     state.resume(checkpoint, version, spilled.ok_value)
-    if lost:
+    if holder_lost:
         ids = [item.custom_id for item in items]
-        state.on_loss(checkpoint.intents, ids, deps.clock.wall())
+        state.on_holder_lost(checkpoint.intents, ids, deps.clock.wall())
         _report_loss(deps, spilled.ok_value + checkpoint.results, state)
     return Ok(state)
 
 
-def _report_loss(deps: "BatchDeps", before: list[ItemResult], state: TaskState) -> None:
-    """Count the items that ended by the loss of their holder."""
-    known = tally_of(before)
+def _report_loss(deps: "BatchDeps", earlier_results: list[ItemResult], state: TaskState) -> None:
+    """Count the items that ended because their holder was lost."""
+    known = tally_of(earlier_results)
     for name in ("failed", "unknown"):
         count = getattr(state.tally, name) - getattr(known, name)
         if count:
@@ -119,7 +119,7 @@
 
 
 async def read_spilled(store: Store, parts: list[str]) -> Result[list[ItemResult], OpenError]:
-    """Read the results that did not fit beside the others."""
+    """Read the results that are stored in separate objects."""
     results: list[ItemResult] = []
     for key in parts:
         read = await store.get(key)
@@ -133,7 +133,7 @@
 
 
 async def read_results(store: Store, job_id: str, task: int) -> Result[TaskResults, OpenError]:
-    """Read the recorded results of a finished task, without the spilled parts."""
+    """Read the recorded results of a finished task, without the spilled objects."""
     key = keys.results_key(job_id, task)
     read = await store.get(key)
     if isinstance(read, Err):
--- a/papayapier/batch/outcomes.py
+++ b/papayapier/batch/outcomes.py
@@ -1,9 +1,9 @@
-"""Decide what an item's answer or refusal means for the item.
+"""Decide what a reply or refusal means for an item.
 
-An item ends with a whole answer, with an outcome that will never be known, or as failed when
-no further attempt can help. Everything else is sent again: counted against the item when
-the item may be at fault, not counted when the fleet is at fault, because items must not fail
-in an outage that they have no part in.
+An item ends when it has a complete reply, when its outcome can never be known, or as failed
+when no further attempt can help. In all other cases it is sent again. The attempt counts
+against the item if the item may be at fault; it does not count if the upstream or the service
+is at fault, because an outage must not make items fail.
 """
 
 from typing import Final, NamedTuple, TypedDict
@@ -11,7 +11,13 @@
 import msgspec
 from result import Ok, Result
 
-from papayapier.batch.records import REASON_CHARS, RESULT_BYTES, InputItem, ItemResult, ItemState
+from papayapier.batch.records import (
+    MAX_REASON_CHARS,
+    MAX_RESULT_BYTES,
+    InputItem,
+    ItemResult,
+    ItemState,
+)
 from papayapier.errors import ErrorKind, Outcome, Refusal
 from papayapier.upstream.api import Reply
 
@@ -21,7 +27,7 @@
 STREAM_TYPE: Final = "text/event-stream"
 CHAT_URL: Final = "/v1/chat/completions"
 
-NOT_THE_ITEM: Final = frozenset(
+UNCOUNTED_REFUSALS: Final = frozenset(
     {
         ErrorKind.OVERLOADED,
         ErrorKind.CALLER_LIMIT,
@@ -32,32 +38,32 @@
         ErrorKind.CANCELLED,
     }
 )
-NEVER: Final = frozenset(
+FINAL_REFUSALS: Final = frozenset(
     {ErrorKind.BAD_REQUEST, ErrorKind.TOO_LARGE, ErrorKind.NOT_FOUND, ErrorKind.UNAUTHORIZED}
 )
 
 
-class Ended(NamedTuple):
-    """End the item with this result."""
+class EndItem(NamedTuple):
+    """State that the item ends with this result."""
 
     result: ItemResult
 
 
-class SendAgain(NamedTuple):
-    """Send the item again; result is how it ends when no attempt is left."""
+class ResendItem(NamedTuple):
+    """State that the item is sent again; result is its outcome if no attempt is left."""
 
-    counted: bool
+    counts_as_attempt: bool
     result: ItemResult
 
 
 class Usage(TypedDict):
-    """Count tokens as OpenAI-style clients expect."""
+    """Count tokens in the format of OpenAI-style clients."""
 
     completion_tokens: int
 
 
 class Generated(TypedDict):
-    """Hold the whole answer to a generation."""
+    """Hold a complete, unstreamed generation reply."""
 
     id: str
     object: str
@@ -65,34 +71,34 @@
     usage: Usage
 
 
-def judge(
+def classify(
     item: int,
-    source: InputItem,
+    input_item: InputItem,
     call_id: str,
-    answer: Result[Reply, Refusal],
+    outcome: Result[Reply, Refusal],
     idempotent: bool,
     now_wall: int,
-) -> Ended | SendAgain:
-    """Say what the end of one send means for the item."""
-    if isinstance(answer, Ok):
-        return _judge_reply(item, source, call_id, answer.ok_value, idempotent, now_wall)
-    return _judge_refusal(item, source, answer.err_value, idempotent, now_wall)
-
-
-def _judge_reply(
-    item: int, source: InputItem, call_id: str, reply: Reply, idempotent: bool, now_wall: int
-) -> Ended | SendAgain:
-    body = _body_of(source, call_id, reply)
-    if len(body) > RESULT_BYTES:
-        reason = f"the answer has {len(body)} bytes, over {RESULT_BYTES}"
-        failed = _result(item, source, ItemState.FAILED, ErrorKind.TOO_LARGE, reason, now_wall)
-        return Ended(failed)
+) -> EndItem | ResendItem:
+    """Classify the outcome of one send of an item."""
+    if isinstance(outcome, Ok):
+        return _classify_reply(item, input_item, call_id, outcome.ok_value, idempotent, now_wall)
+    return _classify_refusal(item, input_item, outcome.err_value, idempotent, now_wall)
+
+
+def _classify_reply(
+    item: int, input_item: InputItem, call_id: str, reply: Reply, idempotent: bool, now_wall: int
+) -> EndItem | ResendItem:
+    body = _body_of(input_item, call_id, reply)
+    if len(body) > MAX_RESULT_BYTES:
+        reason = f"the reply has {len(body)} bytes, the limit is {MAX_RESULT_BYTES}"
+        failed = _result(item, input_item, ItemState.FAILED, ErrorKind.TOO_LARGE, reason, now_wall)
+        return EndItem(failed)
     state = ItemState.COMPLETED if reply.status < FIRST_ERROR_STATUS else ItemState.FAILED
     kind = "" if state is ItemState.COMPLETED else ErrorKind.UPSTREAM_FAILED.value
-    reason = "" if state is ItemState.COMPLETED else f"the upstream answered {reply.status}"
+    reason = "" if state is ItemState.COMPLETED else f"the upstream returned {reply.status}"
     result = ItemResult(
         item=item,
-        custom_id=source.custom_id,
+        custom_id=input_item.custom_id,
         state=state,
         status=reply.status,
         body=body,
@@ -102,54 +108,54 @@
         attempts=0,
         ended_ms=now_wall,
     )
-    may_pass = reply.status == BUSY_STATUS or reply.status >= FIRST_SERVER_ERROR
-    if may_pass and idempotent:
-        return SendAgain(counted=True, result=result)
-    return Ended(result)
+    is_transient = reply.status == BUSY_STATUS or reply.status >= FIRST_SERVER_ERROR
+    if is_transient and idempotent:
+        return ResendItem(counts_as_attempt=True, result=result)
+    return EndItem(result)
 
 
-def _judge_refusal(
-    item: int, source: InputItem, refusal: Refusal, idempotent: bool, now_wall: int
-) -> Ended | SendAgain:
+def _classify_refusal(
+    item: int, input_item: InputItem, refusal: Refusal, idempotent: bool, now_wall: int
+) -> EndItem | ResendItem:
     kind, outcome, reason, _ = refusal
     if outcome is Outcome.UNKNOWN and not idempotent:
-        return Ended(_result(item, source, ItemState.UNKNOWN, kind, reason, now_wall))
-    result = _result(item, source, ItemState.FAILED, kind, reason, now_wall)
-    if kind in NEVER:
-        return Ended(result)
-    return SendAgain(kind not in NOT_THE_ITEM, result)
+        return EndItem(_result(item, input_item, ItemState.UNKNOWN, kind, reason, now_wall))
+    result = _result(item, input_item, ItemState.FAILED, kind, reason, now_wall)
+    if kind in FINAL_REFUSALS:
+        return EndItem(result)
+    return ResendItem(kind not in UNCOUNTED_REFUSALS, result)
 
 
 def _result(
-    item: int, source: InputItem, state: ItemState, kind: ErrorKind, reason: str, now_wall: int
+    item: int, input_item: InputItem, state: ItemState, kind: ErrorKind, reason: str, now_wall: int
 ) -> ItemResult:
     return ItemResult(
         item=item,
-        custom_id=source.custom_id,
+        custom_id=input_item.custom_id,
         state=state,
         status=0,
         body=b"",
         is_json=True,
         kind=kind.value,
-        reason=reason[:REASON_CHARS],
+        reason=reason[:MAX_REASON_CHARS],
         attempts=0,
         ended_ms=now_wall,
     )
 
 
-def _body_of(source: InputItem, call_id: str, reply: Reply) -> bytes:
-    """Return the answer's body; a stream's is put together as if it had not been streamed."""
+def _body_of(input_item: InputItem, call_id: str, reply: Reply) -> bytes:
+    """Return the reply's body; a streamed reply is converted to its unstreamed form."""
     if not reply.content_type.startswith(STREAM_TYPE):
         return reply.body
-    chat = source.url == CHAT_URL
+    is_chat = input_item.url == CHAT_URL
     choice: dict[str, object] = {"index": 0, "finish_reason": reply.finish_reason}
-    if chat:
+    if is_chat:
         choice["message"] = {"role": "assistant", "content": reply.text}
     else:
         choice["text"] = reply.text
     generated = Generated(
         id=call_id,
-        object="chat.completion" if chat else "text_completion",
+        object="chat.completion" if is_chat else "text_completion",
         choices=[choice],
         usage=Usage(completion_tokens=reply.tokens),
     )
--- a/papayapier/batch/placement.py
+++ b/papayapier/batch/placement.py
@@ -1,10 +1,10 @@
-"""Decide which instance should hold which shard: rendezvous hashing with a bounded load.
+"""Decide which instance should hold which shard, by rendezvous hashing with bounded loads.
 
 Plain rendezvous hashing gives each shard to the instance with the highest score. With a few
-dozen shards that is uneven by half, and an instance with too few of them leaves capacity
-idle that only it may use. So a shard passes over an instance that has its share already.
-The result depends only on who lives, so all instances agree without a word; when one comes
-or goes, few more shards move than must.
+dozen shards the shares then differ by up to half, and an instance with too few shards leaves
+capacity unused that no other instance can use. Therefore an instance that has its full share
+is skipped. The result depends only on the set of live instances, so all instances agree
+without communication; when an instance joins or leaves, few more shards move than necessary.
 """
 
 from collections import Counter
@@ -13,14 +13,14 @@
 from papayapier.policy.rendezvous import score
 
 
-def owners(shards: int, instances: Collection[str]) -> list[str]:
+def assign_shards(shards: int, instances: Collection[str]) -> list[str]:
     """Return the instance that should hold each shard."""
     share = -(-shards // len(instances))
     loads: Counter[str] = Counter()
-    found: list[str] = []
+    assigned: list[str] = []
     for shard in range(shards):
         free = [instance for instance in instances if loads[instance] < share]
-        _, owner = max((score(str(shard), instance), instance) for instance in free)
-        loads[owner] += 1
-        found.append(owner)
-    return found
+        _, chosen = max((score(str(shard), instance), instance) for instance in free)
+        loads[chosen] += 1
+        assigned.append(chosen)
+    return assigned
--- a/papayapier/batch/registry.py
+++ b/papayapier/batch/registry.py
@@ -1,7 +1,7 @@
-"""Know the active jobs: follow their records in the store, and read each that is newer.
+"""Track the active jobs: follow their records in the store, and read those that have changed.
 
-Peers also tell of changes, which is faster; following is what can be relied on. One waiting
-watch counts as one call of the store, whatever the number of jobs.
+Peers report changes too, which is faster, but only following the store is reliable. A waiting
+watch counts as one store call, whatever the number of jobs.
 """
 
 from collections.abc import Callable
@@ -10,68 +10,68 @@
 from result import Err
 
 from papayapier import codec, events
-from papayapier.batch import background, keys, saves
+from papayapier.batch import background, keys, store_access
+from papayapier.batch.active_jobs import ActiveJob
 from papayapier.batch.records import JobRecord
-from papayapier.batch.work import JobWork
 from papayapier.store.api import Change, StoreError
 from papayapier.store.watch import Follower, FollowPace, Pauses
 
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
 
-PACE: Final = FollowPace(watch_ms=20_000, poll_ms=60_000)
+FOLLOW_PACE: Final = FollowPace(watch_ms=20_000, poll_ms=60_000)
 
 
 class JobListeners(NamedTuple):
-    """Group the calls made when jobs come, change and go."""
+    """Group the callbacks for jobs that are added, changed and removed."""
 
-    on_new: Callable[[JobWork], None]
-    on_changed: Callable[[JobWork], None]
-    on_gone: Callable[[JobWork], None]
+    on_new: Callable[[ActiveJob], None]
+    on_changed: Callable[[ActiveJob], None]
+    on_removed: Callable[[ActiveJob], None]
 
 
 class JobRegistry:
     """Hold the active jobs by id."""
 
     def __init__(self, deps: "BatchDeps", listeners: JobListeners) -> None:
-        self.jobs: dict[str, JobWork] = {}
+        self.jobs: dict[str, ActiveJob] = {}
         self._deps = deps
         self._listeners = listeners
         self._follower = Follower(
-            deps.store, deps.clock, deps.rand, keys.ACTIVE_PREFIX, self._on_change, PACE
+            deps.store, deps.clock, deps.rand, keys.ACTIVE_PREFIX, self._on_change, FOLLOW_PACE
         )
         self._unread: dict[str, int] = {}
         self._reading = False
         self._stopped = False
 
     def start(self) -> None:
-        """Begin to follow the active jobs."""
+        """Start following the active jobs."""
         self._follower.start()
 
     def stop(self) -> None:
-        """Stop following."""
+        """Stop following the active jobs."""
         self._stopped = True
         self._follower.stop()
 
-    def complete(self) -> bool:
-        """Tell whether every job that was active lately is known here."""
+    def is_complete(self) -> bool:
+        """Return whether every job that was recently active is known here."""
         listed = self._follower.listed_ms
-        recent = listed is not None and self._deps.clock.now() - listed <= 2 * PACE.poll_ms
+        recent = listed is not None and self._deps.clock.now() - listed <= 2 * FOLLOW_PACE.poll_ms
         return recent and not self._unread
 
-    def hear(self, job_id: str, version: int) -> None:
-        """Take a hint that a job's record has a newer version."""
+    def on_version_reported(self, job_id: str, version: int) -> None:
+        """Handle a report that a job's record has a newer version."""
         known = self.jobs.get(job_id)
         if known is None or known.version < version:
             self._unread[job_id] = max(version, self._unread.get(job_id, 0))
             self._read_soon()
 
-    def take(self, record: JobRecord, version: int) -> JobWork:
-        """Take in a record as read or written; an older version is ignored."""
+    def apply_record(self, record: JobRecord, version: int) -> ActiveJob:
+        """Update a job from a record that was read or written; an older version is ignored."""
         known = self.jobs.get(record.job_id)
         if known is None:
             now = self._deps.clock.now()
-            job = JobWork(record, version, self._deps.cfg.shards, now)
+            job = ActiveJob(record, version, self._deps.cfg.shards, now)
             self.jobs[record.job_id] = job
             self._listeners.on_new(job)
             return job
@@ -81,19 +81,19 @@
             self._listeners.on_changed(known)
         return known
 
-    def drop(self, job_id: str) -> None:
-        """Forget a job that is not active any more."""
+    def remove(self, job_id: str) -> None:
+        """Remove a job that is no longer active."""
         self._unread.pop(job_id, None)
         job = self.jobs.pop(job_id, None)
         if job is not None:
-            self._listeners.on_gone(job)
+            self._listeners.on_removed(job)
 
     def _on_change(self, change: Change) -> None:
         job_id = keys.last_part(change.key)
         if change.deleted:
-            self.drop(job_id)
+            self.remove(job_id)
         else:
-            self.hear(job_id, change.version)
+            self.on_version_reported(job_id, change.version)
 
     def _read_soon(self) -> None:
         if not self._reading and not self._stopped:
@@ -113,13 +113,13 @@
             self._reading = False
 
     async def read(self, job_id: str) -> bool:
-        """Read one job's record and take it in; False says that the store did not answer."""
+        """Read one job's record and update the job; False means that the store did not answer."""
         read = await self._deps.store.get(keys.active_key(job_id))
         if isinstance(read, Err):
-            gone = read.err_value is StoreError.NOT_FOUND
-            if gone:
-                self.drop(job_id)
-            return gone
+            is_absent = read.err_value is StoreError.NOT_FOUND
+            if is_absent:
+                self.remove(job_id)
+            return is_absent
         record = codec.unpack(read.ok_value.value, JobRecord)
         if isinstance(record, Err):
             events.emit(events.BATCH_BROKEN, work=f"job {job_id}", error=record.err_value)
@@ -129,17 +129,17 @@
             ended = await self._has_ended(job_id, version)
             if ended is not False:
                 return ended is True
-        self.take(record.ok_value, version)
+        self.apply_record(record.ok_value, version)
         return True
 
     async def _has_ended(self, job_id: str, version: int) -> bool | None:
-        """Remove the record of a job that has ended; None says that the store did not answer.
+        """Delete the active record of an ended job; None means that the store did not answer.
 
-        A job sent again may be accepted in the moment between its end and the removal of
-        its active record. It would run a second time; the ended record shows that.
+        A job that is submitted again may be accepted between its end and the deletion of its
+        active record. It would run a second time; the ended record reveals this.
         """
         ended = await self._deps.store.get(keys.ended_key(job_id))
         if isinstance(ended, Err):
             return False if ended.err_value is StoreError.NOT_FOUND else None
-        await saves.delete(self._deps, keys.active_key(job_id), version)
+        await store_access.delete(self._deps, keys.active_key(job_id), version)
         return True
--- a/papayapier/batch/results.py
+++ b/papayapier/batch/results.py
@@ -1,9 +1,9 @@
-"""Read the results of a job, whether it runs, has ended or was cancelled.
+"""Read the results of a job that is running, ended or cancelled.
 
-After a cancel no result is recorded. A holder that has not heard of the cancel, or that was
-paused, may still write one, and there is no write that covers the job's record and a task's
-at once. So a reader decides: the store numbers all changes in one order, and what was stored
-at a higher version than the cancel does not count.
+After a cancel, results no longer count. A holder that has not received the cancel, or was
+paused, may still write one, and no single write covers the job's record and a task's results.
+Therefore the reader decides: the store numbers all changes in one sequence, and an object with
+a higher version than the cancel is ignored.
 """
 
 from collections.abc import AsyncIterator, Callable
@@ -13,7 +13,7 @@
 from result import Err, Ok, Result
 
 from papayapier import codec
-from papayapier.batch import keys, saves
+from papayapier.batch import keys, store_access
 from papayapier.batch.opening import OpenError, Unreadable, read_chunk, read_spilled
 from papayapier.batch.records import (
     Checkpoint,
@@ -25,21 +25,21 @@
     TaskResults,
     tally_of,
 )
-from papayapier.batch.tasks import TaskSpan, split
+from papayapier.batch.tasks import TaskSpan, split_tasks
 from papayapier.store.api import Store, Stored, StoreError
 
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
 
 NO_CANCEL: Final = 0
-READ_PATIENCE_MS: Final = 30_000
-LINES_AT_ONCE: Final = 100
-OUTPUT: Final = frozenset({ItemState.COMPLETED})
-ERRORS: Final = frozenset({ItemState.FAILED, ItemState.UNKNOWN, ItemState.CANCELLED})
+READ_TIMEOUT_MS: Final = 30_000
+LINES_PER_PIECE: Final = 100
+OUTPUT_STATES: Final = frozenset({ItemState.COMPLETED})
+ERROR_STATES: Final = frozenset({ItemState.FAILED, ItemState.UNKNOWN, ItemState.CANCELLED})
 
 
 class TaskView(NamedTuple):
-    """Hold what is recorded of a task; open_items have no result, intents may have run."""
+    """Hold what is stored of a task; open_items have no result, intents may have run."""
 
     results: list[ItemResult]
     open_items: list[int]
@@ -49,11 +49,11 @@
 async def view_task(
     store: Store, record: JobRecord, span: TaskSpan, cancel_version: int
 ) -> Result[TaskView, OpenError]:
-    """Read what is recorded of a task, up to the cancel if there was one."""
+    """Read what is stored of a task, up to the cancel if there was one."""
     final = await _get(store, keys.results_key(record.job_id, span.task))
     if isinstance(final, Err):
         return final
-    if final.ok_value is not None and _counts(final.ok_value.version, cancel_version):
+    if final.ok_value is not None and _is_counted(final.ok_value.version, cancel_version):
         return await _view_final(store, span, final.ok_value)
     progress = await _get(store, keys.progress_key(record.job_id, span.task))
     if isinstance(progress, Err):
@@ -86,7 +86,7 @@
     results = [
         result
         for result in spilled.ok_value + checkpoint.ok_value.results
-        if _counts(versions[result.commit], cancel_version)
+        if _is_counted(versions[result.commit], cancel_version)
     ]
     return Ok(_view(span, results, checkpoint.ok_value.intents))
 
@@ -98,7 +98,7 @@
     return TaskView(results, open_items, [item for item in intents if item not in ended])
 
 
-def _counts(version: int, cancel_version: int) -> bool:
+def _is_counted(version: int, cancel_version: int) -> bool:
     return cancel_version == NO_CANCEL or version <= cancel_version
 
 
@@ -112,13 +112,13 @@
 def cancelled_results(
     record: JobRecord, view: TaskView, items: list[InputItem], span: TaskSpan
 ) -> list[ItemResult]:
-    """Return how the items without a result end when their job is cancelled."""
-    guarded = frozenset(() if record.profile.idempotent else view.intents)
+    """Return the results of the open items of a cancelled job."""
+    maybe_run = frozenset(() if record.profile.idempotent else view.intents)
     results: list[ItemResult] = []
     for item in view.open_items:
-        state = ItemState.UNKNOWN if item in guarded else ItemState.CANCELLED
+        state = ItemState.UNKNOWN if item in maybe_run else ItemState.CANCELLED
         custom_id = items[span.start + item].custom_id
-        reason = "under way when the job was cancelled" if item in guarded else "never ran"
+        reason = "running when the job was cancelled" if item in maybe_run else "never ran"
         results.append(
             ItemResult(
                 item, custom_id, state, 0, b"", True, "cancelled", reason, 0, record.cancel_ms
@@ -128,9 +128,9 @@
 
 
 def cancelled_tally(record: JobRecord, view: TaskView) -> Tally:
-    """Count a task of a cancelled job."""
-    guarded = 0 if record.profile.idempotent else len(view.intents)
-    open_tally = Tally(unknown=guarded, cancelled=len(view.open_items) - guarded)
+    """Count the outcomes of a task of a cancelled job."""
+    maybe_run = 0 if record.profile.idempotent else len(view.intents)
+    open_tally = Tally(unknown=maybe_run, cancelled=len(view.open_items) - maybe_run)
     return tally_of(view.results).plus(open_tally)
 
 
@@ -141,9 +141,9 @@
     states: frozenset[ItemState],
     on_error: Callable[[OpenError], None],
 ) -> AsyncIterator[bytes]:
-    """Yield the lines of a job's output, one task at a time."""
-    for span in split(record.chunks, record.task_items):
-        view = await _view_patiently(deps, record, span, cancel_version)
+    """Yield the lines of a job's output, task by task."""
+    for span in split_tasks(record.chunks, record.task_items):
+        view = await _view_with_retry(deps, record, span, cancel_version)
         if isinstance(view, Err):
             on_error(view.err_value)
             return
@@ -154,10 +154,10 @@
                 on_error(rest.err_value)
                 return
             results = results + rest.ok_value
-        wanted = [result for result in results if result.state in states]
-        # Small pieces: encoding a whole task at once would hold up online requests.
-        for start in range(0, len(wanted), LINES_AT_ONCE):
-            piece = wanted[start : start + LINES_AT_ONCE]
+        selected = [result for result in results if result.state in states]
+        # Encoding a complete task at once would delay online requests.
+        for start in range(0, len(selected), LINES_PER_PIECE):
+            piece = selected[start : start + LINES_PER_PIECE]
             yield b"".join(output_line(record, span, result) for result in piece)
 
 
@@ -166,28 +166,28 @@
 ) -> Result[list[ItemResult], OpenError]:
     if not view.open_items:
         return Ok([])
-    chunk = await read_chunk_patiently(deps, record.file_id, span.chunk)
+    chunk = await read_chunk_with_retry(deps, record.file_id, span.chunk)
     return chunk.map(lambda items: cancelled_results(record, view, items, span))
 
 
-async def _view_patiently(
+async def _view_with_retry(
     deps: "BatchDeps", record: JobRecord, span: TaskSpan, cancel_version: int
 ) -> Result[TaskView, OpenError]:
-    return await saves.patiently(
-        deps, READ_PATIENCE_MS, lambda: view_task(deps.store, record, span, cancel_version)
+    return await store_access.retry_while_unavailable(
+        deps, READ_TIMEOUT_MS, lambda: view_task(deps.store, record, span, cancel_version)
     )
 
 
-async def read_chunk_patiently(
+async def read_chunk_with_retry(
     deps: "BatchDeps", file_id: str, chunk: int
 ) -> Result[list[InputItem], OpenError]:
-    """Read one chunk of an input file, waiting for the store for a limited time."""
-    return await saves.patiently(
-        deps, READ_PATIENCE_MS, lambda: read_chunk(deps.store, file_id, chunk)
+    """Read one chunk of an input file; retry for a limited time while the store is unavailable."""
+    return await store_access.retry_while_unavailable(
+        deps, READ_TIMEOUT_MS, lambda: read_chunk(deps.store, file_id, chunk)
     )
 
 
-def input_line(item: InputItem) -> bytes:
+def encode_input_line(item: InputItem) -> bytes:
     """Encode an item as a line of its input file."""
     line = {
         "custom_id": item.custom_id,
--- a/papayapier/batch/runner.py
+++ b/papayapier/batch/runner.py
@@ -1,20 +1,21 @@
 """Run the tasks of the shards that this instance holds, from adoption to hand-over.
 
-The work is done by parts that know nothing of each other: the opener reads tasks, the feeder
-hands out their items, the sender takes in how they end, and commits store what has to last.
+The components are independent of each other: the opener reads tasks, the submitter passes
+their items to the dispatch, the sender processes their outcomes, and the committer stores
+progress and results.
 """
 
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING, Final, NamedTuple
 
-from papayapier.batch.commits import CommitCalls, Commits
-from papayapier.batch.feeder import Feeder, FeederCalls
-from papayapier.batch.opener import Opener
+from papayapier.batch.active_jobs import ActiveJob, OpenTask
+from papayapier.batch.commits import CommitCallbacks, TaskCommitter
+from papayapier.batch.fair_scheduling import FairScheduler, ItemRates
+from papayapier.batch.item_sender import ItemSender
+from papayapier.batch.item_submitter import ItemSubmitter, SubmitterCallbacks
 from papayapier.batch.opening import Grant
 from papayapier.batch.records import Tally
-from papayapier.batch.sending import Sender
-from papayapier.batch.turns import Rates, Turns
-from papayapier.batch.work import JobWork, OpenTask
+from papayapier.batch.task_opener import TaskOpener
 
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
@@ -25,114 +26,128 @@
 HAND_OVER_POLL_MS: Final = 20
 
 
-class Holds(NamedTuple):
-    """Group what the runner asks of the leases.
+class LeaseQueries(NamedTuple):
+    """Group the runner's queries about leases.
 
-    grant gives the lease under which a job's tasks in a shard may be opened. may_send tells
-    whether items of a shard may go out; it takes whether they may be repeated. may_commit
-    tells whether the shard's progress and results may be stored now.
+    grant returns the lease under which a job's tasks in a shard may be opened. may_send
+    returns whether items of a shard may be sent; its second argument states whether they may
+    be repeated. may_commit returns whether the shard's progress and results may be stored now.
     """
 
-    grant: Callable[[JobWork, int], Grant | None]
+    grant: Callable[[ActiveJob, int], Grant | None]
     may_send: Callable[[int, bool], bool]
     may_commit: Callable[[int], bool]
 
 
-class RunnerCalls(NamedTuple):
-    """Group what the runner tells: a task is recorded, or another holder has it."""
+class RunnerCallbacks(NamedTuple):
+    """Group the runner's callbacks: a task is recorded, or another holder has the task."""
 
-    recorded: Callable[[JobWork], None]
-    superseded: Callable[[JobWork], None]
+    task_recorded: Callable[[ActiveJob], None]
+    task_superseded: Callable[[ActiveJob], None]
 
 
 class Runner:
     """Run the tasks of the shards that this instance holds."""
 
-    def __init__(self, deps: "BatchDeps", holder: str, holds: Holds, calls: RunnerCalls) -> None:
-        self.jobs: dict[str, JobWork] = {}
+    def __init__(
+        self, deps: "BatchDeps", holder: str, leases: LeaseQueries, callbacks: RunnerCallbacks
+    ) -> None:
+        self.jobs: dict[str, ActiveJob] = {}
         self._deps = deps
-        self._holds = holds
-        self._calls = calls
-        commit_calls = CommitCalls(
-            holds.may_commit, self._on_saved, self._on_recorded, self._on_given_up, self._on_lost
+        self._leases = leases
+        self._callbacks = callbacks
+        commit_callbacks = CommitCallbacks(
+            leases.may_commit,
+            self._on_saved,
+            self._on_recorded,
+            self._on_handed_over,
+            self._on_superseded,
         )
-        self._commits = Commits(deps, holder, commit_calls)
-        self.rates = Rates()
-        self.turns = Turns(deps.clock, self.rates, lambda job: self.profile_of(job).upstream)
-        self._sender = Sender(deps, self._may_send, self._on_change, self.rates.on_ended)
-        self._opener = Opener(deps, holds.grant, self.profile_of, self._on_opened, self._go_on)
-        feeder_calls = FeederCalls(
+        self._committer = TaskCommitter(deps, holder, commit_callbacks)
+        self.rates = ItemRates()
+        self.scheduler = FairScheduler(
+            deps.clock, self.rates, lambda job: self.profile_of(job).upstream
+        )
+        self._sender = ItemSender(deps, self._may_send, self._on_task_changed, self.rates.on_ended)
+        self._opener = TaskOpener(
+            deps, leases.grant, self.profile_of, self._on_opened, self._submit_soon
+        )
+        submitter_callbacks = SubmitterCallbacks(
             self.profile_of,
             self._may_send,
             self._sender.send,
-            self._commits.kick,
+            self._committer.request_save,
             self._opener.open_ahead,
         )
-        self._feeder = Feeder(deps, self.jobs, self.turns, self.rates, feeder_calls)
+        self._submitter = ItemSubmitter(
+            deps, self.jobs, self.scheduler, self.rates, submitter_callbacks
+        )
         self._tick_timer: Timer | None = None
         self._stopping = False
-        deps.dispatch.watch_room(self._go_on)
+        deps.dispatch.watch_room(self._submit_soon)
 
     # Jobs and shards
 
-    def adopt(self, job: JobWork, shard: int) -> None:
-        """Run the unfinished tasks of a job that are in a shard held."""
+    def adopt(self, job: ActiveJob, shard: int) -> None:
+        """Run the unfinished tasks of a job in a held shard."""
         self.jobs[job.record.job_id] = job
         job.adopt(shard)
-        self.turns.forget()
-        self._keep_ticking()
-        self._feeder.feed_soon()
+        self.scheduler.invalidate()
+        self._schedule_tick()
+        self._submitter.submit_soon()
 
-    def drop_job(self, job: JobWork) -> None:
-        """Stop everything of a job at once; what is not recorded stays so."""
+    def drop_job(self, job: ActiveJob) -> None:
+        """Stop all tasks of a job at once, without storing their progress."""
         self.jobs.pop(job.record.job_id, None)
-        self.turns.forget()
+        self.scheduler.invalidate()
         job.pending.clear()
         job.opening.clear()
         for task in list(job.open.values()):
-            self._drop(task)
+            self._drop_task(task)
 
     def drop_shard(self, shard: int) -> None:
         """Stop the tasks of a shard that another instance holds now."""
         for job in self.jobs.values():
-            job.forget(shard)
+            job.drop_pending(shard)
             for task in [task for task in job.open.values() if task.shard == shard]:
-                self._drop(task)
+                self._drop_task(task)
 
     async def hand_over(self, shard: int, limit_ms: int) -> None:
-        """Stop the tasks of a shard, keeping what they have done.
+        """Stop the tasks of a shard and store their progress.
 
-        Items that may be repeated are stopped; others that were sent run to their end, for
-        at most the limit.
+        Repeatable items are stopped; other items that were sent run to their end, for at most
+        limit_ms.
         """
-        until = self._deps.clock.now() + limit_ms
-        self._stop_shard(shard, patient=True)
-        while any(self._open_in(shard)):
-            if self._deps.clock.now() >= until:
-                self._stop_shard(shard, patient=False)
-                until = self._deps.clock.now() + limit_ms
-            if not self._holds.may_commit(shard):
+        deadline_ms = self._deps.clock.now() + limit_ms
+        self._stop_shard(shard, wait_for_sent=True)
+        while any(self._open_tasks(shard)):
+            if self._deps.clock.now() >= deadline_ms:
+                self._stop_shard(shard, wait_for_sent=False)
+                deadline_ms = self._deps.clock.now() + limit_ms
+            if not self._leases.may_commit(shard):
                 self.drop_shard(shard)
             await self._deps.clock.sleep(HAND_OVER_POLL_MS)
 
-    def _stop_shard(self, shard: int, patient: bool) -> None:
+    def _stop_shard(self, shard: int, wait_for_sent: bool) -> None:
         for job in self.jobs.values():
-            job.forget(shard)
-        for task in list(self._open_in(shard)):
+            job.drop_pending(shard)
+        for task in list(self._open_tasks(shard)):
             task.stopping = True
             idempotent = task.state.rules.idempotent
             for run in list(task.running.values()):
-                if run.deferred is not None and (idempotent or not patient or not run.maybe_sent):
+                if run.deferred is not None and (
+                    idempotent or not wait_for_sent or not run.maybe_sent
+                ):
                     run.deferred.cancel()
-            self._commits.kick(task)
+            self._committer.request_save(task)
 
-    def _open_in(self, shard: int) -> Iterator[OpenTask]:
+    def _open_tasks(self, shard: int) -> Iterator[OpenTask]:
         for job in self.jobs.values():
             for task in list(job.open.values()):
                 if task.shard == shard:
                     yield task
 
-    def _drop(self, task: OpenTask) -> None:
+    def _drop_task(self, task: OpenTask) -> None:
         task.closed = True
         task.job.open.pop(task.span.task, None)
         for run in list(task.running.values()):
@@ -141,21 +156,21 @@
         task.running.clear()
 
     def begin_stop(self) -> None:
-        """Send and open nothing more."""
+        """Send and open no more items."""
         self._stopping = True
-        self._feeder.stop()
+        self._submitter.stop()
 
     def stop(self) -> None:
         """Stop the timer."""
         if self._tick_timer is not None and self._tick_timer.active():
             self._tick_timer.cancel()
 
-    def bytes_held(self) -> int:
-        """Return the size of what all open tasks keep in memory."""
-        return self._feeder.bytes_held()
+    def buffered_bytes(self) -> int:
+        """Return the size of all data that open tasks keep in memory."""
+        return self._submitter.buffered_bytes()
 
-    def profile_of(self, job: JobWork) -> "Profile":
-        """Return the profile in force, as strict about repeating as the job was accepted."""
+    def profile_of(self, job: ActiveJob) -> "Profile":
+        """Return the current profile; a job accepted as non-idempotent stays non-idempotent."""
         accepted = job.record.profile
         current = self._deps.profile(accepted.name) or accepted
         if current.idempotent and not accepted.idempotent:
@@ -163,65 +178,65 @@
         return current
 
     def _may_send(self, task: OpenTask) -> bool:
-        if task.closed or task.stopping or self._stopping or not task.job.runs():
+        if task.closed or task.stopping or self._stopping or not task.job.is_running():
             return False
-        return self._holds.may_send(task.shard, task.state.rules.idempotent)
+        return self._leases.may_send(task.shard, task.state.rules.idempotent)
 
-    # What changes
+    # Events
 
-    def _go_on(self) -> None:
-        self._feeder.feed_soon()
+    def _submit_soon(self) -> None:
+        self._submitter.submit_soon()
 
-    def on_holds_changed(self) -> None:
-        """Go on with what waited for a lease to be confirmed."""
+    def on_leases_confirmed(self) -> None:
+        """Continue what waited for the confirmation of a lease."""
         for job in list(self.jobs.values()):
             for task in list(job.open.values()):
-                self._commits.kick(task)
-        self._feeder.feed_soon()
+                self._committer.request_save(task)
+        self._submitter.submit_soon()
 
-    def _on_change(self, task: OpenTask) -> None:
-        self._commits.kick(task)
-        self._feeder.feed_soon()
+    def _on_task_changed(self, task: OpenTask) -> None:
+        self._committer.request_save(task)
+        self._submitter.submit_soon()
 
     def _on_opened(self, task: OpenTask) -> None:
         if self._stopping:
             return
         task.job.open[task.span.task] = task
-        self._commits.on_opened(task)
-        self._on_change(task)
+        self._committer.on_opened(task)
+        self._on_task_changed(task)
 
     def _on_saved(self, task: OpenTask) -> None:
-        task.state.wake(self._deps.clock.now())
-        self._feeder.feed_soon()
+        task.state.wake_retries(self._deps.clock.now())
+        self._submitter.submit_soon()
 
     def _on_recorded(self, task: OpenTask, tally: Tally) -> None:
-        self._drop(task)
-        task.job.on_done(task.span.task, tally)
-        self._calls.recorded(task.job)
-        self._feeder.feed_soon()
+        self._drop_task(task)
+        task.job.on_recorded(task.span.task, tally)
+        self._callbacks.task_recorded(task.job)
+        self._submitter.submit_soon()
 
-    def _on_given_up(self, task: OpenTask) -> None:
-        self._drop(task)
+    def _on_handed_over(self, task: OpenTask) -> None:
+        self._drop_task(task)
         if task.reopen:
             task.job.pending.append(task.span.task)
-            self._feeder.feed_soon()
+            self._submitter.submit_soon()
 
-    def _on_lost(self, task: OpenTask) -> None:
-        self._drop(task)
-        self._calls.superseded(task.job)
+    def _on_superseded(self, task: OpenTask) -> None:
+        self._drop_task(task)
+        self._callbacks.task_superseded(task.job)
 
-    def _keep_ticking(self) -> None:
+    def _schedule_tick(self) -> None:
         if self._tick_timer is None and not self._stopping:
             self._tick_timer = self._deps.clock.call_later(TICK_MS, self._tick)
 
     def _tick(self) -> None:
-        """Wake retries that are due, and store checkpoints that are due."""
+        """Wake due retries and store due checkpoints."""
         self._tick_timer = None
         now = self._deps.clock.now()
         for job in list(self.jobs.values()):
             for task in list(job.open.values()):
-                task.state.wake(now)
-                self._commits.kick(task)
-        self._feeder.feed_soon()
+                task.state.wake_retries(now)
+                self._committer.request_save(task)
+        self._submitter.submit_soon()
         if self.jobs:
-            self._keep_ticking()
+            self._schedule_tick()
--- a/papayapier/batch/task_state.py
+++ b/papayapier/batch/task_state.py
@@ -1,19 +1,19 @@
-"""Decide what may be sent and what must be written, for the items of one task.
-
-This is the pure core of exactly-once: no I/O, no clock. The rules are:
-
-* An item ends once. Its result stays in memory until a checkpoint or the final results
-  that carry it are stored.
-* An item that may not be repeated is sent only after a stored checkpoint lists it as an
-  intent. Whoever takes the task over finds the intent without a result, and ends the item
-  as unknown: it may have run. No clock and no lease is needed for this to hold, because a
-  checkpoint is stored only on top of the version that its writer has read.
-* The task of a holder that was lost is treated with care even when its items may be
-  repeated: one of them may have killed the holder. Then intents are written too, and each
-  loss counts as a failed attempt of the items intended. Items under suspicion run alone,
-  so that the one at fault ends as failed and the others are cleared.
-* A failed attempt is stored before the next one starts. Otherwise an item that kills
-  replicas would start from zero with each new holder.
+"""Decide what may be sent and what must be stored, for the items of one task.
+
+This is the core of exactly-once processing, without I/O and clocks. The rules are:
+
+* An item ends once. Its result stays in memory until a checkpoint or the final results that
+  contain it are stored.
+* An item that must not be repeated is sent only after a stored checkpoint lists it as an
+  intent. The next holder finds the intent without a result and ends the item as unknown,
+  because it may have run. This depends on no clock and no lease, because a checkpoint is
+  stored only if its predecessor is the version that its writer has read.
+* If the previous holder was lost, the task is run cautiously even if its items may be
+  repeated, because one of them may have crashed the holder. Intents are then stored as well,
+  and each loss counts as a failed attempt of the intended items. Suspect items are sent one at
+  a time, so that the item at fault ends as failed and the others are cleared.
+* A failed attempt is stored before the next one starts. Otherwise the attempts of an item that
+  crashes replicas would be counted from zero by each new holder.
 """
 
 from collections import deque
@@ -31,11 +31,11 @@
 from papayapier.errors import ErrorKind
 from papayapier.invariants import Promise, check
 
-RESULT_OVERHEAD: Final = 64
+RESULT_OVERHEAD_BYTES: Final = 64
 
 
 class TaskRules(NamedTuple):
-    """Say how the items of a task may be treated."""
+    """Hold the rules for sending the items of a task."""
 
     idempotent: bool
     item_attempts: int
@@ -43,7 +43,7 @@
 
 
 class Retry(NamedTuple):
-    """Hold an item that waits for its next send."""
+    """Hold an item that waits for its next attempt."""
 
     item: int
     at_ms: int
@@ -51,13 +51,13 @@
 
 
 class TaskState:
-    """Hold the state of one task's items for as long as this process runs it."""
+    """Hold the state of one task's items while this process runs the task."""
 
     __slots__ = (
         "_attempts",
-        "_intending",
         "_intents",
         "_losses",
+        "_new_intents",
         "_pending",
         "_ready",
         "_results",
@@ -68,7 +68,7 @@
         "_suspects",
         "_versions",
         "ended",
-        "held_bytes",
+        "result_bytes",
         "rules",
         "size",
         "tally",
@@ -78,10 +78,10 @@
         self.size = size
         self.rules = rules
         self.tally = Tally()
-        self.held_bytes = 0
+        self.result_bytes = 0
         self.ended: set[int] = set()
         self._attempts: dict[int, int] = {}
-        self._intending: list[int] = []
+        self._new_intents: list[int] = []
         self._intents: set[int] = set()
         self._losses = 0
         self._pending: deque[int] = deque(range(size))
@@ -89,28 +89,28 @@
         self._results: dict[int, ItemResult] = {}
         self._retries: list[Retry] = []
         self._running: set[int] = set()
-        self._saving: _Saving | None = None
+        self._saving: _PendingSave | None = None
         self._spilled: list[str] = []
         self._suspects: deque[int] = deque()
         self._versions: list[int] = []
 
-    # Coming back from a checkpoint
+    # Resuming from a checkpoint
 
     def resume(self, checkpoint: Checkpoint, version: int, spilled: Iterable[ItemResult]) -> None:
-        """Take over from a checkpoint whose writer no longer runs the task."""
+        """Resume from a checkpoint whose writer no longer runs the task."""
         self._versions = [*checkpoint.versions, version]
         self._losses = checkpoint.losses
         self._spilled = list(checkpoint.spilled)
         self._attempts = dict(checkpoint.attempts)
         for result in spilled:
-            self._count(result)
+            self._count_result(result)
         for result in checkpoint.results:
-            self._count(result)
-            self._keep(result)
+            self._count_result(result)
+            self._buffer_result(result)
         self._pending = deque(i for i in range(self.size) if i not in self.ended)
 
-    def on_loss(self, intents: Iterable[int], custom_ids: list[str], now_wall: int) -> None:
-        """Settle the items that the lost holder may have had under way."""
+    def on_holder_lost(self, intents: Iterable[int], custom_ids: list[str], now_wall: int) -> None:
+        """Handle the items that the lost holder may have been running."""
         self._losses += 1
         for index in intents:
             if index in self.ended:
@@ -118,17 +118,17 @@
             attempts = self._attempts.get(index, 0) + 1
             self._attempts[index] = attempts
             if not self.rules.idempotent:
-                reason = "the instance was lost after the item may have been sent"
-                self._end_lost(index, ItemState.UNKNOWN, custom_ids[index], reason, now_wall)
+                reason = "the instance was lost while the item may have been running"
+                self._end_on_loss(index, ItemState.UNKNOWN, custom_ids[index], reason, now_wall)
             elif attempts >= self.rules.item_attempts:
-                reason = f"the instance was lost with the item under way, {attempts} times"
-                self._end_lost(index, ItemState.FAILED, custom_ids[index], reason, now_wall)
+                reason = f"the instance was lost while it ran the item, {attempts} times"
+                self._end_on_loss(index, ItemState.FAILED, custom_ids[index], reason, now_wall)
             else:
                 self._suspects.append(index)
-        apart = self.ended.union(self._suspects)
-        self._pending = deque(i for i in self._pending if i not in apart)
+        excluded = self.ended.union(self._suspects)
+        self._pending = deque(i for i in self._pending if i not in excluded)
 
-    def _end_lost(
+    def _end_on_loss(
         self, index: int, state: ItemState, custom_id: str, reason: str, now_wall: int
     ) -> None:
         attempts = self._attempts[index]
@@ -137,37 +137,37 @@
         result = ItemResult(
             index, custom_id, state, 0, b"", True, kind, reason, attempts, now_wall, commit
         )
-        self._count(result)
-        self._keep(result)
+        self._count_result(result)
+        self._buffer_result(result)
 
     # Sending
 
     def needs_intents(self) -> bool:
-        """Tell whether items must be stored as intents before they are sent."""
+        """Return whether items must be stored as intents before they are sent."""
         return self.rules.cautious or not self.rules.idempotent
 
-    def startable(self) -> int:
-        """Return how many items may be sent now without a write."""
+    def startable_count(self) -> int:
+        """Return how many items may be sent now without a prior write."""
         waiting = 0 if self.needs_intents() else len(self._pending)
         return len(self._ready) + waiting
 
-    def unintended(self) -> int:
-        """Return how many items still have to be written as intents."""
+    def unintended_count(self) -> int:
+        """Return how many items still have to be stored as intents."""
         return len(self._pending) + len(self._suspects) if self.needs_intents() else 0
 
-    def intend(self, most: int) -> int:
+    def intend(self, max_items: int) -> int:
         """Choose the next intents; they become startable when a checkpoint is stored."""
-        if not self.needs_intents() or self._intending or self._ready:
+        if not self.needs_intents() or self._new_intents or self._ready:
             return 0
-        while self._pending and len(self._intending) < most:
-            self._intending.append(self._pending.popleft())
-        if not self._intending and self._suspects and not self._intents:
-            self._intending.append(self._suspects.popleft())
-        self._intents.update(self._intending)
-        return len(self._intending)
-
-    def take(self) -> int | None:
-        """Return an item to be sent now; it counts as running."""
+        while self._pending and len(self._new_intents) < max_items:
+            self._new_intents.append(self._pending.popleft())
+        if not self._new_intents and self._suspects and not self._intents:
+            self._new_intents.append(self._suspects.popleft())
+        self._intents.update(self._new_intents)
+        return len(self._new_intents)
+
+    def take_item(self) -> int | None:
+        """Return an item to be sent now and count it as running, or None."""
         if self._ready:
             index = self._ready.popleft()
         elif self._pending and not self.needs_intents():
@@ -187,7 +187,7 @@
         """Return how many items are running."""
         return len(self._running)
 
-    def left(self) -> int:
+    def remaining(self) -> int:
         """Return how many items have not ended."""
         return self.size - len(self.ended)
 
@@ -197,19 +197,22 @@
 
     # Ending
 
-    def end(self, result: ItemResult) -> None:
-        """Record how a running item ended."""
+    def end_item(self, result: ItemResult) -> None:
+        """Record the outcome of a running item."""
         check(
             result.item in self._running and result.item not in self.ended,
             Promise.COMPLETE_ONCE,
             item=result.item,
         )
         self._running.discard(result.item)
-        self._count(result)
-        self._keep(result._replace(commit=self.next_commit()))
+        self._count_result(result)
+        self._buffer_result(result._replace(commit=self.next_commit()))
 
     def fail_attempt(self, index: int, at_ms: int) -> bool:
-        """Count a failed attempt; False says that it was the last one, and the item runs on."""
+        """Count a failed attempt and schedule a retry.
+
+        If it was the last attempt, return False and leave the item running.
+        """
         attempts = self._attempts.get(index, 0) + 1
         self._attempts[index] = attempts
         if attempts >= self.rules.item_attempts:
@@ -218,12 +221,15 @@
         self._retries.append(Retry(index, at_ms, needs_save=True))
         return True
 
-    def put_back(self, index: int, at_ms: int) -> None:
-        """Let a running item that provably did not run wait for another send."""
+    def requeue(self, index: int, at_ms: int) -> None:
+        """Schedule another send of a running item without counting a failed attempt.
+
+        The item may be repeated, or it provably has not run.
+        """
         self._running.discard(index)
         self._retries.append(Retry(index, at_ms, needs_save=False))
 
-    def wake(self, now: int) -> int | None:
+    def wake_retries(self, now: int) -> int | None:
         """Make due retries startable; return when the next one is due."""
         waiting: list[Retry] = []
         for retry in self._retries:
@@ -238,21 +244,21 @@
     # Storing
 
     def must_save(self) -> bool:
-        """Tell whether an item waits for a checkpoint before it may be sent."""
-        return bool(self._intending) or any(retry.needs_save for retry in self._retries)
+        """Return whether an item waits for a checkpoint before it may be sent."""
+        return bool(self._new_intents) or any(retry.needs_save for retry in self._retries)
 
-    def has_news(self) -> bool:
-        """Tell whether a checkpoint would carry results that no stored one has."""
+    def has_unstored_results(self) -> bool:
+        """Return whether there are results that no stored checkpoint contains."""
         return any(result.commit >= len(self._versions) for result in self._results.values())
 
-    def unstored(self) -> bool:
-        """Tell whether a later holder would miss something that no checkpoint has."""
-        return self.has_news() or self.must_save() or bool(self._intents)
+    def has_unstored_state(self) -> bool:
+        """Return whether a later holder would miss state that no checkpoint contains."""
+        return self.has_unstored_results() or self.must_save() or bool(self._intents)
 
     def snapshot(self, writer: str, fence: int, withdraw: bool = False) -> Checkpoint:
-        """Return what to store; withdraw leaves out intents that were not sent."""
-        self._saving = _Saving(
-            intended=list(self._intending),
+        """Return the checkpoint to store; withdraw omits intents that were not sent."""
+        self._saving = _PendingSave(
+            new_intents=list(self._new_intents),
             retried=[retry.item for retry in self._retries if retry.needs_save],
         )
         intents = self._intents & self._running if withdraw else self._intents
@@ -268,58 +274,60 @@
         )
 
     def on_saved(self, version: int) -> None:
-        """Let go what waited for the snapshot that is now stored."""
+        """Release what waited for the snapshot that is now stored."""
         saving = self._saving
         if saving is None:
             return
         self._saving = None
         self._versions.append(version)
-        self._ready.extend(saving.intended)
-        self._intending = [index for index in self._intending if index not in saving.intended]
+        self._ready.extend(saving.new_intents)
+        self._new_intents = [
+            index for index in self._new_intents if index not in saving.new_intents
+        ]
         self._retries = [
             retry._replace(needs_save=retry.needs_save and retry.item not in saving.retried)
             for retry in self._retries
         ]
 
-    def take_spill(self) -> list[ItemResult]:
-        """Give up the results held in memory, to be stored in a part of their own."""
+    def take_results(self) -> list[ItemResult]:
+        """Remove and return the results in memory, to be stored as a separate object."""
         results = list(self._results.values())
         self._results = {}
-        self.held_bytes = 0
+        self.result_bytes = 0
         return results
 
     def on_spilled(self, key: str) -> None:
-        """Name the stored part in the checkpoints to come."""
+        """Add the stored object to the checkpoints that follow."""
         self._spilled.append(key)
 
-    def final(self, writer: str, fence: int) -> TaskResults:
-        """Return the results of the whole task."""
-        check(len(self.ended) == self.size, Promise.COMPLETE_ONCE, left=self.left())
+    def final_results(self, writer: str, fence: int) -> TaskResults:
+        """Return the results of the complete task."""
+        check(len(self.ended) == self.size, Promise.COMPLETE_ONCE, left=self.remaining())
         check(self.tally.total() == self.size, Promise.COMPLETE_ONCE, tally=self.tally)
         results = [self._results[index] for index in sorted(self._results)]
         return TaskResults(writer, fence, self.tally, results, list(self._spilled))
 
     def result_of(self, index: int) -> ItemResult | None:
-        """Return the result of an item, if it is held in memory."""
+        """Return the result of an item if it is in memory."""
         return self._results.get(index)
 
-    def _count(self, result: ItemResult) -> None:
+    def _count_result(self, result: ItemResult) -> None:
         check(result.item not in self.ended, Promise.COMPLETE_ONCE, item=result.item)
         self.ended.add(result.item)
         self._intents.discard(result.item)
         self.tally = self.tally.plus(tally_of([result]))
 
-    def _keep(self, result: ItemResult) -> None:
+    def _buffer_result(self, result: ItemResult) -> None:
         self._results[result.item] = result
-        self.held_bytes += len(result.body) + RESULT_OVERHEAD
+        self.result_bytes += len(result.body) + RESULT_OVERHEAD_BYTES
 
     def next_commit(self) -> int:
-        """Return the number of the first checkpoint that can carry a result made now."""
+        """Return the index of the first checkpoint that can contain a result produced now."""
         return len(self._versions) + (self._saving is not None)
 
 
-class _Saving(NamedTuple):
+class _PendingSave(NamedTuple):
     """Hold what waits for the snapshot that is being stored."""
 
-    intended: list[int]
+    new_intents: list[int]
     retried: list[int]
--- a/papayapier/batch/view.py
+++ b/papayapier/batch/view.py
@@ -1,8 +1,8 @@
-"""Answer callers' questions about jobs, items and files.
+"""Answer callers' requests about jobs, items and files.
 
-Only what is stored is shown. A result that is still in an instance's memory may be lost with
-it and come out differently the second time; once shown, a result must stay what it is. So
-the counts of a running job are lower bounds that only grow.
+Only stored data is returned. A result that is still in an instance's memory may be lost with
+the instance and come out differently when the item runs again, but a result that a caller has
+read must not change. Therefore the counts of a running job are lower bounds that only grow.
 """
 
 from collections.abc import AsyncIterator, Callable
@@ -11,40 +11,40 @@
 from result import Err, Ok, Result
 
 from papayapier.batch import ids, keys
-from papayapier.batch.ending import refresh_done, sum_tallies
+from papayapier.batch.job_completion import refresh_recorded, sum_tallies
 from papayapier.batch.jobs import caller_prefix
 from papayapier.batch.lookup import FoundJob, find_file, find_job, unavailable
 from papayapier.batch.opening import OpenError, read_chunk, read_results
 from papayapier.batch.records import FileRecord, ItemResult, JobState
 from papayapier.batch.results import (
-    ERRORS,
-    LINES_AT_ONCE,
+    ERROR_STATES,
+    LINES_PER_PIECE,
     NO_CANCEL,
-    OUTPUT,
+    OUTPUT_STATES,
     TaskView,
     cancelled_results,
-    input_line,
-    read_chunk_patiently,
+    encode_input_line,
+    read_chunk_with_retry,
     stream_lines,
     view_task,
 )
-from papayapier.batch.tasks import TaskSpan, place, split
+from papayapier.batch.tasks import TaskSpan, locate_item, split_tasks
 from papayapier.errors import ErrorKind, Refusal, not_run
 from papayapier.store.api import StoreError
 
 if TYPE_CHECKING:
+    from papayapier.batch.active_jobs import ActiveJob
     from papayapier.batch.api import BatchDeps
     from papayapier.batch.registry import JobRegistry
-    from papayapier.batch.work import JobWork
 
 OUTPUT_FILE: Final = "file-out-"
 ERROR_FILE: Final = "file-err-"
-LIST_AGAIN_MS: Final = 1_000
-TALLIES_AT_ONCE: Final = 16
+LIST_INTERVAL_MS: Final = 1_000
+MAX_TALLIES_PER_READ: Final = 16
 
 
 class ItemView(NamedTuple):
-    """Hold what is known of one item; result is None while it has not ended."""
+    """Hold what is stored of one item; result is None until the item has ended."""
 
     job: FoundJob
     span: TaskSpan
@@ -52,57 +52,57 @@
 
 
 class OutputFile(NamedTuple):
-    """Name the output of a job: its results, or its errors."""
+    """Identify an output file of a job: its results, or its errors."""
 
     job: FoundJob
     errors: bool
 
 
-class Views:
-    """Read for callers."""
+class JobReader:
+    """Read jobs, items and files for callers."""
 
     def __init__(self, deps: "BatchDeps", registry: "JobRegistry") -> None:
         self._deps = deps
         self._registry = registry
 
     async def job(self, caller: str, job_id: str) -> Result[FoundJob, Refusal]:
-        """Return a job with its counts as they are known now."""
+        """Return a job with its current counts."""
         found = await find_job(self._deps, caller, job_id)
         if isinstance(found, Err) or found.ok_value.ended:
             return found
         return Ok(await self._with_counts(found.ok_value))
 
     async def _with_counts(self, found: FoundJob) -> FoundJob:
-        work = self._registry.jobs.get(found.record.job_id)
-        if work is None or found.record.state is not JobState.RUNNING:
+        active_job = self._registry.jobs.get(found.record.job_id)
+        if active_job is None or found.record.state is not JobState.RUNNING:
             return found
         now = self._deps.clock.now()
-        if now >= work.list_again_ms:
-            work.list_again_ms = now + LIST_AGAIN_MS
-            await refresh_done(self._deps, work)
-            await self._read_tallies(work)
-        tally = sum_tallies(work.tallies.values())
+        if now >= active_job.next_list_ms:
+            active_job.next_list_ms = now + LIST_INTERVAL_MS
+            await refresh_recorded(self._deps, active_job)
+            await self._read_tallies(active_job)
+        tally = sum_tallies(active_job.tallies.values())
         return found._replace(record=found.record._replace(tally=tally))
 
-    async def _read_tallies(self, work: "JobWork") -> None:
-        missing = sorted(work.done.difference(work.tallies))
-        for task in missing[:TALLIES_AT_ONCE]:
-            read = await read_results(self._deps.store, work.record.job_id, task)
+    async def _read_tallies(self, active_job: "ActiveJob") -> None:
+        missing = sorted(active_job.recorded.difference(active_job.tallies))
+        for task in missing[:MAX_TALLIES_PER_READ]:
+            read = await read_results(self._deps.store, active_job.record.job_id, task)
             if isinstance(read, Ok):
-                work.tallies[task] = read.ok_value.tally
+                active_job.tallies[task] = read.ok_value.tally
 
     async def jobs(self, caller: str, after: str, limit: int) -> Result[list[FoundJob], Refusal]:
-        """List a caller's jobs by id: ids that follow after, at most limit."""
+        """List a caller's jobs by id: up to limit + 1 ids that follow after."""
         prefix = caller_prefix(caller)
-        names: set[str] = set()
-        for kind in (keys.ACTIVE_PREFIX, keys.ENDED_PREFIX):
-            start = kind + after if after else ""
-            listed = await self._deps.store.list(kind + prefix, start, limit + 1)
+        job_ids: set[str] = set()
+        for key_prefix in (keys.ACTIVE_PREFIX, keys.ENDED_PREFIX):
+            start = key_prefix + after if after else ""
+            listed = await self._deps.store.list(key_prefix + prefix, start, limit + 1)
             if isinstance(listed, Err):
                 return Err(unavailable())
-            names.update(keys.last_part(entry.key) for entry in listed.ok_value.objects)
+            job_ids.update(keys.last_part(entry.key) for entry in listed.ok_value.objects)
         found: list[FoundJob] = []
-        for job_id in sorted(names)[: limit + 1]:
+        for job_id in sorted(job_ids)[: limit + 1]:
             job = await find_job(self._deps, caller, job_id)
             if isinstance(job, Ok):
                 found.append(job.ok_value)
@@ -111,36 +111,38 @@
         return Ok(found)
 
     async def item(self, caller: str, job_id: str, custom_id: str) -> Result[ItemView, Refusal]:
-        """Return what is known of one item."""
+        """Return what is stored of one item."""
         found = await find_job(self._deps, caller, job_id)
         if isinstance(found, Err):
             return found
         job = found.ok_value
-        number = await self._item_number(job, custom_id)
-        if isinstance(number, Err):
-            return number
+        item_index = await self._item_index(job, custom_id)
+        if isinstance(item_index, Err):
+            return item_index
         chunks = job.record.chunks
-        span, item = place(split(chunks, job.record.task_items), chunks, number.ok_value)
+        span, item = locate_item(
+            split_tasks(chunks, job.record.task_items), chunks, item_index.ok_value
+        )
         result = await self._result_of(job, span, item)
-        return result.map(lambda one: ItemView(job, span, one))
+        return result.map(lambda found_result: ItemView(job, span, found_result))
 
-    async def _item_number(self, job: FoundJob, custom_id: str) -> Result[int, Refusal]:
-        """Find the place of an id by the hashes kept with the input file."""
+    async def _item_index(self, job: FoundJob, custom_id: str) -> Result[int, Refusal]:
+        """Find the index of an id by the hashes stored with the input file."""
         missing = not_run(ErrorKind.NOT_FOUND, f"the job has no item {custom_id}")
         file = await find_file(self._deps, job.record.caller, job.record.file_id, deleted=True)
         if isinstance(file, Err):
             return file
         record = file.ok_value.record
-        number = ids.find(record.id_hashes, custom_id)
+        item_index = ids.find_position(record.id_hashes, custom_id)
         for block in range(record.id_blocks):
-            if number is not None:
+            if item_index is not None:
                 break
             read = await self._deps.store.get(keys.index_key(job.record.file_id, block))
             if isinstance(read, Err):
                 return Err(unavailable())
-            there = ids.find(read.ok_value.value, custom_id)
-            number = None if there is None else block * ids.BLOCK_IDS + there
-        return Err(missing) if number is None else Ok(number)
+            position = ids.find_position(read.ok_value.value, custom_id)
+            item_index = None if position is None else block * ids.IDS_PER_BLOCK + position
+        return Err(missing) if item_index is None else Ok(item_index)
 
     async def _result_of(
         self, job: FoundJob, span: TaskSpan, item: int
@@ -164,7 +166,7 @@
         return found.map(lambda file: file.record)
 
     async def output(self, caller: str, file_id: str) -> Result[OutputFile, Refusal]:
-        """Find the job whose output a file id names."""
+        """Find the job to which the id of an output file belongs."""
         errors = file_id.startswith(ERROR_FILE)
         prefix = ERROR_FILE if errors else OUTPUT_FILE
         if not file_id.startswith(prefix):
@@ -175,24 +177,24 @@
     def output_lines(
         self, output: OutputFile, on_error: Callable[[OpenError], None]
     ) -> AsyncIterator[bytes]:
-        """Yield the lines of an output, a task at a time."""
+        """Yield the lines of an output file, task by task."""
         job = output.job
-        states = ERRORS if output.errors else OUTPUT
+        states = ERROR_STATES if output.errors else OUTPUT_STATES
         return stream_lines(self._deps, job.record, cancel_version(job), states, on_error)
 
     async def input_lines(
         self, file: FileRecord, on_error: Callable[[OpenError], None]
     ) -> AsyncIterator[bytes]:
-        """Yield the lines of an input file, a chunk at a time."""
+        """Yield the lines of an input file, chunk by chunk."""
         for chunk in range(len(file.chunks)):
-            read = await read_chunk_patiently(self._deps, file.file_id, chunk)
+            read = await read_chunk_with_retry(self._deps, file.file_id, chunk)
             if isinstance(read, Err):
                 on_error(read.err_value)
                 return
             items = read.ok_value
-            for start in range(0, len(items), LINES_AT_ONCE):
-                piece = items[start : start + LINES_AT_ONCE]
-                yield b"".join(input_line(item) for item in piece)
+            for start in range(0, len(items), LINES_PER_PIECE):
+                piece = items[start : start + LINES_PER_PIECE]
+                yield b"".join(encode_input_line(item) for item in piece)
 
 
 def cancel_version(job: FoundJob) -> int:
@@ -203,7 +205,7 @@
 
 
 def refusal_of(error: OpenError) -> Refusal:
-    """Refuse because something stored cannot be read."""
+    """Return the refusal for a stored object that cannot be read."""
     if isinstance(error, StoreError):
         return unavailable()
     return not_run(ErrorKind.INTERNAL, f"{error.key} is not readable")
