--- a/papayapier/operate/__init__.py
+++ b/papayapier/operate/__init__.py
@@ -1,6 +1,6 @@
-"""Offer the operators' commands: profiles, upstreams, audit trail, status and jobs.
+"""Provide the operators' commands: profiles, upstreams, audit trail, status and jobs.
 
-Each command calls one instance's operator address over HTTP.
+Each command calls the operator address of one instance over HTTP.
 """
 
 from typing import TYPE_CHECKING
@@ -19,7 +19,7 @@
 def add_operator_commands(
     subparsers: "argparse._SubParsersAction[argparse.ArgumentParser]",
 ) -> None:
-    """Register every operator command; each sets "command" to a function to an exit code."""
+    """Register all operator commands; each sets "command" to the function that runs it."""
     add_configuration_commands(subparsers)
     add_report_commands(subparsers)
     add_job_commands(subparsers)
--- a/papayapier/operate/client.py
+++ b/papayapier/operate/client.py
@@ -1,7 +1,7 @@
-"""Call an instance's operator address, and run one such call as a whole command.
+"""Call the operator address of an instance, and run such a call as a command.
 
-The key is read from a file or the environment, never from the command line, where every
-user of the machine could read it.
+The key is read from a file or the environment, never from the command line, which every user
+of the machine can read.
 """
 
 import argparse
@@ -21,7 +21,7 @@
 from papayapier.exits import EXIT_FAILED, EXIT_OK, EXIT_USAGE
 from papayapier.operate.output import print_json
 
-ADDRESS_DEFAULT: Final = "127.0.0.1:8081"
+DEFAULT_ADDRESS: Final = "127.0.0.1:8081"
 ADDRESS_VARIABLE: Final = "PAPAYAPIER_OPERATOR"
 KEY_VARIABLE: Final = "PAPAYAPIER_KEY"
 TIMEOUT_S: Final = 30
@@ -30,19 +30,19 @@
 
 OPTIONS_HELP: Final = (
     f"The address is --address or {ADDRESS_VARIABLE}; the operator's key comes from "
-    f"--key-file or {KEY_VARIABLE} and is not needed on the instance's own machine when its "
-    "settings list no operators. Exit codes: 0 done, 1 failed or refused, 2 wrong input."
+    f"--key-file or {KEY_VARIABLE} and is not needed on the instance's own machine if its "
+    "settings list no operators. Exit codes: 0 success, 1 failed or refused, 2 invalid input."
 )
 
 
 class Answer(NamedTuple):
-    """Hold an HTTP answer."""
+    """Hold an HTTP response."""
 
     status: int
     body: bytes
 
     def document(self) -> Any:
-        """Decode the body as JSON; None when it is not."""
+        """Return the body decoded as JSON, or None if it is not valid JSON."""
         try:
             return msgspec.json.decode(self.body)
         except msgspec.MsgspecError:
@@ -50,7 +50,7 @@
 
 
 class Client(NamedTuple):
-    """Address an instance's operator API with a key, which may be empty."""
+    """Call the operator API of an instance with a key, which may be empty."""
 
     address: str
     key: str
@@ -64,14 +64,14 @@
         headers: dict[str, str] | None = None,
     ) -> Result[Answer, str]:
         """Make one call; the error says why there is no answer."""
-        parts: list[bytes] = []
-        done = await self._exchange(method, path, body, query, headers, parts.append)
-        return done.map(lambda status: Answer(status, b"".join(parts)))
+        blocks: list[bytes] = []
+        done = await self._exchange(method, path, body, query, headers, blocks.append)
+        return done.map(lambda status: Answer(status, b"".join(blocks)))
 
     async def stream(
         self, path: str, headers: dict[str, str], sink: Callable[[bytes], None]
     ) -> Result[Answer, str]:
-        """Read a long answer part by part; the Answer's body is empty unless it is refused."""
+        """Stream a long answer to sink; the body of the Answer is empty unless it is an error."""
         refused: list[bytes] = []
         done = await self._exchange("GET", path, None, None, headers, sink, refused.append)
         return done.map(lambda status: Answer(status, b"".join(refused)))
@@ -88,15 +88,15 @@
     ) -> Result[int, str]:
         from twisted.internet import reactor
 
-        sent: dict[bytes | str, bytes | str] = {"Content-Type": "application/json"}
-        sent.update(headers or {})
+        all_headers: dict[bytes | str, bytes | str] = {"Content-Type": "application/json"}
+        all_headers.update(headers or {})
         if self.key:
-            sent["Authorization"] = f"Bearer {self.key}"
+            all_headers["Authorization"] = f"Bearer {self.key}"
         try:
             response = await treq.request(
                 method,
                 f"http://{self.address}{path}",
-                headers=sent,
+                headers=all_headers,
                 params=query or {},
                 data=None if body is None else msgspec.json.encode(body),
                 pool=cast(Any, HTTPConnectionPool)(reactor, persistent=False),
@@ -106,15 +106,15 @@
             ok = response.code == OK_STATUS
             await treq.collect(response, sink if ok or refused is None else refused)
             return Ok(response.code)
-        except Exception as exc:  # the library's failures have no common base
-            return Err(f"{self.address} does not answer: {_short(exc)}")
+        except Exception as exc:  # the library's exceptions have no common base class
+            return Err(f"{self.address} does not answer: {_error_text(exc)}")
 
 
 Run = Callable[[Client, argparse.Namespace], Awaitable[int]]
 
 
 def add_options(parser: argparse.ArgumentParser, run: Run) -> None:
-    """Add the options that every operator command has, and bind the command."""
+    """Add the options of all operator commands, and set the function to run."""
     parser.add_argument("--address", metavar="IP:PORT", help="operator address of an instance")
     parser.add_argument("--key-file", type=Path, metavar="FILE", help="file with the key")
     parser.add_argument("--json", action="store_true", help="print the answer as JSON")
@@ -128,12 +128,12 @@
     client = make_client(options)
     if isinstance(client, Err):
         return fail(client.err_value, EXIT_USAGE)
-    return _run_reactor(lambda: _await(run(client.ok_value, options)))
+    return _run_reactor(lambda: _as_coroutine(run(client.ok_value, options)))
 
 
 def make_client(options: argparse.Namespace) -> Result[Client, str]:
-    """Make the client that the options and the environment ask for."""
-    address = options.address or os.environ.get(ADDRESS_VARIABLE) or ADDRESS_DEFAULT
+    """Return a client according to the options and the environment."""
+    address = options.address or os.environ.get(ADDRESS_VARIABLE) or DEFAULT_ADDRESS
     key = os.environ.get(KEY_VARIABLE, "")
     if options.key_file is not None:
         try:
@@ -147,40 +147,42 @@
 
 
 def fail(reason: str, code: int = EXIT_FAILED) -> int:
-    """Print one line about what went wrong and return the exit code."""
+    """Print the reason of a failure in one line and return the exit code."""
     print(f"papayapier: {reason}", file=sys.stderr)
     return code
 
 
-def show_answer(
-    got: Result[Answer, str], options: argparse.Namespace, show: Callable[[Any], None]
+def print_answer(
+    result: Result[Answer, str],
+    options: argparse.Namespace,
+    print_document: Callable[[Any], None],
 ) -> int:
-    """Print an answer's document by a function, or as JSON where that is asked for."""
-    match checked(got, options):
+    """Print the document of an answer with a function, or as JSON if --json is given."""
+    match check_status(result, options):
         case Err(code):
             return code
         case Ok(answer):
-            found = answer.document()
+            document = answer.document()
     if options.json:
-        print_json(found)
+        print_json(document)
     else:
-        show(found)
+        print_document(document)
     return EXIT_OK
 
 
-def checked(got: Result[Answer, str], options: argparse.Namespace) -> Result[Answer, int]:
-    """Return the answer, or print what went wrong and give the exit code."""
-    match got:
-        case Err(why):
-            return Err(fail(why))
+def check_status(result: Result[Answer, str], options: argparse.Namespace) -> Result[Answer, int]:
+    """Return a successful answer, or print why there is none and return the exit code."""
+    match result:
+        case Err(reason):
+            return Err(fail(reason))
         case Ok(answer) if answer.status != OK_STATUS:
-            return Err(_refused(answer, options.json))
+            return Err(_print_refusal(answer, options.json))
         case Ok(answer):
             return Ok(answer)
 
 
-def _refused(answer: Answer, as_json: bool) -> int:
-    """Print why an instance refused; wrong input and a failure have different codes."""
+def _print_refusal(answer: Answer, as_json: bool) -> int:
+    """Print why an instance refused; return different codes for invalid input and failures."""
     if as_json:
         print(answer.body.decode("utf-8", "replace"))
     document = answer.document()
@@ -192,22 +194,22 @@
     return fail(f"{error.get('kind')}{outcome}: {error.get('reason')}", code)
 
 
-async def _await(running: Awaitable[int]) -> int:
-    return await running
+async def _as_coroutine(awaitable: Awaitable[int]) -> int:
+    return await awaitable
 
 
-def _run_reactor(make: Callable[[], Coroutine[Any, Any, int]]) -> int:
+def _run_reactor(make_coroutine: Callable[[], Coroutine[Any, Any, int]]) -> int:
     from twisted.internet import reactor as installed
 
     reactor = cast(Any, installed)
     codes: list[int] = []
 
-    def crashed(failure: Failure) -> None:
+    def on_crash(failure: Failure) -> None:
         codes.append(fail(f"internal error: {failure.getTraceback()}"))
 
     def start() -> None:
-        running = Deferred.fromCoroutine(make())
-        running.addCallbacks(codes.append, crashed)
+        running = Deferred.fromCoroutine(make_coroutine())
+        running.addCallbacks(codes.append, on_crash)
         running.addBoth(lambda _: reactor.stop())
 
     reactor.callWhenRunning(start)
@@ -215,7 +217,7 @@
     return codes[0] if codes else EXIT_FAILED
 
 
-def _short(exc: Exception) -> str:
+def _error_text(exc: Exception) -> str:
     reasons = getattr(exc, "reasons", None)
     if reasons:
         return str(reasons[0].value)
--- a/papayapier/operate/explain.py
+++ b/papayapier/operate/explain.py
@@ -1,7 +1,7 @@
-"""Show the way of one request, job or item from the log lines of several processes.
+"""Show the history of one request, job or item from the log lines of several processes.
 
-A reader only: everything it prints stands in the lines. A line may have something before its
-JSON object, as a collector's stamp or the name of a process.
+It prints only what the lines contain. A line may have a prefix before its JSON object, such
+as a log collector's timestamp or the name of a process.
 """
 
 import argparse
@@ -15,37 +15,37 @@
 
 from papayapier.exits import EXIT_FAILED, EXIT_OK, EXIT_USAGE
 
-# The fields by which lines name what they are about.
-SUBJECTS: Final = ("request", "call", "job", "item", "work")
-# The field that is the same for each return of a caller's work.
-WORK: Final = "work"
+# The fields that identify what a line is about.
+SUBJECT_FIELDS: Final = ("request", "call", "job", "item", "work")
+# The field with the request fingerprint, which is the same each time a caller resends a request.
+FINGERPRINT_FIELD: Final = "work"
 # The field of lines about several items at once.
-LISTED: Final = "items"
-# What a line says of itself rather than of its subject.
-COMMON: Final = frozenset({"at_ms", "event", "name", "level", "text"})
-WAITED: Final = "waited_ms"
-RUN: Final = "run_ms"
+ITEMS_FIELD: Final = "items"
+# The fields that all lines have.
+COMMON_FIELDS: Final = frozenset({"at_ms", "event", "name", "level", "text"})
+WAITED_FIELD: Final = "waited_ms"
+RUN_FIELD: Final = "run_ms"
 DEFAULT_SLOWEST: Final = 10
 
 
 class Line(NamedTuple):
-    """Hold one log line; source is what stood before its object, or its file."""
+    """Hold one log line; source is the last word before its JSON object, or its file."""
 
     at_ms: int
     source: str
     name: str
     fields: dict[str, Any]
 
-    def took_ms(self) -> int:
-        """Return how long the request of the line took, 0 for other lines."""
-        return int(self.fields.get(WAITED, 0)) + int(self.fields.get(RUN, 0))
+    def duration_ms(self) -> int:
+        """Return the duration of the request, or 0 if the line has none."""
+        return int(self.fields.get(WAITED_FIELD, 0)) + int(self.fields.get(RUN_FIELD, 0))
 
 
 class Lines(NamedTuple):
-    """Hold what was read; odd counts lines that are no events."""
+    """Hold the lines read, and the number of lines with a brace that are not log events."""
 
     lines: list[Line]
-    odd: int
+    malformed: int
 
 
 def add_explain_command(
@@ -54,14 +54,14 @@
     """Register the command."""
     parser = commands.add_parser(
         "explain",
-        help="show the way of a request, job or item from log lines",
+        help="show the history of a request, job or item from log lines",
         description="Show the lines of one request, job or item in order of time, from the logs "
-        "of any number of processes, or the slowest requests.",
+        "of any number of processes, or show the slowest requests.",
     )
     parser.add_argument("id", nargs="?", default="", help="id of a request, job or item")
-    parser.add_argument("--logs", nargs="+", type=Path, help="files; standard input without")
+    parser.add_argument("--logs", nargs="+", type=Path, help="log files (default: standard input)")
     parser.add_argument(
-        "--slowest", type=int, nargs="?", const=DEFAULT_SLOWEST, help="how many to show"
+        "--slowest", type=int, nargs="?", const=DEFAULT_SLOWEST, help="how many requests to show"
     )
     parser.set_defaults(command=_explain)
 
@@ -74,16 +74,16 @@
     if isinstance(read, Err):
         print(f"papayapier: {read.err_value}", file=sys.stderr)
         return EXIT_USAGE
-    if read.ok_value.odd:
-        print(f"papayapier: {read.ok_value.odd} lines are no events", file=sys.stderr)
+    if read.ok_value.malformed:
+        print(f"papayapier: {read.ok_value.malformed} lines are no log events", file=sys.stderr)
     lines = read.ok_value.lines
-    shown = about(lines, options.id) if options.id else slowest(lines, options.slowest)
-    if not shown:
-        what = options.id or "any request"
-        print(f"papayapier: no line is about {what}", file=sys.stderr)
+    selected = lines_about(lines, options.id) if options.id else slowest(lines, options.slowest)
+    if not selected:
+        subject = options.id or "any request"
+        print(f"papayapier: no line is about {subject}", file=sys.stderr)
         return EXIT_FAILED
-    for line in shown:
-        print(render(line, shown[0].at_ms))
+    for line in selected:
+        print(format_line(line, selected[0].at_ms))
     return EXIT_OK
 
 
@@ -92,7 +92,7 @@
     if not paths:
         return Ok(_parse("", sys.stdin))
     lines: list[Line] = []
-    odd = 0
+    malformed = 0
     for path in paths:
         try:
             with path.open(encoding="utf-8", errors="replace") as file:
@@ -100,64 +100,70 @@
         except OSError as exc:
             return Err(f"{path}: cannot be read: {(exc.strerror or str(exc)).lower()}")
         lines += parsed.lines
-        odd += parsed.odd
-    return Ok(Lines(lines, odd))
+        malformed += parsed.malformed
+    return Ok(Lines(lines, malformed))
 
 
-def about(lines: Iterable[Line], subject: str) -> list[Line]:
-    """Return the lines about a subject and its other sends, in order of time.
+def lines_about(lines: Iterable[Line], subject: str) -> list[Line]:
+    """Return the lines about a subject and about its resends, in order of time.
 
-    Work that ends its replicas comes under another id each time; one request's lines alone do
-    not show why it is not sent.
+    Each time a caller resends a request that crashes its replicas, it has another id; the
+    lines of one id alone do not show why the request is quarantined.
     """
-    held = list(lines)
-    found = [line for line in held if _is_about(line, subject)]
-    works = {line.fields[WORK] for line in found if WORK in line.fields}
-    same = [line for line in held if line.fields.get(WORK) in works and line not in found]
-    return sorted(found + same, key=lambda line: line.at_ms)
+    all_lines = list(lines)
+    direct = [line for line in all_lines if _is_about(line, subject)]
+    fingerprints = {
+        line.fields[FINGERPRINT_FIELD] for line in direct if FINGERPRINT_FIELD in line.fields
+    }
+    resends = [
+        line
+        for line in all_lines
+        if line.fields.get(FINGERPRINT_FIELD) in fingerprints and line not in direct
+    ]
+    return sorted(direct + resends, key=lambda line: line.at_ms)
 
 
 def _is_about(line: Line, subject: str) -> bool:
-    if any(line.fields.get(key) == subject for key in SUBJECTS):
+    if any(line.fields.get(key) == subject for key in SUBJECT_FIELDS):
         return True
-    listed = line.fields.get(LISTED)
-    return isinstance(listed, list) and subject in listed
+    items = line.fields.get(ITEMS_FIELD)
+    return isinstance(items, list) and subject in items
 
 
 def slowest(lines: Iterable[Line], count: int) -> list[Line]:
-    """Return the lines of the requests that took longest."""
-    ended = [line for line in lines if WAITED in line.fields and RUN in line.fields]
-    return sorted(ended, key=Line.took_ms, reverse=True)[:count]
+    """Return the lines of the requests with the longest duration."""
+    finished = [line for line in lines if WAITED_FIELD in line.fields and RUN_FIELD in line.fields]
+    return sorted(finished, key=Line.duration_ms, reverse=True)[:count]
 
 
-def render(line: Line, first_ms: int) -> str:
-    """Write a line for people."""
+def format_line(line: Line, first_ms: int) -> str:
+    """Return a line as text for people, with its time since the first line."""
     fields = " ".join(f"{key}={value}" for key, value in line.fields.items())
     return f"+{line.at_ms - first_ms:>6} ms  {line.source:<28} {line.name:<18} {fields}"
 
 
 def _parse(source: str, texts: Iterable[str]) -> Lines:
     lines = []
-    odd = 0
+    malformed = 0
     for text in texts:
         parsed = _parse_line(source, text)
         if parsed is not None:
             lines.append(parsed)
         elif "{" in text:
-            odd += 1
-    return Lines(lines, odd)
+            malformed += 1
+    return Lines(lines, malformed)
 
 
 def _parse_line(source: str, text: str) -> Line | None:
-    before, brace, rest = text.partition("{")
+    prefix, brace, rest = text.partition("{")
     if not brace:
         return None
     try:
         document = msgspec.json.decode(brace + rest.rstrip(), type=dict[str, Any])
-        words = before.split()
+        words = prefix.split()
         name = str(document["name"])
         at_ms = int(document["at_ms"])
     except (msgspec.MsgspecError, KeyError, ValueError, TypeError):
         return None
-    fields = {key: value for key, value in document.items() if key not in COMMON}
+    fields = {key: value for key, value in document.items() if key not in COMMON_FIELDS}
     return Line(at_ms, words[-1] if words else source, name, fields)
--- a/papayapier/operate/jobs.py
+++ b/papayapier/operate/jobs.py
@@ -1,4 +1,4 @@
-"""Offer the commands that show and cancel batch jobs and print their results."""
+"""Provide the commands that show and cancel batch jobs and print their results."""
 
 import argparse
 import sys
@@ -14,9 +14,9 @@
     Client,
     Run,
     add_options,
-    checked,
+    check_status,
     fail,
-    show_answer,
+    print_answer,
 )
 from papayapier.operate.output import print_table
 
@@ -44,11 +44,11 @@
     )
     actions = parser.add_subparsers(title="actions", required=True, metavar="ACTION")
     listing = _add(actions, "list", "list a caller's jobs", _list)
-    listing.add_argument("--limit", type=int, default=LIST_LIMIT, help="at most so many jobs")
+    listing.add_argument("--limit", type=int, default=LIST_LIMIT, help="maximum number of jobs")
     for name, text, run in (
         ("show", "print one job", _show),
-        ("cancel", "stop a job for good; results recorded before stay readable", _cancel),
-        ("results", "print a job's results so far, one JSON line for each item", _results),
+        ("cancel", "cancel a job; results recorded before remain readable", _cancel),
+        ("results", "print a job's results so far, one JSON line per item", _results),
     ):
         _add(actions, name, text, run).add_argument("id")
 
@@ -56,7 +56,7 @@
 def _add(actions: Any, name: str, text: str, run: Run) -> argparse.ArgumentParser:
     parser: argparse.ArgumentParser = actions.add_parser(name, help=text, description=text)
     parser.add_argument(
-        "--caller", default=ANONYMOUS, metavar="NAME", help="the caller whose jobs are meant"
+        "--caller", default=ANONYMOUS, metavar="NAME", help="the caller that owns the jobs"
     )
     add_options(parser, run)
     return parser
@@ -64,23 +64,25 @@
 
 async def _list(client: Client, options: argparse.Namespace) -> int:
     query = {"limit": str(options.limit)}
-    got = await client.call("GET", BATCHES, query=query, headers=_for_caller(options))
-    return show_answer(got, options, lambda found: _print_jobs(found["data"]))
+    result = await client.call("GET", BATCHES, query=query, headers=_caller_header(options))
+    return print_answer(result, options, lambda found: _print_jobs(found["data"]))
 
 
 async def _show(client: Client, options: argparse.Namespace) -> int:
-    got = await client.call("GET", _path(options.id), headers=_for_caller(options))
-    return show_answer(got, options, lambda job: _print_jobs([job]))
+    result = await client.call("GET", _path(options.id), headers=_caller_header(options))
+    return print_answer(result, options, lambda job: _print_jobs([job]))
 
 
 async def _cancel(client: Client, options: argparse.Namespace) -> int:
-    got = await client.call("POST", _path(options.id) + "/cancel", headers=_for_caller(options))
-    return show_answer(got, options, lambda job: _print_jobs([job]))
+    result = await client.call(
+        "POST", _path(options.id) + "/cancel", headers=_caller_header(options)
+    )
+    return print_answer(result, options, lambda job: _print_jobs([job]))
 
 
 async def _results(client: Client, options: argparse.Namespace) -> int:
-    headers = _for_caller(options)
-    match checked(await client.call("GET", _path(options.id), headers=headers), options):
+    headers = _caller_header(options)
+    match check_status(await client.call("GET", _path(options.id), headers=headers), options):
         case Err(code):
             return code
         case Ok(answer):
@@ -90,17 +92,17 @@
         return fail(f"{options.id}: no results yet")
     for file_id in files:
         path = f"{FILES}/{quote(file_id, safe='')}/content"
-        match checked(await client.stream(path, headers, _write_out), options):
+        match check_status(await client.stream(path, headers, _write_stdout), options):
             case Err(code):
                 return code
     return EXIT_OK
 
 
-def _write_out(data: bytes) -> None:
+def _write_stdout(data: bytes) -> None:
     sys.stdout.buffer.write(data)
 
 
-def _for_caller(options: argparse.Namespace) -> dict[str, str]:
+def _caller_header(options: argparse.Namespace) -> dict[str, str]:
     return {CALLER_HEADER: options.caller}
 
 
--- a/papayapier/operate/reports.py
+++ b/papayapier/operate/reports.py
@@ -1,4 +1,4 @@
-"""Offer the commands that show the audit trail and the status of the fleet."""
+"""Provide the commands that show the audit trail and the status of the fleet."""
 
 import argparse
 import re
@@ -14,11 +14,11 @@
     Client,
     add_options,
     fail,
-    show_answer,
+    print_answer,
 )
-from papayapier.operate.output import print_table, show_changes, show_time
+from papayapier.operate.output import format_changes, format_time, print_table
 
-UNIT_MS: Final = {"s": 1_000, "m": 60_000, "h": 3_600_000, "d": 86_400_000}
+MS_PER_UNIT: Final = {"s": 1_000, "m": 60_000, "h": 3_600_000, "d": 86_400_000}
 AGE_PATTERN: Final = re.compile(r"(\d+)([smhd])")
 
 
@@ -29,14 +29,14 @@
         "status",
         help="show the version in force on each instance",
         description="Show each instance's state and configuration version, as known to the "
-        "instance that answers, and name the one that is furthest behind.",
+        "instance that answers, and the instance with the oldest version.",
     )
     add_options(status, _status)
     orders = subparsers.add_parser(
         "orders",
-        help="show orders to engines: under way, done, failed, held back",
-        description="Show the orders to engines. Only the instance that gives them knows them; "
-        "the others name it.",
+        help="show orders to engines: in progress, done, failed, held back",
+        description="Show the orders to engines. Only the controller, the instance that gives "
+        "orders, knows them; other instances name the controller.",
     )
     add_options(orders, _orders)
 
@@ -45,8 +45,8 @@
     audit = subparsers.add_parser(
         "audit",
         help="show who changed what, when and why",
-        description="Show accepted changes, newest first. The trail is written in the same "
-        "update as the change itself.",
+        description="Show accepted changes, newest first. The audit trail is written in the "
+        "same update as the change itself.",
     )
     audit.add_argument("--kind", choices=("profiles", "upstreams"), help="only this kind")
     audit.add_argument("--name", help="only this profile or upstream")
@@ -54,7 +54,7 @@
     audit.add_argument(
         "--since", metavar="WHEN", help="an age (30m, 12h, 7d) or a time (2025-03-01T08:00)"
     )
-    audit.add_argument("--limit", type=int, default=50, help="at most so many changes")
+    audit.add_argument("--limit", type=int, default=50, help="maximum number of changes")
     add_options(audit, _audit)
 
 
@@ -62,24 +62,24 @@
     since = since_ms(options.since, int(time.time() * MS_PER_S))
     if isinstance(since, Err):
         return fail(since.err_value, EXIT_USAGE)
-    given = {"kind": options.kind, "name": options.name, "who": options.who}
-    query = {key: value for key, value in given.items() if value}
+    filters = {"kind": options.kind, "name": options.name, "who": options.who}
+    query = {key: value for key, value in filters.items() if value}
     query["since"] = str(since.ok_value)
     query["limit"] = str(options.limit)
-    got = await client.call("GET", "/v1/audit", query=query)
-    return show_answer(got, options, _print_audit)
+    result = await client.call("GET", "/v1/audit", query=query)
+    return print_answer(result, options, _print_audit)
 
 
 def _print_audit(found: dict[str, Any]) -> None:
     rows = [
         [
-            show_time(line["entry"]["at_ms"]),
+            format_time(line["entry"]["at_ms"]),
             line["entry"]["who"],
             line["entry"]["action"],
             f"{line['kind']}/{line['name']}",
             line["version"],
             line["entry"]["reason"],
-            show_changes(line["entry"]["changes"]),
+            format_changes(line["entry"]["changes"]),
         ]
         for line in found["lines"]
     ]
@@ -87,39 +87,41 @@
 
 
 async def _status(client: Client, options: argparse.Namespace) -> int:
-    got = await client.call("GET", "/v1/status")
-    return show_answer(got, options, _print_status)
+    result = await client.call("GET", "/v1/status")
+    return print_answer(result, options, _print_status)
 
 
 def _print_status(found: dict[str, Any]) -> None:
-    head = ["id", "state", "ready", "config_version", "agrees", "heard_ms_ago", "data_centre"]
+    columns = ["id", "state", "ready", "config_version", "agrees", "heard_ms_ago", "data_centre"]
     print_table(
-        [*head, "reason"], [[one[c] for c in [*head, "reason"]] for one in found["instances"]]
+        [*columns, "reason"], [[row[c] for c in [*columns, "reason"]] for row in found["instances"]]
     )
     print(f"furthest behind: {found['slowest']} (as known to {found['instance']})")
 
 
 async def _orders(client: Client, options: argparse.Namespace) -> int:
-    got = await client.call("GET", "/v1/orders")
-    return show_answer(got, options, _print_orders)
+    result = await client.call("GET", "/v1/orders")
+    return print_answer(result, options, _print_orders)
 
 
 def _print_orders(found: dict[str, Any]) -> None:
     print(f"orders are given by: {found['controller'] or 'nobody at present'}")
-    underway = [[one["replica"], one["kind"], one["name"]] for one in found["underway"]]
+    underway = [[order["replica"], order["kind"], order["name"]] for order in found["underway"]]
     print_table(["under way on", "order", "name"], underway)
-    head = ["replica", "kind", "name", "end", "reason"]
-    lately = [[show_time(one["at_ms"]), *(one[c] for c in head)] for one in found["lately"]]
-    print_table(["time", *head], lately)
+    columns = ["replica", "kind", "name", "end", "reason"]
+    recent = [
+        [format_time(order["at_ms"]), *(order[c] for c in columns)] for order in found["lately"]
+    ]
+    print_table(["time", *columns], recent)
 
 
 def since_ms(text: str | None, now_ms: int) -> Result[int, str]:
-    """Read an age or a time as milliseconds since the epoch; a time is UTC unless it says."""
+    """Parse an age or a time to milliseconds since the epoch; the default time zone is UTC."""
     if text is None:
         return Ok(0)
     age = AGE_PATTERN.fullmatch(text)
     if age is not None:
-        return Ok(max(0, now_ms - int(age[1]) * UNIT_MS[age[2]]))
+        return Ok(max(0, now_ms - int(age[1]) * MS_PER_UNIT[age[2]]))
     try:
         at = datetime.fromisoformat(text)
     except ValueError:
