--- a/papayapier/parts.py
+++ b/papayapier/components.py
@@ -1,4 +1,4 @@
-"""Name the parts of one instance in the groups in which they are wired."""
+"""Define the records that group the components of an instance while compose wires them."""
 
 import random
 from typing import Any, NamedTuple
@@ -24,7 +24,7 @@
 
 
 class Base(NamedTuple):
-    """Hold what every other part needs; boot names this run of the instance."""
+    """Group what all other components need; boot is the random id of this process run."""
 
     reactor: Any
     clock: Clock
@@ -38,23 +38,23 @@
 
 
 class Fleet(NamedTuple):
-    """Hold what is known of replicas and how they are reached."""
+    """Group the state of the known replicas and the clients that reach them."""
 
     policies: Policies
     view: FleetView
-    crashes: CrashWatch
+    crash_watch: CrashWatch
     upstreams: Upstreams
     reports: Reports
 
 
-class Work(NamedTuple):
-    """Hold the parts that do the work and talk with peers about it."""
+class Services(NamedTuple):
+    """Group the components that run requests and jobs and exchange messages with peers."""
 
     hub: PeerHub
-    loss_news: LossNews
+    loss_exchange: LossNews
     config: Config
     online: OnlineDispatch
-    lanes: BatchLanes
+    item_dispatch: BatchLanes
     batch: Batch
     claims: Claims
     orders: OrderControl
--- a/papayapier/compose.py
+++ b/papayapier/compose.py
@@ -1,8 +1,8 @@
-"""Wire the parts of one instance together: the one place that knows all of them.
+"""Wire the components of one instance together; only this module knows all of them.
 
-Parts are given what they need as functions, so that none imports another only to call it.
-The steps below follow the order of dependence: the base and the platform first, then what is
-known of the fleet, then the work, then the addresses that let work in.
+Components receive their dependencies as functions, so that none imports another only to call
+it. The steps below follow the order of dependence: the base and the platform first, then the
+state of the fleet, then the services, then the ports through which requests arrive.
 """
 
 import random
@@ -15,18 +15,25 @@
 from papayapier.batch.start import Batch, start_batch
 from papayapier.claims.service import ClaimDeps, Claims
 from papayapier.clock import Clock
+from papayapier.components import Base, Fleet, Services
 from papayapier.config.start import Config, ConfigDeps, start_config
 from papayapier.dispatch.api import DispatchDeps
 from papayapier.dispatch.crash_watch import CrashWatch
 from papayapier.dispatch.lanes import BatchLanes
 from papayapier.dispatch.online import OnlineDispatch
-from papayapier.fleet_view import FleetListeners, FleetView, Place, Policies, peer_uses_reader
-from papayapier.instance import Instance, Parts, Readiness
+from papayapier.fleet_view import (
+    FleetListeners,
+    FleetView,
+    Place,
+    Policies,
+    make_peer_calls_handler,
+)
+from papayapier.http_apis import OpenPorts, make_apps, open_ports
+from papayapier.instance import Components, Instance, Readiness
 from papayapier.listen import next_turn
 from papayapier.membership import MembershipDeps, make_membership, reach_platform
 from papayapier.metrics import make_metrics
 from papayapier.orders.controller import OrderControl, OrdersDeps, start_orders
-from papayapier.parts import Base, Fleet, Work
 from papayapier.peer.hub import Identity, PeerHub
 from papayapier.peer.loss_news import LossNews, LossNewsDeps
 from papayapier.peer.messages import (
@@ -50,33 +57,32 @@
 from papayapier.settings import Settings
 from papayapier.store.budget import Priority, make_budget
 from papayapier.store.http import http_store
-from papayapier.surfaces import Open, make_apps, open_surfaces
 from papayapier.upstream.client import make_upstreams
 from papayapier.upstream.orders import make_orders
 from papayapier.upstream.reports import OnReport, make_reports
 
 BOOT_BITS: Final = 48
-ASK_WRITER_MS: Final = 500
+CLAIM_WRITER_TIMEOUT_MS: Final = 500
 
 
 async def start_instance(
     reactor: Any, clock: Clock, cfg: Settings, rand: random.Random
 ) -> Result[Instance, str]:
-    """Start one instance, or say in one line why it cannot start."""
+    """Start one instance, or return in one line why it cannot start."""
     base = _make_base(reactor, clock, cfg, rand)
     reached = await reach_platform(base.store, base.clock, base.cfg)
     if isinstance(reached, Err):
         await base.store.close()
         return reached
     fleet = _make_fleet(base)
-    work = _make_work(base, fleet)
-    readiness = Readiness(clock, base.drain, work.config, fleet.view)
+    services = _make_services(base, fleet)
+    readiness = Readiness(clock, base.drain, services.config, fleet.view)
     await next_turn(clock)
-    listening = open_surfaces(base, work, make_apps(base, fleet, work, readiness))
-    if isinstance(listening, Err):
-        await _give_up(base, fleet, work)
-        return listening
-    return Ok(_make_instance(base, fleet, work, listening.ok_value))
+    opened = open_ports(base, services, make_apps(base, fleet, services, readiness))
+    if isinstance(opened, Err):
+        await _close_after_failed_start(base, fleet, services)
+        return opened
+    return Ok(_make_instance(base, fleet, services, opened.ok_value))
 
 
 def _make_base(reactor: Any, clock: Clock, cfg: Settings, rand: random.Random) -> Base:
@@ -98,51 +104,64 @@
 def _make_fleet(base: Base) -> Fleet:
     cfg = base.cfg
     policies = Policies(LoadBook(), Outliers(), BatchShare(cfg.instance.id))
-    place = Place(cfg.instance.id, cfg.instance.region, cfg.upstream.subset)
-    view = FleetView(place, policies, base.metrics)
-    crashes = CrashWatch(base.clock, base.metrics, lambda: base.budget.down_since() is None)
+    own_instance = Place(cfg.instance.id, cfg.instance.region, cfg.upstream.subset)
+    view = FleetView(own_instance, policies, base.metrics)
+    crash_watch = CrashWatch(base.clock, base.metrics, lambda: base.budget.down_since() is None)
     upstreams = make_upstreams(base.reactor, base.clock, cfg.upstream, base.metrics)
     reports = make_reports(
         base.clock,
         base.rand,
         cfg.upstream.load_poll_ms,
         upstreams.load,
-        OnReport(view.on_load, crashes.on_poll_failed),
+        OnReport(view.on_load, crash_watch.on_poll_failed),
         lambda replica: policies.book.reported_at(replica.id),
     )
-    return Fleet(policies, view, crashes, upstreams, reports)
+    return Fleet(policies, view, crash_watch, upstreams, reports)
 
 
-def _make_work(base: Base, fleet: Fleet) -> Work:
+def _make_services(base: Base, fleet: Fleet) -> Services:
     cfg = base.cfg
 
-    def heartbeat() -> Heartbeat:
-        book = config.book
+    def make_heartbeat() -> Heartbeat:
+        profiles = config.book
         uses = tuple(fleet.policies.book.uses())
         return Heartbeat(
-            cfg.instance.id, base.boot, base.drain.state(), book.version(), uses, book.digest()
+            cfg.instance.id,
+            base.boot,
+            base.drain.state(),
+            profiles.version(),
+            uses,
+            profiles.digest(),
         )
 
-    hub = _make_hub(base, heartbeat)
-    loss_news = LossNews(
-        LossNewsDeps(base.clock, hub, fleet.crashes, cfg.instance.id, lambda: hub.plan().hubs)
+    hub = _make_hub(base, make_heartbeat)
+    loss_exchange = LossNews(
+        LossNewsDeps(base.clock, hub, fleet.crash_watch, cfg.instance.id, lambda: hub.plan().hubs)
     )
     dispatch = _make_dispatch(base, fleet, hub)
-    lanes = BatchLanes(dispatch)
-    online = OnlineDispatch(dispatch, lanes.before_online_send)
+    item_dispatch = BatchLanes(dispatch)
+    online = OnlineDispatch(dispatch, item_dispatch.before_online_send)
     config = _start_config(base, fleet, hub, online)
-    batch = _start_batch(base, fleet, hub, lanes, config)
+    batch = _start_batch(base, fleet, hub, item_dispatch, config)
     claims = _make_claims(base, hub)
     orders = _start_orders(base, fleet, config)
-    work = Work(hub, loss_news, config, online, lanes, batch, claims, orders)
-    _subscribe(base, fleet, work)
-    return work
+    services = Services(hub, loss_exchange, config, online, item_dispatch, batch, claims, orders)
+    _subscribe(base, fleet, services)
+    return services
 
 
-def _make_hub(base: Base, heartbeat: Any) -> PeerHub:
+def _make_hub(base: Base, make_heartbeat: Any) -> PeerHub:
     own = base.cfg.instance
-    me = Identity(own.id, base.boot, own.host, own.data_centre, own.region)
-    return PeerHub(base.reactor, base.clock, base.cfg.peer, me, heartbeat, base.metrics, base.rand)
+    identity = Identity(own.id, base.boot, own.host, own.data_centre, own.region)
+    return PeerHub(
+        base.reactor,
+        base.clock,
+        base.cfg.peer,
+        identity,
+        make_heartbeat,
+        base.metrics,
+        base.rand,
+    )
 
 
 def _make_dispatch(base: Base, fleet: Fleet, hub: PeerHub) -> DispatchDeps:
@@ -152,7 +171,7 @@
         data_centre=base.cfg.instance.data_centre,
         book=fleet.policies.book,
         outliers=fleet.policies.outliers,
-        crashes=fleet.crashes,
+        crashes=fleet.crash_watch,
         queue=AdmissionQueue(base.cfg.entry.max_queued),
         budget=RetryBudget(),
         first_bytes=FirstByteTimes(),
@@ -164,7 +183,7 @@
 
 
 def _start_config(base: Base, fleet: Fleet, hub: PeerHub, online: OnlineDispatch) -> Config:
-    def tell_peer(peer_id: str, message: Message) -> None:
+    def send_to_peer(peer_id: str, message: Message) -> None:
         hub.tell(peer_id, message)
 
     return start_config(
@@ -174,7 +193,7 @@
             store=base.budget.view(Priority.CONFIG),
             settings=base.cfg.config,
             metrics=base.metrics,
-            tell=tell_peer,
+            tell=send_to_peer,
             broadcast=hub.tell_all,
             peers=lambda: [view.id for view in hub.views() if view.up],
             queued_under=online.queued_under,
@@ -185,7 +204,7 @@
 
 
 def _start_batch(
-    base: Base, fleet: Fleet, hub: PeerHub, lanes: BatchLanes, config: Config
+    base: Base, fleet: Fleet, hub: PeerHub, item_dispatch: BatchLanes, config: Config
 ) -> Batch:
     return start_batch(
         BatchDeps(
@@ -193,7 +212,7 @@
             rand=base.rand,
             store=base.budget.view(Priority.BULK),
             lease_store=base.budget.view(Priority.LEASE),
-            dispatch=BatchDispatch(lanes.room, lanes.run, lanes.watch_room),
+            dispatch=BatchDispatch(item_dispatch.room, item_dispatch.run, item_dispatch.watch_room),
             cfg=base.cfg.batch,
             instance=base.cfg.instance.id,
             boot=base.boot,
@@ -206,10 +225,12 @@
 
 
 def _make_claims(base: Base, hub: PeerHub) -> Claims:
-    async def ask_writer(writer: str, reference: str) -> str:
-        told = await hub.ask(writer, lambda ask_id: ClaimAsk(ask_id, reference), ASK_WRITER_MS)
-        if isinstance(told, Ok) and isinstance(told.ok_value, ClaimTell):
-            return told.ok_value.state
+    async def query_writer(writer: str, reference: str) -> str:
+        reply = await hub.ask(
+            writer, lambda ask_id: ClaimAsk(ask_id, reference), CLAIM_WRITER_TIMEOUT_MS
+        )
+        if isinstance(reply, Ok) and isinstance(reply.ok_value, ClaimTell):
+            return reply.ok_value.state
         return ""
 
     return Claims(
@@ -221,7 +242,7 @@
             metrics=base.metrics,
             instance=base.cfg.instance.id,
             boot=base.boot,
-            ask_writer=ask_writer,
+            ask_writer=query_writer,
         )
     )
 
@@ -243,87 +264,87 @@
     )
 
 
-def _subscribe(base: Base, fleet: Fleet, work: Work) -> None:
-    """Pass peers' messages to the parts that they concern."""
-    hub = work.hub
+def _subscribe(base: Base, fleet: Fleet, services: Services) -> None:
+    """Route messages from peers to the components that handle them."""
+    hub = services.hub
     for kind in (Heartbeat, ConfigPush, ConfigAsk, ConfigTell):
-        hub.subscribe(kind, work.config.on_peer)
-    hub.subscribe(JobChanged, lambda _peer_id, message: work.batch.on_peer(message))
-    hub.subscribe(ShardsReleased, lambda _peer_id, message: work.batch.on_peer(message))
-    hub.subscribe(Heartbeat, peer_uses_reader(fleet.policies.book, base.clock.now))
+        hub.subscribe(kind, services.config.on_peer)
+    hub.subscribe(JobChanged, lambda _peer_id, message: services.batch.on_peer(message))
+    hub.subscribe(ShardsReleased, lambda _peer_id, message: services.batch.on_peer(message))
+    hub.subscribe(Heartbeat, make_peer_calls_handler(fleet.policies.book, base.clock.now))
 
-    def tell_claim(peer_id: str, message: Message) -> None:
+    def on_claim_request(peer_id: str, message: Message) -> None:
         assert isinstance(message, ClaimAsk)
-        state = work.claims.state(message.key)
+        state = services.claims.state(message.key)
         hub.tell(peer_id, ClaimTell(message.ask_id, message.key, state))
 
-    def tell_peers_changed() -> None:
+    def on_peers_changed() -> None:
         silent = [view.id for view in hub.views() if not view.up]
         fleet.view.on_peers(hub.live(), silent)
 
-    def tell_profiles(_key: str, _version: int) -> None:
-        fleet.view.on_profiles(work.config.book.profiles().values())
+    def on_profiles_changed(_key: str, _version: int) -> None:
+        fleet.view.on_profiles(services.config.book.profiles().values())
 
-    hub.subscribe(ClaimAsk, tell_claim)
-    hub.on_change(tell_peers_changed)
-    work.config.book.watch(tell_profiles)
+    hub.subscribe(ClaimAsk, on_claim_request)
+    hub.on_change(on_peers_changed)
+    services.config.book.watch(on_profiles_changed)
 
 
-async def _give_up(base: Base, fleet: Fleet, work: Work) -> None:
-    """Close what was started, when an address cannot be had."""
-    work.claims.stop()
-    await work.orders.stop()
-    await work.batch.stop()
-    await work.config.stop()
-    work.loss_news.close()
-    work.hub.close()
+async def _close_after_failed_start(base: Base, fleet: Fleet, services: Services) -> None:
+    """Close what was started when a port cannot be opened."""
+    services.claims.stop()
+    await services.orders.stop()
+    await services.batch.stop()
+    await services.config.stop()
+    services.loss_exchange.close()
+    services.hub.close()
     await fleet.upstreams.close()
     await base.store.close()
 
 
-def _make_instance(base: Base, fleet: Fleet, work: Work, opened: Open) -> Instance:
+def _make_instance(base: Base, fleet: Fleet, services: Services, opened: OpenPorts) -> Instance:
     view = base.budget.view
     members = make_membership(
         MembershipDeps(
             base.clock,
             base.rand,
             base.cfg,
-            work.hub,
+            services.hub,
             view(Priority.CONFIG),
             view(Priority.LEASE),
             fleet.view.on_members,
         ),
         opened.ports,
     )
-    fleet.view.connect(
+    fleet.view.set_listeners(
         FleetListeners(
             fleet.reports.poll,
-            work.hub.set_members,
-            work.batch.on_members_changed,
-            fleet.crashes.on_listed,
+            services.hub.set_members,
+            services.batch.on_members_changed,
+            fleet.crash_watch.on_listed,
         )
     )
-    parts = Parts(
+    components = Components(
         clock=base.clock,
         drain=base.drain,
-        hub=work.hub,
-        loss_news=work.loss_news,
-        config=work.config,
-        online=work.online,
-        lanes=work.lanes,
-        batch=work.batch,
-        claims=work.claims,
-        orders=work.orders,
+        hub=services.hub,
+        loss_exchange=services.loss_exchange,
+        config=services.config,
+        online=services.online,
+        item_dispatch=services.item_dispatch,
+        batch=services.batch,
+        claims=services.claims,
+        orders=services.orders,
         reports=fleet.reports,
         upstreams=fleet.upstreams,
         follower=members.follower,
         reporter=members.reporter,
         store=base.store,
         publish=fleet.view.publish,
-        members_folder=members.folder,
+        members_file=members.file,
     )
-    instance = Instance(parts, opened.ports, opened.handles, base.metrics)
-    work.claims.start()
+    instance = Instance(components, opened.ports, opened.handles, base.metrics)
+    services.claims.start()
     members.follower.start()
     members.reporter.start()
     instance.start()
--- a/papayapier/errors.py
+++ b/papayapier/errors.py
@@ -1,7 +1,7 @@
-"""List every error kind there is, and the answer each one gets.
+"""Define all error kinds and the HTTP response to each.
 
-A refusal states whether the request ran. NOT_RUN is a promise: nothing of the request
-reached an upstream or ever will. Whoever cannot prove that says UNKNOWN.
+A refusal states whether the request ran. NOT_RUN guarantees that nothing of the request has
+reached an upstream or will reach one. Code that cannot prove this reports UNKNOWN.
 """
 
 from enum import Enum
@@ -9,14 +9,14 @@
 
 
 class Outcome(Enum):
-    """Say what is known about the run of a refused request."""
+    """State whether a refused request may have run."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
 
 
 class ErrorKind(Enum):
-    """Name each way in which a request, job or change can end without its result."""
+    """List the reasons for which a request, job or change can end without its result."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHORIZED = "unauthorized"
@@ -46,7 +46,7 @@
 
 
 class Answer(NamedTuple):
-    """Give the HTTP status of an error kind, and whether a later retry can help."""
+    """Hold the HTTP status of an error kind, and whether a later retry can succeed."""
 
     status: int
     retry: bool
@@ -55,35 +55,39 @@
 
 ANSWERS: Final[dict[ErrorKind, Answer]] = {
     ErrorKind.BAD_REQUEST: Answer(400, False, "the request is malformed"),
-    ErrorKind.UNAUTHORIZED: Answer(401, False, "the key is missing or not known"),
+    ErrorKind.UNAUTHORIZED: Answer(401, False, "the key is missing or unknown"),
     ErrorKind.UNKNOWN_PROFILE: Answer(400, False, "no profile has this name"),
     ErrorKind.UNKNOWN_UPSTREAM: Answer(404, False, "no upstream has this name"),
     ErrorKind.NOT_FOUND: Answer(404, False, "the object does not exist"),
     ErrorKind.TOO_LARGE: Answer(413, False, "the request is larger than allowed"),
     ErrorKind.KEY_CONFLICT: Answer(409, False, "the idempotency key was used with other content"),
-    ErrorKind.VERSION_CONFLICT: Answer(409, False, "the object has changed meanwhile"),
+    ErrorKind.VERSION_CONFLICT: Answer(409, False, "the object has changed in the meantime"),
     ErrorKind.STILL_RUNNING: Answer(409, True, "the request with this key is still running"),
-    ErrorKind.OVERLOADED: Answer(429, True, "the wait would pass the due time"),
-    ErrorKind.NO_ROOM: Answer(503, True, "no replica has room in time; the return is its own"),
+    ErrorKind.OVERLOADED: Answer(429, True, "the expected wait exceeds the due time"),
+    ErrorKind.NO_ROOM: Answer(
+        503, True, "no replica has capacity in time; each refusal sets its own retry time"
+    ),
     ErrorKind.CALLER_LIMIT: Answer(429, True, "the caller is over its limit"),
-    ErrorKind.OVER_ALLOWANCE: Answer(429, True, "the team has used up what it may send"),
-    ErrorKind.NOT_GRANTED: Answer(503, True, "who grants the team's allowance does not answer"),
+    ErrorKind.OVER_ALLOWANCE: Answer(429, True, "the team has used up its allowance"),
+    ErrorKind.NOT_GRANTED: Answer(503, True, "the granter of the team's allowance does not reply"),
     ErrorKind.DEADLINE: Answer(504, False, "the due time has passed"),
     ErrorKind.NO_UPSTREAM: Answer(503, True, "no replica of the upstream can take the request"),
     ErrorKind.UPSTREAM_FAILED: Answer(502, True, "the upstream failed"),
-    ErrorKind.BROKEN_ANSWER: Answer(502, True, "the upstream's answer was not whole"),
-    ErrorKind.ENDS_REPLICAS: Answer(503, True, "replicas that ran the same request have ended"),
+    ErrorKind.BROKEN_ANSWER: Answer(502, True, "the upstream's answer was incomplete"),
+    ErrorKind.ENDS_REPLICAS: Answer(
+        503, True, "replicas were lost while they ran the same request"
+    ),
     ErrorKind.STORE_UNAVAILABLE: Answer(503, True, "the platform's store does not answer"),
-    ErrorKind.NO_MEMORY: Answer(503, True, "the instance holds as many bytes as it may"),
+    ErrorKind.NO_MEMORY: Answer(503, True, "the instance has buffered as many bytes as it may"),
     ErrorKind.LEAVING: Answer(503, True, "the instance is shutting down"),
-    ErrorKind.CANCELLED: Answer(499, False, "the caller went away"),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(502, False, "whether the request ran is not known"),
+    ErrorKind.CANCELLED: Answer(499, False, "the caller disconnected"),
+    ErrorKind.OUTCOME_UNKNOWN: Answer(502, False, "whether the request ran is unknown"),
     ErrorKind.INTERNAL: Answer(500, False, "an internal check failed"),
 }
 
 
 class Refusal(NamedTuple):
-    """Carry the reason why there is no result, and what is known about the run."""
+    """Hold the reason why there is no result, and whether the request may have run."""
 
     kind: ErrorKind
     outcome: Outcome
--- a/papayapier/fleet_view.py
+++ b/papayapier/fleet_view.py
@@ -1,8 +1,8 @@
-"""Hand what is learnt of replicas and peers to the policies that decide by it.
+"""Pass the state of replicas and peers to the policies that depend on it.
 
-The instance list says which replicas there are, reports and answers say how loaded they are,
-and peers' heartbeats say what other instances have open at them. All three meet here, and
-nowhere else, so that every policy sees the same set of replicas.
+The instance list contains the replicas, load reports and answers contain their load, and
+heartbeats contain the calls that peers have open at them. All three are combined only here,
+so that every policy uses the same set of replicas.
 """
 
 import math
@@ -22,12 +22,12 @@
 from papayapier.store.members import MembersChanged
 from papayapier.upstream.api import Load, Replica
 
-COMFORTABLE_SHARE: Final = 0.7
+TARGET_UTILISATION: Final = 0.7
 STRICTEST_FIRST: Final = ("tail", "static", "throughput", "none")
 
 
 class Policies(NamedTuple):
-    """Group the policies that must know of every replica."""
+    """Group the policies that track every replica."""
 
     book: LoadBook
     outliers: Outliers
@@ -35,7 +35,7 @@
 
 
 class Place(NamedTuple):
-    """Name this instance, its region, and how many replicas of an upstream it follows."""
+    """Identify this instance, its region, and how many replicas of an upstream it uses."""
 
     id: str
     region: str
@@ -43,21 +43,22 @@
 
 
 class FleetListeners(NamedTuple):
-    """Group those who are told of changes.
+    """Group the callbacks for changes.
 
-    poll takes the replicas to poll, entries the listed entry instances; live is called when
-    the set of live entry instances may have changed; replicas takes the ids of all listed
-    replicas, also those not followed, and of those of them that leave.
+    on_polled receives the replicas to poll for load, on_entries the listed entry instances;
+    on_live is called when the set of live entry instances may have changed; on_replicas
+    receives the ids of all listed replicas, including those that this instance does not use,
+    and the ids of the leaving ones.
     """
 
-    poll: Callable[[list[Replica]], None]
-    entries: Callable[[list[Member]], None]
-    live: Callable[[], None]
-    replicas: Callable[[Collection[str], Collection[str]], None]
+    on_polled: Callable[[list[Replica]], None]
+    on_entries: Callable[[list[Member]], None]
+    on_live: Callable[[], None]
+    on_replicas: Callable[[Collection[str], Collection[str]], None]
 
 
 class FleetView:
-    """Own the list of members as this instance knows it."""
+    """Hold the instance list as known to this instance."""
 
     def __init__(self, own: Place, policies: Policies, metrics: Metrics) -> None:
         self._own_id = own.id
@@ -66,34 +67,34 @@
         self._metrics = metrics
         self._members: dict[str, Member] = {}
         self._upstream_names: list[str] = []
-        self._peers: set[str] = set()
-        self._silent: set[str] = set()
+        self._live_peers: set[str] = set()
+        self._silent_peers: set[str] = set()
         self._ejected: dict[str, set[str]] = {}
         self._listeners: FleetListeners | None = None
 
-    def connect(self, listeners: FleetListeners) -> None:
-        """Name those who are told of changes."""
+    def set_listeners(self, listeners: FleetListeners) -> None:
+        """Set the callbacks for changes."""
         self._listeners = listeners
 
     def live_entries(self) -> list[str]:
         """Return the live entry instances, this one included.
 
-        The list alone shows a lost instance for some time yet; its peers' silence tells
-        sooner. It may also lack those that live: after a long outage the platform has
-        dropped everybody, and an instance that believed this would take all batch work and
-        all slots for itself. An instance that no peer link leads to is taken as listed.
+        The list still contains a crashed instance for some time; missing heartbeats show the
+        crash sooner. The list may also lack live instances: during a long outage the platform
+        drops all of them, and an instance that relied on the list would take all batch work
+        and all slots for itself. Without a peer link to an instance, the list decides.
         """
         listed = {m.id for m in self._members.values() if m.kind == ENTRY and m.state == LIVE}
-        return sorted((listed - self._silent) | self._peers | {self._own_id})
+        return sorted((listed - self._silent_peers) | self._live_peers | {self._own_id})
 
     def publish(self, now: int) -> None:
-        """Show each replica's use in the metrics, and log who was ejected or came back."""
+        """Update the metrics of each replica, and log ejections and their ends."""
         book, outliers, share = self._policies
         for upstream in self.upstream_names():
             usable = book.usable(upstream, now)
             in_use = [replica for replica in usable if outliers.healthy(replica.id)]
             self._metrics.replicas_usable.labels(upstream).set(len(in_use))
-            self._note_ejected(upstream, {r.id for r in usable} - {r.id for r in in_use})
+            self._log_ejections(upstream, {r.id for r in usable} - {r.id for r in in_use})
             for replica in usable:
                 own = book.own(replica.id)
                 in_flight = self._metrics.replica_in_flight
@@ -102,7 +103,7 @@
                 limit = share.limit(replica.id, book, now)
                 self._metrics.batch_limit.labels(replica.id).set(limit)
 
-    def _note_ejected(self, upstream: str, ejected: set[str]) -> None:
+    def _log_ejections(self, upstream: str, ejected: set[str]) -> None:
         before = self._ejected.get(upstream, set())
         for replica_id in sorted(ejected - before):
             events.emit(events.REPLICA_EJECTED, replica=replica_id, upstream=upstream)
@@ -111,7 +112,7 @@
         self._ejected[upstream] = ejected
 
     def listed_replicas(self, now: int) -> list[ListedReplica]:
-        """Return the replicas that are not leaving, and whether each is in use."""
+        """Return the replicas that are not leaving, each with whether it is in use."""
         outliers = self._policies.outliers
         return [
             ListedReplica(_replica(member), not outliers.ejected(member.id, now))
@@ -120,7 +121,7 @@
         ]
 
     def replicas_needed(self, upstream: str, now: int) -> int:
-        """Return how many replicas the online load of an upstream asks for at present."""
+        """Return how many replicas the current online load of an upstream requires."""
         book = self._policies.book
         replicas = book.usable(upstream, now)
         slots = [book.slots(replica.id) for replica in replicas]
@@ -128,40 +129,40 @@
             return 1
         running = [book.estimate(r.id, now) - book.batch_at(r.id) for r in replicas]
         listed = sum(1 for m in self._members.values() if m.upstream == upstream)
-        # What is followed is a fair sample of what is listed.
-        return max(1, math.ceil(listed * sum(running) / (COMFORTABLE_SHARE * sum(slots))))
+        # The replicas used here are a representative sample of the listed ones.
+        return max(1, math.ceil(listed * sum(running) / (TARGET_UTILISATION * sum(slots))))
 
     def on_peers(self, live: Collection[str], silent: Collection[str]) -> None:
-        """Take over which peers are heard from and which are not."""
-        for gone in self._peers - set(live):
-            self._policies.book.on_peer_gone(gone)
-        self._peers = set(live)
-        self._silent = set(silent)
-        self._tell_live()
-
-    def _tell_live(self) -> None:
+        """Record the peers whose heartbeats arrive and those whose heartbeats do not."""
+        for departed in self._live_peers - set(live):
+            self._policies.book.on_peer_gone(departed)
+        self._live_peers = set(live)
+        self._silent_peers = set(silent)
+        self._on_live_changed()
+
+    def _on_live_changed(self) -> None:
         self._policies.share.set_instances(self.live_entries())
         if self._listeners is not None:
-            self._listeners.live()
+            self._listeners.on_live()
 
     def upstream_names(self) -> list[str]:
-        """Return the names of all upstreams that have a replica."""
+        """Return the names of all upstreams with a listed replica."""
         return self._upstream_names
 
     def on_members(self, change: MembersChanged) -> None:
-        """Take over a change of the instance list."""
+        """Apply a change of the instance list."""
         for member in change.changed:
-            self._log(member)
+            self._log_replica(member)
             self._members[member.id] = member
-        for gone in change.gone:
-            if self._members.pop(gone).kind == REPLICA:
-                events.emit(events.REPLICA_REMOVED, replica=gone)
-        self._tell_policies()
+        for removed in change.gone:
+            if self._members.pop(removed).kind == REPLICA:
+                events.emit(events.REPLICA_REMOVED, replica=removed)
+        self._update_policies()
         if self._listeners is not None:
-            self._listeners.entries([m for m in self._members.values() if m.kind == ENTRY])
-        self._tell_live()
+            self._listeners.on_entries([m for m in self._members.values() if m.kind == ENTRY])
+        self._on_live_changed()
 
-    def _log(self, member: Member) -> None:
+    def _log_replica(self, member: Member) -> None:
         if member.kind != REPLICA:
             return
         known = self._members.get(member.id)
@@ -172,10 +173,10 @@
         else:
             events.emit(events.REPLICA_ADDED, replica=member.id, upstream=member.upstream)
 
-    def _tell_policies(self) -> None:
+    def _update_policies(self) -> None:
         listed = [member for member in self._members.values() if member.kind == REPLICA]
         self._upstream_names = sorted({member.upstream for member in listed})
-        members = [m for name in self._upstream_names for m in self._followed(name, listed)]
+        members = [m for name in self._upstream_names for m in self._used_replicas(name, listed)]
         replicas = [_replica(member) for member in members]
         leaving = {member.id for member in members if member.state == LEAVING}
         book, outliers, share = self._policies
@@ -184,16 +185,16 @@
         for replica in replicas:
             share.set_upstream(replica.id, replica.upstream)
         if self._listeners is not None:
-            self._listeners.poll(replicas)
+            self._listeners.on_polled(replicas)
             all_leaving = [member.id for member in listed if member.state == LEAVING]
-            self._listeners.replicas([member.id for member in listed], all_leaving)
+            self._listeners.on_replicas([member.id for member in listed], all_leaving)
 
-    def _followed(self, upstream: str, listed: list[Member]) -> list[Member]:
-        """Return the replicas of an upstream that this instance sends to and asks for load.
+    def _used_replicas(self, upstream: str, listed: list[Member]) -> list[Member]:
+        """Return the replicas of an upstream that this instance sends to and polls for load.
 
-        In a large fleet, connections and load reports of all instances with all replicas
-        would grow with the product of both. Other regions are left out while the own one has
-        replicas, because the regions lose each other for minutes.
+        If every instance used every replica, connections and load reports would grow with the
+        product of both numbers. Replicas of other regions are excluded while the own region
+        has some, because connections between regions can fail for minutes.
         """
         region = self._own.region
         members = [member for member in listed if member.upstream == upstream]
@@ -211,21 +212,21 @@
         return [member for member in members if member.id in chosen]
 
     def on_load(self, replica: Replica, load: Load) -> None:
-        """Take over a load report."""
+        """Pass a load report to the policies."""
         self._policies.book.on_report(replica.id, load)
         self._policies.share.on_report(replica.id, load)
 
     def on_profiles(self, profiles: Collection[Profile]) -> None:
-        """Take over the batch rules in force.
+        """Apply the batch rules of the profiles in force.
 
-        Batch items of several profiles share a replica, and the online requests there can
-        be protected only as well as the least careful of them: the strictest rule holds.
+        Batch items of several profiles share a replica, and its online requests are protected
+        only as well as the most permissive rule allows; so the strictest rule applies to all.
         """
         rules: dict[str, BatchRule] = {}
         for profile in profiles:
             if profile.urgency == "batch":
-                held = rules.get(profile.upstream, profile.batch)
-                rules[profile.upstream] = _stricter(held, profile.batch)
+                previous = rules.get(profile.upstream, profile.batch)
+                rules[profile.upstream] = _strictest(previous, profile.batch)
         for upstream, rule in rules.items():
             self._policies.share.set_rule(upstream, rule)
 
@@ -234,16 +235,18 @@
     return Replica(member.id, member.upstream, member.host, member.port, member.data_centre)
 
 
-def _stricter(one: BatchRule, other: BatchRule) -> BatchRule:
-    isolation = min(one.isolation, other.isolation, key=STRICTEST_FIRST.index)
-    return BatchRule(min(one.share, other.share), isolation)
+def _strictest(first: BatchRule, second: BatchRule) -> BatchRule:
+    isolation = min(first.isolation, second.isolation, key=STRICTEST_FIRST.index)
+    return BatchRule(min(first.share, second.share), isolation)
 
 
-def peer_uses_reader(book: LoadBook, now: Callable[[], int]) -> Callable[[str, Message], None]:
-    """Make the handler that takes peers' open calls from their heartbeats."""
+def make_peer_calls_handler(
+    load_tracker: LoadBook, now: Callable[[], int]
+) -> Callable[[str, Message], None]:
+    """Return the handler that records peers' open calls from their heartbeats."""
 
-    def read(peer_id: str, message: Message) -> None:
+    def on_heartbeat(peer_id: str, message: Message) -> None:
         if isinstance(message, Heartbeat):
-            book.on_peer_uses(peer_id, message.uses, now())
+            load_tracker.on_peer_uses(peer_id, message.uses, now())
 
-    return read
+    return on_heartbeat
--- a/papayapier/surfaces.py
+++ b/papayapier/http_apis.py
@@ -1,10 +1,11 @@
-"""Make the HTTP surfaces of an instance, and open its addresses."""
+"""Build the HTTP APIs of an instance and open its ports."""
 
 from typing import NamedTuple
 
 from klein import Klein
 from result import Err, Ok, Result
 
+from papayapier.components import Base, Fleet, Services
 from papayapier.dispatch.claimed import make_runner
 from papayapier.entry.batch_routes import add_batch_routes
 from papayapier.entry.callers import caller_auth
@@ -15,30 +16,29 @@
 from papayapier.instance import Ports, Readiness
 from papayapier.listen import Listening, make_body_limit
 from papayapier.listen_app import listen
-from papayapier.parts import Base, Fleet, Work
 from papayapier.status import FleetStatus
 
 
 class Apps(NamedTuple):
-    """Hold the two HTTP surfaces."""
+    """Hold the HTTP APIs for callers (entry) and operators."""
 
     entry: Klein
     operator: Klein
 
 
-class Open(NamedTuple):
-    """Hold the open addresses."""
+class OpenPorts(NamedTuple):
+    """Hold the open ports."""
 
     ports: Ports
     handles: tuple[Listening, Listening]
 
 
-def make_apps(base: Base, fleet: Fleet, work: Work, readiness: Readiness) -> Apps:
-    """Make the callers' and the operators' routes."""
+def make_apps(base: Base, fleet: Fleet, services: Services, readiness: Readiness) -> Apps:
+    """Build the routes for callers and operators."""
     cfg = base.cfg
     auth = caller_auth(cfg.entry.callers)
     entry = Klein()
-    add_health_routes(entry, readiness.why_not, base.metrics)
+    add_health_routes(entry, readiness.not_ready_reason, base.metrics)
     add_online_routes(
         entry,
         OnlineDeps(
@@ -46,25 +46,25 @@
             metrics=base.metrics,
             auth=auth,
             max_body_bytes=cfg.entry.max_body_bytes,
-            profile=work.config.book.profile,
+            profile=services.config.book.profile,
             upstream_names=fleet.view.upstream_names,
-            run=make_runner(work.online, work.claims),
-            refusing=readiness.refusing,
+            run=make_runner(services.online, services.claims),
+            refusing=readiness.get_refusal,
         ),
     )
-    add_batch_routes(entry, work.batch, auth, readiness.refusing)
+    add_batch_routes(entry, services.batch, auth, readiness.get_refusal)
     operator = Klein()
-    add_health_routes(operator, readiness.why_not, base.metrics)
-    add_batch_routes(operator, work.batch, job_auth(cfg.operator.operators), no_new_work)
-    status = FleetStatus(cfg.instance, work.config.book, work.hub, readiness)
+    add_health_routes(operator, readiness.not_ready_reason, base.metrics)
+    add_batch_routes(operator, services.batch, job_auth(cfg.operator.operators), no_new_work)
+    status = FleetStatus(cfg.instance, services.config.book, services.hub, readiness)
     add_operator_routes(
         operator,
-        OperatorDeps(work.config, cfg.operator.operators, status.show, work.orders.show),
+        OperatorDeps(services.config, cfg.operator.operators, status.current, services.orders.show),
     )
     return Apps(entry, operator)
 
 
-def open_surfaces(base: Base, work: Work, apps: Apps) -> Result[Open, str]:
+def open_ports(base: Base, services: Services, apps: Apps) -> Result[OpenPorts, str]:
     """Listen for callers, operators and peers; the error names the settings field."""
     cfg = base.cfg
     host = cfg.instance.host
@@ -77,9 +77,9 @@
         entry.ok_value.handle.stopListening()
         return operator
     handles = (entry.ok_value, operator.ok_value)
-    peer = work.hub.start()
+    peer = services.hub.start()
     if isinstance(peer, Err):
         for handle in handles:
             handle.handle.stopListening()
         return Err(f"peer: {peer.err_value}")
-    return Ok(Open(Ports(handles[0].port, handles[1].port, peer.ok_value), handles))
+    return Ok(OpenPorts(Ports(handles[0].port, handles[1].port, peer.ok_value), handles))
--- a/papayapier/instance.py
+++ b/papayapier/instance.py
@@ -1,4 +1,4 @@
-"""Hold one running instance, tell whether it is ready, and end it."""
+"""Own the lifecycle of a running instance: readiness, periodic checks and shutdown."""
 
 from typing import TYPE_CHECKING, Final, NamedTuple
 
@@ -30,29 +30,30 @@
     from papayapier.upstream.api import Upstreams
     from papayapier.upstream.reports import Reports
 
-PULSE_MS: Final = 250
-CLAIMS_LIMIT_MS: Final = 10_000
-PAUSE_FACTOR: Final = 4
+CHECK_INTERVAL_MS: Final = 250
+CLAIMS_DRAIN_TIMEOUT_MS: Final = 10_000
+# A check that is late by more than so many intervals is logged as a pause of the process.
+PAUSE_INTERVALS: Final = 4
 
 
 class Ports(NamedTuple):
-    """Name the ports in use."""
+    """Hold the port numbers in use."""
 
     entry: int
     operator: int
     peer: int
 
 
-class Parts(NamedTuple):
-    """Group the parts of an instance that stop with it; publish brings metrics up to date."""
+class Components(NamedTuple):
+    """Group the components that stop with the instance; publish updates the metrics."""
 
     clock: "Clock"
     drain: "Drain"
     hub: "PeerHub"
-    loss_news: "LossNews"
+    loss_exchange: "LossNews"
     config: "Config"
     online: "OnlineDispatch"
-    lanes: "BatchLanes"
+    item_dispatch: "BatchLanes"
     batch: "Batch"
     claims: "Claims"
     orders: "OrderControl"
@@ -62,11 +63,11 @@
     reporter: "Reporter"
     store: "Store"
     publish: "Callable[[int], None]"
-    members_folder: "MembersFolder"
+    members_file: "MembersFolder"
 
 
 class Readiness:
-    """Tell whether this instance should get requests, and why not."""
+    """Decide whether this instance should receive requests."""
 
     def __init__(
         self, clock: "Clock", drain: "Drain", config: "Config", fleet: "FleetView"
@@ -78,11 +79,11 @@
         self._was_ready = False
 
     def state(self) -> str:
-        """Return the stage of the instance's life."""
+        """Return the stage of the drain: serving, leaving, draining or stopped."""
         return self._drain.state()
 
-    def why_not(self) -> str:
-        """Return the reason why the instance is not ready, or nothing."""
+    def not_ready_reason(self) -> str:
+        """Return why the instance is not ready, or an empty string if it is."""
         reason = self._reason()
         if self._was_ready != (not reason):
             self._was_ready = not reason
@@ -99,15 +100,15 @@
             return "no upstream is listed"
         return ""
 
-    def refusing(self) -> Refusal | None:
+    def get_refusal(self) -> Refusal | None:
         """Return the refusal that new requests get, if any.
 
-        An instance that is leaving still serves until the balancer has noticed; one that
-        only lost sight of the store still serves by the configuration that it has.
+        A leaving instance still serves until the balancer has taken it out; an instance that
+        only cannot reach the store still serves with the configuration that it has.
         """
         if self._drain.accepts():
             return None
-        return not_run(ErrorKind.LEAVING, "the instance is shutting down", PULSE_MS)
+        return not_run(ErrorKind.LEAVING, "the instance is shutting down", CHECK_INTERVAL_MS)
 
 
 class Instance:
@@ -115,7 +116,7 @@
 
     def __init__(
         self,
-        parts: Parts,
+        parts: Components,
         ports: Ports,
         listening: "tuple[Listening, ...]",
         metrics: "Metrics",
@@ -124,27 +125,27 @@
         self.metrics = metrics
         self.parts = parts
         self._listening = listening
-        self._pulse_timer: Timer | None = None
-        self._last_pulse = parts.clock.now()
+        self._check_timer: Timer | None = None
+        self._last_check_ms = parts.clock.now()
 
     def start(self) -> None:
-        """Begin the regular checks of this process."""
-        self._pulse()
+        """Start the periodic checks of this process."""
+        self._run_checks()
 
-    def _pulse(self) -> None:
-        """Notice pauses of the process, and publish counts."""
+    def _run_checks(self) -> None:
+        """Detect pauses of the process, and publish metrics."""
         now = self.parts.clock.now()
-        late = now - self._last_pulse - PULSE_MS
-        if late > PAUSE_FACTOR * PULSE_MS:
+        late = now - self._last_check_ms - CHECK_INTERVAL_MS
+        if late > PAUSE_INTERVALS * CHECK_INTERVAL_MS:
             events.emit(events.PROCESS_PAUSED, late_ms=late)
-        self._last_pulse = now
+        self._last_check_ms = now
         self.metrics.invariant_failures.set(invariants.broken_count())
         self.parts.publish(now)
         self.metrics.peers_live.set(len(self.parts.hub.live()) - 1)
-        self._pulse_timer = self.parts.clock.call_later(PULSE_MS, self._pulse)
+        self._check_timer = self.parts.clock.call_later(CHECK_INTERVAL_MS, self._run_checks)
 
     async def leave(self) -> None:
-        """Stop gracefully; returns when nothing is left under way, or at the limit."""
+        """Shut down gracefully; return when no work is left, or at the time limit."""
         parts = self.parts
         stop = PlannedStop(
             StopDeps(
@@ -152,7 +153,7 @@
                 drain=parts.drain,
                 listening=self._listening,
                 online=parts.online.under_way,
-                items=parts.lanes.under_way,
+                items=parts.item_dispatch.under_way,
                 hand_over=parts.batch.stop,
             )
         )
@@ -161,46 +162,46 @@
         try:
             await stop.run()
         finally:
-            # A claim whose end is not in the store would be unknown to everybody from now on.
-            await parts.claims.drain(parts.clock.now() + CLAIMS_LIMIT_MS)
+            # After the exit, nobody knows the outcome of a claim that is not in the store.
+            await parts.claims.drain(parts.clock.now() + CLAIMS_DRAIN_TIMEOUT_MS)
             await parts.reporter.withdraw()
             await self._close()
 
     async def kill(self) -> None:
-        """Vanish as a lost machine would: say nothing to anybody, drop every connection."""
+        """Stop as a crashed machine does: send nothing and drop all connections."""
         parts = self.parts
         parts.drain.abandon()
-        # First whatever could still be heard of this instance, then what runs on it.
+        # First everything that could still send to others, then what runs here.
         parts.claims.stop()
-        parts.loss_news.close()
+        parts.loss_exchange.close()
         parts.hub.close()
         self._drop_connections()
         await stop_listening(self._listening)
         self._drop_connections()
         await parts.upstreams.close()
         await parts.store.close()
-        # With the store closed, this cannot give back the controller's lease.
+        # Now that the store client is closed, this cannot release the controller's lease.
         await parts.orders.stop()
         await self._close()
 
     async def _close(self) -> None:
         parts = self.parts
-        if self._pulse_timer is not None and self._pulse_timer.active():
-            self._pulse_timer.cancel()
+        if self._check_timer is not None and self._check_timer.active():
+            self._check_timer.cancel()
         parts.follower.stop()
-        parts.members_folder.close()
+        parts.members_file.close()
         parts.reporter.stop()
         parts.reports.close()
         parts.online.close()
         parts.claims.stop()
-        parts.lanes.close()
+        parts.item_dispatch.close()
         await parts.config.stop()
-        parts.loss_news.close()
+        parts.loss_exchange.close()
         parts.hub.close()
         self._drop_connections()
         await parts.upstreams.close()
         await parts.store.close()
 
     def _drop_connections(self) -> None:
-        for one in self._listening:
-            one.site.close_all()
+        for port in self._listening:
+            port.site.close_all()
--- a/papayapier/invariants.py
+++ b/papayapier/invariants.py
@@ -1,8 +1,8 @@
-"""Check the system's promises inside the running program.
+"""Check the system's invariants at run time.
 
-Each check is called where its promise could break. In production a failure is counted
-and logged, because stopping the instance would harm requests that are fine; under test
-it raises, so that no run with a broken promise passes.
+Each check is called where its invariant could be violated. In production a violation is
+counted and logged, because stopping the instance would harm unaffected requests; under test
+it raises, so that no run that violates an invariant passes.
 """
 
 from collections import Counter
@@ -13,7 +13,7 @@
 
 
 class Promise(Enum):
-    """Name each promise that the running program checks."""
+    """List the invariants that are checked at run time."""
 
     COMPLETE_ONCE = "an accepted item completes exactly once"
     CANCEL_STOPS = "no result is recorded after a cancel"
@@ -27,28 +27,28 @@
 
 
 class BrokenPromiseError(AssertionError):
-    """Report a broken promise in a test run."""
+    """Report a violated invariant in a test run."""
 
 
 class _State:
-    raising: bool = False
+    raise_on_violation: bool = False
 
 
 BROKEN: Final[Counter[Promise]] = Counter()
 
 
-def raise_on_failure(raising: bool) -> None:
-    """Choose whether a broken promise raises (tests) or is only counted and logged."""
-    _State.raising = raising
+def raise_on_failure(enabled: bool) -> None:
+    """Set whether a violation raises (tests) or is only counted and logged."""
+    _State.raise_on_violation = enabled
 
 
 def check(holds: bool, promise: Promise, **fields: object) -> None:
-    """Record, and under test raise, when a promise does not hold."""
+    """Count and log a violation unless the invariant holds; raise under test."""
     if holds:
         return
     BROKEN[promise] += 1
     events.emit(events.INVARIANT_BROKEN, promise=promise.name.lower(), **fields)
-    if _State.raising:
+    if _State.raise_on_violation:
         raise BrokenPromiseError(f"{promise.value}: {fields}")
 
 
--- a/papayapier/listen.py
+++ b/papayapier/listen.py
@@ -1,4 +1,4 @@
-"""Listen for HTTP on one address, and tell clearly when that is not possible."""
+"""Listen for HTTP on one address, and report clearly when that is not possible."""
 
 import errno
 import socket
@@ -17,7 +17,7 @@
 
 
 class Listening(NamedTuple):
-    """Hold an open listening port; site knows its connections."""
+    """Hold an open listening port; site tracks its connections."""
 
     port: int
     handle: Any
@@ -25,15 +25,16 @@
 
 
 def make_body_limit(body_bytes: int, upload_bytes: int = UPLOAD_BYTES) -> BodyLimit:
-    """Bound bodies; only an uploaded file may be large, and is kept on disk."""
+    """Return the limit of a request body by path; only uploads, stored on disk, may be large."""
     return lambda path: upload_bytes if path == UPLOAD_PATH else body_bytes
 
 
 async def next_turn(clock: Clock) -> None:
-    """Return in the reactor's next turn, in which a port may be opened.
+    """Wait for the reactor's next iteration, in which it is safe to open a port.
 
-    The events of a turn are read before the first of them is handled. One of a descriptor that was
-    closed meanwhile goes to whatever has its number then, and a port is closed by it.
+    The reactor polls all events of an iteration before it handles the first. If a handler
+    closes a descriptor, a later event of it is delivered to the descriptor that has reused its
+    number, and a port that was just opened would be closed by it.
     """
     await clock.sleep(0)
 
@@ -41,24 +42,24 @@
 def listen_resource(
     reactor: Any, resource: Any, field: str, host: str, port: int, body_limit: BodyLimit
 ) -> Result[Listening, str]:
-    """Listen with any resource; the error names the settings field and the address."""
+    """Listen with a resource; the error names the settings field and the address."""
     site = CountingSite(resource, reactor, body_limit)
     try:
         handle = reactor.listenTCP(port, site, interface=host, backlog=BACKLOG)
     except CannotListenError as exc:
-        return Err(f"{field}: cannot listen on {host}:{port}: {_why(exc)}")
+        return Err(f"{field}: cannot listen on {host}:{port}: {_reason(exc)}")
     return Ok(Listening(handle.getHost().port, handle, site))
 
 
 def adopt(reactor: Any, resource: object, sock: socket.socket, body_limit: BodyLimit) -> Listening:
-    """Serve a socket that listens already."""
+    """Serve on a socket that is already listening."""
     site = CountingSite(resource, reactor, body_limit)
     handle = reactor.adoptStreamPort(sock.fileno(), socket.AF_INET, site)
     sock.close()
     return Listening(handle.getHost().port, handle, site)
 
 
-def _why(exc: CannotListenError) -> str:
+def _reason(exc: CannotListenError) -> str:
     cause = exc.socketError
     if getattr(cause, "errno", None) == errno.EADDRINUSE:
         return "the address is in use"
--- a/papayapier/listen_app.py
+++ b/papayapier/listen_app.py
@@ -1,7 +1,7 @@
-"""Listen with a routed app, and refuse what no route takes like everything else.
+"""Listen with a Klein app, and refuse requests that match no route in the usual format.
 
-Beside listen.py, since the library for routes takes a quarter of the imports of a process that has
-no use for it.
+This is separate from listen.py because Klein would make up a quarter of the imports of a process
+that does not use it.
 """
 
 from typing import Any
@@ -26,14 +26,14 @@
     port: int,
     body_limit: BodyLimit | None = None,
 ) -> Result[Listening, str]:
-    """Listen; the error names the settings field and the address."""
-    _answer_unrouted(app)
+    """Listen with an app; the error names the settings field and the address."""
+    _refuse_unrouted(app)
     limit = body_limit or make_body_limit(BODY_BYTES)
     return listen_resource(reactor, app.resource(), field, host, port, limit)
 
 
-def _answer_unrouted(app: Klein) -> None:
-    """Refuse what no route takes in the form of every other refusal."""
+def _refuse_unrouted(app: Klein) -> None:
+    """Refuse requests that match no route in the format of all other refusals."""
 
     handle: Any = app.handle_errors
 
--- a/papayapier/membership.py
+++ b/papayapier/membership.py
@@ -1,4 +1,4 @@
-"""Start what follows, keeps and reports the instance list, also when the platform is away."""
+"""Follow, save and report the instance list, also while the platform is unreachable."""
 
 import random
 from typing import Final, NamedTuple
@@ -15,12 +15,12 @@
 from papayapier.store.members import MemberFollower, MembersChanged, OnMembers, Reporter
 from papayapier.store.members_folder import AgedMembers, MembersFolder
 
-START_TRIES: Final = 5
-START_PAUSE_MS: Final = 300
+MAX_START_ATTEMPTS: Final = 5
+START_RETRY_PAUSE_MS: Final = 300
 
 
 class MembershipDeps(NamedTuple):
-    """Group what membership needs; reads and reports are views of the store."""
+    """Group the dependencies; reads and reports are views of the store with a priority each."""
 
     clock: Clock
     rand: random.Random
@@ -32,83 +32,83 @@
 
 
 class Membership(NamedTuple):
-    """Group the parts that follow, keep and report the instance list."""
+    """Group the components that follow, save and report the instance list."""
 
     follower: MemberFollower
-    folder: MembersFolder
+    file: MembersFolder
     reporter: Reporter
 
 
 async def reach_platform(store: Store, clock: Clock, cfg: Settings) -> Result[None, str]:
-    """Try the platform for a moment, unless something else can stand in for it.
+    """Try to reach the platform a few times, unless a data folder or contacts replace it.
 
     Without platform, contacts and data folder, an instance knows no profile, no peer and no
-    upstream. Saying so at once is worth more than an instance that never becomes ready.
+    upstream. A start that fails at once is better than an instance that never becomes ready.
     """
-    if cfg.config.data_folder or _others(cfg):
+    if cfg.config.data_folder or _other_contacts(cfg):
         return Ok(None)
-    for attempt in range(START_TRIES):
+    for attempt in range(MAX_START_ATTEMPTS):
         if isinstance(await store.members(0, 0), Ok):
             return Ok(None)
-        if attempt + 1 < START_TRIES:
-            await clock.sleep(START_PAUSE_MS)
+        if attempt + 1 < MAX_START_ATTEMPTS:
+            await clock.sleep(START_RETRY_PAUSE_MS)
     where = f"{cfg.platform.host}:{cfg.platform.port}"
     unset = "neither config.data_folder nor peer.contacts (naming another instance) is set"
     return Err(f"platform: {where} does not answer, and {unset}")
 
 
 def make_membership(deps: MembershipDeps, ports: Ports) -> Membership:
-    """Wire the follower with the folder, the contacts and the peers that stand in for it."""
+    """Wire the follower with the saved list, contacts and peers that replace the platform."""
 
     def on_members(change: MembersChanged) -> None:
         deps.on_members(change)
-        folder.changed()
+        members_file.changed()
 
-    def on_unread() -> None:
+    def on_read_failed() -> None:
         fallback.use()
 
-    def current() -> AgedMembers:
+    def current_list() -> AgedMembers:
         return AgedMembers(list(follower.known.values()), follower.age_ms() or 0)
 
-    follower = MemberFollower(deps.reads, deps.clock, deps.rand, on_members, on_unread)
-    folder = MembersFolder(deps.cfg.config.data_folder, deps.clock, current)
-    fallback = _Fallback(deps, follower, folder)
+    follower = MemberFollower(deps.reads, deps.clock, deps.rand, on_members, on_read_failed)
+    members_file = MembersFolder(deps.cfg.config.data_folder, deps.clock, current_list)
+    fallback = _Fallback(deps, follower, members_file)
     exchange = MembersExchange(MembersDeps(deps.clock, deps.rand, deps.hub.tell, follower))
     for kind in (Heartbeat, MembersAsk, MembersTell):
         deps.hub.subscribe(kind, exchange.on_peer)
     reporter = Reporter(deps.reports, deps.clock, deps.rand, _own_record(deps.cfg, ports))
-    return Membership(follower, folder, reporter)
+    return Membership(follower, members_file, reporter)
 
 
 class _Fallback:
-    """Use the folder's list and the contacts once, when the first reading fails."""
+    """Use the saved list and the contacts once, when the first read of the platform fails."""
 
     def __init__(
-        self, deps: MembershipDeps, follower: MemberFollower, folder: MembersFolder
+        self, deps: MembershipDeps, follower: MemberFollower, members_file: MembersFolder
     ) -> None:
         self._deps = deps
         self._follower = follower
-        self._folder = folder
+        self._members_file = members_file
         self._used = False
 
     def use(self) -> None:
-        """Take over the folder's list, and dial the contacts."""
+        """Use the saved list, and dial the contacts."""
         if self._used:
             return
         self._used = True
-        saved = self._folder.load()
+        saved = self._members_file.load()
         if saved is not None:
             self._follower.learn(saved.members, self._deps.clock.now() - saved.age_ms)
-        # After the folder's list: where both name an instance, the operators' address holds.
-        self._deps.hub.introduce([_contact(one) for one in _others(self._deps.cfg)])
+        # After the saved list, so that the address in the settings wins if both have one.
+        self._deps.hub.introduce([_as_member(c) for c in _other_contacts(self._deps.cfg)])
 
 
-def _others(cfg: Settings) -> list[Contact]:
+def _other_contacts(cfg: Settings) -> list[Contact]:
     """Return the contacts without this instance, so that all can have the same settings."""
     return [contact for contact in cfg.peer.contacts if contact.id != cfg.instance.id]
 
 
-def _contact(contact: Contact) -> Member:
+def _as_member(contact: Contact) -> Member:
     return Member(
         id=contact.id,
         kind=ENTRY,
--- a/papayapier/serve.py
+++ b/papayapier/serve.py
@@ -1,4 +1,4 @@
-"""Run one entry instance as a process: start, signals, planned stop, exit code."""
+"""Run one instance as a process: start, signals, graceful shutdown and exit code."""
 
 import gc
 import random
@@ -25,17 +25,17 @@
     from papayapier.clock import Clock
     from papayapier.settings import Settings
 
-# Collections of the middle generation between two of the oldest, half of the usual number:
-# the oldest holds little garbage then, and its collection is short.
-COLLECT_OLDEST_AFTER: Final = 5
+# Collections of the middle generation between two of the oldest, half of Python's default:
+# the oldest generation then holds less garbage, and its collection is short.
+MIDDLE_COLLECTIONS_PER_OLDEST: Final = 5
 SEED_BITS: Final = 64
 
 
-class _HeldLogs(logbook.Handler):  # type: ignore[misc]
-    """Hold log lines back until it is known whether the instance starts.
+class _StartLogBuffer(logbook.Handler):  # type: ignore[misc]
+    """Buffer log records until it is known whether the instance starts.
 
-    One that cannot start says so in one line; what its parts log while they are closed
-    again would only hide that line.
+    An instance that cannot start prints the reason in one line; what its components log
+    while they are closed again would only hide that line.
     """
 
     def __init__(self) -> None:
@@ -48,7 +48,7 @@
         self._records.append(record)
 
     def release(self, program: "Program") -> None:
-        """Log what was held back, and everything from now on."""
+        """Log the buffered records, and stop buffering."""
         self.pop_application()
         handler = program.start_logs()
         for record in self._records:
@@ -58,14 +58,14 @@
 
 
 class Running(Protocol):
-    """Describe a started process."""
+    """Describe the running instance of a process."""
 
     async def leave(self) -> None:
-        """Stop gracefully."""
+        """Shut down gracefully."""
 
 
 class Program(NamedTuple):
-    """Describe what a process runs; reload is told of SIGHUP."""
+    """Describe what a process runs; reload is called on SIGHUP."""
 
     start: "Callable[[Any, Clock, random.Random], Awaitable[Result[Running, str]]]"
     start_logs: "Callable[[], logbook.Handler]"
@@ -73,12 +73,12 @@
 
 
 class _Process:
-    """Own the exit code and the two stages of stopping."""
+    """Own the exit code and handle signals: the first shuts down gracefully, the second exits."""
 
     def __init__(self, reactor: Any, program: Program) -> None:
         self._reactor = reactor
         self._program = program
-        self._logs = _HeldLogs()
+        self._start_logs = _StartLogBuffer()
         self._instance: Running | None = None
         self._leaving = False
         self.started = False
@@ -92,33 +92,33 @@
             return
         self._instance = started.ok_value
         self.started = True
-        self._logs.release(self._program)
-        _shorten_collections()
+        self._start_logs.release(self._program)
+        _limit_gc_pauses()
         if self._leaving:
             await self._leave(self._instance)
 
-    def crashed(self, failure: "Failure") -> None:
+    def on_crash(self, failure: "Failure") -> None:
         if not self.started:
-            self._logs.release(self._program)
+            self._start_logs.release(self._program)
         events.emit(events.UNHANDLED_ERROR, traceback=failure.getTraceback())
         self._fail(f"internal error: {failure.value!r}")
 
     def _fail(self, reason: str) -> None:
-        """End the process with one clear line."""
+        """Print the reason in one line and end the process."""
         print(f"papayapier: {reason}", file=sys.stderr)
         self.exit_code = EXIT_FAILED
         self._stop_reactor()
 
     def on_signal(self, _number: int, _frame: object) -> None:
-        """Take a signal; the reactor looks at it between two events."""
-        self._reactor.callFromThread(self._signalled)
+        """Handle a signal in the reactor's next iteration."""
+        self._reactor.callFromThread(self._begin_stop)
 
     def on_hangup(self, _number: int, _frame: object) -> None:
-        """Take SIGHUP, which says that the settings may have changed."""
+        """Handle SIGHUP: the settings may have changed."""
         self._reactor.callFromThread(self._program.reload)
 
-    def _signalled(self) -> None:
-        """Leave gracefully on the first signal and at once on the second."""
+    def _begin_stop(self) -> None:
+        """Shut down gracefully on the first signal and exit at once on the second."""
         if self._leaving:
             self.exit_code = EXIT_FAILED
             self._stop_reactor()
@@ -126,7 +126,7 @@
         self._leaving = True
         if self._instance is not None:
             leaving = Deferred.fromCoroutine(self._leave(self._instance))
-            leaving.addErrback(self.crashed)
+            leaving.addErrback(self.on_crash)
 
     async def _leave(self, instance: Running) -> None:
         await instance.leave()
@@ -138,10 +138,10 @@
 
 
 def serve(cfg: "Settings") -> int:
-    """Run an instance until it is told to stop; return the exit code."""
+    """Run an instance until a signal stops it; return the exit code."""
 
-    # Entries and keepers run through this module too and need no such instance, whose parts
-    # would be a tenth of their start.
+    # Entries and keepers also run through this module, but do not need this import, which
+    # would take a tenth of their start time.
     from papayapier.compose import start_instance
 
     async def start(reactor: Any, clock: "Clock", rand: random.Random) -> Result[Running, str]:
@@ -155,7 +155,7 @@
 
 
 def run_program(program: Program) -> int:
-    """Run a process until it is told to stop; return the exit code."""
+    """Run a process until a signal stops it; return the exit code."""
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
@@ -166,7 +166,7 @@
         signal.signal(number, process.on_signal)
     signal.signal(signal.SIGHUP, process.on_hangup)
     reactor.callWhenRunning(
-        lambda: Deferred.fromCoroutine(process.start()).addErrback(process.crashed)
+        lambda: Deferred.fromCoroutine(process.start()).addErrback(process.on_crash)
     )
     reactor.run(installSignalHandlers=False)
     if process.started:
@@ -174,26 +174,26 @@
     return process.exit_code
 
 
-def _shorten_collections() -> None:
-    """Keep the garbage collector from stopping the process for long.
+def _limit_gc_pauses() -> None:
+    """Keep pauses by the garbage collector short.
 
-    A collection of the oldest generation looks at every object there is, most of which were
-    made by imports and live for good. It shows as streams that all stand still together, for
-    longer than the time between two tokens may be. What exists now is left out from then on.
-    The little that imports leave unreferenced, 1,400 objects, is not worth the 40 ms of the start
-    in which it could be found.
+    A collection of the oldest generation visits every object, most of which were created by
+    imports and live as long as the process. Meanwhile all streams stall together, for longer
+    than the allowed time between two tokens. Freezing excludes the objects that exist now.
+    There is no collection before: imports leave only 1,400 unreferenced objects, and finding
+    them would delay the start by 40 ms.
     """
     gc.freeze()
     gc.enable()
     young, middle, _ = gc.get_threshold()
-    gc.set_threshold(young, middle, COLLECT_OLDEST_AFTER)
+    gc.set_threshold(young, middle, MIDDLE_COLLECTIONS_PER_OLDEST)
 
 
 def _log_failure(event: LogEvent) -> None:
-    """Log what the library reports of an exception that no code of ours has taken.
+    """Log an exception that Twisted reports because no code of this program handled it.
 
-    Without this, a failure that nobody awaits would show only as twisted's own lines on
-    standard error, if at all, and no alert by event number would see it.
+    Without this, the failure of a Deferred that nobody awaits would appear only as Twisted's
+    own lines on standard error, if at all, and no alert on an event number would match it.
     """
     failure: Failure | None = event.get("log_failure")
     if failure is not None:
--- a/papayapier/status.py
+++ b/papayapier/status.py
@@ -1,4 +1,4 @@
-"""Make the status of the fleet as this instance sees it."""
+"""Report the status of the fleet as observed by this instance."""
 
 from typing import TYPE_CHECKING, Final
 
@@ -16,48 +16,48 @@
 
 
 class FleetStatus:
-    """Keep the last heartbeat of each peer, for the operators."""
+    """Keep the last heartbeat of each peer for the operators' status request."""
 
     def __init__(
         self,
-        me: "InstanceSettings",
-        book: "ProfileBook",
+        own_settings: "InstanceSettings",
+        profiles: "ProfileBook",
         hub: "PeerHub",
         readiness: "Readiness",
     ) -> None:
-        self._me = me
-        self._book = book
+        self._own_settings = own_settings
+        self._profiles = profiles
         self._hub = hub
         self._readiness = readiness
-        self._beats: dict[str, Heartbeat] = {}
+        self._heartbeats: dict[str, Heartbeat] = {}
         hub.subscribe(Heartbeat, self._on_heartbeat)
 
     def _on_heartbeat(self, peer_id: str, message: Message) -> None:
         assert isinstance(message, Heartbeat)
-        self._beats[peer_id] = message
+        self._heartbeats[peer_id] = message
 
-    def show(self) -> Status:
-        """Return every known instance, this one first."""
-        peers = [self._peer(view) for view in self._hub.views()]
-        return Status(self._me.id, [self._own(), *peers])
+    def current(self) -> Status:
+        """Return the status of every known instance, this one first."""
+        peers = [self._peer_status(view) for view in self._hub.views()]
+        return Status(self._own_settings.id, [self._own_status(), *peers])
 
-    def _own(self) -> InstanceStatus:
-        reason = self._readiness.why_not()
+    def _own_status(self) -> InstanceStatus:
+        reason = self._readiness.not_ready_reason()
         return InstanceStatus(
-            id=self._me.id,
+            id=self._own_settings.id,
             state=self._readiness.state(),
             ready=not reason,
             reason=reason,
-            config_version=self._book.version(),
+            config_version=self._profiles.version(),
             agrees=True,
             heard_ms_ago=0,
-            data_centre=self._me.data_centre,
-            region=self._me.region,
+            data_centre=self._own_settings.data_centre,
+            region=self._own_settings.region,
         )
 
-    def _peer(self, view: "PeerView") -> InstanceStatus:
-        beat = self._beats.get(view.id)
-        state = beat.state if beat is not None else "not heard from"
+    def _peer_status(self, view: "PeerView") -> InstanceStatus:
+        heartbeat = self._heartbeats.get(view.id)
+        state = heartbeat.state if heartbeat is not None else "not heard from"
         reason = "" if view.up else "silent"
         return InstanceStatus(
             id=view.id,
@@ -65,7 +65,7 @@
             ready=view.up and state == SERVING,
             reason=reason,
             config_version=view.config_version,
-            agrees=beat is not None and beat.config_digest == self._book.digest(),
+            agrees=heartbeat is not None and heartbeat.config_digest == self._profiles.digest(),
             heard_ms_ago=view.heard_ms_ago,
             data_centre=view.data_centre,
             region=view.region,
--- a/papayapier/stopping.py
+++ b/papayapier/stopping.py
@@ -1,11 +1,11 @@
-"""Stop an instance gracefully: cut off no request, and end in bounded time.
-
-The steps are those of policy.drain. While leaving, the instance goes on serving, and each
-answer tells its caller to use another connection next time. Once the balancer has noticed,
-nothing new is listened for, and connections are closed as soon as no request is on them;
-a request that still comes on one is refused as not run. The stop is whole when no connection
-is left, because only then has the last answer left this process. Batch work is handed over
-at the same time as the rest goes on, since others can take it up at once.
+"""Shut down an instance gracefully, without aborting requests and in bounded time.
+
+The steps are those of policy.drain. While leaving, the instance continues to serve, and each
+answer tells its caller to close the connection. Once the balancer has taken the instance out,
+it stops listening and closes connections as soon as they carry no request; a request that
+still arrives on one is refused as not run. The shutdown is complete when no connection is
+left, because only then has the last answer left this process. Batch work is handed over
+concurrently, because other instances can take it over at once.
 """
 
 from typing import TYPE_CHECKING, Any, Final, NamedTuple
@@ -28,8 +28,8 @@
 DRAIN_TICK_MS: Final = 50
 
 
-class Left(NamedTuple):
-    """Count what still keeps an instance from ending."""
+class UnfinishedWork(NamedTuple):
+    """Count what still keeps an instance from exiting."""
 
     connections: int
     requests: int
@@ -37,16 +37,16 @@
     items: int
     handing_over: int
 
-    def nothing(self) -> bool:
-        """Tell whether nothing is left."""
+    def is_empty(self) -> bool:
+        """Return whether nothing is left."""
         return sum(self) == 0
 
 
 class StopDeps(NamedTuple):
-    """Group what a planned stop needs.
+    """Group the dependencies of a graceful shutdown.
 
-    online and items tell what the dispatch has under way; hand_over gives batch work to the
-    other instances.
+    online and items return the number of unfinished requests and batch items; hand_over hands
+    batch work over to other instances.
     """
 
     clock: "Clock"
@@ -58,29 +58,29 @@
 
 
 class PlannedStop:
-    """Take one instance through the steps of a planned stop."""
+    """Run the steps of the graceful shutdown of one instance."""
 
     def __init__(self, deps: StopDeps) -> None:
         self._deps = deps
         self._handing_over = 0
 
     async def run(self) -> None:
-        """Return when nothing is left under way, or when the limit has passed."""
+        """Shut down; return when no work is left, or at the time limit."""
         clock, drain = self._deps.clock, self._deps.drain
         drain.leave(clock.now())
         events.emit(events.PROCESS_LEAVING, **self.left()._asdict())
-        for one in self._deps.listening:
-            one.site.leaving = True
-        self._begin_hand_over()
-        left = await self._drained()
-        if not left.nothing():
+        for port in self._deps.listening:
+            port.site.leaving = True
+        self._start_hand_over()
+        left = await self._wait_drained()
+        if not left.is_empty():
             events.emit(events.DRAIN_LIMIT, **left._asdict())
-        check(left.nothing(), Promise.DRAIN_WHOLE, **left._asdict())
+        check(left.is_empty(), Promise.DRAIN_WHOLE, **left._asdict())
 
-    def left(self) -> Left:
-        """Count what is under way."""
-        sites = [one.site for one in self._deps.listening]
-        return Left(
+    def left(self) -> UnfinishedWork:
+        """Count the work that is not finished."""
+        sites = [port.site for port in self._deps.listening]
+        return UnfinishedWork(
             connections=sum(len(site.connections) for site in sites),
             requests=sum(site.open_requests() for site in sites),
             online=self._deps.online(),
@@ -88,17 +88,17 @@
             handing_over=self._handing_over,
         )
 
-    def _begin_hand_over(self) -> None:
+    def _start_hand_over(self) -> None:
         self._handing_over = 1
-        # Not awaited: a store that hangs must not keep the stop from ending at its limit.
-        work = maybeDeferred(Deferred.fromCoroutine, _as_coroutine(self._deps.hand_over))
-        work.addErrback(_hand_over_failed)
-        work.addCallback(self._handed_over)
+        # Not awaited: a store that hangs must not delay the shutdown past its time limit.
+        handover = maybeDeferred(Deferred.fromCoroutine, _as_coroutine(self._deps.hand_over))
+        handover.addErrback(_log_hand_over_failure)
+        handover.addCallback(self._on_handed_over)
 
-    def _handed_over(self, _: None) -> None:
+    def _on_handed_over(self, _: None) -> None:
         self._handing_over = 0
 
-    async def _drained(self) -> Left:
+    async def _wait_drained(self) -> UnfinishedWork:
         clock, drain = self._deps.clock, self._deps.drain
         listening = True
         while True:
@@ -110,22 +110,22 @@
                 if listening:
                     await stop_listening(self._deps.listening)
                     listening = False
-                for one in self._deps.listening:
-                    one.site.close_idle()
+                for port in self._deps.listening:
+                    port.site.close_idle()
             await clock.sleep(DRAIN_TICK_MS)
 
 
 async def stop_listening(listening: "tuple[Listening, ...]") -> None:
-    """Close the listening ports, and keep the connections that were made."""
-    for one in listening:
-        # The library closes the port when the reactor next comes round. By then callers may
-        # have connected, and the kernel resets every connection that nobody has taken.
-        one.site.reactor.callLater(0, _take_waiting, one.handle)
-        await maybeDeferred(one.handle.stopListening)
+    """Close the listening ports, and keep the established connections."""
+    for listener in listening:
+        # Twisted closes the port in the reactor's next iteration. Callers may have connected
+        # by then, and the kernel resets every connection that has not been accepted.
+        listener.site.reactor.callLater(0, _accept_pending, listener.handle)
+        await maybeDeferred(listener.handle.stopListening)
 
 
-def _take_waiting(port: Any) -> None:
-    """Take all connections that the kernel has made for a port."""
+def _accept_pending(port: Any) -> None:
+    """Accept all connections in the backlog of a port."""
     if port.connected:
         port.numberAccepts = BACKLOG
         port.doRead()
@@ -135,5 +135,5 @@
     await call()
 
 
-def _hand_over_failed(failure: "Failure") -> None:
+def _log_hand_over_failure(failure: "Failure") -> None:
     events.emit(events.HAND_OVER_FAILED, error=repr(failure.value))
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -1,4 +1,4 @@
-"""Test which replicas an instance follows."""
+"""Test which replicas an instance uses."""
 
 from collections import Counter
 from typing import TYPE_CHECKING
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from papayapier.upstream.api import Replica
 
-SUBSET = 8
+SUBSET_SIZE = 8
 
 
 def entry(name: str) -> Member:
@@ -25,45 +25,53 @@
     return Member(name, REPLICA, "lm", "127.0.0.1", 1, 0, "dc", region, state)
 
 
-def follow(own: str, members: list[Member]) -> tuple[FleetView, set[str]]:
+def make_view(own_id: str, members: list[Member]) -> tuple[FleetView, set[str]]:
+    """Return the view of an instance, and the ids of the replicas that it polls."""
     view = FleetView(
-        Place(own, "north", SUBSET),
-        Policies(LoadBook(), Outliers(), BatchShare(own)),
+        Place(own_id, "north", SUBSET_SIZE),
+        Policies(LoadBook(), Outliers(), BatchShare(own_id)),
         make_metrics(),
     )
     polled: list[Replica] = []
-    view.connect(FleetListeners(polled.extend, lambda _: None, lambda: None, lambda _l, _g: None))
+    view.set_listeners(
+        FleetListeners(polled.extend, lambda _: None, lambda: None, lambda _l, _g: None)
+    )
     view.on_members(MembersChanged(members, []))
-    return view, {one.id for one in polled}
+    return view, {polled_replica.id for polled_replica in polled}
+
 
+def test_small_site_uses_every_replica() -> None:
+    """Guard against replicas that get no calls although the upstream has few of them."""
+    members = [entry("a"), *(replica(f"lm-{n}") for n in range(SUBSET_SIZE))]
+    assert make_view("a", members)[1] == {f"lm-{n}" for n in range(SUBSET_SIZE)}
 
-def test_small_site_follows_every_replica() -> None:
-    members = [entry("a"), *(replica(f"lm-{n}") for n in range(SUBSET))]
-    assert follow("a", members)[1] == {f"lm-{n}" for n in range(SUBSET)}
 
+def test_subsets_of_a_large_region_contain_every_replica() -> None:
+    """Guard against load polling that grows with the product of instances and replicas.
 
-def test_large_region_is_followed_by_subsets_that_leave_no_replica_out() -> None:
-    # Symptom: an idle instance spends more than a core on load reports.
-    # Sequence: the fleet grows to thousands of replicas.
-    # Cause: every instance asked every replica.
+    With thousands of replicas, an idle instance that polled all of them spent more than a core
+    on load reports.
+    """
     names = [f"i{n}" for n in range(40)]
     members = [*map(entry, names), *(replica(f"lm-{n}") for n in range(100))]
-    seen: Counter[str] = Counter()
+    users: Counter[str] = Counter()
     for name in names:
-        followed = follow(name, members)[1]
-        assert SUBSET // 2 <= len(followed) <= 2 * SUBSET
-        seen.update(followed)
-    assert len(seen) == 100
-    assert min(seen.values()) >= 3
+        used = make_view(name, members)[1]
+        assert SUBSET_SIZE // 2 <= len(used) <= 2 * SUBSET_SIZE
+        users.update(used)
+    assert len(users) == 100
+    assert min(users.values()) >= 3
 
 
-def test_other_regions_are_used_only_when_the_own_has_none() -> None:
+def test_other_regions_are_used_only_if_the_own_region_has_no_replica() -> None:
+    """Guard against calls to other regions, whose connections can fail for minutes."""
     south = [replica(f"s-{n}", "south") for n in range(3)]
-    assert follow("a", [entry("a"), *south])[1] == {"s-0", "s-1", "s-2"}
-    assert follow("a", [entry("a"), replica("n-0"), *south])[1] == {"n-0"}
+    assert make_view("a", [entry("a"), *south])[1] == {"s-0", "s-1", "s-2"}
+    assert make_view("a", [entry("a"), replica("n-0"), *south])[1] == {"n-0"}
 
 
-def test_orders_see_all_replicas_that_are_not_leaving() -> None:
+def test_controller_gets_all_replicas_that_are_not_leaving() -> None:
+    """Guard against orders that only reach the subset used by the controller's instance."""
     members = [entry("a"), *(replica(f"lm-{n}") for n in range(30)), replica("x", state=LEAVING)]
-    view, _ = follow("a", members)
-    assert {one.replica.id for one in view.listed_replicas(0)} == {f"lm-{n}" for n in range(30)}
+    view, _ = make_view("a", members)
+    assert {r.replica.id for r in view.listed_replicas(0)} == {f"lm-{n}" for n in range(30)}
--- a/tests/test_instance.py
+++ b/tests/test_instance.py
@@ -1,4 +1,4 @@
-"""Test the planned stop of an instance and the life of its process."""
+"""Test the graceful shutdown of an instance, and the start and end of its process."""
 
 import json
 import tempfile
@@ -30,14 +30,14 @@
 GATE_CALL = post("/services/gate/x", b"", GATE)
 
 
-async def turns(count: int) -> None:
-    """Let the sockets have some turns of the reactor."""
+async def run_reactor(count: int) -> None:
+    """Wait for some iterations of the reactor, so that it serves the sockets."""
     for _ in range(count):
         await real_clock().sleep(1)
 
 
-class TestPlannedStop(TestCase):
-    """Stop an entry over real sockets, with the steps of the stop on a fake clock."""
+class TestGracefulShutdown(TestCase):
+    """Shut down an entry with real sockets, and with the shutdown steps on a fake clock."""
 
     timeout = 30
 
@@ -74,7 +74,7 @@
             self.hanging.remove(done)
         return ANSWER
 
-    async def until_hanging(self, count: int) -> None:
+    async def wait_hanging(self, count: int) -> None:
         while len(self.hanging) < count:
             await real_clock().sleep(1)
 
@@ -82,18 +82,22 @@
         for step in range(delay_ms // 50):
             self.time.advance(50)
             if step % 10 == 0:
-                await turns(1)
-        await turns(20)
-
-    def test_stop_waits_for_what_is_under_way_and_refuses_the_rest(self) -> Deferred[None]:
-        # Symptom: callers see connections reset or closed without an answer at a restart.
-        # Sequence: a request runs, another is half sent, a third connection is idle; the
-        # instance is told to stop; the second request comes whole after the balancer's lag.
-        # Cause: only running work was counted, and the connections were closed under it.
+                await run_reactor(1)
+        await run_reactor(20)
+
+    def test_shutdown_finishes_running_requests_and_refuses_new_ones(self) -> Deferred[None]:
+        """Guard against connections that are reset or closed without an answer at a restart.
+
+        One request is running, a second is received only in part, and a third connection is
+        idle when the shutdown begins; the rest of the second request arrives after the
+        balancer's lag. If only running requests counted, the other connections would be closed
+        too early.
+        """
+
         async def run() -> None:
             busy = await self.world.connect()
             busy.write(GATE_CALL)
-            await self.until_hanging(1)
+            await self.wait_hanging(1)
             half, idle = await self.world.connect(), await self.world.connect()
             half.write(GATE_CALL[:30])
             idle.write(post("/v1/elsewhere", b""))
@@ -105,7 +109,7 @@
             await self.pass_time(LAG_MS - 100)
             late = await self.world.connect()
             late.write(GATE_CALL)
-            await self.until_hanging(2)
+            await self.wait_hanging(2)
             self.hanging[1].callback(None)
             await late.closed
             assert (late.status(), b"Connection: close" in late.received) == (200, True)
@@ -128,10 +132,13 @@
 
         return Deferred.fromCoroutine(run())
 
-    def test_stop_waits_until_answers_have_been_read(self) -> Deferred[None]:
-        # Symptom: the end of a large answer is missing after a restart.
-        # Sequence: an answer is written whole, its caller reads slowly, the process ends.
-        # Cause: a request counts as done when its answer is in this process's buffer.
+    def test_shutdown_waits_until_answers_have_been_read(self) -> Deferred[None]:
+        """Guard against a large answer whose end is missing after a restart.
+
+        A request counts as finished when its complete answer is in a buffer of this process; a
+        slow caller has not read it yet, and an exit would discard the rest.
+        """
+
         async def run() -> None:
             size = 30_000_000
             big = ANSWER.unwrap()._replace(body=b"x" * size)
@@ -154,12 +161,14 @@
 
         return Deferred.fromCoroutine(run())
 
-    def test_limit_ends_the_stop_and_names_what_was_left(self) -> Deferred[None]:
+    def test_shutdown_ends_at_its_limit_and_logs_what_was_left(self) -> Deferred[None]:
+        """Guard against a shutdown that waits for a hanging request without bound."""
+
         async def run() -> None:
             broken = invariants.broken_count()
             client = await self.world.connect()
             client.write(GATE_CALL)
-            await self.until_hanging(1)
+            await self.wait_hanging(1)
             stopped = Deferred.fromCoroutine(self.stop.run())
             await self.pass_time(LIMIT_MS + 100)
             await stopped
@@ -176,7 +185,9 @@
 
         return Deferred.fromCoroutine(run())
 
-    def test_failed_hand_over_does_not_keep_the_stop(self) -> Deferred[None]:
+    def test_failed_hand_over_does_not_block_the_shutdown(self) -> Deferred[None]:
+        """Guard against a shutdown that waits for a batch handover which has failed."""
+
         async def run() -> None:
             stopped = Deferred.fromCoroutine(self.stop.run())
             await self.pass_time(LAG_MS + 100)
@@ -190,7 +201,7 @@
 
 
 class TestProcess(TestCase):
-    """Run "papayapier serve" against stand-ins of this process."""
+    """Run "papayapier serve" as a child process against stand-ins in this process."""
 
     timeout = 60
 
@@ -227,8 +238,8 @@
         self.children.append(child)
         return child
 
-    async def ready(self, child: Child) -> int:
-        """Put the profiles in force, and return the callers' port."""
+    async def wait_ready(self, child: Child) -> int:
+        """Create the profiles, wait until the child is ready, and return its callers' port."""
         started = await child.document_with("entry_port")
         operator, entry = started["operator_port"], started["entry_port"]
         for name, upstream in (("chat", "lm"), ("gate", "gate")):
@@ -256,55 +267,61 @@
                 return int(entry)
             await real_clock().sleep(20)
 
-    def test_signal_under_load_cuts_off_nothing(self) -> Deferred[None]:
-        # Symptom: callers see connections reset at a planned restart.
-        # Sequence: callers send streams one after another, on kept and on new connections;
-        # SIGTERM; they go on until no connection can be made.
-        # Cause: connections closed with requests on them, or before their answers were sent.
-        ends: list[str] = []
+    def test_signal_under_load_aborts_no_request(self) -> Deferred[None]:
+        """Guard against connections that are reset at a planned restart.
 
-        async def caller(port: int, keep: bool) -> None:
+        Callers send streams one after another, on persistent and on new connections, until
+        after SIGTERM no connection can be made. A shutdown must not close connections that carry
+        requests, or whose answers are not completely sent.
+        """
+        outcomes: list[str] = []
+
+        async def send_streams(port: int, keep_alive: bool) -> None:
             body = b'{"model":"lm","prompt":"open?","max_tokens":8,"stream":true}'
-            how = "Connection: keep-alive" if keep else "Connection: close"
-            request = post("/v1/completions", body, CHAT, how)
+            header = "Connection: keep-alive" if keep_alive else "Connection: close"
+            request = post("/v1/completions", body, CHAT, header)
             while True:
                 try:
                     client = await connect(port)
                 except ConnectError:
-                    # Refused, or reset while connecting: nothing had been sent.
+                    # Refused, or reset while connecting: no request was sent.
                     return
                 while not client.closed.called:
                     client.received.clear()
                     client.write(request)
                     await client.until_any(b"0\r\n\r\n", b"}}")
-                    ends.append(judge(client.received))
+                    outcomes.append(classify(client.received))
                     if b"Connection: close" in client.received:
                         await client.closed
 
-        def judge(received: bytearray) -> str:
+        def classify(received: bytearray) -> str:
             if b"[DONE]" in received:
                 return "whole"
             return "leaving" if b'"kind":"leaving","outcome":"not_run"' in received else "cut"
 
         async def run() -> None:
             child = self.serve()
-            port = await self.ready(child)
-            callers = [Deferred.fromCoroutine(caller(port, keep=n % 2 == 0)) for n in range(8)]
-            while len(ends) < 50:
+            port = await self.wait_ready(child)
+            callers = [
+                Deferred.fromCoroutine(send_streams(port, keep_alive=n % 2 == 0)) for n in range(8)
+            ]
+            while len(outcomes) < 50:
                 await real_clock().sleep(5)
             child.signal(SIGTERM)
             await gatherResults(callers)
             await child.ended
-            assert set(ends) <= {"whole", "leaving"}, ends
+            assert set(outcomes) <= {"whole", "leaving"}, outcomes
             assert (child.exit_code, child.logged(events.INVARIANT_BROKEN.number)) == (0, 0)
             assert child.logged(events.DRAIN_LIMIT.number) == 0
 
         return Deferred.fromCoroutine(run())
 
-    def test_second_signal_ends_at_once(self) -> Deferred[None]:
+    def test_second_signal_ends_the_process_at_once(self) -> Deferred[None]:
+        """Guard against a process that cannot be stopped while a request hangs."""
+
         async def run() -> None:
             child = self.serve()
-            port = await self.ready(child)
+            port = await self.wait_ready(child)
             self.fleet.services[0].control({"mode": Mode.HANG, "times": 0})
             client = await connect(port)
             client.write(GATE_CALL)
@@ -321,19 +338,20 @@
 
         return Deferred.fromCoroutine(run())
 
-    def test_failed_start_is_told_in_one_line(self) -> Deferred[None]:
-        taken = {"port": 0}
+    def test_failed_start_prints_one_line(self) -> Deferred[None]:
+        """Guard against a failed start whose reason is hidden by other output."""
+        used_port = {"port": 0}
         cases: list[tuple[str, dict[str, Any], str, int]] = [
-            ("entry", {"entry": taken}, "entry.port: cannot listen on 127.0.0.1:", 1),
-            ("operator", {"operator": taken}, "operator.port: cannot listen on 127.0.0.1:", 1),
-            ("peer", {"peer": taken}, "peer", 1),
+            ("entry", {"entry": used_port}, "entry.port: cannot listen on 127.0.0.1:", 1),
+            ("operator", {"operator": used_port}, "operator.port: cannot listen on 127.0.0.1:", 1),
+            ("peer", {"peer": used_port}, "peer", 1),
             ("platform", {"platform": {"host": "127.0.0.1", "port": 9}}, "platform: 127.0.", 1),
             ("unknown", {"entry": {"prot": 80}}, "entry", 2),
             ("kind", {"entry": {"port": "x"}}, "entry.port: expected `int`, got `str`", 2),
         ]
 
         async def run() -> None:
-            taken["port"] = self.fleet.platform.port
+            used_port["port"] = self.fleet.platform.port
             children = [self.serve(name, **changes) for name, changes, _, _ in cases]
             for child, (name, _, reason, code) in zip(children, cases, strict=True):
                 await child.ended
