--- a/papayapier/__init__.py
+++ b/papayapier/__init__.py
@@ -1,4 +1,4 @@
-"""Serve online and batch inference on one fleet."""
+"""Serve online and batch inference requests on one fleet of replicas."""
 
 from typing import Final
 
--- a/papayapier/clock.py
+++ b/papayapier/clock.py
@@ -1,9 +1,9 @@
-"""Tell and await time in whole milliseconds.
+"""Read and wait for time in whole milliseconds.
 
-Everything that decides by time takes a Clock, so that a test can drive it with
-twisted's task.Clock and never waits for real. Two readings exist because they fail
-differently: now() is monotonic and is the only one that leases and timeouts use; wall()
-may jump and is only for due times that callers state and for log lines.
+All code that depends on time takes a Clock, so that tests drive it with Twisted's task.Clock
+and never wait in real time. There are two readings: now() is monotonic and the only one for
+leases and timeouts; wall() may jump and is only for due times that callers state and for log
+lines.
 """
 
 import time
@@ -16,33 +16,33 @@
 Millis = NewType("Millis", int)
 
 MS_PER_S: Final = 1000
-ROUNDING_S: Final = 1e-9
-# Timers of a process that runs fire within some ms of their time.
-LATE_MS: Final = 20
+TIMER_ROUNDING_S: Final = 1e-9
+# Timers of a process that is not paused fire within a few milliseconds of their time.
+MAX_TIMER_DELAY_MS: Final = 20
 
 
 class Timer(Protocol):
-    """Describe a pending call."""
+    """Describe a scheduled call."""
 
     def cancel(self) -> None:
-        """Forget the call."""
+        """Cancel the call."""
 
     def active(self) -> bool:
-        """Tell whether the call is still to come."""
+        """Return whether the call is still scheduled."""
 
 
 class Timers(Protocol):
-    """Describe the part of a twisted reactor that a Clock needs."""
+    """Describe the part of a Twisted reactor that a Clock needs."""
 
     def seconds(self) -> float:
-        """Return the reading in seconds."""
+        """Return the current time in seconds."""
 
     def callLater(self, delay: float, callable: Callable[..., Any]) -> Any:  # noqa: N802
         """Run a call after a delay in seconds."""
 
 
 class Clock(NamedTuple):
-    """Hold the two readings of time and the timer source they belong to."""
+    """Combine the timers, their monotonic time and the wall time."""
 
     timers: Timers
     wall_source: Callable[[], float]
@@ -61,10 +61,10 @@
         return timer
 
     def timeout(self, delay_ms: float, call: Callable[[], object]) -> Timer:
-        """Run a call once something has not come for a delay in milliseconds.
+        """Run a call when a timeout in milliseconds expires.
 
-        Time in which this process itself was kept from running does not count: what has come
-        meanwhile is still unread, and timers are served before sockets.
+        Time in which this process was paused does not count: data that arrived meanwhile has
+        not been read yet, because the reactor runs timers before it reads sockets.
         """
         return _Timeout(self, delay_ms, call)
 
@@ -76,7 +76,7 @@
 
 
 class _Timeout:
-    """Wait once more for as long as the timer was late, at most as long as before."""
+    """Extend a late timer once by its delay, but by no more than the timeout."""
 
     __slots__ = ("_call", "_clock", "_delay_ms", "_due_ms", "_timer")
 
@@ -95,26 +95,26 @@
 
     def _on_due(self) -> None:
         late_ms = self._clock.now() - self._due_ms
-        if late_ms < LATE_MS:
+        if late_ms < MAX_TIMER_DELAY_MS:
             self._call()
             return
         self._timer = self._clock.call_later(min(late_ms, self._delay_ms), self._call)
 
 
 class FakeClock(NamedTuple):
-    """Pair a Clock with the timer source that a test advances."""
+    """Combine a Clock with the timer source that a test advances."""
 
     clock: Clock
     source: TaskClock
 
     def advance(self, delay_ms: float) -> None:
-        """Move time forward by milliseconds at once, as after a pause of the process."""
+        """Advance time by milliseconds in one step, as after a pause of the process."""
         self.source.advance(delay_ms / MS_PER_S)
 
     def elapse(self, delay_ms: float) -> None:
-        """Let milliseconds pass as a process that runs sees it: each timer at its own time."""
+        """Advance time by milliseconds, and run each timer at its own time."""
         end = self.source.seconds() + delay_ms / MS_PER_S
-        while self.source.calls and self.source.calls[0].getTime() <= end + ROUNDING_S:
+        while self.source.calls and self.source.calls[0].getTime() <= end + TIMER_ROUNDING_S:
             self.source.rightNow = max(self.source.rightNow, self.source.calls[0].getTime())
             self.source.advance(0)
         self.source.rightNow = end
@@ -122,7 +122,7 @@
 
 
 def real_clock() -> Clock:
-    """Make the clock of a running process."""
+    """Return the clock of a running process."""
     from twisted.internet import reactor
 
     return Clock(_MonotonicTimers(cast(Timers, reactor)), time.time)
@@ -131,8 +131,8 @@
 class _MonotonicTimers:
     """Schedule on the reactor, but read the monotonic clock.
 
-    The reactor's own seconds() is the wall clock. When an administrator or NTP sets it
-    back, a lease would look younger than it is, and two holders would run the same work.
+    The reactor's own seconds() is the wall clock. If an administrator or NTP set it back, a
+    lease would seem to expire later than it does, and two holders would run the same work.
     """
 
     def __init__(self, reactor: Timers) -> None:
@@ -146,6 +146,6 @@
 
 
 def fake_clock(wall_ms: int = 1_700_000_000_000) -> FakeClock:
-    """Make a clock that moves only when a test advances it."""
+    """Return a clock that advances only when a test says so."""
     source = TaskClock()
     return FakeClock(Clock(source, lambda: wall_ms / MS_PER_S + source.seconds()), source)
--- a/papayapier/codec.py
+++ b/papayapier/codec.py
@@ -1,9 +1,9 @@
-"""Turn NamedTuple records into JSON objects or msgpack arrays, and check them on the way in.
+"""Encode NamedTuple records as JSON objects or msgpack arrays, and validate decoded ones.
 
-msgspec decodes a NamedTuple from an array, which is compact and is what stored chunks and
-peer messages use. People write objects, and an unknown key in them must be an error. So
-for JSON each NamedTuple gets a mirror struct, made once, that forbids unknown fields;
-msgspec then does all the checking and names the path of the field at fault.
+msgspec decodes a NamedTuple from an array; stored chunks and peer messages use this compact
+form. People write JSON objects, in which an unknown key must be an error. So for JSON, each
+NamedTuple has an equivalent struct, created once, that forbids unknown fields; msgspec then
+does all validation and reports the path of the invalid field.
 """
 
 import re
@@ -18,42 +18,42 @@
 
 T = TypeVar("T")
 
-BYTES_QUOTE: Final = re.compile(r"b'(\w+)'")
+BYTES_LITERAL: Final = re.compile(r"b'(\w+)'")
 
 
 def from_json(text: bytes, cls: type[T]) -> Result[T, str]:
-    """Decode strict JSON into a record, or say which field is at fault."""
+    """Decode strict JSON into a record; the error names the invalid field."""
     try:
-        return Ok(_to_record(msgspec.json.decode(text, type=_mirror(cast(Any, cls))), cls))
+        return Ok(_to_record(msgspec.json.decode(text, type=_struct_type(cast(Any, cls))), cls))
     except msgspec.MsgspecError as exc:
-        return Err(_plain(exc))
+        return Err(_format_error(exc))
 
 
 def from_commented_json(text: str, cls: type[T]) -> Result[T, str]:
-    """Decode JSON with comments into a record, or say which field is at fault."""
+    """Decode JSON with comments into a record; the error names the invalid field."""
     try:
         return from_document(pyjson5.loads(text), cls)
     except pyjson5.Json5Exception as exc:
-        # The library's messages quote some words as Python bytes.
-        why = BYTES_QUOTE.sub(r"\1", str(exc.args[0]))
-        return Err(f"not valid json: {why[:1].lower()}{why[1:]}")
+        # The library's messages contain some words as Python bytes literals.
+        reason = BYTES_LITERAL.sub(r"\1", str(exc.args[0]))
+        return Err(f"not valid json: {reason[:1].lower()}{reason[1:]}")
 
 
 def from_document(document: object, cls: type[T]) -> Result[T, str]:
-    """Convert plain decoded JSON into a record, or say which field is at fault."""
+    """Convert decoded JSON into a record; the error names the invalid field."""
     try:
-        return Ok(_to_record(msgspec.convert(document, type=_mirror(cast(Any, cls))), cls))
+        return Ok(_to_record(msgspec.convert(document, type=_struct_type(cast(Any, cls))), cls))
     except msgspec.MsgspecError as exc:
-        return Err(_plain(exc))
+        return Err(_format_error(exc))
 
 
 def to_json(value: object) -> bytes:
-    """Encode a record as a JSON object, with its fields in order."""
+    """Encode a record as a JSON object with its fields in order."""
     return msgspec.json.encode(to_document(value))
 
 
 def to_document(value: object) -> Any:
-    """Convert a record into plain JSON types, field by field."""
+    """Convert a record into plain JSON types recursively."""
     if isinstance(value, tuple) and hasattr(value, "_asdict"):
         return {name: to_document(part) for name, part in value._asdict().items()}
     if isinstance(value, list | tuple):
@@ -69,55 +69,57 @@
 
 
 def unpack(data: bytes, cls: type[T]) -> Result[T, str]:
-    """Decode a msgpack array into a record, or say what is wrong."""
+    """Decode a msgpack array into a record; the error names the invalid field."""
     try:
         return Ok(msgspec.msgpack.decode(data, type=cls))
     except msgspec.MsgspecError as exc:
-        return Err(_plain(exc))
+        return Err(_format_error(exc))
 
 
 @cache
-def _mirror(kind: Any) -> Any:
-    """Return the type to decode for a type of ours: a struct for each NamedTuple in it."""
+def _struct_type(kind: Any) -> Any:
+    """Return a type to decode, in which a struct replaces each NamedTuple."""
     if isinstance(kind, type) and hasattr(kind, "_fields"):
-        return _mirror_struct(kind)
+        return _define_struct(kind)
     origin = get_origin(kind)
     if origin is None:
         return kind
-    parts = tuple(_mirror(part) if part is not Ellipsis else part for part in get_args(kind))
+    args = tuple(_struct_type(arg) if arg is not Ellipsis else arg for arg in get_args(kind))
     if origin in (Union, UnionType):
-        return reduce(or_, parts)
+        return reduce(or_, args)
     if origin in (list, tuple, dict):
-        return origin[parts]
+        return origin[args]
     return kind
 
 
-def _mirror_struct(kind: Any) -> Any:
+def _define_struct(kind: Any) -> Any:
     hints = get_type_hints(kind, include_extras=True)
     fields: list[Any] = []
     for name in kind._fields:
-        mirrored = _mirror(hints[name])
+        field_type = _struct_type(hints[name])
         if name in kind._field_defaults:
             default = kind._field_defaults[name]
-            fields.append((name, mirrored, msgspec.field(default_factory=partial(_same, default))))
+            fields.append(
+                (name, field_type, msgspec.field(default_factory=partial(_identity, default)))
+            )
         else:
-            fields.append((name, mirrored))
+            fields.append((name, field_type))
     return msgspec.defstruct(kind.__name__, fields, forbid_unknown_fields=True, kw_only=True)
 
 
-def _same(value: Any) -> Any:
+def _identity(value: Any) -> Any:
     return value
 
 
 def _to_record(value: Any, kind: Any) -> Any:
-    """Convert a decoded mirror back into the NamedTuple it stands for."""
+    """Convert decoded structs back into the NamedTuples that they replace."""
     if isinstance(value, msgspec.Struct):
         return _struct_to_record(value, kind)
     if isinstance(value, list | tuple) and not hasattr(value, "_fields"):
         return _sequence_to_record(value, kind)
     if isinstance(value, dict):
-        part = (get_args(kind) or (Any, Any))[1]
-        return {key: _to_record(item, part) for key, item in value.items()}
+        item_type = (get_args(kind) or (Any, Any))[1]
+        return {key: _to_record(item, item_type) for key, item in value.items()}
     return value
 
 
@@ -129,19 +131,20 @@
 
 def _sequence_to_record(value: list[Any] | tuple[Any, ...], kind: Any) -> Any:
     args = get_args(kind) or (Any,)
-    parts = [_to_record(item, args[min(i, len(args) - 1)]) for i, item in _indexed(value, args)]
-    return type(value)(parts)
+    items = [_to_record(item, args[min(i, len(args) - 1)]) for i, item in _with_arg(value, args)]
+    return type(value)(items)
 
 
-def _indexed(value: Any, args: tuple[Any, ...]) -> list[tuple[int, Any]]:
+def _with_arg(value: Any, args: tuple[Any, ...]) -> list[tuple[int, Any]]:
+    """Return each item with the index of its type argument."""
     variadic = len(args) == 1 or args[-1] is Ellipsis
     return [(0 if variadic else i, item) for i, item in enumerate(value)]
 
 
-def _plain(exc: Exception) -> str:
-    """Reword a msgspec message as short lower-case English that starts with the path."""
+def _format_error(exc: Exception) -> str:
+    """Return a msgspec message in lower case that starts with the path of the field."""
     text = str(exc)
     message, _, path = text.partition(" - at ")
     message = message[:1].lower() + message[1:].replace("Object", "the object")
-    where = path.strip("`").removeprefix("$.").removeprefix("$")
-    return f"{where}: {message}" if where else message
+    field = path.strip("`").removeprefix("$.").removeprefix("$")
+    return f"{field}: {message}" if field else message
--- a/papayapier/data_folder.py
+++ b/papayapier/data_folder.py
@@ -1,7 +1,7 @@
-"""Read and replace whole files in the data folder, where an instance has one.
+"""Read and atomically replace files in the data folder of an instance.
 
-A file is written beside its predecessor and renamed over it, so that a crash at any moment
-leaves the old or the new one. Its content is only ever a copy: a failure costs a transfer.
+A new file is written beside the old one and renamed over it, so that a crash at any moment
+leaves either of them. The files are only copies of data that can be transferred again.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 def read_file(folder: str, name: str) -> Result[bytes | None, str]:
-    """Read a file; None if there is none."""
+    """Read a file; return None if it does not exist."""
     path = Path(folder) / name
     try:
         return Ok(path.read_bytes())
@@ -27,7 +27,7 @@
 
 
 def replace_file(folder: str, name: str, data: bytes) -> Result[None, str]:
-    """Replace a file in one step."""
+    """Replace a file atomically."""
     path = Path(folder) / name
     new = path.with_name(name + NEW_SUFFIX)
     try:
@@ -39,7 +39,7 @@
 
 
 class DelayedSave:
-    """Call save some time after a change; changes that come together are saved together."""
+    """Call save some time after a change, once for all changes until then."""
 
     def __init__(self, clock: Clock, delay_ms: int, save: Callable[[], None]) -> None:
         self._clock = clock
@@ -49,16 +49,16 @@
         self._closed = False
 
     def changed(self) -> None:
-        """Save soon."""
-        if not self._closed and not self._pending():
+        """Schedule a save unless one is scheduled already."""
+        if not self._closed and not self._is_pending():
             self._timer = self._clock.call_later(self._delay_ms, self._save)
 
     def close(self) -> None:
-        """Save what is still to be saved and stop."""
+        """Run a scheduled save at once, and stop."""
         self._closed = True
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
             self._save()
 
-    def _pending(self) -> bool:
+    def _is_pending(self) -> bool:
         return self._timer is not None and self._timer.active()
--- a/papayapier/demo.py
+++ b/papayapier/demo.py
@@ -1,7 +1,7 @@
-"""Run the whole system in one process and check its promises against the stand-ins.
+"""Run the whole system in one process, and check its invariants with the stand-ins' counts.
 
-The demo is a caller like any other: everything it does goes through HTTP, and what it
-reports is read from the answers and from the stand-ins' own counts.
+The demo is an ordinary caller: it uses only HTTP, and it reports what the answers and the
+stand-ins' own counts show.
 """
 
 import json
@@ -41,11 +41,12 @@
 ENGINES: Final = 3
 ANSWER_TOKENS: Final = 24
 ITEM_TOKENS: Final = 16
-REQUEST_GAP_MS: Final = 20
+# Mean time between the starts of two online requests.
+MEAN_REQUEST_INTERVAL_MS: Final = 20
 POLL_MS: Final = 250
-JOB_LIMIT_MS: Final = 120_000
-START_LIMIT_MS: Final = 10_000
-HIGHEST_MS: Final = 600_000
+JOB_TIMEOUT_MS: Final = 120_000
+START_TIMEOUT_MS: Final = 10_000
+MAX_LATENCY_MS: Final = 600_000
 
 PROFILES: Final = (
     Profile("gate", "gate", "urgent", 2_000, False, description="gate pass checks"),
@@ -55,7 +56,7 @@
 
 
 class DemoOptions(NamedTuple):
-    """Hold the demo's command line."""
+    """Hold the options of the demo's command line."""
 
     stay: bool
     seed: int
@@ -65,7 +66,7 @@
 
 
 class DemoReport(NamedTuple):
-    """Hold what the demo saw; times are in milliseconds."""
+    """Hold the results of the demo; broken lists the violated invariants."""
 
     sent: int
     answered: int
@@ -79,13 +80,13 @@
 
 
 class _Tally:
-    """Collect what the online requests saw."""
+    """Collect the results of the online requests and the violated invariants."""
 
     def __init__(self) -> None:
-        self.latency = HdrHistogram(1, HIGHEST_MS, 3)
+        self.latency = HdrHistogram(1, MAX_LATENCY_MS, 3)
         self.answered = 0
         self.refused: Counter[str] = Counter()
-        self.broken: list[str] = []
+        self.violations: list[str] = []
 
 
 class _Target(NamedTuple):
@@ -95,26 +96,26 @@
 
 
 def demo(options: DemoOptions) -> int:
-    """Run the demo; return 1 if a promise was broken."""
+    """Run the demo; return 1 if an invariant was violated."""
     from twisted.internet import reactor
 
     invariants.raise_on_failure(True)
     start_logs(LogSettings(form="text", level="warning"))
     codes: list[int] = []
 
-    def ended(code: int) -> None:
+    def on_finished(code: int) -> None:
         codes.append(code)
         cast(Any, reactor).stop()
 
-    def failed(failure: "Failure") -> None:
+    def on_failed(failure: "Failure") -> None:
         print(f"papayapier: the demo failed: {failure.getTraceback()}", file=sys.stderr)
-        ended(1)
+        on_finished(1)
 
-    def begin() -> None:
+    def start() -> None:
         run = Deferred.fromCoroutine(_run(reactor, options))
-        run.addCallbacks(ended, failed)
+        run.addCallbacks(on_finished, on_failed)
 
-    cast(Any, reactor).callWhenRunning(begin)
+    cast(Any, reactor).callWhenRunning(start)
     cast(Any, reactor).run()
     return codes[0] if codes else 0
 
@@ -133,7 +134,7 @@
     )
     await _put_profiles(target)
     print(f"demo: {ENGINES} engines, 1 service, 1 entry instance at {target.entry}")
-    report = await _exercise(target, fleet, options, rand)
+    report = await _run_workload(target, fleet, options, rand)
     _print_report(report, options.as_json)
     if options.stay:
         _print_curl(target)
@@ -153,7 +154,7 @@
 
 
 async def _put_profiles(target: _Target) -> None:
-    """Create the profiles as an operator would, and wait until they are in force."""
+    """Create the profiles over the operators' API, and wait until they are in force."""
     for profile in PROFILES:
         change = {
             "profile": codec.to_document(profile),
@@ -166,22 +167,22 @@
         text = await answer.text()
         if answer.code not in (200, 201):
             raise RuntimeError(f"profile {profile.name} was not accepted: {text}")
-    await _until_ready(target)
+    await _wait_ready(target)
 
 
-async def _until_ready(target: _Target) -> None:
-    began = target.clock.now()
+async def _wait_ready(target: _Target) -> None:
+    started_ms = target.clock.now()
     while True:
         answer = await treq.get(f"{target.entry}/readyz")
         text = await answer.text()
         if answer.code == 200:
             return
-        if target.clock.now() - began > START_LIMIT_MS:
+        if target.clock.now() - started_ms > START_TIMEOUT_MS:
             raise RuntimeError(f"the instance did not become ready: {text}")
         await target.clock.sleep(POLL_MS)
 
 
-async def _exercise(
+async def _run_workload(
     target: _Target, fleet: Fleet, options: DemoOptions, rand: random.Random
 ) -> DemoReport:
     tally = _Tally()
@@ -189,10 +190,10 @@
     sends = []
     for number in range(options.requests):
         sends.append(Deferred.fromCoroutine(_one_request(target, tally, number)))
-        await target.clock.sleep(rand.expovariate(1 / REQUEST_GAP_MS))
+        await target.clock.sleep(rand.expovariate(1 / MEAN_REQUEST_INTERVAL_MS))
     await gatherResults(sends)
-    print(f"demo: {options.requests} online requests ended, waiting for the batch job")
-    job = await _until_done(target, job_id)
+    print(f"demo: {options.requests} online requests finished, waiting for the batch job")
+    job = await _wait_job_finished(target, job_id)
     await _check_results(target, tally, job, options.items)
     _check_counts(tally, fleet)
     counts = job["request_counts"]
@@ -205,20 +206,20 @@
         items=options.items,
         items_completed=counts["completed"],
         items_failed=counts["failed"],
-        broken=tally.broken,
+        broken=tally.violations,
     )
 
 
 async def _one_request(target: _Target, tally: _Tally, number: int) -> None:
-    began = target.clock.now()
+    started_ms = target.clock.now()
     if number % 2:
-        await _gate_check(target, tally, number)
+        await _call_gate(target, tally, number)
     else:
-        await _chat(target, tally, number)
-    tally.latency.record_value(max(1, target.clock.now() - began))
+        await _call_chat(target, tally, number)
+    tally.latency.record_value(max(1, target.clock.now() - started_ms))
 
 
-async def _gate_check(target: _Target, tally: _Tally, number: int) -> None:
+async def _call_gate(target: _Target, tally: _Tally, number: int) -> None:
     headers: Any = {"X-Papayapier-Profile": "gate", "Idempotency-Key": f"pass-{number}"}
     url = f"{target.entry}/services/gate/calls/passes"
     answer = await treq.post(url, json={"truck": number}, headers=headers)
@@ -228,12 +229,12 @@
         return
     tally.answered += 1
     if body["path"] != "/calls/passes":
-        tally.broken.append(f"gate check {number} got another's answer")
+        tally.violations.append(f"gate check {number} received the answer to another request")
 
 
-async def _chat(target: _Target, tally: _Tally, number: int) -> None:
+async def _call_chat(target: _Target, tally: _Tally, number: int) -> None:
     prompt = f"question {number} about opening hours"
-    body = _generation(prompt, ANSWER_TOKENS)
+    body = _chat_body(prompt, ANSWER_TOKENS)
     headers: Any = {"X-Papayapier-Profile": "chat"}
     answer = await treq.post(f"{target.entry}/v1/chat/completions", json=body, headers=headers)
     document = await answer.json()
@@ -242,10 +243,10 @@
         return
     tally.answered += 1
     if document["choices"][0]["message"]["content"] != expected_text(prompt, ANSWER_TOKENS):
-        tally.broken.append(f"chat {number} got a wrong answer")
+        tally.violations.append(f"chat {number} received a wrong answer")
 
 
-def _generation(prompt: str, tokens: int) -> dict[str, object]:
+def _chat_body(prompt: str, tokens: int) -> dict[str, object]:
     messages = [{"role": "user", "content": prompt}]
     return {"model": "lm", "messages": messages, "max_tokens": tokens}
 
@@ -265,7 +266,7 @@
                 "custom_id": f"item-{number}",
                 "method": "POST",
                 "url": "/v1/chat/completions",
-                "body": _generation(_item_prompt(number), ITEM_TOKENS),
+                "body": _chat_body(_item_prompt(number), ITEM_TOKENS),
             }
         )
         for number in range(items)
@@ -273,7 +274,7 @@
     data = ("\n".join(lines) + "\n").encode()
     headers: Any = {"Content-Type": "application/jsonl"}
     answer = await treq.post(f"{target.entry}/v1/files", data=data, headers=headers)
-    uploaded = await _expect(answer, "upload")
+    uploaded = await _read_success(answer, "upload")
     job = {
         "input_file_id": uploaded["id"],
         "endpoint": "/v1/chat/completions",
@@ -281,26 +282,26 @@
     }
     headers = {"X-Papayapier-Profile": "summaries", "Idempotency-Key": "demo-job"}
     answer = await treq.post(f"{target.entry}/v1/batches", json=job, headers=headers)
-    created = await _expect(answer, "job")
+    created = await _read_success(answer, "job")
     return str(created["id"])
 
 
-async def _expect(answer: Any, what: str) -> Any:
+async def _read_success(answer: Any, subject: str) -> Any:
     text = await answer.text()
     if answer.code not in (200, 201):
-        raise RuntimeError(f"{what} was refused: {text}")
+        raise RuntimeError(f"{subject} was refused: {text}")
     return json.loads(text)
 
 
-async def _until_done(target: _Target, job_id: str) -> Any:
-    began = target.clock.now()
+async def _wait_job_finished(target: _Target, job_id: str) -> Any:
+    started_ms = target.clock.now()
     while True:
         answer = await treq.get(f"{target.entry}/v1/batches/{job_id}")
-        job = await _expect(answer, "job status")
+        job = await _read_success(answer, "job status")
         if job["status"] in ("completed", "failed", "cancelled", "expired"):
             return job
-        if target.clock.now() - began > JOB_LIMIT_MS:
-            raise RuntimeError(f"the job did not end: {job}")
+        if target.clock.now() - started_ms > JOB_TIMEOUT_MS:
+            raise RuntimeError(f"the job did not finish in time: {job}")
         await target.clock.sleep(POLL_MS)
 
 
@@ -308,24 +309,26 @@
     answer = await treq.get(f"{target.entry}/v1/files/{job['output_file_id']}/content")
     text = await answer.text()
     results = [json.loads(line) for line in text.splitlines()]
-    seen = Counter(result["custom_id"] for result in results)
-    if len(seen) != items or max(seen.values(), default=0) > 1:
-        tally.broken.append(f"{items} items gave {len(results)} results of {len(seen)} items")
+    by_item = Counter(result["custom_id"] for result in results)
+    if len(by_item) != items or max(by_item.values(), default=0) > 1:
+        tally.violations.append(
+            f"{items} items have {len(results)} results of {len(by_item)} items"
+        )
     for result in results:
         number = int(result["custom_id"].removeprefix("item-"))
         content = result["response"]["body"]["choices"][0]["message"]["content"]
         if content != expected_text(_item_prompt(number), ITEM_TOKENS):
-            tally.broken.append(f"{result['custom_id']} has a wrong result")
+            tally.violations.append(f"{result['custom_id']} has a wrong result")
 
 
 def _check_counts(tally: _Tally, fleet: Fleet) -> None:
-    """Compare with what the service says that it ran."""
+    """Check the services' own counts of executed calls."""
     for service in fleet.services:
         for call_id, times in service.counts().calls.items():
             if times > 1:
-                tally.broken.append(f"call {call_id} ran {times} times")
+                tally.violations.append(f"call {call_id} ran {times} times")
     if invariants.broken_count():
-        tally.broken.append(f"{invariants.broken_count()} internal checks failed")
+        tally.violations.append(f"{invariants.broken_count()} internal checks failed")
 
 
 def _print_report(report: DemoReport, as_json: bool) -> None:
@@ -341,12 +344,12 @@
     print(f"  completed       {report.items_completed:>8}")
     print(f"  failed          {report.items_failed:>8}")
     for line in report.broken:
-        print(f"broken promise: {line}", file=sys.stderr)
-    print("promises          " + ("broken" if report.broken else "    kept"))
+        print(f"violated: {line}", file=sys.stderr)
+    print("invariants        " + ("violated" if report.broken else "    hold"))
 
 
 def _print_curl(target: _Target) -> None:
-    body = json.dumps(_generation("when do you open?", 12))
+    body = json.dumps(_chat_body("when do you open?", 12))
     print("try:")
     print(
         f"  curl -s {target.entry}/v1/chat/completions -H 'X-Papayapier-Profile: chat' "
--- a/papayapier/exits.py
+++ b/papayapier/exits.py
@@ -1,4 +1,4 @@
-"""Define the exit codes of every command."""
+"""Define the exit codes of all commands."""
 
 from typing import Final
 
--- a/papayapier/health.py
+++ b/papayapier/health.py
@@ -1,4 +1,4 @@
-"""Say whether an instance is well, and what its metrics are, for whatever serves them."""
+"""Define what the health and metrics endpoints of an instance serve."""
 
 from typing import Final, NamedTuple
 
@@ -10,12 +10,12 @@
 
 
 class Health(NamedTuple):
-    """Tell whether an instance is well, and why not."""
+    """Hold whether an instance is healthy, and the reason if it is not."""
 
     ok: bool
     reason: str = ""
 
 
 def metrics_text(metrics: Metrics) -> bytes:
-    """Return the metrics in the text form that monitoring reads."""
+    """Return the metrics in the text format of Prometheus."""
     return generate_latest(metrics.registry)
--- a/papayapier/logs.py
+++ b/papayapier/logs.py
@@ -1,10 +1,10 @@
-"""Write log records as JSON or text lines, within bounds and without ever waiting.
+"""Write log records as JSON or text lines, within bounds and without blocking.
 
-A reader of the lines that stops reading must cost lines, never requests: a write to a full pipe
-would hold up every request of the process. So lines wait in a bounded buffer, and what does not
-fit is counted. A flood of one event must not push the others out or take the processor: each
-event has a number of lines a second, and what was left out is counted as well. Both counts are
-told in a line of their own as soon as there is room.
+A reader that stops reading the log must not delay requests, but a write to a full pipe would
+block the whole process. So lines wait in a bounded buffer, and lines that do not fit are dropped
+and counted. A flood of one event must not displace the others or use up the processor: each event
+has a maximum number of lines per second, and the excess is dropped and counted as well. A log line
+reports both counts as soon as the buffer has capacity.
 """
 
 import os
@@ -24,10 +24,10 @@
 
     from papayapier.settings import LogSettings
 
-# Some thousand lines: what a reader that pauses for a second may miss on a busy instance.
-BUFFER_BYTES: Final = 1_000_000
-# Twice the requests a second that one instance serves at its limit.
-LINES_PER_S: Final = 400
+# A few thousand lines: enough for a reader that pauses for a second on a busy instance.
+MAX_BUFFER_BYTES: Final = 1_000_000
+# Per event; twice the requests per second that one instance serves at its limit.
+MAX_LINES_PER_S: Final = 400
 
 
 def start_logs(cfg: "LogSettings", stream: TextIO | None = None) -> logbook.Handler:
@@ -43,7 +43,7 @@
 def start_bounded_logs(
     cfg: "LogSettings", descriptor: int, reactor: "Writers", now_ms: "Callable[[], int]"
 ) -> logbook.Handler:
-    """Install a handler that never waits for the reader of a descriptor."""
+    """Install a handler that never blocks on the reader of a descriptor."""
     out = LineBuffer(descriptor, reactor)
     handler = BoundedHandler(out, events.Level[cfg.level.upper()].value, now_ms)
     handler.formatter = _formatter(cfg)
@@ -56,33 +56,33 @@
 
 
 class Writers(Protocol):
-    """Describe the part of a twisted reactor that polls for room to write."""
+    """Describe the part of a Twisted reactor that polls whether descriptors are writable."""
 
     def addWriter(self, writer: object) -> None:  # noqa: N802
-        """Poll a descriptor."""
+        """Start to poll a descriptor."""
 
     def removeWriter(self, writer: object) -> None:  # noqa: N802
-        """Poll it no longer."""
+        """Stop polling a descriptor."""
 
 
 @implementer(IWriteDescriptor)
 class LineBuffer:
-    """Hold lines until the descriptor takes them."""
+    """Buffer lines until the descriptor accepts them."""
 
-    def __init__(self, descriptor: int, reactor: Writers, limit: int = BUFFER_BYTES) -> None:
+    def __init__(self, descriptor: int, reactor: Writers, limit: int = MAX_BUFFER_BYTES) -> None:
         self._descriptor = descriptor
         self._reactor = reactor
         self._limit = limit
         self._lines: deque[bytes] = deque()
         self._size = 0
         self._polling = False
-        self.left_out = 0
+        self.dropped_count = 0
         os.set_blocking(descriptor, False)
 
     def add(self, line: bytes) -> bool:
-        """Take a line, or count it as left out."""
+        """Buffer a line, or drop and count it if it does not fit."""
         if self._size + len(line) > self._limit:
-            self.left_out += 1
+            self.dropped_count += 1
             return False
         self._lines.append(line)
         self._size += len(line)
@@ -90,12 +90,12 @@
             self.doWrite()
         return True
 
-    def has_room(self) -> bool:
-        """Tell whether a few more lines would surely fit."""
+    def has_capacity(self) -> bool:
+        """Return whether several more lines are certain to fit."""
         return self._size <= self._limit // 2
 
-    def waiting(self) -> int:
-        """Return how many lines wait."""
+    def buffered_count(self) -> int:
+        """Return how many lines are buffered."""
         return len(self._lines)
 
     def fileno(self) -> int:
@@ -106,12 +106,12 @@
         return "logs"
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
-        """Drop what waits for a reader that has gone."""
+        """Drop the buffered lines, because the reader has closed the pipe."""
         self._lines.clear()
         self._size = 0
 
     def doWrite(self) -> None:  # noqa: N802
-        """Write what the descriptor takes now."""
+        """Write as much as the descriptor accepts now."""
         while self._lines:
             line = self._lines.popleft()
             try:
@@ -119,7 +119,7 @@
             except BlockingIOError:
                 sent = 0
             except OSError:
-                # The reader has gone for good; nobody is left to be told.
+                # The reader has closed the pipe: drop the line, nobody can read it any more.
                 sent = len(line)
             self._size -= sent
             if sent < len(line):
@@ -139,7 +139,7 @@
 
 
 class BoundedHandler(logbook.Handler):  # type: ignore[misc]
-    """Format records into a LineBuffer, within a number of lines a second for each event."""
+    """Format records into a LineBuffer, with a rate limit for each event."""
 
     def __init__(self, out: LineBuffer, level: int, now_ms: "Callable[[], int]") -> None:
         super().__init__(level=level)
@@ -147,19 +147,19 @@
         self._now_ms = now_ms
         self._second = -1
         self._written: Counter[int] = Counter()
-        self._left_out: Counter[int] = Counter()
+        self._dropped: Counter[int] = Counter()
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write a record, or count it."""
+        """Write a record, or drop and count it."""
         event: events.Event = record.extra["event"]
         second = self._now_ms() // MS_PER_S
         if second != self._second:
             self._second = second
             self._written.clear()
-            self._tell_left_out()
-        # Errors are few and are what the lines are for; they have no bound of their own.
-        if event.level is not events.Level.ERROR and self._written[event.number] >= LINES_PER_S:
-            self._left_out[event.number] += 1
+            self._report_dropped()
+        # Errors are rare and matter most, so they have no rate limit.
+        if event.level is not events.Level.ERROR and self._written[event.number] >= MAX_LINES_PER_S:
+            self._dropped[event.number] += 1
             return
         self._written[event.number] += 1
         self._out.add(self._line(record))
@@ -167,12 +167,12 @@
     def _line(self, record: logbook.LogRecord) -> bytes:
         return (str(self.format(record)) + "\n").encode("utf-8", "replace")
 
-    def _tell_left_out(self) -> None:
-        if not self._out.has_room():
-            # The line would be left out itself, and its counts with it.
+    def _report_dropped(self) -> None:
+        if not self._out.has_capacity():
+            # This line might be dropped itself, and the counts with it.
             return
-        left_out, self._left_out = self._left_out, Counter()
-        unread, self._out.left_out = self._out.left_out, 0
-        if left_out or unread:
-            by_event = {str(number): count for number, count in sorted(left_out.items())}
+        dropped, self._dropped = self._dropped, Counter()
+        unread, self._out.dropped_count = self._out.dropped_count, 0
+        if dropped or unread:
+            by_event = {str(number): count for number, count in sorted(dropped.items())}
             events.emit(events.LINES_LEFT_OUT, by_event=by_event, unread=unread)
--- a/papayapier/main.py
+++ b/papayapier/main.py
@@ -1,8 +1,8 @@
 """Parse the command line and run one command.
 
-Every command is a function from its parsed arguments to an exit code: 0 for success, 1 for a
-failure while running, 2 for wrong input. Commands are registered by the package that owns
-them; what runs an instance or stand-ins is imported only by the commands that do so.
+Every command is a function that takes its parsed arguments and returns an exit code: 0 for
+success, 1 for a failure while running, 2 for invalid input. The package that owns a command
+registers it; modules that run instances or stand-ins are imported only by their commands.
 """
 
 import argparse
@@ -20,8 +20,8 @@
 Command = Callable[[argparse.Namespace], int]
 
 DESCRIPTION: Final = """\
-Serve online and batch inference on one fleet. Operators write named profiles (how urgent,
-when due, idempotent or not); services pick one per request or job."""
+Serve online and batch inference requests on one fleet of replicas. Operators define named
+profiles (urgency, due time, idempotency); callers choose one for each request or job."""
 
 
 def run() -> None:
@@ -31,7 +31,7 @@
 
 def main(args: Sequence[str]) -> int:
     """Run the command that the arguments name; return its exit code."""
-    # An entry that starts must listen at once; the other commands' parts take longer to import.
+    # An entry has to listen as soon as possible; the other commands take longer to import.
     parser = make_node_parser() if args and args[0] in NODE_COMMANDS else make_parser()
     options = parser.parse_args(args)
     command: Command = options.command
@@ -57,7 +57,7 @@
 
 
 def make_node_parser() -> argparse.ArgumentParser:
-    """Build the part of the parser that processes on the users' platform need."""
+    """Build a parser with only the commands of processes on the users' platform."""
     parser = argparse.ArgumentParser(prog="papayapier", description=DESCRIPTION)
     add_node_commands(parser.add_subparsers(required=True, metavar="COMMAND"))
     return parser
@@ -87,7 +87,7 @@
     parser = commands.add_parser(
         "check",
         help="check a settings file",
-        description="Check a settings file and name the first field at fault.",
+        description="Check a settings file and report the first invalid field.",
     )
     parser.add_argument("file", type=Path, help="JSON file with comments")
     parser.add_argument("--json", action="store_true", help="print the settings in full")
@@ -112,10 +112,10 @@
         "demo",
         help="run the whole system on this machine for a minute",
         description="Run stand-ins, one entry instance, online requests and a batch job in one "
-        "process, and check the promises. Exits with 1 if one was broken.",
+        "process, and check the system's invariants. Exits with 1 if one was violated.",
     )
-    parser.add_argument("--stay", action="store_true", help="keep it up and print curl lines")
-    parser.add_argument("--seed", type=int, default=1, help="seed of the random choices")
+    parser.add_argument("--stay", action="store_true", help="keep running and print curl commands")
+    parser.add_argument("--seed", type=int, default=1, help="random seed")
     parser.add_argument("--requests", type=int, default=200, help="online requests to send")
     parser.add_argument("--items", type=int, default=300, help="items of the batch job")
     parser.add_argument("--json", action="store_true", help="print the result as JSON")
@@ -134,18 +134,18 @@
     parser = commands.add_parser(
         "standin",
         help="run stand-ins of the platform, model engines and plain services",
-        description="Run stand-ins for tests and measurements until SIGTERM. The first line "
-        "printed is a JSON object with their addresses.",
+        description="Run stand-ins for tests and measurements until SIGTERM. The first output "
+        "line is a JSON object with their addresses.",
     )
-    parser.add_argument("--platform-port", type=int, default=0, help="0 picks a free one")
-    parser.add_argument("--no-platform", action="store_true", help="register with another one")
-    parser.add_argument("--engines", type=int, default=0, help="how many model engines")
+    parser.add_argument("--platform-port", type=int, default=0, help="0 selects a free port")
+    parser.add_argument("--no-platform", action="store_true", help="register with another platform")
+    parser.add_argument("--engines", type=int, default=0, help="number of model engines")
     parser.add_argument("--engine-name", default="lm", help="upstream name of the engines")
-    parser.add_argument("--services", type=int, default=0, help="how many plain services")
+    parser.add_argument("--services", type=int, default=0, help="number of plain services")
     parser.add_argument("--service-name", default="gate", help="upstream name of the services")
-    parser.add_argument("--data-centres", default="dc-a,dc-b,dc-c", help="assigned in turn")
+    parser.add_argument("--data-centres", default="dc-a,dc-b,dc-c", help="assigned round robin")
     parser.add_argument("--first", type=int, default=1, help="number of the first replica")
-    parser.add_argument("--params", type=Path, help="JSON file with comments of parameters")
+    parser.add_argument("--params", type=Path, help="parameters, a JSON file with comments")
     parser.set_defaults(command=_standin)
 
 
--- a/papayapier/metrics.py
+++ b/papayapier/metrics.py
@@ -1,7 +1,7 @@
-"""Define every metric in one place.
+"""Define all metrics.
 
-A Metrics record has a registry of its own, so that several instances can live in one
-process (the demo, tests) without sharing counts.
+Each Metrics record has its own registry, so that several instances can run in one process
+(the demo, tests) without sharing counts.
 """
 
 from typing import Final, NamedTuple
@@ -12,7 +12,7 @@
 
 
 class Metrics(NamedTuple):
-    """Group the metrics of one instance; times are in seconds, as is the custom."""
+    """Group the metrics of one instance; times are in seconds, as usual with Prometheus."""
 
     registry: CollectorRegistry
     requests: Counter
@@ -57,52 +57,64 @@
     return Metrics(
         registry=reg,
         requests=Counter(name + "requests", "Online requests", ["profile", "end"], registry=reg),
-        latency=_seconds(reg, name + "latency", "Time to the whole answer"),
+        latency=_seconds(reg, name + "latency", "Time to the complete answer"),
         first_token=_seconds(reg, name + "first_token", "Time to the first token"),
         queue_depth=Gauge(name + "queue_depth", "Queued online requests", registry=reg),
         queue_wait=_seconds(reg, name + "queue_wait", "Time in the queue"),
-        held_bytes=Gauge(name + "held_bytes", "Bytes held for callers", registry=reg),
-        places_held=Gauge(name + "places_held", "Peers' calls waiting here", registry=reg),
+        held_bytes=Gauge(name + "held_bytes", "Bytes buffered for callers", registry=reg),
+        places_held=Gauge(name + "places_held", "Peers' calls queued here", registry=reg),
         places_refused=Counter(
             name + "places_refused", "Peers' calls refused here", ["upstream"], registry=reg
         ),
         refusals=Counter(name + "refusals", "Refusals", ["kind", "outcome"], registry=reg),
-        retries=Counter(name + "retries", "Repeated sends", ["upstream"], registry=reg),
-        sends_lost=Counter(name + "sends_lost", "Sends without a word", ["kind"], registry=reg),
-        works_held=Gauge(name + "works_held", "Works not sent for ended replicas", registry=reg),
+        retries=Counter(name + "retries", "Resent requests", ["upstream"], registry=reg),
+        sends_lost=Counter(name + "sends_lost", "Sends without any answer", ["kind"], registry=reg),
+        works_held=Gauge(name + "works_held", "Quarantined request fingerprints", registry=reg),
         upstream_calls=Counter(
             name + "upstream_calls", "Calls to replicas", ["upstream", "end"], registry=reg
         ),
         loads_unread=Counter(
-            name + "loads_unread", "Load headers not understood", ["upstream"], registry=reg
+            name + "loads_unread", "Load headers that cannot be decoded", ["upstream"], registry=reg
         ),
         replica_in_flight=Gauge(
-            name + "replica_in_flight", "Open calls", ["replica", "work"], registry=reg
+            name + "replica_in_flight", "Open calls to a replica", ["replica", "work"], registry=reg
         ),
         replicas_usable=Gauge(
             name + "replicas_usable", "Usable replicas", ["upstream"], registry=reg
         ),
-        batch_limit=Gauge(name + "batch_limit", "Batch limit", ["replica"], registry=reg),
-        batch_yields=Counter(name + "batch_yields", "Streams given up to online", registry=reg),
-        batch_items=Counter(name + "batch_items", "Items completed", ["end"], registry=reg),
-        batch_tokens=Counter(name + "batch_tokens", "Tokens of completed items", registry=reg),
+        batch_limit=Gauge(
+            name + "batch_limit", "Batch streams allowed at a replica", ["replica"], registry=reg
+        ),
+        batch_yields=Counter(
+            name + "batch_yields", "Batch streams preempted for online", registry=reg
+        ),
+        batch_items=Counter(
+            name + "batch_items", "Batch items with an outcome", ["end"], registry=reg
+        ),
+        batch_tokens=Counter(
+            name + "batch_tokens", "Tokens of completed batch items", registry=reg
+        ),
         shards_held=Gauge(name + "shards_held", "Shard leases held", registry=reg),
-        jobs_at_risk=Gauge(name + "jobs_at_risk", "Jobs likely to miss their due", registry=reg),
+        jobs_at_risk=Gauge(
+            name + "jobs_at_risk", "Jobs that may miss their due time", registry=reg
+        ),
         store_calls=Counter(name + "store_calls", "Store calls", ["call", "end"], registry=reg),
         store_bytes=Counter(name + "store_bytes", "Store bytes", ["direction"], registry=reg),
-        claim_ends=Counter(name + "claim_ends", "Begun claims", ["end"], registry=reg),
+        claim_ends=Counter(name + "claim_ends", "Claims begun, by result", ["end"], registry=reg),
         claim_writes=Counter(name + "claim_writes", "Claim writes", ["end"], registry=reg),
         claim_records=Counter(name + "claim_records", "Claim records written", registry=reg),
         peer_bytes=Counter(name + "peer_bytes", "Peer bytes", ["direction"], registry=reg),
         peer_messages=Counter(
             name + "peer_messages", "Peer messages", ["kind", "direction"], registry=reg
         ),
-        peers_live=Gauge(name + "peers_live", "Peers heard from", registry=reg),
-        config_version=Gauge(name + "config_version", "Version in force", registry=reg),
+        peers_live=Gauge(name + "peers_live", "Peers whose heartbeats arrive", registry=reg),
+        config_version=Gauge(
+            name + "config_version", "Configuration version in force", registry=reg
+        ),
         config_age=Gauge(
-            name + "config_age", "Seconds since configuration was fresh", registry=reg
+            name + "config_age", "Seconds since the configuration was last confirmed", registry=reg
         ),
-        invariant_failures=Gauge(name + "invariant_failures", "Broken promises", registry=reg),
+        invariant_failures=Gauge(name + "invariant_failures", "Violated invariants", registry=reg),
     )
 
 
--- a/papayapier/pending.py
+++ b/papayapier/pending.py
@@ -1,4 +1,4 @@
-"""Hold work under way whose end may be waited for several times, each time as long as wanted."""
+"""Run a coroutine whose result can be awaited several times, each time with its own timeout."""
 
 from collections.abc import Awaitable
 from typing import Generic, TypeVar
@@ -12,17 +12,18 @@
 
 
 class Pending(Generic[T]):
-    """Run work at once; it goes on when nobody waits any longer."""
+    """Start an awaitable at once; it continues when nobody waits for it any longer."""
 
-    def __init__(self, clock: Clock, work: Awaitable[T]) -> None:
+    def __init__(self, clock: Clock, awaitable: Awaitable[T]) -> None:
         self._clock = clock
-        self._ended: list[T | Failure] = []
+        # Empty until there is a result, then this one element.
+        self._result: list[T | Failure] = []
         self._waiting: list[Deferred[None]] = []
-        Deferred.fromCoroutine(_run(work)).addBoth(self._on_end)
+        Deferred.fromCoroutine(_run(awaitable)).addBoth(self._on_result)
 
     async def within(self, wait_ms: float) -> T | None:
-        """Return the end, or None if there is none after the time given."""
-        if not self._ended:
+        """Return the result, or None if there is none within the given time."""
+        if not self._result:
             waiter: Deferred[None] = Deferred()
             self._waiting.append(waiter)
             timer = self._clock.call_later(wait_ms, lambda: self._wake(waiter))
@@ -31,24 +32,24 @@
             finally:
                 if timer.active():
                     timer.cancel()
-        return self._end() if self._ended else None
+        return self._get_result() if self._result else None
 
     async def end(self) -> T:
-        """Wait for the end."""
-        if not self._ended:
+        """Wait for the result."""
+        if not self._result:
             waiter: Deferred[None] = Deferred()
             self._waiting.append(waiter)
             await waiter
-        return self._end()
+        return self._get_result()
 
-    def _end(self) -> T:
-        ended = self._ended[0]
-        if isinstance(ended, Failure):
-            ended.raiseException()
-        return ended
+    def _get_result(self) -> T:
+        result = self._result[0]
+        if isinstance(result, Failure):
+            result.raiseException()
+        return result
 
-    def _on_end(self, ended: "T | Failure") -> None:
-        self._ended.append(ended)
+    def _on_result(self, result: "T | Failure") -> None:
+        self._result.append(result)
         for waiter in list(self._waiting):
             self._wake(waiter)
 
@@ -58,5 +59,5 @@
             waiter.callback(None)
 
 
-async def _run(work: Awaitable[T]) -> T:
-    return await work
+async def _run(awaitable: Awaitable[T]) -> T:
+    return await awaitable
--- a/papayapier/sealed_files.py
+++ b/papayapier/sealed_files.py
@@ -1,7 +1,8 @@
-"""Write files that are whole or known not to be: a checksum of the rest stands before it.
+"""Read and write files that start with a checksum of their content.
 
-After a loss of power a file may hold any mix of old and new parts. Calls block; whoever must not
-wait for a faulty disk, which hangs for seconds, makes them in a thread.
+After a power failure a file may contain any mix of old and new blocks; the checksum detects
+this. Calls block. A faulty disk can hang for seconds, so callers that must not wait make them
+in a thread.
 """
 
 import os
@@ -11,11 +12,11 @@
 import xxhash
 from result import Err, Ok, Result
 
-SEAL_BYTES: Final = 16
+CHECKSUM_BYTES: Final = 16
 
 
 def write(path: Path, body: bytes) -> Result[None, str]:
-    """Write and sync a file; the error is the system's own word."""
+    """Write and sync a file; the error is that of the operating system."""
     try:
         with path.open("wb") as file:
             file.write(xxhash.xxh3_128_digest(body) + body)
@@ -27,7 +28,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Make the names that were removed from a folder stay removed; raise OSError."""
+    """Sync a folder, so that files removed from it stay removed; raise OSError."""
     handle = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(handle)
@@ -36,10 +37,10 @@
 
 
 def read(path: Path) -> Result[bytes, str]:
-    """Return what was written, or say why it is not there."""
+    """Return the content of a file, or why it cannot be read."""
     try:
         data = path.read_bytes()
     except OSError as exc:
         return Err(f"{path.name}: {exc.strerror}")
-    seal, body = data[:SEAL_BYTES], data[SEAL_BYTES:]
-    return Ok(body) if xxhash.xxh3_128_digest(body) == seal else Err(f"{path.name}: torn")
+    checksum, body = data[:CHECKSUM_BYTES], data[CHECKSUM_BYTES:]
+    return Ok(body) if xxhash.xxh3_128_digest(body) == checksum else Err(f"{path.name}: torn")
--- a/papayapier/settings.py
+++ b/papayapier/settings.py
@@ -1,7 +1,7 @@
-"""Read an instance's settings: JSON with comments, checked completely at load.
+"""Read an instance's settings: JSON with comments, completely validated when loaded.
 
-Settings are what one process must know to start. Everything that operators change while
-the system runs is configuration (config/), kept in the platform's store.
+Settings contain what one process needs to start. Everything that operators change while the
+system runs is configuration (config/), which is in the platform's store.
 """
 
 from pathlib import Path
@@ -30,7 +30,7 @@
 class PlatformSettings(NamedTuple):
     """Locate the platform's object API.
 
-    longest_pause_ms bounds the growing pauses between tries while it does not answer.
+    longest_pause_ms limits the growing pauses between attempts while it does not answer.
     """
 
     host: Ip
@@ -49,7 +49,7 @@
 
 
 class EntrySettings(NamedTuple):
-    """Set the callers' address and bounds; with no callers listed, any caller may come."""
+    """Set the callers' port and limits; if callers is empty, any caller is accepted."""
 
     port: Port = 8080
     max_body_bytes: Positive = 4_000_000
@@ -58,14 +58,14 @@
 
 
 class OperatorSettings(NamedTuple):
-    """Set the operators' address, separate from the callers'."""
+    """Set the operators' port, separate from the callers' port."""
 
     port: Port = 8081
     operators: tuple[KeyEntry, ...] = ()
 
 
 class Contact(NamedTuple):
-    """Locate one instance among those to ask when the platform cannot be reached."""
+    """Locate an instance to query for the instance list while the platform is unreachable."""
 
     id: Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,64}$")]
     host: Ip
@@ -75,16 +75,16 @@
 
 
 class PeerSettings(NamedTuple):
-    """Set the address and pace of the protocol between instances.
-
-    Regular heartbeats slow down where they would pass bytes_per_s. An early one goes out when
-    open calls changed by early_calls, at most one per early_ms, and only while early ones stay
-    within early_bytes_per_s on average. Up to full_mesh instances all hear each other; beyond,
-    each picks some (picks) in its data centre, relays connect the data centres, and regular
-    heartbeats are sparse_heartbeat_ms apart, those of a hub, which go to everybody,
-    hub_heartbeat_ms. key_file
-    holds shared keys, one a line; the first signs. contacts are a few instances that a start
-    asks for the instance list while the platform cannot be reached; naming itself does no harm.
+    """Set the port and intervals of the protocol between instances.
+
+    Regular heartbeats slow down where they would exceed bytes_per_s. An early heartbeat is sent
+    when open calls changed by early_calls, at most one per early_ms, and only while early
+    heartbeats stay within early_bytes_per_s on average. Up to full_mesh instances all exchange
+    heartbeats; in a larger fleet, each connects to some (picks) in its data centre, relays
+    connect the data centres, regular heartbeats are sent every sparse_heartbeat_ms, and a hub
+    sends its own to all instances every hub_heartbeat_ms. key_file contains shared keys, one
+    per line; the first signs. contacts are a few instances that a starting instance queries for
+    the instance list while the platform is unreachable; its own entry among them is ignored.
     """
 
     port: Port = 8082
@@ -104,7 +104,7 @@
 
 
 class UpstreamSettings(NamedTuple):
-    """Set the timers towards upstreams, and how many replicas of each are followed."""
+    """Set the timeouts for upstreams, and how many replicas of each an instance uses."""
 
     connect_timeout_ms: PositiveMs = 500
     first_byte_ms: PositiveMs = 10_000
@@ -114,7 +114,7 @@
 
 
 class BatchSettings(NamedTuple):
-    """Set how batch jobs are kept and run."""
+    """Set how batch jobs are stored and run."""
 
     shards: Annotated[int, Meta(ge=1, le=4096)] = 32
     lease_ms: PositiveMs = 6_000
@@ -128,7 +128,7 @@
 
 
 class ConfigSettings(NamedTuple):
-    """Set how configuration spreads; data_folder may be empty."""
+    """Set how configuration is distributed; an empty data_folder means that there is none."""
 
     poll_ms: PositiveMs = 2_000
     watch_ms: PositiveMs = 10_000
@@ -137,24 +137,24 @@
 
 
 class DrainSettings(NamedTuple):
-    """Set the pace of a planned stop."""
+    """Set the duration of the steps of a graceful shutdown."""
 
     balancer_lag_ms: PositiveMs = 3_000
     limit_ms: PositiveMs = 120_000
 
 
 class LogSettings(NamedTuple):
-    """Choose the form and lowest level of log lines."""
+    """Set the format and minimum level of log lines."""
 
     form: Annotated[str, Meta(pattern="^(json|text)$")] = "json"
     level: Annotated[str, Meta(pattern="^(debug|info|warning|error)$")] = "info"
 
 
 class ClaimSettings(NamedTuple):
-    """Set how claims on idempotency keys are kept; a key is known for retention_ms.
+    """Set how claims on idempotency keys are stored; a key is remembered for retention_ms.
 
-    Instances whose clocks differ by a noticeable part of retention_ms would expire claims
-    early, and a key sent again would then run again.
+    If the clocks of instances differed by a large fraction of retention_ms, claims would expire
+    early, and a request that is resent with the same key would run again.
     """
 
     window_ms: PositiveMs = 4
@@ -167,7 +167,7 @@
 class OrderSettings(NamedTuple):
     """Set how the controller gives orders to engines.
 
-    loads_per_min and loads_at_once keep all loads together inside the weight store's rate.
+    loads_per_min and loads_at_once keep the total of all loads within the weight store's rate.
     """
 
     lease_ms: PositiveMs = 6_000
@@ -177,7 +177,7 @@
 
 
 class Settings(NamedTuple):
-    """Hold everything that one process must know to start."""
+    """Group everything that one process needs to start."""
 
     instance: InstanceSettings
     platform: PlatformSettings
@@ -194,16 +194,16 @@
 
 
 def load(path: Path) -> Result[Settings, str]:
-    """Read and check a settings file; the error names file, field and reason."""
+    """Read and validate a settings file; the error names file, field and reason."""
     text = read_text(path)
     if isinstance(text, Err):
         return text
     loaded = codec.from_commented_json(text.ok_value, Settings)
-    return loaded.map_err(lambda why: f"{path}: {why}")
+    return loaded.map_err(lambda reason: f"{path}: {reason}")
 
 
 def read_text(path: Path) -> Result[str, str]:
-    """Read a settings file, or say why that is not possible."""
+    """Read a settings file; the error says why it cannot be read."""
     try:
         return Ok(path.read_text(encoding="utf-8"))
     except OSError as exc:
--- a/papayapier/sockets.py
+++ b/papayapier/sockets.py
@@ -1,10 +1,10 @@
-"""Look at a socket without changing what it holds."""
+"""Check the state of a socket without consuming data from it."""
 
 import socket
 
 
 def is_quiet(sock: socket.socket) -> bool:
-    """Tell whether a connection is open and has nothing to read."""
+    """Return whether a connection is open and has no data to read."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,27 +1,32 @@
-"""Test how time passes for a process that runs, and for one that was kept from running."""
+"""Test timeouts in a process that runs without a break, and in one that was paused."""
 
 from papayapier.clock import FakeClock, fake_clock
 
 
-def begin(delay_ms: int) -> tuple[FakeClock, list[int]]:
+def start_timeout(delay_ms: int) -> tuple[FakeClock, list[int]]:
+    """Start a timeout; return the clock and the list of times at which it fired."""
     fake = fake_clock()
     fired: list[int] = []
     fake.clock.timeout(delay_ms, lambda: fired.append(fake.clock.now()))
     return fake, fired
 
 
-def test_a_timeout_ends_at_its_time() -> None:
-    fake, fired = begin(400)
+def test_timeout_fires_at_its_time() -> None:
+    """Guard against a timeout that fires early, or is extended without a pause."""
+    fake, fired = start_timeout(400)
     fake.elapse(399)
     assert fired == []
     fake.elapse(1)
     assert fired == [400]
 
 
-def test_a_pause_of_the_process_is_no_silence() -> None:
-    # Symptom: the store counts as down though its answer has come.
-    # Events: the process is kept from its sockets past a call's time. Cause: timers go first.
-    fake, fired = begin(400)
+def test_pause_of_the_process_does_not_count_as_timeout() -> None:
+    """Guard against a store that is considered down although its answer has arrived.
+
+    After a pause of the process beyond the timeout of a call, the reactor runs timers before it
+    reads sockets.
+    """
+    fake, fired = start_timeout(400)
     fake.advance(600)
     assert fired == []
     fake.elapse(199)
@@ -30,8 +35,9 @@
     assert fired == [800]
 
 
-def test_a_long_pause_costs_a_timeout_once_more_at_most() -> None:
-    fake, fired = begin(400)
+def test_long_pause_at_most_doubles_a_timeout() -> None:
+    """Guard against a timeout that a long pause extends by more than its own length."""
+    fake, fired = start_timeout(400)
     fake.advance(60_000)
     fake.elapse(400)
     assert fired == [60_400]
@@ -39,7 +45,8 @@
     assert fired == [60_400]
 
 
-def test_a_cancelled_timeout_is_quiet_also_after_a_pause() -> None:
+def test_timeout_extended_by_a_pause_can_be_cancelled() -> None:
+    """Guard against a cancelled timeout that fires because a pause has restarted its timer."""
     fake = fake_clock()
     fired: list[int] = []
     timer = fake.clock.timeout(400, lambda: fired.append(1))
