--- a/runtests.py
+++ b/runtests.py
@@ -1,11 +1,10 @@
-"""Set up the virtual environment, then check and test, or run the demo.
+"""Create the virtual environment, then run all checks and tests, or the demo.
 
     python3 runtests.py            black, ruff, mypy --strict and all tests
     python3 runtests.py demo       the demo on this machine
     python3 runtests.py TEST ...   only these tests
 
-The environment is made from the pinned versions on first use and again whenever the pins
-change.
+The pinned packages are installed on first use and again whenever the pins change.
 """
 
 import hashlib
@@ -19,18 +18,19 @@
 ROOT: Final = Path(__file__).resolve().parent
 ENV: Final = ROOT / ".venv"
 PYTHON: Final = ENV / "bin" / "python"
-PINS: Final = (ROOT / "requirements.txt", ROOT / "requirements-dev.txt")
-MARK: Final = ENV / "pins.sha256"
-TREES: Final = ("papayapier", "tests", "misc", "runtests.py")
+REQUIREMENTS: Final = (ROOT / "requirements.txt", ROOT / "requirements-dev.txt")
+# The digest of the requirements that are installed.
+DIGEST_FILE: Final = ENV / "pins.sha256"
+CHECKED_PATHS: Final = ("papayapier", "tests", "misc", "runtests.py")
 CHECKS: Final = (
-    ("black", "--check", "--quiet", *TREES),
-    ("ruff", "check", "--quiet", *TREES),
+    ("black", "--check", "--quiet", *CHECKED_PATHS),
+    ("ruff", "check", "--quiet", *CHECKED_PATHS),
     ("mypy", "--no-error-summary"),
 )
 
 
 def main(args: list[str]) -> int:
-    """Run what the arguments ask for; return the exit code."""
+    """Run what the arguments select; return the exit code."""
     make_environment()
     if args and args[0] == "demo":
         return run("papayapier", *args)
@@ -40,19 +40,19 @@
 
 
 def make_environment() -> None:
-    """Install the pinned packages unless the environment already holds them."""
-    digest = hashlib.sha256(b"".join(pins.read_bytes() for pins in PINS)).hexdigest()
-    if PYTHON.exists() and MARK.exists() and MARK.read_text() == digest:
+    """Install the pinned packages unless they are already installed."""
+    digest = hashlib.sha256(b"".join(path.read_bytes() for path in REQUIREMENTS)).hexdigest()
+    if PYTHON.exists() and DIGEST_FILE.exists() and DIGEST_FILE.read_text() == digest:
         return
     if not PYTHON.exists():
         venv.create(ENV, with_pip=True)
-    install = [str(PYTHON), "-m", "pip", "install", "--quiet", "-r", str(PINS[1])]
+    install = [str(PYTHON), "-m", "pip", "install", "--quiet", "-r", str(REQUIREMENTS[1])]
     subprocess.run(install, check=True, cwd=ROOT)
-    MARK.write_text(digest)
+    DIGEST_FILE.write_text(digest)
 
 
 def run_all() -> int:
-    """Run every check and all tests; return 1 when any of them fails."""
+    """Run all checks and tests; return 1 if any of them fails."""
     failed = [check[0] for check in CHECKS if run(*check) != 0]
     if run("pytest") != 0:
         failed.append("pytest")
@@ -62,7 +62,7 @@
 
 
 def run(module: str, *args: str) -> int:
-    """Run a module of the environment; return its exit code."""
+    """Run a Python module in the environment; return its exit code."""
     env = {**os.environ, "PYTHONHASHSEED": "0"}
     return subprocess.run([str(PYTHON), "-m", module, *args], cwd=ROOT, env=env).returncode
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Keep tests from changing each other's verdicts, and pass over those known to be red."""
+"""Reset global state after each test, and expect the failures listed in KNOWN-RED.txt."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -10,23 +10,23 @@
 
 
 @pytest.fixture(autouse=True)
-def broken_promises_are_counted_again() -> Iterator[None]:
-    """End, with each test, what it chose to happen when a promise is broken."""
+def reset_raise_on_failure() -> Iterator[None]:
+    """Reset after each test whether violated invariants raise, so that no test affects another."""
     yield
     invariants.raise_on_failure(False)
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect the listed tests to fail; one that passes fails the run, unless it comes and goes."""
-    known = {one.test: one for one in read_known_red()}
+    """Expect the listed tests to fail; a listed test that passes fails, unless intermittent."""
+    known = {entry.test: entry for entry in read_known_red()}
     for item in items:
-        one = known.get(item.nodeid)
-        if one is not None:
-            reason = f"{one.cause} (issue {one.issue})"
-            item.add_marker(pytest.mark.xfail(reason=reason, strict=not one.now_and_then))
+        entry = known.get(item.nodeid)
+        if entry is not None:
+            reason = f"{entry.cause} (issue {entry.issue})"
+            item.add_marker(pytest.mark.xfail(reason=reason, strict=not entry.intermittent))
 
 
 def pytest_terminal_summary(terminalreporter: Any) -> None:
     """Print the listed tests."""
-    for one in read_known_red():
-        terminalreporter.write_line(f"known red: {one.test}: {one.cause} (issue {one.issue})")
+    for entry in read_known_red():
+        terminalreporter.write_line(f"known red: {entry.test}: {entry.cause} (issue {entry.issue})")
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,43 +1,43 @@
-"""Read the list of tests that fail for a real fault which is not mended yet.
+"""Read the list of tests that fail because of a known fault that is not fixed yet.
 
 KNOWN-RED.txt at the root has a line for each: TEST | CAUSE | ISSUE. Such a test is expected to
-fail: the run passes over it and prints it, and fails when it passes, so that the line goes. A
-fourth field, "now and then", is for a fault that runs have shown to come and go: the test is
-passed over and printed whatever it does.
+fail: the run tolerates and prints it, and fails if the test passes, so that its line is removed.
+The fourth field "now and then" marks a failure that runs have shown to be intermittent: the test
+is tolerated and printed whether it passes or fails.
 """
 
 from pathlib import Path
 from typing import Final, NamedTuple
 
 LIST: Final = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-MOST: Final = 3
-NOW_AND_THEN: Final = "now and then"
+MAX_ENTRIES: Final = 3
+INTERMITTENT: Final = "now and then"
 
 
 class KnownRed(NamedTuple):
-    """Hold one line."""
+    """Hold one line of the list."""
 
     test: str
     cause: str
     issue: str
-    now_and_then: bool = False
+    intermittent: bool = False
 
 
 def read_known_red(path: Path = LIST) -> list[KnownRed]:
-    """Return the lines of the list; a line that is no such line is an error."""
+    """Return the entries of the list; raise ValueError if a line is malformed."""
     if not path.exists():
         return []
     lines = [line.strip() for line in path.read_text(encoding="utf-8").splitlines()]
     known = [_parse(line) for line in lines if line and not line.startswith("#")]
-    if len(known) > MOST:
-        raise ValueError(f"{path.name}: {len(known)} lines, at most {MOST} may stand")
+    if len(known) > MAX_ENTRIES:
+        raise ValueError(f"{path.name}: {len(known)} lines, at most {MAX_ENTRIES} are allowed")
     return known
 
 
 def _parse(line: str) -> KnownRed:
-    parts = [part.strip() for part in line.split("|")]
-    comes_and_goes = parts[3:] == [NOW_AND_THEN]
-    if len(parts) != 3 + comes_and_goes or not all(parts):
+    fields = [field.strip() for field in line.split("|")]
+    intermittent = fields[3:] == [INTERMITTENT]
+    if len(fields) != 3 + intermittent or not all(fields):
         raise ValueError(f"{LIST.name}: expected TEST | CAUSE | ISSUE, got: {line}")
-    test, cause, issue = parts[:3]
-    return KnownRed(test, cause, issue, comes_and_goes)
+    test, cause, issue = fields[:3]
+    return KnownRed(test, cause, issue, intermittent)
--- a/tests/log_catcher.py
+++ b/tests/log_catcher.py
@@ -1,4 +1,4 @@
-"""Keep the numbered events that were logged, for a test to look at."""
+"""Collect the numbered events that are logged, so that a test can check them."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 class LogCatcher(logbook.Handler):  # type: ignore[misc]
-    """Collect every event."""
+    """Collect every logged event with its fields."""
 
     def __init__(self) -> None:
         super().__init__(logbook.DEBUG, bubble=False)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Test that the pages agree with the code: events, settings, links and commands."""
+"""Test that the documentation matches the code: events, settings, links and commands."""
 
 import re
 import shlex
@@ -21,8 +21,8 @@
 INLINE_CODE: Final = re.compile(r"`([^`\n]+)`")
 EVENT_USE: Final = re.compile(r"\bevents\.([A-Z][A-Z0-9_]+)\b")
 
-# The hundreds of the events that a package, or a module beside the packages, may emit. The
-# HTTP routes of entry belong to online requests, batch jobs and configuration.
+# The hundreds of the event numbers that a package, or a module outside the packages, may emit.
+# The HTTP routes of entry belong to online requests, batch jobs and configuration.
 RANGES: Final = {
     "batch": (5,),
     "claims": (2,),
@@ -49,18 +49,21 @@
 
 
 @pytest.mark.parametrize("page", make_docs.pages(), ids=lambda page: page.name)
-def test_made_page_equals_the_code(page: make_docs.Page) -> None:
+def test_generated_page_matches_the_code(page: make_docs.Page) -> None:
+    """Guard against a reference page that was not generated again after a change."""
     written = (ROOT / "docs" / page.name).read_text(encoding="utf-8")
     assert written == page.text, "run python3 -m misc.make_docs"
 
 
 def test_event_numbers_and_names_are_unique() -> None:
+    """Guard against two events that alerts and searches cannot distinguish."""
     numbers = Counter(event.number for event in events.all_events())
     names = Counter(event.name for event in events.all_events())
     assert [key for key, times in (*numbers.items(), *names.items()) if times > 1] == []
 
 
 def test_events_are_emitted_only_by_the_packages_of_their_range() -> None:
+    """Guard against events whose number does not indicate the package that emits them."""
     used = events_used()
     assert sorted(set(used) - set(RANGES)) == [], "give the package a range in RANGES"
     wrong = [
@@ -73,7 +76,7 @@
 
 
 def events_used() -> dict[str, list[events.Event]]:
-    """Return the events that each package names, and each module beside the packages."""
+    """Return the events used by each package, and by each module outside the packages."""
     used: defaultdict[str, list[events.Event]] = defaultdict(list)
     package = ROOT / "papayapier"
     for path in sorted(package.rglob("*.py")):
@@ -87,6 +90,7 @@
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
 def test_relative_links_resolve(page: Path) -> None:
+    """Guard against links to pages or headings that do not exist."""
     broken = []
     for target in LINK.findall(page.read_text(encoding="utf-8")):
         name, _, anchor = target.partition("#")
@@ -105,17 +109,19 @@
     return {text.strip().replace(" ", "-") for text in words}
 
 
-def test_commands_of_the_readme_are_understood() -> None:
+def test_commands_of_the_readme_are_valid() -> None:
+    """Guard against README commands with options that the parser does not have."""
     parser = make_parser()
     lines = CODE_LINE.findall(README.read_text(encoding="utf-8"))
     commands = [line for line in lines if line.startswith("papayapier ")]
     assert commands
     for command in commands:
-        # A command line that the parser does not understand ends the test by SystemExit.
+        # Raises SystemExit, which fails the test, if the command line is invalid.
         parser.parse_args(shlex.split(command, comments=True)[1:])
 
 
 def test_commands_named_in_the_pages_exist() -> None:
+    """Guard against pages that mention a command that does not exist."""
     help_text = make_parser().format_help()
     known = set(re.findall(r"^ {4}(\w+) ", help_text, re.MULTILINE))
     named = {word for page in PAGES for word in commands_in_code(page)}
