--- a/papayapier/codec.py
+++ b/papayapier/codec.py
@@ -55,11 +55,11 @@
 def to_document(value: object) -> Any:
     """Convert a record into plain JSON types recursively."""
     if isinstance(value, tuple) and hasattr(value, "_asdict"):
-        return {name: to_document(part) for name, part in value._asdict().items()}
+        return {name: to_document(field) for name, field in value._asdict().items()}
     if isinstance(value, list | tuple):
-        return [to_document(part) for part in value]
+        return [to_document(item) for item in value]
     if isinstance(value, dict):
-        return {key: to_document(part) for key, part in value.items()}
+        return {key: to_document(item) for key, item in value.items()}
     return value
 
 
--- a/papayapier/compose.py
+++ b/papayapier/compose.py
@@ -30,7 +30,7 @@
 )
 from papayapier.http_apis import OpenPorts, make_apps, open_ports
 from papayapier.instance import Components, Instance, Readiness
-from papayapier.listen import next_turn
+from papayapier.listen import next_reactor_iteration
 from papayapier.membership import MembershipDeps, make_membership, reach_platform
 from papayapier.metrics import make_metrics
 from papayapier.orders.controller import OrderControl, OrdersDeps, start_orders
@@ -77,7 +77,7 @@
     fleet = _make_fleet(base)
     services = _make_services(base, fleet)
     readiness = Readiness(clock, base.drain, services.config, fleet.view)
-    await next_turn(clock)
+    await next_reactor_iteration(clock)
     opened = open_ports(base, services, make_apps(base, fleet, services, readiness))
     if isinstance(opened, Err):
         await _close_after_failed_start(base, fleet, services)
--- a/papayapier/demo.py
+++ b/papayapier/demo.py
@@ -345,7 +345,7 @@
     print(f"  failed          {report.items_failed:>8}")
     for line in report.broken:
         print(f"violated: {line}", file=sys.stderr)
-    print("invariants        " + ("violated" if report.broken else "    hold"))
+    print("invariants        " + ("broken" if report.broken else "    hold"))
 
 
 def _print_curl(target: _Target) -> None:
--- a/papayapier/instance.py
+++ b/papayapier/instance.py
@@ -116,17 +116,17 @@
 
     def __init__(
         self,
-        parts: Components,
+        components: Components,
         ports: Ports,
         listening: "tuple[Listening, ...]",
         metrics: "Metrics",
     ) -> None:
         self.ports = ports
         self.metrics = metrics
-        self.parts = parts
+        self.parts = components
         self._listening = listening
         self._check_timer: Timer | None = None
-        self._last_check_ms = parts.clock.now()
+        self._last_check_ms = components.clock.now()
 
     def start(self) -> None:
         """Start the periodic checks of this process."""
@@ -146,61 +146,61 @@
 
     async def leave(self) -> None:
         """Shut down gracefully; return when no work is left, or at the time limit."""
-        parts = self.parts
+        components = self.parts
         stop = PlannedStop(
             StopDeps(
-                clock=parts.clock,
-                drain=parts.drain,
+                clock=components.clock,
+                drain=components.drain,
                 listening=self._listening,
-                online=parts.online.under_way,
-                items=parts.item_dispatch.under_way,
-                hand_over=parts.batch.stop,
+                online=components.online.under_way,
+                items=components.item_dispatch.under_way,
+                hand_over=components.batch.stop,
             )
         )
-        parts.reporter.mark_leaving()
-        await parts.orders.stop()
+        components.reporter.mark_leaving()
+        await components.orders.stop()
         try:
             await stop.run()
         finally:
             # After the exit, nobody knows the outcome of a claim that is not in the store.
-            await parts.claims.drain(parts.clock.now() + CLAIMS_DRAIN_TIMEOUT_MS)
-            await parts.reporter.withdraw()
+            await components.claims.drain(components.clock.now() + CLAIMS_DRAIN_TIMEOUT_MS)
+            await components.reporter.withdraw()
             await self._close()
 
     async def kill(self) -> None:
         """Stop as a crashed machine does: send nothing and drop all connections."""
-        parts = self.parts
-        parts.drain.abandon()
+        components = self.parts
+        components.drain.abandon()
         # First everything that could still send to others, then what runs here.
-        parts.claims.stop()
-        parts.loss_exchange.close()
-        parts.hub.close()
+        components.claims.stop()
+        components.loss_exchange.close()
+        components.hub.close()
         self._drop_connections()
         await stop_listening(self._listening)
         self._drop_connections()
-        await parts.upstreams.close()
-        await parts.store.close()
+        await components.upstreams.close()
+        await components.store.close()
         # Now that the store client is closed, this cannot release the controller's lease.
-        await parts.orders.stop()
+        await components.orders.stop()
         await self._close()
 
     async def _close(self) -> None:
-        parts = self.parts
+        components = self.parts
         if self._check_timer is not None and self._check_timer.active():
             self._check_timer.cancel()
-        parts.follower.stop()
-        parts.members_file.close()
-        parts.reporter.stop()
-        parts.reports.close()
-        parts.online.close()
-        parts.claims.stop()
-        parts.item_dispatch.close()
-        await parts.config.stop()
-        parts.loss_exchange.close()
-        parts.hub.close()
+        components.follower.stop()
+        components.members_file.close()
+        components.reporter.stop()
+        components.reports.close()
+        components.online.close()
+        components.claims.stop()
+        components.item_dispatch.close()
+        await components.config.stop()
+        components.loss_exchange.close()
+        components.hub.close()
         self._drop_connections()
-        await parts.upstreams.close()
-        await parts.store.close()
+        await components.upstreams.close()
+        await components.store.close()
 
     def _drop_connections(self) -> None:
         for port in self._listening:
--- a/papayapier/listen.py
+++ b/papayapier/listen.py
@@ -12,7 +12,7 @@
 
 BACKLOG: Final = 1024
 BODY_BYTES: Final = 4_000_000
-UPLOAD_BYTES: Final = 1_000_000_000
+MAX_UPLOAD_BYTES: Final = 1_000_000_000
 UPLOAD_PATH: Final = b"/v1/files"
 
 
@@ -24,12 +24,12 @@
     site: CountingSite
 
 
-def make_body_limit(body_bytes: int, upload_bytes: int = UPLOAD_BYTES) -> BodyLimit:
+def make_body_limit(body_bytes: int, upload_bytes: int = MAX_UPLOAD_BYTES) -> BodyLimit:
     """Return the limit of a request body by path; only uploads, stored on disk, may be large."""
     return lambda path: upload_bytes if path == UPLOAD_PATH else body_bytes
 
 
-async def next_turn(clock: Clock) -> None:
+async def next_reactor_iteration(clock: Clock) -> None:
     """Wait for the reactor's next iteration, in which it is safe to open a port.
 
     The reactor polls all events of an iteration before it handles the first. If a handler
--- a/papayapier/operate/client.py
+++ b/papayapier/operate/client.py
@@ -162,11 +162,11 @@
         case Err(code):
             return code
         case Ok(answer):
-            document = answer.document()
+            parsed = answer.document()
     if options.json:
-        print_json(document)
+        print_json(parsed)
     else:
-        print_document(document)
+        print_document(parsed)
     return EXIT_OK
 
 
--- a/papayapier/operate/reports.py
+++ b/papayapier/operate/reports.py
@@ -105,9 +105,9 @@
 
 
 def _print_orders(found: dict[str, Any]) -> None:
-    print(f"orders are given by: {found['controller'] or 'nobody at present'}")
+    print(f"orders are given by: {found['controller'] or 'no instance at present'}")
     underway = [[order["replica"], order["kind"], order["name"]] for order in found["underway"]]
-    print_table(["under way on", "order", "name"], underway)
+    print_table(["in progress on", "order", "name"], underway)
     columns = ["replica", "kind", "name", "end", "reason"]
     recent = [
         [format_time(order["at_ms"]), *(order[c] for c in columns)] for order in found["lately"]
--- a/papayapier/stopping.py
+++ b/papayapier/stopping.py
@@ -68,7 +68,7 @@
         """Shut down; return when no work is left, or at the time limit."""
         clock, drain = self._deps.clock, self._deps.drain
         drain.leave(clock.now())
-        events.emit(events.PROCESS_LEAVING, **self.left()._asdict())
+        events.emit(events.PROCESS_LEAVING, **self.count_unfinished()._asdict())
         for port in self._deps.listening:
             port.site.leaving = True
         self._start_hand_over()
@@ -77,7 +77,7 @@
             events.emit(events.DRAIN_LIMIT, **left._asdict())
         check(left.is_empty(), Promise.DRAIN_WHOLE, **left._asdict())
 
-    def left(self) -> UnfinishedWork:
+    def count_unfinished(self) -> UnfinishedWork:
         """Count the work that is not finished."""
         sites = [port.site for port in self._deps.listening]
         return UnfinishedWork(
@@ -102,7 +102,7 @@
         clock, drain = self._deps.clock, self._deps.drain
         listening = True
         while True:
-            left = self.left()
+            left = self.count_unfinished()
             state = drain.tick(clock.now(), sum(left))
             if state == "stopped":
                 return left
--- a/tests/test_listen.py
+++ b/tests/test_listen.py
@@ -16,7 +16,7 @@
 from twisted.web.resource import Resource
 
 from papayapier.clock import real_clock
-from papayapier.listen import listen_resource, make_body_limit, next_turn
+from papayapier.listen import listen_resource, make_body_limit, next_reactor_iteration
 
 HOST = "127.0.0.1"
 SETTLE_MS = 100
@@ -72,7 +72,7 @@
         opened: list[Any] = []
 
         async def open_port() -> None:
-            await next_turn(self.clock)
+            await next_reactor_iteration(self.clock)
             limit = make_body_limit(1)
             opened.append(listen_resource(reactor, Resource(), "port", HOST, 0, limit).unwrap())
 
