--- a/papayapier/events.py
+++ b/papayapier/events.py
@@ -113,16 +113,16 @@
     213,
     "request_held",
     Level.INFO,
-    "request quarantined, replicas were lost while they ran the same request",
+    "request not sent, replicas were lost while they ran the same request",
 )
 WORK_HELD: Final = Event(
     214,
     "work_held",
     Level.WARNING,
-    "request fingerprint quarantined, replicas were lost while they ran it",
+    "requests of a fingerprint are quarantined, replicas were lost while they ran them",
 )
 WORK_RELEASED: Final = Event(
-    215, "work_released", Level.INFO, "request fingerprint released from quarantine"
+    215, "work_released", Level.INFO, "requests of a fingerprint are released from quarantine"
 )
 ALLOWANCE_BINDS: Final = Event(
     216, "allowance_binds", Level.WARNING, "a team's requests are refused, its allowance is used up"
@@ -308,7 +308,7 @@
     537,
     "item_held",
     Level.WARNING,
-    "item quarantined, replicas were lost while they ran the same request",
+    "item waits in quarantine, replicas were lost while they ran the same request",
 )
 RUN_ADOPTED: Final = Event(
     538, "run_adopted", Level.WARNING, "job is run here, because its owner does not run it"
