--- a/papayapier/upstream/__init__.py
+++ b/papayapier/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Talk to upstreams: model engines and plain services."""
+"""Implement the HTTP client for upstreams: model engines and plain services."""
--- a/papayapier/upstream/answers.py
+++ b/papayapier/upstream/answers.py
@@ -1,8 +1,8 @@
-"""Check that what a replica sent is the whole answer to the call, and read it.
+"""Validate and parse a replica's answer to a call.
 
-An answer names its call twice: in the header X-Request-Id and, from a model engine, in the
-field id of the body and of every piece of a stream. An answer to another call, or part of
-one, would be worse for the caller than none, so any doubt ends in a Fault.
+An answer identifies its request twice: in the header X-Request-Id and, from a model engine,
+in the field id of the body and of every chunk of a stream. Passing on an incomplete answer, or
+one to another request, harms the caller more than an error, so any mismatch ends in a Fault.
 """
 
 from typing import Final, NamedTuple, NotRequired, TypedDict
@@ -25,7 +25,7 @@
 
 
 class Choice(TypedDict):
-    """Hold one choice of a whole answer: chat has message, completions have text."""
+    """Hold one choice of a complete answer: chat has message, completions have text."""
 
     finish_reason: str | None
     message: NotRequired[Message]
@@ -33,13 +33,13 @@
 
 
 class Usage(TypedDict):
-    """Hold the counts of an answer."""
+    """Hold the token counts of an answer."""
 
     completion_tokens: int
 
 
 class WholeAnswer(TypedDict):
-    """Hold a JSON answer."""
+    """Hold the JSON answer of a model engine to a call that is not streamed."""
 
     id: str
     choices: list[Choice]
@@ -47,7 +47,7 @@
 
 
 class LoadReport(TypedDict):
-    """Hold the answer to GET /load; a plain service has no steps."""
+    """Hold the answer to GET /load; step_ms is missing for a plain service."""
 
     running: int
     waiting: int
@@ -56,7 +56,7 @@
 
 
 class Parsed(NamedTuple):
-    """Hold what is read from an engine's answer."""
+    """Hold the fields read from an engine's answer."""
 
     text: str
     tokens: int
@@ -70,7 +70,7 @@
 
 
 class Collected:
-    """Gather a body of a bounded size."""
+    """Collect a body of bounded size."""
 
     __slots__ = ("_limit", "_parts", "_size")
 
@@ -80,7 +80,7 @@
         self._size = 0
 
     def add(self, data: bytes, _now_ms: int) -> Fault | None:
-        """Take a part."""
+        """Append received bytes; return a Fault when the body exceeds the limit."""
         self._size += len(data)
         if self._size > self._limit:
             return Fault(FailureKind.BROKEN, f"answer longer than {self._limit} bytes")
@@ -88,27 +88,27 @@
         return None
 
     def end(self, declared: bool) -> Fault | None:
-        """Check that the body had a length, without which a cut would not show."""
+        """Check that the body had a declared length; without one, truncation is undetectable."""
         if declared:
             return None
         return Fault(FailureKind.CUT, "answer has no declared length")
 
     def body(self) -> bytes:
-        """Return all parts joined."""
+        """Return the collected body."""
         return b"".join(self._parts)
 
 
 def wrong_id(found: str, request_id: str) -> Fault:
-    """Say that an answer belongs to another request."""
+    """Return the fault for an answer that belongs to another request."""
     return Fault(FailureKind.WRONG_ID, f"answer has id {found!r}, not {request_id!r}")
 
 
 def parse_whole(body: bytes, request_id: str) -> Result[Parsed, Fault]:
-    """Read the JSON answer of an engine."""
+    """Parse the complete JSON answer of an engine and check its id."""
     try:
         answer = _WHOLE.decode(body)
     except msgspec.MsgspecError as exc:
-        return Err(Fault(FailureKind.BROKEN, f"answer cannot be read: {exc}"))
+        return Err(Fault(FailureKind.BROKEN, f"answer cannot be decoded: {exc}"))
     if answer["id"] != request_id:
         return Err(wrong_id(answer["id"], request_id))
     if not answer["choices"]:
@@ -131,7 +131,7 @@
 
 
 def parse_load_header(headers: Headers, now_ms: int) -> Load | None:
-    """Read RUNNING/WAITING/SLOTS; a malformed header counts as none."""
+    """Parse the header X-Load, RUNNING/WAITING/SLOTS; a malformed header counts as none."""
     parts = header_text(headers, LOAD).split("/")
     if len(parts) != 3 or not all(part.isascii() and part.isdigit() for part in parts):
         return None
@@ -140,13 +140,13 @@
 
 
 def parse_load(status: int, body: bytes, now_ms: int) -> Result[Load, Failure]:
-    """Read the answer to GET /load."""
+    """Parse the answer to GET /load."""
     if status != 200:
         return Err(Failure(FailureKind.STATUS, Sent.MAYBE, f"status {status}", status))
     try:
         report = _LOAD.decode(body)
     except msgspec.MsgspecError as exc:
-        return Err(Failure(FailureKind.BROKEN, Sent.MAYBE, f"load cannot be read: {exc}"))
+        return Err(Failure(FailureKind.BROKEN, Sent.MAYBE, f"load report cannot be decoded: {exc}"))
     step_ms = report.get("step_ms", 0.0)
     return Ok(Load(report["running"], report["waiting"], report["slots"], step_ms, now_ms))
 
--- a/papayapier/upstream/api.py
+++ b/papayapier/upstream/api.py
@@ -1,7 +1,7 @@
-"""Define what the rest of the program knows of an upstream.
+"""Define the interface of the upstream package.
 
-A Call goes to one replica and ends in a Reply or a Failure. A Failure says whether the
-replica may have run the call; only the upstream package can know that.
+A Call is sent to one replica and results in a Reply or a Failure. A Failure states whether the
+replica may have run the call; only the upstream package can determine that.
 """
 
 from collections.abc import Awaitable, Callable
@@ -14,8 +14,8 @@
 class Replica(NamedTuple):
     """Address one replica of an upstream.
 
-    id names one boot of it, so that nothing learnt of one boot is taken for the next; known_as
-    is the name that the replica itself answers to, where that is another.
+    id identifies one boot of the replica, so that state recorded for one boot is not applied to
+    the next. known_as is the name by which the replica identifies itself, if it differs from id.
     """
 
     id: str
@@ -26,17 +26,18 @@
     known_as: str = ""
 
     def own_name(self) -> str:
-        """Return the name that the replica itself answers to."""
+        """Return the name by which the replica identifies itself."""
         return self.known_as or self.id
 
 
 class Call(NamedTuple):
-    """Describe one request to a replica; text parts go out as they are.
+    """Describe one request to a replica; its text fields are sent unchanged.
 
-    path starts with a slash. stream asks for SSE and calls back per token. due_ms is on
-    the monotonic clock. fresh asks for a new connection, never a kept one. plain says that
-    the replica is a plain service also where the path is one of a model engine; the answer of
-    a plain service is passed on as it is, whatever its status.
+    path starts with a slash. stream requests SSE and a callback per token. due_ms is on the
+    monotonic clock. fresh requires a new connection instead of an idle one from the pool. plain
+    marks the replica as a plain service even if the path is one of a model engine's; the answer
+    of a plain service is passed on unchanged, whatever its status. first_byte_ms of 0 applies
+    the limit of the settings.
     """
 
     call_id: str
@@ -53,14 +54,14 @@
 
 
 class Sent(Enum):
-    """Say whether the replica can have seen the call."""
+    """State whether the replica may have received the call."""
 
     NO = "no"
     MAYBE = "maybe"
 
 
 class FailureKind(Enum):
-    """Name each way a call to a replica can fail."""
+    """List the ways in which a call to a replica can fail."""
 
     CONNECT = "connect"
     SILENT = "silent"
@@ -73,11 +74,12 @@
 
 
 class Failure(NamedTuple):
-    """Say why a call has no answer.
+    """Explain why a call has no answer.
 
-    fresh says that the connection was new. A silence on one that is not fresh says nothing
-    about the replica itself, and should be followed by another try before it is blamed. closed
-    says that nobody listens at the replica's address, which a cut of the network does not show.
+    fresh states that the connection was new. Silence on a reused connection may be the fault of
+    the connection alone, so the call should be retried before the replica is considered faulty.
+    closed states that the connection was refused: nothing listens at the replica's address. A
+    network partition does not refuse connections.
     """
 
     kind: FailureKind
@@ -89,9 +91,10 @@
 
 
 class Load(NamedTuple):
-    """Hold a replica's own report of its load; at_ms is when it was received.
+    """Hold the load as reported by a replica; at_ms is when the report was received.
 
-    lagging is False for a report known to be of that very moment, as an answer carries it.
+    lagging is False for a report that was current when it was received, as in the header of an
+    answer.
     """
 
     running: int
@@ -103,7 +106,7 @@
 
 
 class Reply(NamedTuple):
-    """Hold a whole answer; for a stream, text is all its tokens joined."""
+    """Hold a complete answer; for a stream, text holds all tokens joined."""
 
     status: int
     content_type: str
@@ -117,7 +120,7 @@
 
 
 class Token(NamedTuple):
-    """Hold one piece of a stream; data is the SSE payload as received."""
+    """Hold one chunk of a stream; data is the SSE payload as received."""
 
     text: str
     data: bytes
@@ -129,11 +132,11 @@
 
 
 class Upstreams(NamedTuple):
-    """Group the calls that reach replicas.
+    """Group the functions that send requests to replicas.
 
-    send ends at the latest at the call's due time. Cancelling the Deferred that wraps it
-    cancels the call at the replica. load reads the replica's report. cancel names a
-    request id that a lost connection may have left running.
+    send finishes at the call's due time at the latest. Cancelling the Deferred that wraps it
+    cancels the call at the replica. load reads the replica's load report. cancel stops a request
+    that may still run at the replica after its connection was lost.
     """
 
     send: Send
--- a/papayapier/upstream/cancels.py
+++ b/papayapier/upstream/cancels.py
@@ -1,9 +1,9 @@
-"""Tell replicas to stop requests whose connection was closed.
+"""Send cancel requests to replicas for requests whose connection was closed.
 
-Closing the connection already says so, but something between the two ends may swallow the
-close, and the engine would then go on generating for nobody. When many streams give way at
-once these messages must not become a burst of their own, at the very moment when online
-requests need the processor; so few are under way per replica and the rest wait.
+Closing the connection already signals the cancellation, but a middlebox may drop the close, and
+the engine would continue to generate for nobody. When many batch streams are preempted at once,
+a burst of cancel requests would take processor time just when online requests need it. So only
+a few are in flight per replica and the others are queued.
 """
 
 from collections import deque
@@ -22,14 +22,14 @@
 
 
 class Cancels:
-    """Hold the cancels that wait, by replica."""
+    """Queue cancel requests per replica and send them with bounded concurrency."""
 
     def __init__(self, ask: Ask) -> None:
         self._ask = ask
         self._queues: dict[str, _Queue] = {}
 
     def add(self, replica: Replica, request_id: str) -> None:
-        """Send a cancel soon; when too many wait, the oldest is dropped."""
+        """Queue a cancel request; the oldest queued one is dropped when the queue is full."""
         queue = self._queues.setdefault(replica.id, _Queue())
         queue.waiting.append(request_id)
         if queue.under_way < UNDER_WAY_MAX:
@@ -37,12 +37,12 @@
             Deferred.fromCoroutine(self._drain(replica, queue)).addErrback(_report, replica)
 
     def clear(self) -> None:
-        """Forget the cancels that wait."""
+        """Drop all queued cancel requests."""
         for queue in self._queues.values():
             queue.waiting.clear()
 
     async def send(self, replica: Replica, request_id: str) -> None:
-        """Tell the replica to stop a request; nobody learns whether it did."""
+        """Send a cancel request to the replica and ignore its answer."""
         body = msgspec.json.encode({"request_id": request_id})
         await self._ask(replica, Question("POST", "/cancel", body))
 
@@ -57,7 +57,7 @@
 
 
 class _Queue:
-    """Hold the cancels for one replica."""
+    """Hold the cancel requests of one replica: those queued and the number in flight."""
 
     __slots__ = ("under_way", "waiting")
 
--- a/papayapier/upstream/client.py
+++ b/papayapier/upstream/client.py
@@ -1,10 +1,10 @@
-"""Send calls to replicas, and give back whole answers or what is known of the failure.
+"""Send calls to replicas and return complete answers or the reason for the failure.
 
-A call that may not run twice asks for a fresh connection. A kept one cannot be trusted for
-it: the replica may be closing it at this moment, and when a request is written to it and
-the connection ends, nobody can tell whether the replica had read the request before. On a
-new connection a refused or timed-out connect proves that nothing was sent, and what comes
-later is the replica's own doing.
+A call that must not run twice requires a new connection. An idle connection from the pool is
+not safe for it: the replica may be closing it at that moment, and if the connection ends after
+the request was written, it is unknown whether the replica had read the request. On a new
+connection, a refused or timed-out connect proves that nothing was sent, and any later failure
+is caused by the replica itself.
 """
 
 from typing import Any, Final
@@ -39,7 +39,7 @@
 def make_upstreams(
     reactor: Any, clock: Clock, cfg: UpstreamSettings, metrics: Metrics
 ) -> Upstreams:
-    """Make the calls that reach replicas."""
+    """Create the functions that send requests to replicas."""
     links = Links(reactor, clock, cfg)
     ask = make_ask(links)
     cancels = Cancels(ask)
--- a/papayapier/upstream/control.py
+++ b/papayapier/upstream/control.py
@@ -1,4 +1,4 @@
-"""Ask a replica something beside its work: small JSON requests with a small answer."""
+"""Send control requests to a replica: small JSON requests with small answers."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final, NamedTuple
@@ -25,7 +25,7 @@
 
 
 class Answer(NamedTuple):
-    """Hold the whole answer to a control request, whatever its status."""
+    """Hold the complete answer to a control request, whatever its status."""
 
     status: int
     body: bytes
@@ -35,11 +35,11 @@
 
 
 def make_ask(links: Links) -> Ask:
-    """Make the call that sends control requests.
+    """Create the function that sends control requests.
 
-    A control request is due within the time that a stream may stay silent. A poll that
-    hangs on a kept connection therefore shows, long before a call's own first-byte limit,
-    that the connections to a replica have gone silent.
+    A control request times out after the progress limit of a stream. A load poll that hangs on
+    an idle connection therefore reveals that the connections to a replica are dead long before
+    the first-byte limit of a call.
     """
 
     async def ask(replica: Replica, question: Question) -> Result[Answer, Failure]:
--- a/papayapier/upstream/engine_calls.py
+++ b/papayapier/upstream/engine_calls.py
@@ -1,7 +1,7 @@
-"""Read and change the body of a call to a model engine.
+"""Parse and modify the body of a call to a model engine.
 
-The body belongs to the caller. Only the keys that matter for routing and resuming are read,
-and every other key goes on to the engine as it came.
+The body belongs to the caller. Only the keys needed for routing and for resuming a stream are
+read; every other key is passed on to the engine unchanged.
 """
 
 from typing import Any, Final, NamedTuple, NotRequired, TypedDict
@@ -14,7 +14,7 @@
 
 
 class Generation(NamedTuple):
-    """Hold what is read from a body."""
+    """Hold the fields read from a body."""
 
     model: str
     stream: bool
@@ -40,14 +40,14 @@
 
 
 _READ: Final = msgspec.json.Decoder(_Body)
-# Raw leaves each value as the caller wrote it.
+# msgspec.Raw keeps each value exactly as the caller encoded it.
 _KEYS: Final = msgspec.json.Decoder(dict[str, msgspec.Raw])
 _TEXT: Final = msgspec.json.Decoder(str | None)
 _MISSING: Final = "Object missing required field "
 
 
 def parse_generation(body: bytes) -> Result[Generation, str]:
-    """Read a body, or name the field that is at fault."""
+    """Parse a body; the error names the invalid field."""
     try:
         read = _READ.decode(body)
     except msgspec.MsgspecError as exc:
@@ -60,13 +60,13 @@
 
 
 def streaming_body(body: bytes, received: str) -> bytes:
-    """Ask for a stream that goes on after the text received so far.
+    """Return the body that requests a stream which continues after the received text.
 
-    A body that is not a JSON object goes out unchanged, and the engine refuses it.
+    A body that is not a JSON object is returned unchanged, and the engine refuses it.
     """
     try:
         keys: dict[str, Any] = dict(_KEYS.decode(body))
-        # The caller may itself have asked to go on after some text.
+        # The caller may itself have asked to continue after some text.
         resumed = _TEXT.decode(keys.get("resume_text", b"null")) or ""
     except msgspec.MsgspecError:
         return body
@@ -77,7 +77,7 @@
 
 
 def _prefix(read: _Body) -> str:
-    """Return the start of the prompt; equal starts share cached work in an engine."""
+    """Return the start of the prompt; requests with equal prefixes can share an engine's cache."""
     if "messages" in read:
         return _messages_prefix(read["messages"])
     prompt = read["prompt"]
@@ -106,7 +106,7 @@
 
 
 def _plain(exc: Exception) -> str:
-    """Reword a msgspec message so that it starts with the field at fault."""
+    """Rewrite a msgspec error message so that it starts with the invalid field."""
     message, _, path = str(exc).partition(" - at ")
     where = path.strip("`").removeprefix("$").removeprefix(".")
     if message.startswith(_MISSING):
--- a/papayapier/upstream/event_cutter.py
+++ b/papayapier/upstream/event_cutter.py
@@ -1,7 +1,7 @@
-"""Cut a stream of server-sent events into whole ones, as bytes and unchanged.
+"""Split a byte stream of server-sent events at event boundaries, without changing the bytes.
 
-A replica may break off in the middle of an event. Only whole events are passed on, so that a
-stream which another replica resumes has neither half an event nor one that comes twice.
+A replica may fail in the middle of an event. Only complete events are passed on, so that a
+stream that another replica resumes contains no partial and no duplicate event.
 """
 
 from typing import Final, NamedTuple
@@ -12,7 +12,7 @@
 
 
 class EventCutter:
-    """Keep the bytes of an unfinished event, and the id of the last whole one."""
+    """Buffer the bytes of an incomplete event, and track the id of the last complete one."""
 
     __slots__ = ("_rest", "last_id")
 
@@ -21,7 +21,7 @@
         self._rest = b""
 
     def feed(self, data: bytes) -> bytes | None:
-        """Return the whole events that are there now; None says that one is too long."""
+        """Return the events completed by these bytes; None means that an event is too long."""
         data = self._rest + data if self._rest else data
         end = _end_of_last(data)
         self._rest = data[end:]
@@ -31,11 +31,11 @@
         return None if len(self._rest) > MAX_EVENT_BYTES else whole
 
     def restart(self) -> None:
-        """Drop the unfinished event of a stream that broke off."""
+        """Drop the incomplete event of a stream that was interrupted."""
         self._rest = b""
 
     def rest(self) -> bytes:
-        """Return what came after the last whole event of a stream that has ended."""
+        """Return the bytes after the last complete event of a stream that has ended."""
         return self._rest
 
     def _note_id(self, whole: bytes) -> None:
@@ -48,7 +48,7 @@
 
 
 def first_id(whole: bytes) -> int:
-    """Return the first id that whole events state, or NO_EVENT."""
+    """Return the first event id in these complete events, or NO_EVENT."""
     if whole.startswith(ID_FIELD[1:]):
         return _id_at(whole, -1)
     at = whole.find(ID_FIELD)
@@ -56,26 +56,26 @@
 
 
 def _id_at(whole: bytes, line_end: int) -> int:
-    """Return the id in the line after a line's end; -1 stands for that before the first line."""
+    """Return the id in the line after the line end at this index; -1 is before the first line."""
     digits = whole[line_end + len(ID_FIELD) :].split(b"\n", 1)[0].strip()
     return int(digits) if digits.isdigit() else NO_EVENT
 
 
 def _end_of_last(data: bytes) -> int:
-    """Return where the last whole event ends, or 0."""
+    """Return the index at which the last complete event ends, or 0."""
     ends = [data.rfind(blank) + len(blank) for blank in (b"\n\n", b"\r\n\r\n") if blank in data]
     return max(ends, default=0)
 
 
 class Event(NamedTuple):
-    """Hold one event; id is NO_EVENT where it has none."""
+    """Hold one event; id is NO_EVENT if the event has none."""
 
     id: int
     data: str
 
 
 def read_events(whole: bytes) -> list[Event]:
-    """Return the whole events that carry data."""
+    """Parse complete events and return those that carry data."""
     found = []
     for part in whole.replace(b"\r\n", b"\n").split(b"\n\n"):
         event_id = NO_EVENT
--- a/papayapier/upstream/exchange.py
+++ b/papayapier/upstream/exchange.py
@@ -1,8 +1,8 @@
-"""Run one HTTP exchange with a replica, and end it in time whatever the replica does.
+"""Run one HTTP exchange with a replica within its time limits.
 
-An exchange has one timer. Bytes only note the time at which they came; when the timer
-fires it looks at that note and either ends the exchange or sets itself again. So a stream
-costs no timer per token.
+An exchange has one timer. Received bytes only update a timestamp; when the timer fires, it
+compares the timestamp with the limit and either ends the exchange or restarts itself. So a
+stream needs no timer per token.
 """
 
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 
 
 class Outgoing(NamedTuple):
-    """Describe the request; due_ms is on the monotonic clock, first_byte_ms 0 for the settings'."""
+    """Describe a request; due_ms is monotonic, first_byte_ms of 0 means the settings' limit."""
 
     method: str
     path: str
@@ -38,22 +38,22 @@
 
 
 class Head(NamedTuple):
-    """Hold what came before the body."""
+    """Hold the status and headers of an answer; at_ms is when they were received."""
 
     status: int
     headers: Headers
     at_ms: int
 
 
-# Takes bytes of the body and the time at which they came.
+# Called with bytes of the body and the time at which they were received.
 OnData = Callable[[bytes, int], Fault | None]
 
 
 class Sink(NamedTuple):
-    """Take the answer as it comes; a Fault ends the exchange.
+    """Group the callbacks that process a received answer; a Fault ends the exchange.
 
-    on_head returns what takes the body. on_end is told whether the length of the body was
-    declared, and so is known to be whole.
+    on_head returns the callback for the body. on_end is called with True if the body had a
+    declared length and is therefore known to be complete.
     """
 
     on_head: Callable[[Head], Result[OnData, Fault]]
@@ -62,7 +62,7 @@
 
 Ended = Result[None, Failure]
 
-# What a log line says of a failure that the replica or the way to it has caused.
+# Events that are logged for failures caused by the replica or by the network path to it.
 _EVENTS: Final = {
     FailureKind.SILENT: events.CONNECTION_CONDEMNED,
     FailureKind.WRONG_ID: events.CONNECTION_CONDEMNED,
@@ -72,7 +72,7 @@
 
 
 class Exchange(Protocol):
-    """Hold the state of one exchange; done fires once, also when cancelled."""
+    """Hold the state of one exchange; done fires exactly once, also after cancellation."""
 
     def __init__(
         self,
@@ -106,7 +106,7 @@
     def start(self) -> None:
         """Send the request."""
         if self._since_ms >= self._out.due_ms:
-            self._end(Fault(FailureKind.DUE, "due time had passed before sending"))
+            self._end(Fault(FailureKind.DUE, "the due time passed before the request was sent"))
             return
         self._arm()
         out = self._out
@@ -116,7 +116,7 @@
         try:
             self._request = agent.request(out.method.encode(), url.encode(), out.headers, body)
         except ValueError as exc:
-            self._end(Fault(FailureKind.BROKEN, f"request cannot be written: {exc}"))
+            self._end(Fault(FailureKind.BROKEN, f"request cannot be encoded: {exc}"))
             return
         self._request.addCallbacks(self._on_response, self._on_request_failed)
 
@@ -136,7 +136,7 @@
             self._end(fault)
 
     def connectionLost(self, reason: Any = connectionDone) -> None:  # noqa: N802
-        """Take the end of the body, which is not always that of the connection."""
+        """Handle the end of the body; the connection itself may remain open."""
         if not self._open:
             return
         if reason.check(ResponseDone):
@@ -147,7 +147,7 @@
             self._end(self._phases.lost(_why(reason)))
 
     def _on_take(self) -> bool:
-        """Note that the request is written now; from here on the replica may run it."""
+        """Record that the request is about to be written; from now on the replica may run it."""
         if not self._open:
             return False
         self._sent = Sent.MAYBE
@@ -169,10 +169,11 @@
         response.deliverBody(self)
 
     def _start_body(self) -> None:
-        """Watch progress from here on.
+        """Apply the progress limit from now on.
 
-        An engine may send the head of a stream at once and the first token much later, when
-        a slot is free; so the limit between bytes does not hold before the first of them.
+        An engine may send the head of a stream at once and the first token much later, when a
+        slot becomes free. So the limit between bytes applies only after the first byte of the
+        body.
         """
         self._started = True
         self._phases.started()
@@ -185,7 +186,7 @@
         self._end(self._phases.lost(_why(reason)))
 
     def _arm(self) -> None:
-        """Set the timer, unless it already fires early enough to look again then."""
+        """Start the timer, unless it already fires early enough and can be extended then."""
         at_ms = min(self._since_ms + self._phases.limit_ms(), self._out.due_ms)
         if self._timer is not None:
             if self._timer_at_ms <= at_ms:
@@ -198,7 +199,7 @@
         self._timer = None
         now_ms = self._clock.now()
         if now_ms >= self._out.due_ms:
-            self._end(Fault(FailureKind.DUE, "due time has passed"))
+            self._end(Fault(FailureKind.DUE, "the due time has passed"))
         elif now_ms >= self._since_ms + self._phases.limit_ms():
             self._end(self._phases.overdue())
         else:
@@ -220,7 +221,7 @@
         self.done.callback(Err(self._failure(fault)))
 
     def _close(self, fault: Fault) -> None:
-        """Close the connection, unless a whole answer came that says no."""
+        """Close the connection, unless the fault is a complete answer with an error status."""
         if fault.kind is FailureKind.STATUS:
             self._pool.trust(self._lease, self._since_ms)
             return
@@ -231,9 +232,9 @@
             self._pool.distrust(self._since_ms)
 
     def _is_suspect(self, fault: Fault) -> bool:
-        """Tell whether the failure may be that of the way to the replica."""
+        """Return whether the failure may be caused by the network path to the replica."""
         if fault.kind is FailureKind.DUE:
-            # A call that is due soon ends before its silence is long enough to be called so.
+            # A call with a close due time ends before the silence reaches its limit.
             return not self._answered
         return fault.kind in (FailureKind.SILENT, FailureKind.CUT)
 
@@ -259,7 +260,7 @@
 
 
 class _Body:
-    """Write a body that is already in memory, as the library's IBodyProducer."""
+    """Implement Twisted's IBodyProducer for a body that is already in memory."""
 
     __slots__ = ("_body", "length")
 
@@ -288,7 +289,7 @@
 
 
 def _innermost(reason: Any) -> Any:
-    """Return the innermost of the library's nested failures."""
+    """Return the innermost of Twisted's nested failures."""
     inner = reason
     while getattr(inner.value, "reasons", None):
         inner = inner.value.reasons[0]
--- a/papayapier/upstream/links.py
+++ b/papayapier/upstream/links.py
@@ -1,4 +1,4 @@
-"""Own the connections to all replicas, and the exchanges that are under way on them."""
+"""Manage the connections to all replicas and the exchanges in progress on them."""
 
 from typing import Any, Final
 
@@ -14,7 +14,7 @@
 
 
 class Links:
-    """Hold a pool for each replica address that is in use."""
+    """Hold the connection pools by replica address, and the running exchanges."""
 
     def __init__(self, reactor: Any, clock: Clock, cfg: UpstreamSettings) -> None:
         self.clock = clock
@@ -24,7 +24,7 @@
         self._running: set[Exchange] = set()
 
     def run(self, replica: Replica, out: Outgoing, sink: Sink) -> Deferred[Ended]:
-        """Run one exchange; cancelling the Deferred ends it."""
+        """Run one exchange; cancelling the returned Deferred ends it."""
         pool = self._pool(replica)
         exchange = Exchange(self.clock, self.cfg, pool, replica, out, sink)
         self._running.add(exchange)
@@ -32,11 +32,11 @@
         return exchange.done.addCallback(self._ended, exchange)
 
     def addresses(self) -> list[tuple[str, int]]:
-        """Return the addresses to which connections may be open."""
+        """Return the addresses that have a connection pool."""
         return list(self._pools)
 
     async def close(self) -> None:
-        """End all exchanges and close all connections."""
+        """Cancel all exchanges and close all connections."""
         for exchange in list(self._running):
             exchange.cancel()
         pools = list(self._pools.values())
@@ -57,10 +57,10 @@
         return pool
 
     def _forget_unused(self) -> None:
-        """Drop the pools of replicas that have gone.
+        """Drop the pools of addresses that have not been used for FORGET_AFTER_MS.
 
-        Replicas are replaced all the time, each at a new address, and nobody says here that
-        an address will not come back; without this, memory grows with every replacement.
+        Replicas are replaced continually, each at a new address, and this class is not notified
+        when an address is retired. Without expiry, memory would grow with every replacement.
         """
         oldest_ms = int(self.clock.now()) - FORGET_AFTER_MS
         for key in [key for key, pool in self._pools.items() if pool.used_ms < oldest_ms]:
--- a/papayapier/upstream/orders.py
+++ b/papayapier/upstream/orders.py
@@ -1,8 +1,8 @@
-"""Give orders to model engines, and read back what they have become.
+"""Send orders to model engines and read their state.
 
-An order carries a fencing number. Some engines refuse one that is lower than a number they
-have seen, others ignore it; so the answer to an order is no proof of anything, and state is
-what tells whether the order took effect.
+An order carries a fencing number. Some engines refuse an order whose number is lower than one
+they have already received, others ignore the number. So the answer to an order proves nothing;
+only the engine's state shows whether the order took effect.
 """
 
 from collections.abc import Awaitable, Callable
@@ -26,7 +26,7 @@
 
 
 class OrderKind(Enum):
-    """Name each order that an engine takes."""
+    """List the kinds of order that an engine accepts."""
 
     LOAD_MODEL = "load_model"
     LOAD_ADAPTER = "load_adapter"
@@ -44,14 +44,14 @@
 
 
 class OrderAnswer(NamedTuple):
-    """Hold the answer to an order; fence is the number that the engine has seen if refused."""
+    """Hold the answer to an order; fence is the engine's highest fencing number if it refused."""
 
     accepted: bool
     fence: int
 
 
 class EngineState(NamedTuple):
-    """Hold what an engine serves; orders lists the ids of those it has taken."""
+    """Hold the state of an engine; orders lists the ids of the orders that it has accepted."""
 
     models: tuple[str, ...]
     adapters: tuple[str, ...]
@@ -62,7 +62,7 @@
 
 
 class CacheEvent(NamedTuple):
-    """Tell that an engine has stored or evicted a prompt prefix."""
+    """Report that an engine has stored a prompt prefix in its cache, or evicted it."""
 
     seq: int
     stored: bool
@@ -70,7 +70,7 @@
 
 
 class CacheEvents(NamedTuple):
-    """Hold the events since a number; next is where to go on."""
+    """Hold the cache events from a sequence number on; next is the number to request next."""
 
     events: tuple[CacheEvent, ...]
     next: int
@@ -79,8 +79,8 @@
 class Orders(NamedTuple):
     """Group the control calls to model engines.
 
-    Each ends within the time that a stream may stay silent. A Failure of give whose sent is
-    MAYBE leaves open whether the engine has taken the order.
+    Each call times out after the progress limit of a stream. A Failure of give with sent MAYBE
+    means that the engine may or may not have accepted the order.
     """
 
     give: Callable[[Replica, Order], Awaitable[Result[OrderAnswer, Failure]]]
@@ -124,7 +124,7 @@
 
 
 def make_orders(reactor: Any, clock: Clock, cfg: UpstreamSettings) -> Orders:
-    """Make the control calls, on connections of their own."""
+    """Create the control calls, on connections separate from those for requests."""
     links = Links(reactor, clock, cfg)
     ask = make_ask(links)
 
@@ -172,7 +172,7 @@
     try:
         return Ok(msgspec.json.decode(answer.body, type=kind))
     except msgspec.MsgspecError as exc:
-        return Err(Failure(FailureKind.BROKEN, Sent.MAYBE, f"answer cannot be read: {exc}"))
+        return Err(Failure(FailureKind.BROKEN, Sent.MAYBE, f"answer cannot be decoded: {exc}"))
 
 
 def _refused(answer: Answer) -> Failure:
--- a/papayapier/upstream/phases.py
+++ b/papayapier/upstream/phases.py
@@ -1,7 +1,7 @@
-"""Say, for each phase of an exchange, how long it may take and what its failure means.
+"""Define the phases of an exchange: the time limit of each and the meaning of its failure.
 
-Before the request is taken to a connection nothing can have reached the replica. After it,
-everything may have. The phases make that line explicit.
+Until the request is written to a connection, nothing can have reached the replica. From then
+on, all of it may have. The phases make this boundary explicit.
 """
 
 from typing import NamedTuple, Protocol
@@ -13,7 +13,7 @@
 
 
 class Fault(NamedTuple):
-    """Say why what was received is not an answer."""
+    """Explain why the received data is not a valid answer."""
 
     kind: FailureKind
     reason: str
@@ -21,25 +21,25 @@
 
 
 class Phases(Protocol):
-    """Describe what happens to an exchange and what is asked about it."""
+    """Declare the inputs and queries of the state machine of an exchange."""
 
     def taken(self) -> None:
-        """Note that the request is about to be written."""
+        """Enter the phase after the request was written."""
 
     def started(self) -> None:
-        """Note that the body of the answer has begun."""
+        """Enter the phase after the first byte of the answer's body."""
 
     def end(self) -> None:
-        """Note that nothing more counts."""
+        """Enter the final state."""
 
     def limit_ms(self) -> int:
-        """Return how long the phase may go without a byte."""
+        """Return how long the phase may last without a received byte."""
 
     def overdue(self) -> Fault:
-        """Return what it means that the limit has passed."""
+        """Return the fault for a phase that exceeded its limit."""
 
     def lost(self, why: str) -> Fault:
-        """Return what it means that the connection is lost."""
+        """Return the fault for a connection that was lost in this phase."""
 
 
 _builder = TypeMachineBuilder(Phases, UpstreamSettings)
@@ -53,14 +53,12 @@
 for _state in (_connecting, _waiting, _receiving):
     _state.upon(Phases.end).to(_ended).returns(None)
 
-_connecting.upon(Phases.overdue).loop().returns(
-    Fault(FailureKind.CONNECT, "connecting took too long")
-)
+_connecting.upon(Phases.overdue).loop().returns(Fault(FailureKind.CONNECT, "connecting timed out"))
 _waiting.upon(Phases.overdue).loop().returns(
-    Fault(FailureKind.SILENT, "no byte of the answer's body came")
+    Fault(FailureKind.SILENT, "timed out waiting for the answer's body")
 )
 _receiving.upon(Phases.overdue).loop().returns(
-    Fault(FailureKind.SILENT, "the answer stopped coming")
+    Fault(FailureKind.SILENT, "timed out waiting for more of the answer's body")
 )
 
 
@@ -91,7 +89,7 @@
 
 @_receiving.upon(Phases.lost).loop()
 def _progress_lost(_: Phases, __: UpstreamSettings, why: str) -> Fault:
-    return Fault(FailureKind.CUT, f"answer cut short: {why}")
+    return Fault(FailureKind.CUT, f"answer truncated: {why}")
 
 
 make_phases = _builder.build()
--- a/papayapier/upstream/pool.py
+++ b/papayapier/upstream/pool.py
@@ -1,13 +1,13 @@
-"""Keep connections to one replica and know which one a call is on.
+"""Pool the connections to one replica and record which connection a call uses.
 
-Twisted's HTTPConnectionPool gives a call any connection it has kept, and puts a connection
-back before the answer on it has been checked. Both hide what a truthful refusal needs: on
-which connection a call went, and whether that connection was new. A Lease stands between
-the pool and the endpoint, and records it.
+Twisted's HTTPConnectionPool assigns any idle connection to a call, and returns a connection to
+the pool before the answer on it has been validated. A correct refusal needs to know which
+connection carried the call and whether it was new, and the pool exposes neither. A Lease wraps
+the endpoint that the pool connects with, and records both.
 
-A kept connection is used only if bytes have come on it since another connection to the same
-replica was last seen silent. What went silent was not the replica but something between the
-two ends, and that may have lost track of every connection that was open at that time.
+An idle connection is reused only if bytes were received on it after another connection to the
+same replica went silent. In that case the cause is assumed to be not the replica but a
+middlebox on the path, which may have dropped its state of every connection open at that time.
 """
 
 import socket
@@ -23,10 +23,11 @@
 
 from papayapier.sockets import is_quiet
 
-# Connections in use are never bounded: a bound would let a call wait for another's answer.
+# Bounds idle connections only. A bound on connections in use would make a call wait until
+# another one has its answer.
 KEPT_MAX: Final = 4_096
-# Shorter than the 5 s after which common servers close an idle connection. A call written
-# to a connection that is being closed fails, and nobody can tell whether it ran.
+# Shorter than the 5 s after which common servers close an idle connection. A call written to a
+# connection that is being closed fails, and it is unknown whether it ran.
 KEPT_IDLE_S: Final = 4
 
 KEEPALIVE_IDLE_S: Final = 2
@@ -34,17 +35,17 @@
 KEEPALIVE_PROBES: Final = 3
 USER_TIMEOUT_MS: Final = 5_000
 
-# What the library calls the state of a connection with no request on it.
+# Twisted's name for the state of a connection without a request.
 IDLE: Final = "QUIESCENT"
 
-# The library has no annotations here.
+# Twisted has no type annotations here.
 _Agent: Any = Agent
 
 
 class Lease:
-    """Connect for one call, and record the connection that the call is on.
+    """Connect for a single call, and record which connection the call uses.
 
-    take is called just before the request is written, and returns False if it must not be.
+    take is called just before the request is written; if it returns False, nothing is written.
     """
 
     __slots__ = ("_endpoint", "_take", "fresh", "protocol")
@@ -56,7 +57,7 @@
         self.protocol: Any = None
 
     def endpointForURI(self, uri: object) -> "Lease":  # noqa: N802
-        """Return itself, whatever the address in the URI."""
+        """Return this object, whatever the address in the URI."""
         return self
 
     def connect(self, protocolFactory: Any) -> Deferred[Any]:  # noqa: N803
@@ -66,38 +67,38 @@
         return done.addCallback(_tune)
 
     def use(self, protocol: Any) -> Any:
-        """Record the connection; the request is written to it right after this.
+        """Record the connection; the request is written to it immediately afterwards.
 
-        Up to here not one byte of the request was given to a connection, so a failure can
-        truthfully be reported as not sent. After it, that is never certain again.
+        Before this call no byte of the request was passed to a connection, so a failure can be
+        reported as not sent. After it, the request may have been sent.
         """
         if protocol.state != IDLE:
             raise ConnectionAborted("the connection was lost before it was used")
         if not self._take():
             _abort(protocol)
-            raise ConnectionAborted("the call has ended before it was sent")
+            raise ConnectionAborted("the call ended before the request was sent")
         self.protocol = protocol
         return protocol
 
     def was_reset(self) -> bool:
-        """Tell whether the connection has ended in another way than by its peer's close."""
+        """Return whether the connection ended other than by an orderly close of the peer."""
         return self.protocol is not None and bool(self.protocol.was_reset)
 
     def condemn(self) -> None:
-        """Close the connection at once, so that nothing else is ever read from it."""
+        """Abort the connection, so that nothing more is read from it."""
         if self.protocol is not None:
             _abort(self.protocol)
 
 
 class ReplicaPool:
-    """Hold the kept connections to one address."""
+    """Hold the connections to one address."""
 
     __slots__ = ("_endpoint", "_kept", "_reactor", "_single", "used_ms")
 
     def __init__(self, reactor: Any, host: str, port: int) -> None:
         self.used_ms = 0
         self._reactor = reactor
-        # The call's own timer bounds connecting; the endpoint's is not on our clock.
+        # The exchange's timer bounds connecting; the endpoint's timeout does not use our clock.
         self._endpoint = TCP4ClientEndpoint(reactor, host, port)
         self._single = _make_pool(reactor, persistent=False)
         self._kept = _make_pool(reactor, persistent=True)
@@ -113,25 +114,25 @@
         return Lease(self._endpoint, take)
 
     def trust(self, lease: Lease, at_ms: int) -> None:
-        """Note that a connection still carried bytes at a time."""
+        """Record that the connection carried bytes at this time."""
         self._kept.alive_ms[lease.protocol] = at_ms
 
     def distrust(self, before_ms: int) -> None:
-        """Use no kept connection that has carried nothing after a time."""
+        """Stop reusing idle connections that carried no bytes after this time."""
         self._kept.distrusted_ms = max(self._kept.distrusted_ms, before_ms)
 
     def close(self) -> Deferred[None]:
-        """Close the kept connections."""
+        """Close the idle connections."""
         done: Deferred[None] = self._kept.closeCachedConnections()
         return done
 
 
 class _LeasingPool(HTTPConnectionPool):
-    """Tell the lease which connection it was given, and give only trusted ones."""
+    """Record the assigned connection in the lease, and skip connections that may be dead."""
 
     maxPersistentPerHost = KEPT_MAX  # noqa: N815
     cachedConnectionTimeout = KEPT_IDLE_S  # noqa: N815
-    # The pool would send a request again by itself, and a replica would run it twice.
+    # The pool would otherwise retry a request by itself, and a replica could run it twice.
     retryAutomatically = False  # noqa: N815
 
     def __init__(self, reactor: Any, persistent: bool) -> None:
@@ -150,8 +151,8 @@
     def _usable(self, protocol: Any) -> bool:
         if self.alive_ms.get(protocol, 0) <= self.distrusted_ms:
             return False
-        # A replica that has closed it shows here before the reactor has come round to it. Bytes
-        # that nobody asked for would be taken as the start of the next answer.
+        # Reading the socket shows a close by the replica before the reactor has processed it.
+        # Unsolicited bytes would be parsed as the start of the next answer.
         return is_quiet(protocol.transport.getHandle())
 
 
@@ -160,18 +161,18 @@
 
 
 def _abort(protocol: Any) -> None:
-    # abort() alone first sends what is still buffered; abortConnection() alone leaves the
-    # protocol looking idle until the next turn of the reactor, and a pool that already
-    # holds it would give it to the next call.
+    # abort() alone first sends what is still buffered. abortConnection() alone leaves the
+    # protocol in the idle state until the next reactor iteration, and a pool that already
+    # contains it would assign it to the next call.
     protocol.abort()
     protocol.transport.abortConnection()
 
 
 def _note_end(protocol: Any) -> None:
-    """Keep how a connection ends.
+    """Record whether a connection is closed in order or reset.
 
-    The library ends a body without a declared length alike, whether the replica closed the
-    connection or it was reset on the way; taken for whole, a half answer would be passed on.
+    Twisted reports the end of a body without a declared length in the same way for both. If a
+    reset counted as the end of the body, a truncated answer would be passed on as complete.
     """
     lost = protocol.connectionLost
 
@@ -184,10 +185,10 @@
 
 
 def _tune(protocol: Any) -> Any:
-    """Let the kernel notice a peer that is gone while nothing is due from it.
+    """Set the TCP options that detect a dead peer on an idle connection.
 
-    Without this, a connection that something in between has forgotten stays open on our
-    side; keepalive probes and the limit on unacknowledged data close it within seconds.
+    Without them, a connection whose state a middlebox has dropped stays open on this side.
+    Keepalive probes and the limit on unacknowledged data close it within seconds.
     """
     _note_end(protocol)
     protocol.transport.setTcpKeepAlive(True)
--- a/papayapier/upstream/raw.py
+++ b/papayapier/upstream/raw.py
@@ -1,8 +1,8 @@
-"""Pass a caller's request to one replica as it is, and know whether the answer is whole.
+"""Forward a caller's request to one replica unchanged, and check that the answer is complete.
 
-Where the platform forwards any path to a replica, the answer's form is the replica's matter.
-What is checked is what tells a caller's own whole answer from anything else: the request id
-that the replica repeats, its signature, and the end of the body.
+On platforms that forward arbitrary paths to replicas, the format of an answer is up to the
+replica. Only what identifies the complete answer to the caller's request is checked: the
+request id that the replica repeats, its signature, and the end of the body.
 """
 
 from collections.abc import Awaitable, Callable
@@ -18,17 +18,18 @@
 from papayapier.upstream.links import Links
 from papayapier.upstream.phases import Fault
 
-# Far above any answer seen on the platform; bounds what one broken replica can take.
+# Far above the size of real answers; bounds the memory that one faulty replica can use.
 MAX_BODY_BYTES: Final = 8_000_000
 ANSWERED: Final = "answered"
 
 
 class AnswerFacts(NamedTuple):
-    """Hold what the head of an answer says of the run.
+    """Hold what the status and headers of an answer say about the request.
 
-    signed: the replica itself made it; not_run: the replica states that it did not and will
-    not run the request; moved: another replica has the address now; encoded: the body is not
-    as the replica made it; load_unread: it states a load that cannot be read.
+    signed: the replica itself produced the answer. not_run: the replica states that it did not
+    and will not run the request. moved: the address now belongs to another replica. encoded:
+    the body was changed on its way from the replica. load_unread: the answer contains a load
+    report that cannot be parsed.
     """
 
     request_id: str
@@ -41,7 +42,7 @@
 
 
 class RawCall(NamedTuple):
-    """Describe one send; first_byte_ms 0 waits as long as the settings say."""
+    """Describe one request to forward; first_byte_ms of 0 applies the limit of the settings."""
 
     request_id: str
     method: str
@@ -55,19 +56,19 @@
 
 
 class RawAnswer(NamedTuple):
-    """Hold an answer of which nothing has been passed on yet."""
+    """Hold a complete answer of which nothing has been passed on to the caller yet."""
 
     status: int
     headers: Headers
     body: bytes
 
     def good(self) -> bool:
-        """Tell whether the replica did what was asked."""
+        """Return whether the status is a success."""
         return is_good(self.status)
 
 
 class PassedOn(NamedTuple):
-    """Say that a whole good answer has been passed on to its taker."""
+    """Report a complete successful answer that was already passed on to its StreamTaker."""
 
     status: int
 
@@ -76,21 +77,21 @@
 
 
 def is_good(status: int) -> bool:
-    """Tell whether a status says that the replica did what was asked."""
+    """Return whether a status is a success."""
     return 200 <= status < 300
 
 
 class StreamTaker(Protocol):
-    """Take the answer to a stream as it comes; a Fault ends it."""
+    """Consume a streamed answer; a Fault ends the stream."""
 
     def on_head(self, head: Head) -> None:
-        """Take the head of a good answer."""
+        """Handle the status and headers of a successful answer."""
 
     def on_data(self, data: bytes, now_ms: int) -> Fault | None:
-        """Take a part of the body."""
+        """Handle received bytes of the body."""
 
     def on_end(self, declared: bool) -> Fault | None:
-        """Take the end of the body; declared tells that its length or last chunk says so."""
+        """Handle the end of the body; declared: its length or its last chunk confirmed the end."""
 
 
 ReadFacts = Callable[[int, Headers, int], AnswerFacts]
@@ -99,9 +100,10 @@
 
 
 class RawDeps(NamedTuple):
-    """Group what sends work with.
+    """Group the dependencies of make_raw_send.
 
-    on_load is told each answer's load, on_moved a replica whose address is another's now.
+    on_load is called with the load that an answer reports, on_moved with the id of a replica
+    whose address now belongs to another replica.
     """
 
     links: Links
@@ -112,7 +114,7 @@
 
 
 def make_raw_send(deps: RawDeps) -> SendRaw:
-    """Make the call that sends a request to a replica."""
+    """Create the function that forwards a request to a replica."""
     links, metrics = deps.links, deps.metrics
 
     async def send(
@@ -148,7 +150,7 @@
 
 
 class _Reader:
-    """Take the parts of one answer."""
+    """Process the parts of one answer as they are received."""
 
     __slots__ = ("_body", "_call", "_head", "_read_facts", "_taker", "_taking", "facts")
 
@@ -162,11 +164,11 @@
         self.facts: AnswerFacts | None = None
 
     def sink(self) -> Sink:
-        """Return the calls that take the answer."""
+        """Return the callbacks that process the answer."""
         return Sink(self._on_head, self._on_end)
 
     def answer(self) -> Answered:
-        """Return the answer, once the exchange has ended well."""
+        """Return the answer after a successful exchange."""
         assert self._head is not None
         if self._taking:
             return PassedOn(self._head.status)
@@ -176,14 +178,14 @@
         facts = self._read_facts(head.status, head.headers, head.at_ms)
         self._head = head
         if facts.request_id and facts.request_id != self._call.request_id:
-            return Err(Fault(FailureKind.WRONG_ID, f"answer to request {facts.request_id}"))
+            return Err(Fault(FailureKind.WRONG_ID, f"answer belongs to request {facts.request_id}"))
         self.facts = facts
         if facts.not_run:
             return Ok(self._body.add)
         if not facts.signed:
-            return Err(Fault(FailureKind.BROKEN, f"status {head.status} without signature"))
+            return Err(Fault(FailureKind.BROKEN, f"status {head.status} without replica signature"))
         if facts.encoded:
-            return Err(Fault(FailureKind.BROKEN, "the body is encoded"))
+            return Err(Fault(FailureKind.BROKEN, "the body has a content encoding"))
         if self._taker is None or not is_good(head.status):
             return Ok(self._body.add)
         self._taking = True
@@ -193,6 +195,6 @@
     def _on_end(self, declared: bool) -> Fault | None:
         assert self._head is not None
         if self.facts is not None and self.facts.not_run:
-            reason = f"the replica did not run it, status {self._head.status}"
+            reason = f"the replica did not run the request, status {self._head.status}"
             return Fault(FailureKind.STATUS, reason, self._head.status)
         return self._taker.on_end(declared) if self._taking and self._taker is not None else None
--- a/papayapier/upstream/replies.py
+++ b/papayapier/upstream/replies.py
@@ -1,4 +1,4 @@
-"""Check the answer to one call as it comes, and make the Reply of it."""
+"""Validate the answer to a call as it is received, and build its Reply."""
 
 from typing import Final
 
@@ -20,12 +20,12 @@
 
 
 def is_engine_call(call: Call) -> bool:
-    """Tell whether the answer must have the form of a model engine's."""
+    """Return whether the answer must have the format of a model engine's."""
     return call.stream or (call.path in ENGINE_PATHS and not call.plain)
 
 
 class ReplyReader:
-    """Take the parts of one answer."""
+    """Process the parts of one answer as they are received."""
 
     __slots__ = ("_body", "_call", "_head", "_load", "_parsed", "_start_ms", "_stream")
 
@@ -39,11 +39,11 @@
         self._stream = StreamReader(call.request_id, on_token) if call.stream else None
 
     def sink(self) -> Sink:
-        """Return the calls that take the answer."""
+        """Return the callbacks that process the answer."""
         return Sink(self._on_head, self._on_end)
 
     def reply(self, now_ms: int) -> Reply:
-        """Return the whole answer, once the exchange has ended well."""
+        """Return the complete answer after a successful exchange."""
         assert self._head is not None
         total_ms = now_ms - self._start_ms
         parsed = self._stream.parsed() if self._stream else self._parsed
@@ -68,7 +68,7 @@
         if found != self._call.request_id and (found or not refused):
             return Err(answers.wrong_id(found, self._call.request_id))
         if refused:
-            # The body says why; it is read to its end so that the connection can be kept.
+            # The body holds the reason. It is read to its end so that the connection can be reused.
             self._stream = None
             self._body = Collected(MAX_ERROR_BYTES)
         return Ok(self._body.add if self._stream is None else self._stream.feed)
@@ -89,10 +89,10 @@
         return None
 
     def _is_refusal(self, head: Head) -> bool:
-        """Tell whether the status says that there is no answer.
+        """Return whether the status means that the replica did not answer the call.
 
-        A plain service's answer belongs to the caller whatever its status; only what
-        stands before the service in its place does not know the request's id.
+        A plain service's answer is passed to the caller whatever its status. A server error
+        without the request id comes from a proxy in front of the service, not from the service.
         """
         if is_engine_call(self._call):
             return head.status != OK_STATUS
--- a/papayapier/upstream/reports.py
+++ b/papayapier/upstream/reports.py
@@ -1,12 +1,12 @@
 """Poll the load reports of a changing set of replicas.
 
-Each replica is asked again a jittered interval after its last answer, so that at most one
-question to it is open and a slow replica is asked less often. A plain service whose load
-arrived with the answer to a call meanwhile is not asked: that costs nothing, while polls are
-most of what an idle instance does. An engine is asked all the same, because only the
-polled report tells its step time, by which batch work is bounded; the gaps between tokens
-that an instance sees itself are too uneven for that. The polls of idle replicas also keep a
-connection to each in use, and so find out early when connections to it go silent.
+Each replica is polled a jittered interval after its last answer, so that at most one request to
+it is pending and a slow replica is polled less often. A plain service whose load meanwhile
+arrived with the answer to a call is not polled: that report is free, while polls are most of
+the work of an idle instance. An engine is polled anyway, because only the polled report
+contains its step time, by which batch work is bounded; the gaps between tokens that an instance
+observes are too irregular for that. Polling idle replicas also keeps a connection to each in
+use, which reveals early that connections to it are dead.
 """
 
 import random
@@ -29,16 +29,16 @@
 
 
 class OnReport(NamedTuple):
-    """Take what the polls find."""
+    """Group the callbacks for the results of polls."""
 
     on_load: Callable[[Replica, Load], None]
     on_failure: Callable[[Replica, Failure], None]
 
 
 class Reports(NamedTuple):
-    """Group the calls that steer the polls.
+    """Group the functions that control polling.
 
-    poll names the whole set of replicas to be polled from now on; close ends all polls.
+    poll replaces the set of replicas to poll; close stops all polls.
     """
 
     poll: Callable[[Sequence[Replica]], None]
@@ -53,13 +53,16 @@
     on_report: OnReport,
     heard_at: HeardAt = lambda _replica: 0,
 ) -> Reports:
-    """Make polls of no replica yet; heard_at tells when a load last arrived, or 0."""
+    """Create the polls, of no replica at first.
+
+    heard_at returns when a load report of a replica was last received with an answer, or 0.
+    """
     polls = _Polls(clock, rand, every_ms, read_load, on_report, heard_at)
     return Reports(polls.poll, partial(polls.poll, ()))
 
 
 class _Polls:
-    """Hold what is under way for each polled replica."""
+    """Hold the state of the polls by replica."""
 
     def __init__(
         self,
@@ -85,7 +88,7 @@
         for replica in replicas:
             if replica not in self._polls:
                 self._polls[replica] = poll = _Poll()
-                # The first polls are spread, or all replicas would be asked in one turn.
+                # Spread the first polls, or all replicas would be polled at the same time.
                 self._later(replica, poll, self._rand.uniform(0, self._every_ms))
 
     def _later(self, replica: Replica, poll: "_Poll", delay_ms: float) -> None:
@@ -118,7 +121,7 @@
 
 
 class _Poll:
-    """Hold the timer or the open question of one replica."""
+    """Hold the timer or the pending request of one replica."""
 
     __slots__ = ("asking", "stopped", "tells_steps", "timer")
 
--- a/papayapier/upstream/sse.py
+++ b/papayapier/upstream/sse.py
@@ -1,8 +1,8 @@
-"""Read a stream of tokens sent as server-sent events.
+"""Parse a stream of tokens sent as server-sent events.
 
-Events are separated by blank lines and each holds one line "data: ". This is the hot path
-of an instance, so bytes are split in one go, and of each event only what is checked or
-passed on is decoded.
+Events are separated by blank lines and each has one line that starts with "data: ". This is the
+hot path of an instance, so received bytes are split in one call, and only the fields of an
+event that are checked or passed on are decoded.
 """
 
 from typing import Final, NotRequired, TypedDict
@@ -20,13 +20,13 @@
 
 
 class Delta(TypedDict):
-    """Hold the piece of a chat stream; the first and last may have no content."""
+    """Hold the delta of a chat chunk; the first and the last chunk may have no content."""
 
     content: NotRequired[str | None]
 
 
 class StreamChoice(TypedDict):
-    """Hold one choice of a piece: chat has delta, completions have text."""
+    """Hold one choice of a chunk: chat has delta, completions have text."""
 
     finish_reason: NotRequired[str | None]
     delta: NotRequired[Delta]
@@ -34,7 +34,7 @@
 
 
 class Chunk(TypedDict):
-    """Hold one piece of a stream."""
+    """Hold one chunk of a stream."""
 
     id: str
     choices: list[StreamChoice]
@@ -44,7 +44,7 @@
 
 
 class StreamReader:
-    """Turn the bytes of one stream into tokens, and know whether it is whole."""
+    """Parse the bytes of one stream into tokens, and detect an incomplete stream."""
 
     __slots__ = (
         "_chars",
@@ -68,11 +68,11 @@
         self.first_ms = 0
 
     def parsed(self) -> Parsed:
-        """Return what was received."""
+        """Return the text, token count and finish reason received so far."""
         return Parsed("".join(self._texts), len(self._texts), self._finish_reason)
 
     def feed(self, data: bytes, now_ms: int) -> Fault | None:
-        """Take received bytes, and call back for each token in them."""
+        """Process received bytes and call back for each token in them."""
         if self._rest:
             data = self._rest + data
         if b"\r" in data:
@@ -89,23 +89,23 @@
         return None
 
     def end(self) -> Fault | None:
-        """Check that the stream ended with its end mark."""
+        """Check that the stream ended with [DONE] and a finish_reason."""
         if not self._whole:
-            return Fault(FailureKind.CUT, "stream ended without its end mark")
+            return Fault(FailureKind.CUT, "stream ended without [DONE]")
         if not self._finish_reason:
             return Fault(FailureKind.BROKEN, "stream has no finish_reason")
         return None
 
     def _take(self, payload: bytes, now_ms: int) -> Fault | None:
         if self._whole:
-            return Fault(FailureKind.BROKEN, "stream goes on after its end mark")
+            return Fault(FailureKind.BROKEN, "stream continues after [DONE]")
         if payload == DONE:
             self._whole = True
             return None
         try:
             chunk = _CHUNK.decode(payload)
         except msgspec.MsgspecError as exc:
-            return Fault(FailureKind.BROKEN, f"piece of a stream cannot be read: {exc}")
+            return Fault(FailureKind.BROKEN, f"stream chunk cannot be decoded: {exc}")
         if chunk["id"] != self._request_id:
             return wrong_id(chunk["id"], self._request_id)
         if not chunk["choices"]:
@@ -134,7 +134,7 @@
 
 
 def _payload(event: bytes) -> bytes:
-    """Return the data of an event; comments and other fields are passed over."""
+    """Return the data of an event; comments and other fields are ignored."""
     if event.startswith(DATA) and b"\n" not in event:
         return event[len(DATA) :].strip()
     lines = [line for line in event.split(b"\n") if line.startswith(DATA)]
