--- a/papayapier/orders/controller.py
+++ b/papayapier/orders/controller.py
@@ -21,7 +21,7 @@
 from papayapier.settings import OrderSettings
 from papayapier.store.api import Store
 from papayapier.upstream.api import Replica, Sent
-from papayapier.upstream.orders import Order, Orders
+from papayapier.upstream.orders import EngineControl, Order
 
 TICK_BUSY_MS: Final = 250
 TICK_IDLE_MS: Final = 2_000
@@ -58,7 +58,7 @@
     store: Store
     cfg: OrderSettings
     instance: str
-    orders: Orders
+    orders: EngineControl
     wanted: Callable[[], Sequence[UpstreamWanted]]
     replicas: Callable[[], Sequence[ListedReplica]]
     instances: Callable[[], Sequence[str]]
@@ -199,7 +199,7 @@
         self._plan.answered(replica.id, order.order_id, answer, self._deps.clock.now())
 
     async def _send(self, replica: Replica, order: Order) -> Answered:
-        match await self._deps.orders.give(replica, order):
+        match await self._deps.orders.send_order(replica, order):
             case Ok(answer) if answer.accepted:
                 return Answered.ACCEPTED
             case Ok(answer):
@@ -216,7 +216,7 @@
         await self._looks.acquire()
         try:
             asked_ms = self._deps.clock.now()
-            read = await self._deps.orders.state(replica)
+            read = await self._deps.orders.read_state(replica)
         finally:
             self._looks.release()
         if isinstance(read, Ok):
--- a/papayapier/upstream/answers.py
+++ b/papayapier/upstream/answers.py
@@ -14,8 +14,8 @@
 from papayapier.upstream.api import Failure, FailureKind, Load, Sent
 from papayapier.upstream.phases import Fault
 
-REQUEST_ID: Final = b"X-Request-Id"
-LOAD: Final = b"X-Load"
+REQUEST_ID_HEADER: Final = b"X-Request-Id"
+LOAD_HEADER: Final = b"X-Load"
 
 
 class Message(TypedDict):
@@ -38,7 +38,7 @@
     completion_tokens: int
 
 
-class WholeAnswer(TypedDict):
+class CompletionAnswer(TypedDict):
     """Hold the JSON answer of a model engine to a call that is not streamed."""
 
     id: str
@@ -55,7 +55,7 @@
     step_ms: NotRequired[float]
 
 
-class Parsed(NamedTuple):
+class ParsedAnswer(NamedTuple):
     """Hold the fields read from an engine's answer."""
 
     text: str
@@ -63,20 +63,20 @@
     finish_reason: str
 
 
-NOTHING_PARSED: Final = Parsed("", 0, "")
+EMPTY_ANSWER: Final = ParsedAnswer("", 0, "")
 
-_WHOLE: Final = msgspec.json.Decoder(WholeAnswer)
-_LOAD: Final = msgspec.json.Decoder(LoadReport)
+_ANSWER_DECODER: Final = msgspec.json.Decoder(CompletionAnswer)
+_LOAD_DECODER: Final = msgspec.json.Decoder(LoadReport)
 
 
-class Collected:
+class BodyCollector:
     """Collect a body of bounded size."""
 
-    __slots__ = ("_limit", "_parts", "_size")
+    __slots__ = ("_chunks", "_limit", "_size")
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
-        self._parts: list[bytes] = []
+        self._chunks: list[bytes] = []
         self._size = 0
 
     def add(self, data: bytes, _now_ms: int) -> Fault | None:
@@ -84,7 +84,7 @@
         self._size += len(data)
         if self._size > self._limit:
             return Fault(FailureKind.BROKEN, f"answer longer than {self._limit} bytes")
-        self._parts.append(data)
+        self._chunks.append(data)
         return None
 
     def end(self, declared: bool) -> Fault | None:
@@ -95,22 +95,22 @@
 
     def body(self) -> bytes:
         """Return the collected body."""
-        return b"".join(self._parts)
+        return b"".join(self._chunks)
 
 
-def wrong_id(found: str, request_id: str) -> Fault:
+def wrong_id_fault(answer_id: str, request_id: str) -> Fault:
     """Return the fault for an answer that belongs to another request."""
-    return Fault(FailureKind.WRONG_ID, f"answer has id {found!r}, not {request_id!r}")
+    return Fault(FailureKind.WRONG_ID, f"answer has id {answer_id!r}, not {request_id!r}")
 
 
-def parse_whole(body: bytes, request_id: str) -> Result[Parsed, Fault]:
+def parse_complete(body: bytes, request_id: str) -> Result[ParsedAnswer, Fault]:
     """Parse the complete JSON answer of an engine and check its id."""
     try:
-        answer = _WHOLE.decode(body)
+        answer = _ANSWER_DECODER.decode(body)
     except msgspec.MsgspecError as exc:
         return Err(Fault(FailureKind.BROKEN, f"answer cannot be decoded: {exc}"))
     if answer["id"] != request_id:
-        return Err(wrong_id(answer["id"], request_id))
+        return Err(wrong_id_fault(answer["id"], request_id))
     if not answer["choices"]:
         return Err(Fault(FailureKind.BROKEN, "answer has no choices"))
     choice = answer["choices"][0]
@@ -119,7 +119,7 @@
         return Err(Fault(FailureKind.BROKEN, "answer has no finish_reason"))
     usage = answer.get("usage")
     tokens = usage["completion_tokens"] if usage else 0
-    return Ok(Parsed(_text(choice), tokens, finish_reason))
+    return Ok(ParsedAnswer(_text(choice), tokens, finish_reason))
 
 
 def _text(choice: Choice) -> str:
@@ -132,7 +132,7 @@
 
 def parse_load_header(headers: Headers, now_ms: int) -> Load | None:
     """Parse the header X-Load, RUNNING/WAITING/SLOTS; a malformed header counts as none."""
-    parts = header_text(headers, LOAD).split("/")
+    parts = header_text(headers, LOAD_HEADER).split("/")
     if len(parts) != 3 or not all(part.isascii() and part.isdigit() for part in parts):
         return None
     running, waiting, slots = map(int, parts)
@@ -144,7 +144,7 @@
     if status != 200:
         return Err(Failure(FailureKind.STATUS, Sent.MAYBE, f"status {status}", status))
     try:
-        report = _LOAD.decode(body)
+        report = _LOAD_DECODER.decode(body)
     except msgspec.MsgspecError as exc:
         return Err(Failure(FailureKind.BROKEN, Sent.MAYBE, f"load report cannot be decoded: {exc}"))
     step_ms = report.get("step_ms", 0.0)
--- a/papayapier/upstream/cancels.py
+++ b/papayapier/upstream/cancels.py
@@ -15,56 +15,56 @@
 
 from papayapier import events
 from papayapier.upstream.api import Replica
-from papayapier.upstream.control import Ask, Question
+from papayapier.upstream.control import ControlRequest, SendControl
 
-UNDER_WAY_MAX: Final = 2
-WAITING_MAX: Final = 256
+MAX_IN_FLIGHT: Final = 2
+MAX_QUEUED: Final = 256
 
 
-class Cancels:
+class CancelQueue:
     """Queue cancel requests per replica and send them with bounded concurrency."""
 
-    def __init__(self, ask: Ask) -> None:
-        self._ask = ask
+    def __init__(self, send_control: SendControl) -> None:
+        self._send_control = send_control
         self._queues: dict[str, _Queue] = {}
 
     def add(self, replica: Replica, request_id: str) -> None:
         """Queue a cancel request; the oldest queued one is dropped when the queue is full."""
         queue = self._queues.setdefault(replica.id, _Queue())
-        queue.waiting.append(request_id)
-        if queue.under_way < UNDER_WAY_MAX:
-            queue.under_way += 1
-            Deferred.fromCoroutine(self._drain(replica, queue)).addErrback(_report, replica)
+        queue.queued.append(request_id)
+        if queue.in_flight < MAX_IN_FLIGHT:
+            queue.in_flight += 1
+            Deferred.fromCoroutine(self._drain(replica, queue)).addErrback(_log_failure, replica)
 
     def clear(self) -> None:
         """Drop all queued cancel requests."""
         for queue in self._queues.values():
-            queue.waiting.clear()
+            queue.queued.clear()
 
     async def send(self, replica: Replica, request_id: str) -> None:
         """Send a cancel request to the replica and ignore its answer."""
         body = msgspec.json.encode({"request_id": request_id})
-        await self._ask(replica, Question("POST", "/cancel", body))
+        await self._send_control(replica, ControlRequest("POST", "/cancel", body))
 
     async def _drain(self, replica: Replica, queue: "_Queue") -> None:
         try:
-            while queue.waiting:
-                await self.send(replica, queue.waiting.popleft())
+            while queue.queued:
+                await self.send(replica, queue.queued.popleft())
         finally:
-            queue.under_way -= 1
-            if not queue.under_way:
+            queue.in_flight -= 1
+            if not queue.in_flight:
                 self._queues.pop(replica.id, None)
 
 
 class _Queue:
     """Hold the cancel requests of one replica: those queued and the number in flight."""
 
-    __slots__ = ("under_way", "waiting")
+    __slots__ = ("in_flight", "queued")
 
     def __init__(self) -> None:
-        self.under_way = 0
-        self.waiting: deque[str] = deque(maxlen=WAITING_MAX)
+        self.in_flight = 0
+        self.queued: deque[str] = deque(maxlen=MAX_QUEUED)
 
 
-def _report(why: TwistedFailure, replica: Replica) -> None:
-    events.emit(events.CANCEL_FAILED, replica=replica.id, reason=why.getErrorMessage())
+def _log_failure(failure: TwistedFailure, replica: Replica) -> None:
+    events.emit(events.CANCEL_FAILED, replica=replica.id, reason=failure.getErrorMessage())
--- a/papayapier/upstream/client.py
+++ b/papayapier/upstream/client.py
@@ -27,9 +27,9 @@
     Sent,
     Upstreams,
 )
-from papayapier.upstream.cancels import Cancels
-from papayapier.upstream.control import Question, make_ask
-from papayapier.upstream.exchange import Outgoing
+from papayapier.upstream.cancels import CancelQueue
+from papayapier.upstream.control import ControlRequest, make_control_sender
+from papayapier.upstream.exchange import OutgoingRequest
 from papayapier.upstream.links import Links
 from papayapier.upstream.replies import ReplyReader, is_engine_call
 
@@ -40,36 +40,36 @@
     reactor: Any, clock: Clock, cfg: UpstreamSettings, metrics: Metrics
 ) -> Upstreams:
     """Create the functions that send requests to replicas."""
-    links = Links(reactor, clock, cfg)
-    ask = make_ask(links)
-    cancels = Cancels(ask)
+    pools = Links(reactor, clock, cfg)
+    send_control = make_control_sender(pools)
+    cancels = CancelQueue(send_control)
 
     async def send(replica: Replica, call: Call, on_token: OnToken) -> Result[Reply, Failure]:
         reader = ReplyReader(call, on_token, int(clock.now()))
-        ended = await links.run(replica, _outgoing(call), reader.sink())
-        if isinstance(ended, Ok):
+        result = await pools.run(replica, _outgoing_request(call), reader.handler())
+        if isinstance(result, Ok):
             metrics.upstream_calls.labels(replica.upstream, ANSWERED).inc()
             return Ok(reader.reply(int(clock.now())))
-        failure = ended.err_value
+        failure = result.err_value
         metrics.upstream_calls.labels(replica.upstream, failure.kind.value).inc()
         if _may_still_run(call, failure):
             cancels.add(replica, call.request_id)
-        return ended
+        return result
 
     async def load(replica: Replica) -> Result[Load, Failure]:
-        answer = await ask(replica, Question("GET", "/load"))
+        answer = await send_control(replica, ControlRequest("GET", "/load"))
         if isinstance(answer, Err):
             return answer
         return parse_load(answer.ok_value.status, answer.ok_value.body, int(clock.now()))
 
     async def close() -> None:
         cancels.clear()
-        await links.close()
+        await pools.close()
 
     return Upstreams(send, load, cancels.send, close)
 
 
-def _outgoing(call: Call) -> Outgoing:
+def _outgoing_request(call: Call) -> OutgoingRequest:
     headers = Headers(
         {
             "Content-Type": [call.content_type],
@@ -77,7 +77,7 @@
             "X-Papayapier-Call": [call.call_id],
         }
     )
-    return Outgoing(
+    return OutgoingRequest(
         call.method,
         call.path,
         headers,
--- a/papayapier/upstream/control.py
+++ b/papayapier/upstream/control.py
@@ -6,9 +6,9 @@
 from result import Err, Ok, Result
 from twisted.web.http_headers import Headers
 
-from papayapier.upstream.answers import Collected
+from papayapier.upstream.answers import BodyCollector
 from papayapier.upstream.api import Failure, Replica
-from papayapier.upstream.exchange import Head, OnData, Outgoing, Sink
+from papayapier.upstream.exchange import AnswerHandler, Head, OnData, OutgoingRequest
 from papayapier.upstream.links import Links
 from papayapier.upstream.phases import Fault
 
@@ -16,7 +16,7 @@
 JSON_TYPE: Final = "application/json"
 
 
-class Question(NamedTuple):
+class ControlRequest(NamedTuple):
     """Describe a control request."""
 
     method: str
@@ -24,17 +24,17 @@
     body: bytes = b""
 
 
-class Answer(NamedTuple):
+class ControlAnswer(NamedTuple):
     """Hold the complete answer to a control request, whatever its status."""
 
     status: int
     body: bytes
 
 
-Ask = Callable[[Replica, Question], Awaitable[Result[Answer, Failure]]]
+SendControl = Callable[[Replica, ControlRequest], Awaitable[Result[ControlAnswer, Failure]]]
 
 
-def make_ask(links: Links) -> Ask:
+def make_control_sender(pools: Links) -> SendControl:
     """Create the function that sends control requests.
 
     A control request times out after the progress limit of a stream. A load poll that hangs on
@@ -42,20 +42,22 @@
     the first-byte limit of a call.
     """
 
-    async def ask(replica: Replica, question: Question) -> Result[Answer, Failure]:
-        collected = Collected(MAX_ANSWER_BYTES)
+    async def send_control(
+        replica: Replica, request: ControlRequest
+    ) -> Result[ControlAnswer, Failure]:
+        collector = BodyCollector(MAX_ANSWER_BYTES)
         statuses: list[int] = []
 
         def on_head(head: Head) -> Result[OnData, Fault]:
             statuses.append(head.status)
-            return Ok(collected.add)
+            return Ok(collector.add)
 
-        due_ms = int(links.clock.now()) + links.cfg.progress_ms
+        due_ms = int(pools.clock.now()) + pools.cfg.progress_ms
         headers = Headers({"Content-Type": [JSON_TYPE]})
-        out = Outgoing(question.method, question.path, headers, question.body, due_ms, False)
-        ended = await links.run(replica, out, Sink(on_head, collected.end))
-        if isinstance(ended, Err):
-            return ended
-        return Ok(Answer(statuses[0], collected.body()))
+        out = OutgoingRequest(request.method, request.path, headers, request.body, due_ms, False)
+        result = await pools.run(replica, out, AnswerHandler(on_head, collector.end))
+        if isinstance(result, Err):
+            return result
+        return Ok(ControlAnswer(statuses[0], collector.body()))
 
-    return ask
+    return send_control
--- a/papayapier/upstream/engine_calls.py
+++ b/papayapier/upstream/engine_calls.py
@@ -39,24 +39,24 @@
     resume_text: NotRequired[str | None]
 
 
-_READ: Final = msgspec.json.Decoder(_Body)
+_BODY_DECODER: Final = msgspec.json.Decoder(_Body)
 # msgspec.Raw keeps each value exactly as the caller encoded it.
-_KEYS: Final = msgspec.json.Decoder(dict[str, msgspec.Raw])
-_TEXT: Final = msgspec.json.Decoder(str | None)
+_KEYS_DECODER: Final = msgspec.json.Decoder(dict[str, msgspec.Raw])
+_TEXT_DECODER: Final = msgspec.json.Decoder(str | None)
 _MISSING: Final = "Object missing required field "
 
 
 def parse_generation(body: bytes) -> Result[Generation, str]:
     """Parse a body; the error names the invalid field."""
     try:
-        read = _READ.decode(body)
+        fields = _BODY_DECODER.decode(body)
     except msgspec.MsgspecError as exc:
-        return Err(_plain(exc))
-    if "messages" not in read and "prompt" not in read:
+        return Err(_describe_error(exc))
+    if "messages" not in fields and "prompt" not in fields:
         return Err("messages: missing, and there is no prompt")
-    if (read.get("max_tokens") or 0) < 0:
+    if (fields.get("max_tokens") or 0) < 0:
         return Err("max_tokens: must not be negative")
-    return Ok(Generation(read["model"], bool(read.get("stream")), _prefix(read)))
+    return Ok(Generation(fields["model"], bool(fields.get("stream")), _prefix(fields)))
 
 
 def streaming_body(body: bytes, received: str) -> bytes:
@@ -65,9 +65,9 @@
     A body that is not a JSON object is returned unchanged, and the engine refuses it.
     """
     try:
-        keys: dict[str, Any] = dict(_KEYS.decode(body))
+        keys: dict[str, Any] = dict(_KEYS_DECODER.decode(body))
         # The caller may itself have asked to continue after some text.
-        resumed = _TEXT.decode(keys.get("resume_text", b"null")) or ""
+        resumed = _TEXT_DECODER.decode(keys.get("resume_text", b"null")) or ""
     except msgspec.MsgspecError:
         return body
     keys["stream"] = True
@@ -76,11 +76,11 @@
     return msgspec.json.encode(keys)
 
 
-def _prefix(read: _Body) -> str:
+def _prefix(fields: _Body) -> str:
     """Return the start of the prompt; requests with equal prefixes can share an engine's cache."""
-    if "messages" in read:
-        return _messages_prefix(read["messages"])
-    prompt = read["prompt"]
+    if "messages" in fields:
+        return _messages_prefix(fields["messages"])
+    prompt = fields["prompt"]
     if isinstance(prompt, str):
         return prompt[:PREFIX_CHARS]
     return prompt[0][:PREFIX_CHARS] if prompt else ""
@@ -105,7 +105,7 @@
     return content or ""
 
 
-def _plain(exc: Exception) -> str:
+def _describe_error(exc: Exception) -> str:
     """Rewrite a msgspec error message so that it starts with the invalid field."""
     message, _, path = str(exc).partition(" - at ")
     where = path.strip("`").removeprefix("$").removeprefix(".")
--- a/papayapier/upstream/event_cutter.py
+++ b/papayapier/upstream/event_cutter.py
@@ -14,54 +14,54 @@
 class EventCutter:
     """Buffer the bytes of an incomplete event, and track the id of the last complete one."""
 
-    __slots__ = ("_rest", "last_id")
+    __slots__ = ("_buffer", "last_id")
 
     def __init__(self, last_id: int = NO_EVENT) -> None:
         self.last_id = last_id
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> bytes | None:
         """Return the events completed by these bytes; None means that an event is too long."""
-        data = self._rest + data if self._rest else data
-        end = _end_of_last(data)
-        self._rest = data[end:]
-        whole = data[:end]
-        if whole:
-            self._note_id(whole)
-        return None if len(self._rest) > MAX_EVENT_BYTES else whole
+        data = self._buffer + data if self._buffer else data
+        end = _last_event_end(data)
+        self._buffer = data[end:]
+        complete = data[:end]
+        if complete:
+            self._update_last_id(complete)
+        return None if len(self._buffer) > MAX_EVENT_BYTES else complete
 
     def restart(self) -> None:
         """Drop the incomplete event of a stream that was interrupted."""
-        self._rest = b""
+        self._buffer = b""
 
     def rest(self) -> bytes:
         """Return the bytes after the last complete event of a stream that has ended."""
-        return self._rest
+        return self._buffer
 
-    def _note_id(self, whole: bytes) -> None:
-        at = whole.rfind(ID_FIELD)
-        if at < 0 and not whole.startswith(ID_FIELD[1:]):
+    def _update_last_id(self, complete: bytes) -> None:
+        at = complete.rfind(ID_FIELD)
+        if at < 0 and not complete.startswith(ID_FIELD[1:]):
             return
-        found = _id_at(whole, at)
+        found = _id_at(complete, at)
         if found != NO_EVENT:
             self.last_id = found
 
 
-def first_id(whole: bytes) -> int:
+def first_id(complete: bytes) -> int:
     """Return the first event id in these complete events, or NO_EVENT."""
-    if whole.startswith(ID_FIELD[1:]):
-        return _id_at(whole, -1)
-    at = whole.find(ID_FIELD)
-    return NO_EVENT if at < 0 else _id_at(whole, at)
+    if complete.startswith(ID_FIELD[1:]):
+        return _id_at(complete, -1)
+    at = complete.find(ID_FIELD)
+    return NO_EVENT if at < 0 else _id_at(complete, at)
 
 
-def _id_at(whole: bytes, line_end: int) -> int:
+def _id_at(complete: bytes, line_end: int) -> int:
     """Return the id in the line after the line end at this index; -1 is before the first line."""
-    digits = whole[line_end + len(ID_FIELD) :].split(b"\n", 1)[0].strip()
+    digits = complete[line_end + len(ID_FIELD) :].split(b"\n", 1)[0].strip()
     return int(digits) if digits.isdigit() else NO_EVENT
 
 
-def _end_of_last(data: bytes) -> int:
+def _last_event_end(data: bytes) -> int:
     """Return the index at which the last complete event ends, or 0."""
     ends = [data.rfind(blank) + len(blank) for blank in (b"\n\n", b"\r\n\r\n") if blank in data]
     return max(ends, default=0)
@@ -74,10 +74,10 @@
     data: str
 
 
-def read_events(whole: bytes) -> list[Event]:
+def read_events(complete: bytes) -> list[Event]:
     """Parse complete events and return those that carry data."""
     found = []
-    for part in whole.replace(b"\r\n", b"\n").split(b"\n\n"):
+    for part in complete.replace(b"\r\n", b"\n").split(b"\n\n"):
         event_id = NO_EVENT
         data = []
         for line in part.split(b"\n"):
--- a/papayapier/upstream/exchange.py
+++ b/papayapier/upstream/exchange.py
@@ -25,7 +25,7 @@
 from papayapier.upstream.pool import ReplicaPool
 
 
-class Outgoing(NamedTuple):
+class OutgoingRequest(NamedTuple):
     """Describe a request; due_ms is monotonic, first_byte_ms of 0 means the settings' limit."""
 
     method: str
@@ -49,7 +49,7 @@
 OnData = Callable[[bytes, int], Fault | None]
 
 
-class Sink(NamedTuple):
+class AnswerHandler(NamedTuple):
     """Group the callbacks that process a received answer; a Fault ends the exchange.
 
     on_head returns the callback for the body. on_end is called with True if the body had a
@@ -60,10 +60,10 @@
     on_end: Callable[[bool], Fault | None]
 
 
-Ended = Result[None, Failure]
+ExchangeResult = Result[None, Failure]
 
 # Events that are logged for failures caused by the replica or by the network path to it.
-_EVENTS: Final = {
+_FAILURE_EVENTS: Final = {
     FailureKind.SILENT: events.CONNECTION_CONDEMNED,
     FailureKind.WRONG_ID: events.CONNECTION_CONDEMNED,
     FailureKind.CUT: events.BROKEN_ANSWER,
@@ -80,92 +80,96 @@
         cfg: UpstreamSettings,
         pool: ReplicaPool,
         replica: Replica,
-        out: Outgoing,
-        sink: Sink,
+        outgoing: OutgoingRequest,
+        handler: AnswerHandler,
     ) -> None:
         self._clock = clock
         self._pool = pool
         self._replica = replica
-        self._out = out
-        self._sink = sink
-        own_limit = out.first_byte_ms or cfg.first_byte_ms
-        self._phases = make_phases(cfg._replace(first_byte_ms=own_limit))
-        self._open = True
-        self._answered = False
-        self._closed = False
-        self._started = False
+        self._outgoing = outgoing
+        self._handler = handler
+        first_byte_ms = outgoing.first_byte_ms or cfg.first_byte_ms
+        self._phases = make_phases(cfg._replace(first_byte_ms=first_byte_ms))
+        self._active = True
+        self._head_received = False
+        self._refused = False
+        self._body_started = False
         self._sent = Sent.NO
-        self._lease = pool.lease(self._on_take)
-        self._since_ms = int(clock.now())
-        self._on_data: OnData = _drop
+        self._lease = pool.lease(self._before_write)
+        self._last_progress_ms = int(clock.now())
+        self._on_data: OnData = _ignore_data
         self._timer: Timer | None = None
         self._timer_at_ms = 0
         self._request: Deferred[Any] | None = None
-        self.done: Deferred[Ended] = Deferred(lambda _: self.cancel())
+        self.done: Deferred[ExchangeResult] = Deferred(lambda _: self.cancel())
 
     def start(self) -> None:
         """Send the request."""
-        if self._since_ms >= self._out.due_ms:
-            self._end(Fault(FailureKind.DUE, "the due time passed before the request was sent"))
+        if self._last_progress_ms >= self._outgoing.due_ms:
+            self._finish(Fault(FailureKind.DUE, "the due time passed before the request was sent"))
             return
-        self._arm()
-        out = self._out
-        agent: Any = self._pool.agent(self._lease, out.fresh)
-        url = f"http://{self._replica.host}:{self._replica.port}{out.path}"
-        body = _Body(out.body) if out.body else None
+        self._start_timer()
+        outgoing = self._outgoing
+        agent: Any = self._pool.agent(self._lease, outgoing.fresh)
+        url = f"http://{self._replica.host}:{self._replica.port}{outgoing.path}"
+        body = _Body(outgoing.body) if outgoing.body else None
         try:
-            self._request = agent.request(out.method.encode(), url.encode(), out.headers, body)
+            self._request = agent.request(
+                outgoing.method.encode(), url.encode(), outgoing.headers, body
+            )
         except ValueError as exc:
-            self._end(Fault(FailureKind.BROKEN, f"request cannot be encoded: {exc}"))
+            self._finish(Fault(FailureKind.BROKEN, f"request cannot be encoded: {exc}"))
             return
         self._request.addCallbacks(self._on_response, self._on_request_failed)
 
     def cancel(self) -> None:
         """End the exchange and close its connection."""
-        self._end(Fault(FailureKind.CANCELLED, "cancelled"))
+        self._finish(Fault(FailureKind.CANCELLED, "cancelled"))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if not self._open:
+        if not self._active:
             return
         now_ms = int(self._clock.now())
-        self._since_ms = now_ms
-        if not self._started:
+        self._last_progress_ms = now_ms
+        if not self._body_started:
             self._start_body()
         fault = self._on_data(data, now_ms)
         if fault is not None:
-            self._end(fault)
+            self._finish(fault)
 
     def connectionLost(self, reason: Any = connectionDone) -> None:  # noqa: N802
         """Handle the end of the body; the connection itself may remain open."""
-        if not self._open:
+        if not self._active:
             return
         if reason.check(ResponseDone):
-            self._end(self._sink.on_end(True))
+            self._finish(self._handler.on_end(True))
         elif reason.check(PotentialDataLoss) and not self._lease.was_reset():
-            self._end(self._sink.on_end(False))
+            self._finish(self._handler.on_end(False))
         else:
-            self._end(self._phases.lost(_why(reason)))
+            self._finish(self._phases.connection_lost_fault(_describe(reason)))
 
-    def _on_take(self) -> bool:
+    def _before_write(self) -> bool:
         """Record that the request is about to be written; from now on the replica may run it."""
-        if not self._open:
+        if not self._active:
             return False
         self._sent = Sent.MAYBE
-        self._phases.taken()
-        self._since_ms = int(self._clock.now())
-        self._arm()
+        self._phases.request_written()
+        self._last_progress_ms = int(self._clock.now())
+        self._start_timer()
         return True
 
     def _on_response(self, response: Any) -> None:
-        if not self._open:
+        if not self._active:
             return
-        self._answered = True
-        self._since_ms = int(self._clock.now())
-        taken = self._sink.on_head(Head(response.code, response.headers, self._since_ms))
-        if isinstance(taken, Err):
-            self._end(taken.err_value)
+        self._head_received = True
+        self._last_progress_ms = int(self._clock.now())
+        data_handler = self._handler.on_head(
+            Head(response.code, response.headers, self._last_progress_ms)
+        )
+        if isinstance(data_handler, Err):
+            self._finish(data_handler.err_value)
             return
-        self._on_data = taken.ok_value
+        self._on_data = data_handler.ok_value
         response.deliverBody(self)
 
     def _start_body(self) -> None:
@@ -175,19 +179,19 @@
         slot becomes free. So the limit between bytes applies only after the first byte of the
         body.
         """
-        self._started = True
-        self._phases.started()
-        self._arm()
+        self._body_started = True
+        self._phases.body_started()
+        self._start_timer()
 
     def _on_request_failed(self, reason: Any) -> None:
-        if not self._open:
+        if not self._active:
             return
-        self._closed = _innermost(reason).check(ConnectionRefusedError) is not None
-        self._end(self._phases.lost(_why(reason)))
+        self._refused = _innermost(reason).check(ConnectionRefusedError) is not None
+        self._finish(self._phases.connection_lost_fault(_describe(reason)))
 
-    def _arm(self) -> None:
+    def _start_timer(self) -> None:
         """Start the timer, unless it already fires early enough and can be extended then."""
-        at_ms = min(self._since_ms + self._phases.limit_ms(), self._out.due_ms)
+        at_ms = min(self._last_progress_ms + self._phases.limit_ms(), self._outgoing.due_ms)
         if self._timer is not None:
             if self._timer_at_ms <= at_ms:
                 return
@@ -198,23 +202,23 @@
     def _on_timer(self) -> None:
         self._timer = None
         now_ms = self._clock.now()
-        if now_ms >= self._out.due_ms:
-            self._end(Fault(FailureKind.DUE, "the due time has passed"))
-        elif now_ms >= self._since_ms + self._phases.limit_ms():
-            self._end(self._phases.overdue())
+        if now_ms >= self._outgoing.due_ms:
+            self._finish(Fault(FailureKind.DUE, "the due time has passed"))
+        elif now_ms >= self._last_progress_ms + self._phases.limit_ms():
+            self._finish(self._phases.timeout_fault())
         else:
-            self._arm()
+            self._start_timer()
 
-    def _end(self, fault: Fault | None) -> None:
-        if not self._open:
+    def _finish(self, fault: Fault | None) -> None:
+        if not self._active:
             return
-        self._open = False
-        self._phases.end()
+        self._active = False
+        self._phases.finish()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if fault is None:
-            self._pool.trust(self._lease, self._since_ms)
+            self._pool.mark_alive(self._lease, self._last_progress_ms)
             self.done.callback(Ok(None))
             return
         self._close(fault)
@@ -223,19 +227,19 @@
     def _close(self, fault: Fault) -> None:
         """Close the connection, unless the fault is a complete answer with an error status."""
         if fault.kind is FailureKind.STATUS:
-            self._pool.trust(self._lease, self._since_ms)
+            self._pool.mark_alive(self._lease, self._last_progress_ms)
             return
-        self._lease.condemn()
+        self._lease.abort()
         if self._lease.protocol is None and self._request is not None:
             self._request.cancel()
-        if self._sent is Sent.MAYBE and not self._lease.fresh and self._is_suspect(fault):
-            self._pool.distrust(self._since_ms)
+        if self._sent is Sent.MAYBE and not self._lease.fresh and self._may_be_path_failure(fault):
+            self._pool.mark_dead_before(self._last_progress_ms)
 
-    def _is_suspect(self, fault: Fault) -> bool:
+    def _may_be_path_failure(self, fault: Fault) -> bool:
         """Return whether the failure may be caused by the network path to the replica."""
         if fault.kind is FailureKind.DUE:
             # A call with a close due time ends before the silence reaches its limit.
-            return not self._answered
+            return not self._head_received
         return fault.kind in (FailureKind.SILENT, FailureKind.CUT)
 
     def _failure(self, fault: Fault) -> Failure:
@@ -245,17 +249,17 @@
             replica=self._replica.id,
             reason=fault.reason,
         )
-        event = _EVENTS.get(fault.kind)
+        event = _FAILURE_EVENTS.get(fault.kind)
         if event is not None:
             events.emit(
                 event,
                 replica=self._replica.id,
-                path=self._out.path,
+                path=self._outgoing.path,
                 reason=fault.reason,
                 fresh=self._lease.fresh,
             )
         return Failure(
-            fault.kind, self._sent, fault.reason, fault.status, self._lease.fresh, self._closed
+            fault.kind, self._sent, fault.reason, fault.status, self._lease.fresh, self._refused
         )
 
 
@@ -284,7 +288,7 @@
         pass
 
 
-def _drop(_data: bytes, _now_ms: int) -> Fault | None:
+def _ignore_data(_data: bytes, _now_ms: int) -> Fault | None:
     return None
 
 
@@ -296,6 +300,6 @@
     return inner
 
 
-def _why(reason: Any) -> str:
+def _describe(reason: Any) -> str:
     inner = _innermost(reason)
     return f"{inner.type.__name__}: {inner.getErrorMessage()}"
--- a/papayapier/upstream/orders.py
+++ b/papayapier/upstream/orders.py
@@ -15,7 +15,12 @@
 from papayapier.clock import Clock
 from papayapier.settings import UpstreamSettings
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
-from papayapier.upstream.control import Answer, Ask, Question, make_ask
+from papayapier.upstream.control import (
+    ControlAnswer,
+    ControlRequest,
+    SendControl,
+    make_control_sender,
+)
 from papayapier.upstream.links import Links
 
 OK: Final = 200
@@ -76,16 +81,16 @@
     next: int
 
 
-class Orders(NamedTuple):
+class EngineControl(NamedTuple):
     """Group the control calls to model engines.
 
-    Each call times out after the progress limit of a stream. A Failure of give with sent MAYBE
+    Each call times out after the progress limit of a stream. A Failure of send_order with sent MAYBE
     means that the engine may or may not have accepted the order.
     """
 
-    give: Callable[[Replica, Order], Awaitable[Result[OrderAnswer, Failure]]]
-    state: Callable[[Replica], Awaitable[Result[EngineState, Failure]]]
-    models: Callable[[Replica], Awaitable[Result[tuple[str, ...], Failure]]]
+    send_order: Callable[[Replica, Order], Awaitable[Result[OrderAnswer, Failure]]]
+    read_state: Callable[[Replica], Awaitable[Result[EngineState, Failure]]]
+    list_models: Callable[[Replica], Awaitable[Result[tuple[str, ...], Failure]]]
     cache_events: Callable[[Replica, int], Awaitable[Result[CacheEvents, Failure]]]
     close: Callable[[], Awaitable[None]]
 
@@ -123,32 +128,34 @@
     next: int
 
 
-def make_orders(reactor: Any, clock: Clock, cfg: UpstreamSettings) -> Orders:
+def make_orders(reactor: Any, clock: Clock, cfg: UpstreamSettings) -> EngineControl:
     """Create the control calls, on connections separate from those for requests."""
-    links = Links(reactor, clock, cfg)
-    ask = make_ask(links)
+    pools = Links(reactor, clock, cfg)
+    send_control = make_control_sender(pools)
 
-    async def give(replica: Replica, order: Order) -> Result[OrderAnswer, Failure]:
+    async def send_order(replica: Replica, order: Order) -> Result[OrderAnswer, Failure]:
         body = msgspec.json.encode(order._asdict())
-        return _read_order(await ask(replica, Question("POST", "/orders", body)))
+        return _read_order(await send_control(replica, ControlRequest("POST", "/orders", body)))
 
-    async def state(replica: Replica) -> Result[EngineState, Failure]:
-        read = await _get(ask, replica, "/state", _State)
+    async def read_state(replica: Replica) -> Result[EngineState, Failure]:
+        read = await _get(send_control, replica, "/state", _State)
         return read.map(lambda found: EngineState(**found))
 
-    async def models(replica: Replica) -> Result[tuple[str, ...], Failure]:
-        read = await _get(ask, replica, "/v1/models", _Models)
+    async def list_models(replica: Replica) -> Result[tuple[str, ...], Failure]:
+        read = await _get(send_control, replica, "/v1/models", _Models)
         return read.map(lambda found: tuple(model["id"] for model in found["data"]))
 
     async def cache_events(replica: Replica, since: int) -> Result[CacheEvents, Failure]:
-        read = await _get(ask, replica, f"/cache_events?since={since}", _CacheEvents)
+        read = await _get(send_control, replica, f"/cache_events?since={since}", _CacheEvents)
         return read.map(_to_events)
 
-    return Orders(give, state, models, cache_events, links.close)
+    return EngineControl(send_order, read_state, list_models, cache_events, pools.close)
 
 
-async def _get(ask: Ask, replica: Replica, path: str, kind: type[T]) -> Result[T, Failure]:
-    answer = await ask(replica, Question("GET", path))
+async def _get(
+    send_control: SendControl, replica: Replica, path: str, kind: type[T]
+) -> Result[T, Failure]:
+    answer = await send_control(replica, ControlRequest("GET", path))
     if isinstance(answer, Err):
         return answer
     if answer.ok_value.status != OK:
@@ -156,7 +163,7 @@
     return _decode(answer.ok_value, kind)
 
 
-def _read_order(answer: Result[Answer, Failure]) -> Result[OrderAnswer, Failure]:
+def _read_order(answer: Result[ControlAnswer, Failure]) -> Result[OrderAnswer, Failure]:
     if isinstance(answer, Err):
         return answer
     if answer.ok_value.status not in (OK, CONFLICT):
@@ -168,14 +175,14 @@
     return Ok(OrderAnswer(accepted, read.ok_value.get("fence", 0)))
 
 
-def _decode(answer: Answer, kind: type[T]) -> Result[T, Failure]:
+def _decode(answer: ControlAnswer, kind: type[T]) -> Result[T, Failure]:
     try:
         return Ok(msgspec.json.decode(answer.body, type=kind))
     except msgspec.MsgspecError as exc:
         return Err(Failure(FailureKind.BROKEN, Sent.MAYBE, f"answer cannot be decoded: {exc}"))
 
 
-def _refused(answer: Answer) -> Failure:
+def _refused(answer: ControlAnswer) -> Failure:
     text = answer.body.decode("utf-8", "replace")[:MAX_REASON_CHARS]
     reason = f"status {answer.status}: {text}"
     return Failure(FailureKind.STATUS, Sent.MAYBE, reason, answer.status)
--- a/papayapier/upstream/phases.py
+++ b/papayapier/upstream/phases.py
@@ -23,22 +23,22 @@
 class Phases(Protocol):
     """Declare the inputs and queries of the state machine of an exchange."""
 
-    def taken(self) -> None:
+    def request_written(self) -> None:
         """Enter the phase after the request was written."""
 
-    def started(self) -> None:
+    def body_started(self) -> None:
         """Enter the phase after the first byte of the answer's body."""
 
-    def end(self) -> None:
+    def finish(self) -> None:
         """Enter the final state."""
 
     def limit_ms(self) -> int:
         """Return how long the phase may last without a received byte."""
 
-    def overdue(self) -> Fault:
+    def timeout_fault(self) -> Fault:
         """Return the fault for a phase that exceeded its limit."""
 
-    def lost(self, why: str) -> Fault:
+    def connection_lost_fault(self, reason: str) -> Fault:
         """Return the fault for a connection that was lost in this phase."""
 
 
@@ -48,16 +48,18 @@
 _receiving = _builder.state("receiving")
 _ended = _builder.state("ended")
 
-_connecting.upon(Phases.taken).to(_waiting).returns(None)
-_waiting.upon(Phases.started).to(_receiving).returns(None)
+_connecting.upon(Phases.request_written).to(_waiting).returns(None)
+_waiting.upon(Phases.body_started).to(_receiving).returns(None)
 for _state in (_connecting, _waiting, _receiving):
-    _state.upon(Phases.end).to(_ended).returns(None)
+    _state.upon(Phases.finish).to(_ended).returns(None)
 
-_connecting.upon(Phases.overdue).loop().returns(Fault(FailureKind.CONNECT, "connecting timed out"))
-_waiting.upon(Phases.overdue).loop().returns(
+_connecting.upon(Phases.timeout_fault).loop().returns(
+    Fault(FailureKind.CONNECT, "connecting timed out")
+)
+_waiting.upon(Phases.timeout_fault).loop().returns(
     Fault(FailureKind.SILENT, "timed out waiting for the answer's body")
 )
-_receiving.upon(Phases.overdue).loop().returns(
+_receiving.upon(Phases.timeout_fault).loop().returns(
     Fault(FailureKind.SILENT, "timed out waiting for more of the answer's body")
 )
 
@@ -77,19 +79,19 @@
     return cfg.progress_ms
 
 
-@_connecting.upon(Phases.lost).loop()
-def _connect_lost(_: Phases, __: UpstreamSettings, why: str) -> Fault:
-    return Fault(FailureKind.CONNECT, f"cannot connect: {why}")
+@_connecting.upon(Phases.connection_lost_fault).loop()
+def _connect_lost(_: Phases, __: UpstreamSettings, reason: str) -> Fault:
+    return Fault(FailureKind.CONNECT, f"cannot connect: {reason}")
 
 
-@_waiting.upon(Phases.lost).loop()
-def _answer_lost(_: Phases, __: UpstreamSettings, why: str) -> Fault:
-    return Fault(FailureKind.CUT, f"connection lost before the answer's body: {why}")
+@_waiting.upon(Phases.connection_lost_fault).loop()
+def _answer_lost(_: Phases, __: UpstreamSettings, reason: str) -> Fault:
+    return Fault(FailureKind.CUT, f"connection lost before the answer's body: {reason}")
 
 
-@_receiving.upon(Phases.lost).loop()
-def _progress_lost(_: Phases, __: UpstreamSettings, why: str) -> Fault:
-    return Fault(FailureKind.CUT, f"answer truncated: {why}")
+@_receiving.upon(Phases.connection_lost_fault).loop()
+def _progress_lost(_: Phases, __: UpstreamSettings, reason: str) -> Fault:
+    return Fault(FailureKind.CUT, f"answer truncated: {reason}")
 
 
 make_phases = _builder.build()
--- a/papayapier/upstream/pool.py
+++ b/papayapier/upstream/pool.py
@@ -25,10 +25,10 @@
 
 # Bounds idle connections only. A bound on connections in use would make a call wait until
 # another one has its answer.
-KEPT_MAX: Final = 4_096
+MAX_IDLE_CONNECTIONS: Final = 4_096
 # Shorter than the 5 s after which common servers close an idle connection. A call written to a
 # connection that is being closed fails, and it is unknown whether it ran.
-KEPT_IDLE_S: Final = 4
+MAX_IDLE_S: Final = 4
 
 KEEPALIVE_IDLE_S: Final = 2
 KEEPALIVE_INTERVAL_S: Final = 1
@@ -36,27 +36,28 @@
 USER_TIMEOUT_MS: Final = 5_000
 
 # Twisted's name for the state of a connection without a request.
-IDLE: Final = "QUIESCENT"
+IDLE_STATE: Final = "QUIESCENT"
 
 # Twisted has no type annotations here.
 _Agent: Any = Agent
 
 
-class Lease:
+class ConnectionLease:
     """Connect for a single call, and record which connection the call uses.
 
-    take is called just before the request is written; if it returns False, nothing is written.
+    before_write is called just before the request is written; if it returns False, the request is
+    not written.
     """
 
-    __slots__ = ("_endpoint", "_take", "fresh", "protocol")
+    __slots__ = ("_before_write", "_endpoint", "fresh", "protocol")
 
-    def __init__(self, endpoint: TCP4ClientEndpoint, take: Callable[[], bool]) -> None:
+    def __init__(self, endpoint: TCP4ClientEndpoint, before_write: Callable[[], bool]) -> None:
         self._endpoint = endpoint
-        self._take = take
+        self._before_write = before_write
         self.fresh = False
         self.protocol: Any = None
 
-    def endpointForURI(self, uri: object) -> "Lease":  # noqa: N802
+    def endpointForURI(self, uri: object) -> "ConnectionLease":  # noqa: N802
         """Return this object, whatever the address in the URI."""
         return self
 
@@ -64,17 +65,17 @@
         """Open a new connection."""
         self.fresh = True
         done: Deferred[Any] = self._endpoint.connect(protocolFactory)
-        return done.addCallback(_tune)
+        return done.addCallback(_set_tcp_options)
 
-    def use(self, protocol: Any) -> Any:
+    def assign(self, protocol: Any) -> Any:
         """Record the connection; the request is written to it immediately afterwards.
 
         Before this call no byte of the request was passed to a connection, so a failure can be
         reported as not sent. After it, the request may have been sent.
         """
-        if protocol.state != IDLE:
+        if protocol.state != IDLE_STATE:
             raise ConnectionAborted("the connection was lost before it was used")
-        if not self._take():
+        if not self._before_write():
             _abort(protocol)
             raise ConnectionAborted("the call ended before the request was sent")
         self.protocol = protocol
@@ -84,7 +85,7 @@
         """Return whether the connection ended other than by an orderly close of the peer."""
         return self.protocol is not None and bool(self.protocol.was_reset)
 
-    def condemn(self) -> None:
+    def abort(self) -> None:
         """Abort the connection, so that nothing more is read from it."""
         if self.protocol is not None:
             _abort(self.protocol)
@@ -93,45 +94,45 @@
 class ReplicaPool:
     """Hold the connections to one address."""
 
-    __slots__ = ("_endpoint", "_kept", "_reactor", "_single", "used_ms")
+    __slots__ = ("_endpoint", "_persistent", "_reactor", "_single_use", "last_used_ms")
 
     def __init__(self, reactor: Any, host: str, port: int) -> None:
-        self.used_ms = 0
+        self.last_used_ms = 0
         self._reactor = reactor
         # The exchange's timer bounds connecting; the endpoint's timeout does not use our clock.
         self._endpoint = TCP4ClientEndpoint(reactor, host, port)
-        self._single = _make_pool(reactor, persistent=False)
-        self._kept = _make_pool(reactor, persistent=True)
+        self._single_use = _make_pool(reactor, persistent=False)
+        self._persistent = _make_pool(reactor, persistent=True)
 
-    def agent(self, lease: Lease, new_connection: bool) -> IAgent:
+    def agent(self, lease: ConnectionLease, new_connection: bool) -> IAgent:
         """Return an agent for one request."""
-        pool = self._single if new_connection else self._kept
+        pool = self._single_use if new_connection else self._persistent
         agent: IAgent = _Agent.usingEndpointFactory(self._reactor, lease, pool)
         return agent
 
-    def lease(self, take: Callable[[], bool]) -> Lease:
+    def lease(self, before_write: Callable[[], bool]) -> ConnectionLease:
         """Return a lease for one request."""
-        return Lease(self._endpoint, take)
+        return ConnectionLease(self._endpoint, before_write)
 
-    def trust(self, lease: Lease, at_ms: int) -> None:
+    def mark_alive(self, lease: ConnectionLease, at_ms: int) -> None:
         """Record that the connection carried bytes at this time."""
-        self._kept.alive_ms[lease.protocol] = at_ms
+        self._persistent.alive_ms[lease.protocol] = at_ms
 
-    def distrust(self, before_ms: int) -> None:
+    def mark_dead_before(self, before_ms: int) -> None:
         """Stop reusing idle connections that carried no bytes after this time."""
-        self._kept.distrusted_ms = max(self._kept.distrusted_ms, before_ms)
+        self._persistent.dead_before_ms = max(self._persistent.dead_before_ms, before_ms)
 
     def close(self) -> Deferred[None]:
         """Close the idle connections."""
-        done: Deferred[None] = self._kept.closeCachedConnections()
+        done: Deferred[None] = self._persistent.closeCachedConnections()
         return done
 
 
-class _LeasingPool(HTTPConnectionPool):
+class _RecordingPool(HTTPConnectionPool):
     """Record the assigned connection in the lease, and skip connections that may be dead."""
 
-    maxPersistentPerHost = KEPT_MAX  # noqa: N815
-    cachedConnectionTimeout = KEPT_IDLE_S  # noqa: N815
+    maxPersistentPerHost = MAX_IDLE_CONNECTIONS  # noqa: N815
+    cachedConnectionTimeout = MAX_IDLE_S  # noqa: N815
     # The pool would otherwise retry a request by itself, and a replica could run it twice.
     retryAutomatically = False  # noqa: N815
 
@@ -139,17 +140,17 @@
         base: Any = super()
         base.__init__(reactor, persistent=persistent)
         self.alive_ms: WeakKeyDictionary[Any, int] = WeakKeyDictionary()
-        self.distrusted_ms = -1
+        self.dead_before_ms = -1
 
     def getConnection(self, key: Any, endpoint: Any) -> Deferred[Any]:  # noqa: N802
         while True:
             given: Deferred[Any] = super().getConnection(key, endpoint)
-            if endpoint.fresh or self._usable(given.result):
-                return given.addCallback(endpoint.use)
+            if endpoint.fresh or self._is_reusable(given.result):
+                return given.addCallback(endpoint.assign)
             _abort(given.result)
 
-    def _usable(self, protocol: Any) -> bool:
-        if self.alive_ms.get(protocol, 0) <= self.distrusted_ms:
+    def _is_reusable(self, protocol: Any) -> bool:
+        if self.alive_ms.get(protocol, 0) <= self.dead_before_ms:
             return False
         # Reading the socket shows a close by the replica before the reactor has processed it.
         # Unsolicited bytes would be parsed as the start of the next answer.
@@ -157,7 +158,7 @@
 
 
 def _make_pool(reactor: Any, persistent: bool) -> Any:
-    return _LeasingPool(reactor, persistent)
+    return _RecordingPool(reactor, persistent)
 
 
 def _abort(protocol: Any) -> None:
@@ -168,29 +169,29 @@
     protocol.transport.abortConnection()
 
 
-def _note_end(protocol: Any) -> None:
+def _record_close(protocol: Any) -> None:
     """Record whether a connection is closed in order or reset.
 
     Twisted reports the end of a body without a declared length in the same way for both. If a
     reset counted as the end of the body, a truncated answer would be passed on as complete.
     """
-    lost = protocol.connectionLost
+    connection_lost = protocol.connectionLost
 
     def on_lost(reason: Any) -> None:
         protocol.was_reset = not reason.check(ConnectionDone)
-        lost(reason)
+        connection_lost(reason)
 
     protocol.was_reset = False
     protocol.connectionLost = on_lost
 
 
-def _tune(protocol: Any) -> Any:
+def _set_tcp_options(protocol: Any) -> Any:
     """Set the TCP options that detect a dead peer on an idle connection.
 
     Without them, a connection whose state a middlebox has dropped stays open on this side.
     Keepalive probes and the limit on unacknowledged data close it within seconds.
     """
-    _note_end(protocol)
+    _record_close(protocol)
     protocol.transport.setTcpKeepAlive(True)
     sock: socket.socket = protocol.transport.getHandle()
     for name, value in (
--- a/papayapier/upstream/raw.py
+++ b/papayapier/upstream/raw.py
@@ -12,9 +12,9 @@
 from twisted.web.http_headers import Headers
 
 from papayapier.metrics import Metrics
-from papayapier.upstream.answers import Collected
+from papayapier.upstream.answers import BodyCollector
 from papayapier.upstream.api import Failure, FailureKind, Load, Replica, Sent
-from papayapier.upstream.exchange import Head, OnData, Outgoing, Sink
+from papayapier.upstream.exchange import AnswerHandler, Head, OnData, OutgoingRequest
 from papayapier.upstream.links import Links
 from papayapier.upstream.phases import Fault
 
@@ -106,7 +106,7 @@
     whose address now belongs to another replica.
     """
 
-    links: Links
+    pools: Links
     read_facts: ReadFacts
     on_load: OnLoad
     on_moved: Callable[[str], None]
@@ -115,13 +115,13 @@
 
 def make_raw_send(deps: RawDeps) -> SendRaw:
     """Create the function that forwards a request to a replica."""
-    links, metrics = deps.links, deps.metrics
+    pools, metrics = deps.pools, deps.metrics
 
     async def send(
-        replica: Replica, call: RawCall, taker: StreamTaker | None
+        replica: Replica, call: RawCall, consumer: StreamTaker | None
     ) -> Result[Answered, Failure]:
-        reader = _Reader(call, taker, deps.read_facts)
-        out = Outgoing(
+        reader = _AnswerReader(call, consumer, deps.read_facts)
+        outgoing = OutgoingRequest(
             call.method,
             call.target,
             call.headers,
@@ -130,71 +130,77 @@
             call.fresh,
             call.first_byte_ms,
         )
-        ended = await links.run(replica, out, reader.sink())
-        if reader.facts is not None and reader.facts.load is not None:
-            deps.on_load(replica.id, reader.facts.load)
-        if reader.facts is not None and reader.facts.load_unread:
+        result = await pools.run(replica, outgoing, reader.handler())
+        if reader.metadata is not None and reader.metadata.load is not None:
+            deps.on_load(replica.id, reader.metadata.load)
+        if reader.metadata is not None and reader.metadata.load_unread:
             metrics.loads_unread.labels(replica.upstream).inc()
-        if reader.facts is not None and reader.facts.moved:
+        if reader.metadata is not None and reader.metadata.moved:
             deps.on_moved(replica.id)
-        if isinstance(ended, Ok):
+        if isinstance(result, Ok):
             metrics.upstream_calls.labels(replica.upstream, ANSWERED).inc()
             return Ok(reader.answer())
-        failure = ended.err_value
+        failure = result.err_value
         metrics.upstream_calls.labels(replica.upstream, failure.kind.value).inc()
-        if reader.facts is not None and reader.facts.not_run:
+        if reader.metadata is not None and reader.metadata.not_run:
             return Err(failure._replace(sent=Sent.NO))
-        return ended
+        return result
 
     return send
 
 
-class _Reader:
+class _AnswerReader:
     """Process the parts of one answer as they are received."""
 
-    __slots__ = ("_body", "_call", "_head", "_read_facts", "_taker", "_taking", "facts")
+    __slots__ = ("_body", "_call", "_consumer", "_consuming", "_head", "_read_facts", "metadata")
 
-    def __init__(self, call: RawCall, taker: StreamTaker | None, read_facts: ReadFacts) -> None:
+    def __init__(self, call: RawCall, consumer: StreamTaker | None, read_facts: ReadFacts) -> None:
         self._call = call
-        self._taker = taker
+        self._consumer = consumer
         self._read_facts = read_facts
         self._head: Head | None = None
-        self._body = Collected(MAX_BODY_BYTES)
-        self._taking = False
-        self.facts: AnswerFacts | None = None
+        self._body = BodyCollector(MAX_BODY_BYTES)
+        self._consuming = False
+        self.metadata: AnswerFacts | None = None
 
-    def sink(self) -> Sink:
+    def handler(self) -> AnswerHandler:
         """Return the callbacks that process the answer."""
-        return Sink(self._on_head, self._on_end)
+        return AnswerHandler(self._on_head, self._on_end)
 
     def answer(self) -> Answered:
         """Return the answer after a successful exchange."""
         assert self._head is not None
-        if self._taking:
+        if self._consuming:
             return PassedOn(self._head.status)
         return RawAnswer(self._head.status, self._head.headers, self._body.body())
 
     def _on_head(self, head: Head) -> Result[OnData, Fault]:
-        facts = self._read_facts(head.status, head.headers, head.at_ms)
+        metadata = self._read_facts(head.status, head.headers, head.at_ms)
         self._head = head
-        if facts.request_id and facts.request_id != self._call.request_id:
-            return Err(Fault(FailureKind.WRONG_ID, f"answer belongs to request {facts.request_id}"))
-        self.facts = facts
-        if facts.not_run:
+        if metadata.request_id and metadata.request_id != self._call.request_id:
+            return Err(
+                Fault(FailureKind.WRONG_ID, f"answer belongs to request {metadata.request_id}")
+            )
+        self.metadata = metadata
+        if metadata.not_run:
             return Ok(self._body.add)
-        if not facts.signed:
+        if not metadata.signed:
             return Err(Fault(FailureKind.BROKEN, f"status {head.status} without replica signature"))
-        if facts.encoded:
+        if metadata.encoded:
             return Err(Fault(FailureKind.BROKEN, "the body has a content encoding"))
-        if self._taker is None or not is_good(head.status):
+        if self._consumer is None or not is_good(head.status):
             return Ok(self._body.add)
-        self._taking = True
-        self._taker.on_head(head)
-        return Ok(self._taker.on_data)
+        self._consuming = True
+        self._consumer.on_head(head)
+        return Ok(self._consumer.on_data)
 
     def _on_end(self, declared: bool) -> Fault | None:
         assert self._head is not None
-        if self.facts is not None and self.facts.not_run:
+        if self.metadata is not None and self.metadata.not_run:
             reason = f"the replica did not run the request, status {self._head.status}"
             return Fault(FailureKind.STATUS, reason, self._head.status)
-        return self._taker.on_end(declared) if self._taking and self._taker is not None else None
+        return (
+            self._consumer.on_end(declared)
+            if self._consuming and self._consumer is not None
+            else None
+        )
--- a/papayapier/upstream/replies.py
+++ b/papayapier/upstream/replies.py
@@ -5,10 +5,10 @@
 from result import Err, Ok, Result
 
 from papayapier.upstream import answers
-from papayapier.upstream.answers import Collected
+from papayapier.upstream.answers import BodyCollector
 from papayapier.upstream.api import Call, FailureKind, Load, OnToken, Reply
 from papayapier.upstream.engine_calls import ENGINE_PATHS
-from papayapier.upstream.exchange import Head, OnData, Sink
+from papayapier.upstream.exchange import AnswerHandler, Head, OnData
 from papayapier.upstream.phases import Fault
 from papayapier.upstream.sse import StreamReader
 
@@ -34,13 +34,13 @@
         self._start_ms = start_ms
         self._head: Head | None = None
         self._load: Load | None = None
-        self._body = Collected(MAX_BODY_BYTES)
-        self._parsed = answers.NOTHING_PARSED
+        self._body = BodyCollector(MAX_BODY_BYTES)
+        self._parsed = answers.EMPTY_ANSWER
         self._stream = StreamReader(call.request_id, on_token) if call.stream else None
 
-    def sink(self) -> Sink:
+    def handler(self) -> AnswerHandler:
         """Return the callbacks that process the answer."""
-        return Sink(self._on_head, self._on_end)
+        return AnswerHandler(self._on_head, self._on_end)
 
     def reply(self, now_ms: int) -> Reply:
         """Return the complete answer after a successful exchange."""
@@ -63,26 +63,26 @@
     def _on_head(self, head: Head) -> Result[OnData, Fault]:
         self._head = head
         self._load = answers.parse_load_header(head.headers, head.at_ms)
-        found = answers.header_text(head.headers, answers.REQUEST_ID)
-        refused = self._is_refusal(head)
-        if found != self._call.request_id and (found or not refused):
-            return Err(answers.wrong_id(found, self._call.request_id))
-        if refused:
+        answer_id = answers.header_text(head.headers, answers.REQUEST_ID_HEADER)
+        is_refusal = self._is_refusal(head)
+        if answer_id != self._call.request_id and (answer_id or not is_refusal):
+            return Err(answers.wrong_id_fault(answer_id, self._call.request_id))
+        if is_refusal:
             # The body holds the reason. It is read to its end so that the connection can be reused.
             self._stream = None
-            self._body = Collected(MAX_ERROR_BYTES)
+            self._body = BodyCollector(MAX_ERROR_BYTES)
         return Ok(self._body.add if self._stream is None else self._stream.feed)
 
     def _on_end(self, declared: bool) -> Fault | None:
         assert self._head is not None
         if self._is_refusal(self._head):
-            return self._refusal(self._head)
+            return self._refusal_fault(self._head)
         if self._stream is not None:
             return self._stream.end()
         fault = self._body.end(declared)
         if fault is not None or not is_engine_call(self._call):
             return fault
-        parsed = answers.parse_whole(self._body.body(), self._call.request_id)
+        parsed = answers.parse_complete(self._body.body(), self._call.request_id)
         if isinstance(parsed, Err):
             return parsed.err_value
         self._parsed = parsed.ok_value
@@ -96,9 +96,9 @@
         """
         if is_engine_call(self._call):
             return head.status != OK_STATUS
-        has_id = bool(answers.header_text(head.headers, answers.REQUEST_ID))
+        has_id = bool(answers.header_text(head.headers, answers.REQUEST_ID_HEADER))
         return head.status >= FIRST_SERVER_ERROR and not has_id
 
-    def _refusal(self, head: Head) -> Fault:
+    def _refusal_fault(self, head: Head) -> Fault:
         text = self._body.body().decode("utf-8", "replace")[:MAX_REASON_CHARS]
         return Fault(FailureKind.STATUS, f"status {head.status}: {text}", head.status)
--- a/papayapier/upstream/reports.py
+++ b/papayapier/upstream/reports.py
@@ -25,7 +25,7 @@
 JITTER: Final = 0.2
 
 ReadLoad = Callable[[Replica], Awaitable[Result[Load, Failure]]]
-HeardAt = Callable[[Replica], int]
+GetLastReportMs = Callable[[Replica], int]
 
 
 class OnReport(NamedTuple):
@@ -51,13 +51,13 @@
     every_ms: int,
     read_load: ReadLoad,
     on_report: OnReport,
-    heard_at: HeardAt = lambda _replica: 0,
+    get_last_report_ms: GetLastReportMs = lambda _replica: 0,
 ) -> Reports:
     """Create the polls, of no replica at first.
 
-    heard_at returns when a load report of a replica was last received with an answer, or 0.
+    get_last_report_ms returns when a load of the replica was last received with an answer, or 0.
     """
-    polls = _Polls(clock, rand, every_ms, read_load, on_report, heard_at)
+    polls = _Polls(clock, rand, every_ms, read_load, on_report, get_last_report_ms)
     return Reports(polls.poll, partial(polls.poll, ()))
 
 
@@ -71,14 +71,14 @@
         every_ms: int,
         read_load: ReadLoad,
         on_report: OnReport,
-        heard_at: HeardAt,
+        get_last_report_ms: GetLastReportMs,
     ) -> None:
         self._clock = clock
         self._rand = rand
         self._every_ms = every_ms
         self._read_load = read_load
         self._on_report = on_report
-        self._heard_at = heard_at
+        self._get_last_report_ms = get_last_report_ms
         self._polls: dict[Replica, _Poll] = {}
 
     def poll(self, replicas: Sequence[Replica]) -> None:
@@ -89,32 +89,34 @@
             if replica not in self._polls:
                 self._polls[replica] = poll = _Poll()
                 # Spread the first polls, or all replicas would be polled at the same time.
-                self._later(replica, poll, self._rand.uniform(0, self._every_ms))
+                self._schedule(replica, poll, self._rand.uniform(0, self._every_ms))
 
-    def _later(self, replica: Replica, poll: "_Poll", delay_ms: float) -> None:
+    def _schedule(self, replica: Replica, poll: "_Poll", delay_ms: float) -> None:
         poll.timer = self._clock.call_later(delay_ms, partial(self._start, replica, poll))
 
-    def _again(self, replica: Replica, poll: "_Poll") -> None:
-        self._later(replica, poll, self._every_ms * self._rand.uniform(1 - JITTER, 1 + JITTER))
+    def _schedule_next(self, replica: Replica, poll: "_Poll") -> None:
+        self._schedule(replica, poll, self._every_ms * self._rand.uniform(1 - JITTER, 1 + JITTER))
 
     def _start(self, replica: Replica, poll: "_Poll") -> None:
         poll.timer = None
-        heard = self._heard_at(replica)
-        recent = heard and self._clock.now() - heard < self._every_ms * (1 - JITTER)
-        if recent and not poll.tells_steps:
-            self._again(replica, poll)
+        last_report_ms = self._get_last_report_ms(replica)
+        recent = last_report_ms and self._clock.now() - last_report_ms < self._every_ms * (
+            1 - JITTER
+        )
+        if recent and not poll.reports_step_time:
+            self._schedule_next(replica, poll)
             return
-        poll.asking = Deferred.fromCoroutine(self._ask(replica, poll))
-        poll.asking.addErrback(_report, replica)
+        poll.pending = Deferred.fromCoroutine(self._poll_once(replica, poll))
+        poll.pending.addErrback(_log_failure, replica)
 
-    async def _ask(self, replica: Replica, poll: "_Poll") -> None:
+    async def _poll_once(self, replica: Replica, poll: "_Poll") -> None:
         load = await self._read_load(replica)
-        poll.asking = None
+        poll.pending = None
         if poll.stopped:
             return
-        self._again(replica, poll)
+        self._schedule_next(replica, poll)
         if isinstance(load, Ok):
-            poll.tells_steps = load.ok_value.step_ms > 0
+            poll.reports_step_time = load.ok_value.step_ms > 0
             self._on_report.on_load(replica, load.ok_value)
         else:
             self._on_report.on_failure(replica, load.err_value)
@@ -123,22 +125,22 @@
 class _Poll:
     """Hold the timer or the pending request of one replica."""
 
-    __slots__ = ("asking", "stopped", "tells_steps", "timer")
+    __slots__ = ("pending", "reports_step_time", "stopped", "timer")
 
     def __init__(self) -> None:
-        self.asking: Deferred[None] | None = None
+        self.pending: Deferred[None] | None = None
         self.stopped = False
-        self.tells_steps = True
+        self.reports_step_time = True
         self.timer: Timer | None = None
 
     def stop(self) -> None:
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
-        if self.asking is not None:
-            self.asking.cancel()
+        if self.pending is not None:
+            self.pending.cancel()
 
 
-def _report(why: TwistedFailure, replica: Replica) -> None:
-    if not isinstance(why.value, CancelledError):
-        events.emit(events.POLL_FAILED, replica=replica.id, reason=why.getErrorMessage())
+def _log_failure(failure: TwistedFailure, replica: Replica) -> None:
+    if not isinstance(failure.value, CancelledError):
+        events.emit(events.POLL_FAILED, replica=replica.id, reason=failure.getErrorMessage())
--- a/papayapier/upstream/sse.py
+++ b/papayapier/upstream/sse.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from papayapier.upstream.answers import Parsed, wrong_id
+from papayapier.upstream.answers import ParsedAnswer, wrong_id_fault
 from papayapier.upstream.api import FailureKind, OnToken, Token
 from papayapier.upstream.phases import Fault
 
@@ -47,13 +47,13 @@
     """Parse the bytes of one stream into tokens, and detect an incomplete stream."""
 
     __slots__ = (
+        "_buffer",
         "_chars",
+        "_complete",
         "_finish_reason",
         "_on_token",
         "_request_id",
-        "_rest",
         "_texts",
-        "_whole",
         "first_ms",
     )
 
@@ -61,68 +61,68 @@
         self._request_id = request_id
         self._finish_reason = ""
         self._on_token = on_token
-        self._rest = b""
+        self._buffer = b""
         self._texts: list[str] = []
         self._chars = 0
-        self._whole = False
+        self._complete = False
         self.first_ms = 0
 
-    def parsed(self) -> Parsed:
+    def parsed(self) -> ParsedAnswer:
         """Return the text, token count and finish reason received so far."""
-        return Parsed("".join(self._texts), len(self._texts), self._finish_reason)
+        return ParsedAnswer("".join(self._texts), len(self._texts), self._finish_reason)
 
     def feed(self, data: bytes, now_ms: int) -> Fault | None:
         """Process received bytes and call back for each token in them."""
-        if self._rest:
-            data = self._rest + data
+        if self._buffer:
+            data = self._buffer + data
         if b"\r" in data:
             data = data.replace(b"\r\n", b"\n")
         parts = data.split(b"\n\n")
-        self._rest = parts.pop()
-        if len(self._rest) > MAX_EVENT_BYTES:
+        self._buffer = parts.pop()
+        if len(self._buffer) > MAX_EVENT_BYTES:
             return Fault(FailureKind.BROKEN, f"event longer than {MAX_EVENT_BYTES} bytes")
         for part in parts:
-            payload = _payload(part)
-            fault = self._take(payload, now_ms) if payload else None
+            payload = _event_data(part)
+            fault = self._process(payload, now_ms) if payload else None
             if fault is not None:
                 return fault
         return None
 
     def end(self) -> Fault | None:
         """Check that the stream ended with [DONE] and a finish_reason."""
-        if not self._whole:
+        if not self._complete:
             return Fault(FailureKind.CUT, "stream ended without [DONE]")
         if not self._finish_reason:
             return Fault(FailureKind.BROKEN, "stream has no finish_reason")
         return None
 
-    def _take(self, payload: bytes, now_ms: int) -> Fault | None:
-        if self._whole:
+    def _process(self, payload: bytes, now_ms: int) -> Fault | None:
+        if self._complete:
             return Fault(FailureKind.BROKEN, "stream continues after [DONE]")
         if payload == DONE:
-            self._whole = True
+            self._complete = True
             return None
         try:
             chunk = _CHUNK.decode(payload)
         except msgspec.MsgspecError as exc:
             return Fault(FailureKind.BROKEN, f"stream chunk cannot be decoded: {exc}")
         if chunk["id"] != self._request_id:
-            return wrong_id(chunk["id"], self._request_id)
+            return wrong_id_fault(chunk["id"], self._request_id)
         if not chunk["choices"]:
             return None
-        return self._take_choice(chunk["choices"][0], payload, now_ms)
+        return self._process_choice(chunk["choices"][0], payload, now_ms)
 
-    def _take_choice(self, choice: StreamChoice, payload: bytes, now_ms: int) -> Fault | None:
+    def _process_choice(self, choice: StreamChoice, payload: bytes, now_ms: int) -> Fault | None:
         delta = choice.get("delta")
         text = delta.get("content") if delta else choice.get("text")
         finish_reason = choice.get("finish_reason")
         if finish_reason:
             self._finish_reason = finish_reason
         if text:
-            return self._take_text(text, payload, now_ms)
+            return self._process_text(text, payload, now_ms)
         return None
 
-    def _take_text(self, text: str, payload: bytes, now_ms: int) -> Fault | None:
+    def _process_text(self, text: str, payload: bytes, now_ms: int) -> Fault | None:
         if not self._texts:
             self.first_ms = now_ms
         self._texts.append(text)
@@ -133,7 +133,7 @@
         return None
 
 
-def _payload(event: bytes) -> bytes:
+def _event_data(event: bytes) -> bytes:
     """Return the data of an event; comments and other fields are ignored."""
     if event.startswith(DATA) and b"\n" not in event:
         return event[len(DATA) :].strip()
--- a/tests/orders_world.py
+++ b/tests/orders_world.py
@@ -18,7 +18,7 @@
 from papayapier.orders.plan import OrderLimits
 from papayapier.settings import OrderSettings
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
-from papayapier.upstream.orders import EngineState, Order, OrderAnswer, OrderKind, Orders
+from papayapier.upstream.orders import EngineControl, EngineState, Order, OrderAnswer, OrderKind
 from tests.fake_store import FakePlatform
 
 LONGEST_MS = 20_000
@@ -121,7 +121,7 @@
                 store=self.platform.store(name),
                 cfg=OrderSettings(),
                 instance=name,
-                orders=Orders(give, state, unused, unused, unused),
+                orders=EngineControl(give, state, unused, unused, unused),
                 wanted=lambda: self.wanted,
                 replicas=lambda: [
                     ListedReplica(Replica(id, "pass", "127.0.0.1", 1, "dc-a"), True)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -18,7 +18,7 @@
 from papayapier.settings import UpstreamSettings
 from papayapier.upstream import replies, sse
 from papayapier.upstream.api import Call, Failure, FailureKind, Replica, Reply, Sent, Token
-from papayapier.upstream.cancels import UNDER_WAY_MAX
+from papayapier.upstream.cancels import MAX_IN_FLIGHT
 from papayapier.upstream.client import make_upstreams
 from tests.raw_server import DONE, LAST, RawServer, chunked, framed, piece, whole
 
@@ -375,6 +375,6 @@
             await self.server.next_request()
         for sending in sends:
             sending.cancel()
-        while self.server.cancels < UNDER_WAY_MAX:
+        while self.server.cancels < MAX_IN_FLIGHT:
             await deferLater(reactor, 0)
-        equal(self.server.cancels, UNDER_WAY_MAX)
+        equal(self.server.cancels, MAX_IN_FLIGHT)
--- a/tests/test_upstream_parts.py
+++ b/tests/test_upstream_parts.py
@@ -16,7 +16,7 @@
 from papayapier.clock import fake_clock
 from papayapier.upstream.api import Failure, FailureKind, Load, Replica, Sent, Token
 from papayapier.upstream.engine_calls import PREFIX_CHARS, parse_generation, streaming_body
-from papayapier.upstream.exchange import Outgoing, Sink
+from papayapier.upstream.exchange import AnswerHandler, OutgoingRequest
 from papayapier.upstream.links import FORGET_AFTER_MS, Links
 from papayapier.upstream.orders import Order, OrderAnswer, OrderKind, make_orders
 from papayapier.upstream.reports import OnReport, make_reports
@@ -78,7 +78,7 @@
     assert error.startswith(at), error
 
 
-NO_SINK = Sink(lambda head: Ok(lambda data, now_ms: None), lambda declared: None)
+NO_HANDLER = AnswerHandler(lambda head: Ok(lambda data, now_ms: None), lambda declared: None)
 
 
 class _Polled:
@@ -142,9 +142,9 @@
     # the pools of the old ones stay. Cause: nothing says that an address will not come back.
     fake = fake_clock()
     links = Links(cast(Any, MemoryReactorClock)(), fake.clock, CFG)
-    out = Outgoing("GET", "/load", Headers(), b"", 10**9, False)
+    out = OutgoingRequest("GET", "/load", Headers(), b"", 10**9, False)
     for port in range(1, 5):
-        links.run(_replica("a")._replace(port=port), out, NO_SINK).cancel()
+        links.run(_replica("a")._replace(port=port), out, NO_HANDLER).cancel()
         fake.advance(FORGET_AFTER_MS + 1)
     equal(links.addresses(), [("127.0.0.1", 4)])
 
@@ -161,7 +161,7 @@
     async def give(self, answer: bytes) -> Any:
         self.server.answer_with(answer)
         order = Order("o1", 7, OrderKind.LOAD_MODEL, "m")
-        return await self.orders.give(self.replica, order)
+        return await self.orders.send_order(self.replica, order)
 
     async def test_order(self) -> None:
         accepted = await self.give(framed(b'{"accepted":true}'))
@@ -183,9 +183,9 @@
             framed(b'{"object":"list","data":[{"id":"m","object":"model"}]}'),
             framed(b'{"events":[{"seq":3,"kind":"evicted","prefix":"p"}],"next":4}'),
         )
-        found = (await self.orders.state(self.replica)).unwrap()
+        found = (await self.orders.read_state(self.replica)).unwrap()
         equal(found, (("m",), (), "mixed", "1", 7, ("o1",)))
-        equal((await self.orders.models(self.replica)).unwrap(), ("m",))
+        equal((await self.orders.list_models(self.replica)).unwrap(), ("m",))
         events = (await self.orders.cache_events(self.replica, 2)).unwrap()
         equal(events, (((3, False, "p"),), 4))
         assert self.server.requests[2].startswith(b"GET /cache_events?since=2 ")
