--- a/papayapier/config/__init__.py
+++ b/papayapier/config/__init__.py
@@ -1,1 +1,1 @@
-"""Accept, spread and apply profiles and configuration."""
+"""Accept, replicate and apply profiles and configuration."""
--- a/papayapier/config/accept.py
+++ b/papayapier/config/accept.py
@@ -1,10 +1,10 @@
-"""Accept an operator's change, by one conditional update that carries its audit entry.
+"""Accept an operator's change with one conditional update that includes its audit entry.
 
-The change id in the trail makes a change idempotent: whoever repeats a call, after a lost
-answer or out of impatience, gets the answer of the first. store.writes settles an update
-whose answer was lost. Where it cannot, because another change followed or the store went
-down, the trail tells: our id is in it, or the object has another version, so that our update
-can only fail, or nothing is known and the operator is told so.
+The change id in the audit trail makes a change idempotent: repeating a call returns the result
+of the first one. If the store's answer to an update is lost, store.writes determines whether it
+took effect. If it cannot, because another change followed or the store became unavailable, the
+trail decides: it contains our change id; or the object has another version, so that our update
+can only fail; or the outcome is unknown, which is reported to the operator.
 """
 
 import random
@@ -32,10 +32,10 @@
 
 
 class Change(NamedTuple):
-    """Ask for a change; a document of None deletes, based_on 0 creates.
+    """Describe a requested change; a document of None deletes, a based_on of 0 creates.
 
-    change_id stays the same when the operator repeats the call. strand allows a change
-    that strands queued work.
+    change_id stays the same when the operator repeats the call. strand allows a change after
+    which queued requests or items can no longer run.
     """
 
     subject: Subject
@@ -48,7 +48,7 @@
 
 
 class Accepted(NamedTuple):
-    """Tell the version that a change got; repeated when an earlier call had done it."""
+    """Report the version of an accepted change; repeated: an earlier call had made the change."""
 
     version: int
     repeated: bool
@@ -57,14 +57,14 @@
 
 
 class Winner(NamedTuple):
-    """Tell a racing operator which change is in force in place of theirs."""
+    """Report to an operator which concurrent change is in force instead of theirs."""
 
     version: int
     entry: AuditEntry
 
 
 class Rejected(NamedTuple):
-    """Tell why a change was not accepted; winner is set when another change won."""
+    """Report why a change was rejected; winner is set if a concurrent change was accepted."""
 
     refusal: Refusal
     problems: list[Problem]
@@ -72,7 +72,7 @@
 
 
 class AcceptDeps(NamedTuple):
-    """Group what accepting needs; accepted is told key, version and value."""
+    """Group the dependencies of accept_change; accepted is called with key, version and value."""
 
     clock: Clock
     rand: random.Random
@@ -82,7 +82,7 @@
 
 
 class _Held(NamedTuple):
-    """Hold the stored object that a change meets; version 0 when there is none."""
+    """Hold the stored object that a change would replace; version is 0 if there is none."""
 
     version: int
     value: bytes
@@ -95,7 +95,7 @@
 
 
 async def accept_change(deps: AcceptDeps, change: Change) -> _Outcome:
-    """Accept a change, or tell why not and what is known about it."""
+    """Accept a change, or return why it was rejected and what is known of its outcome."""
     problems = _call_problems(change)
     if problems:
         return Err(_bad_request(problems))
@@ -109,7 +109,10 @@
 
 
 class _Acceptance:
-    """Drive one change to a definite answer; lost is the version a lost update was for."""
+    """Run one change to its result.
+
+    _lost is the version that an update was based on whose answer was lost, or None.
+    """
 
     def __init__(
         self, deps: AcceptDeps, change: Change, document: Document | None, warnings: list[Problem]
@@ -121,7 +124,7 @@
         self._lost: int | None = None
 
     async def run(self) -> _Outcome:
-        """Read, decide and write; every round but the last lost to another change."""
+        """Read, check and write; start again when a concurrent change was accepted first."""
         for _ in range(ROUNDS_MOST):
             done = await self._round()
             if done is not None:
@@ -157,7 +160,10 @@
                 return Ok(_held(stored))
 
     async def _already_done(self, held: _Held) -> Result[_Outcome | None, StoreError]:
-        """Find this change in the trail: a lost answer, or the operator's own repeat."""
+        """Return the result if the trail already contains this change, or None.
+
+        It does after an update whose answer was lost, or when the operator repeats a call.
+        """
         history = held.record["history"]
         if history and self._change.based_on < history[0]["based_on"]:
             match await trail.spilled(self._deps.store, self._change.subject):
@@ -180,7 +186,7 @@
 
     def _refused(self, held: _Held) -> Rejected | None:
         if held.unreadable:
-            # Writing over it would drop its trail, which nobody could then notice.
+            # Overwriting it would silently drop its audit trail.
             why = f"{self._change.subject.key} in the store is not a configuration object"
             return Rejected(not_run(ErrorKind.INTERNAL, why), [])
         gone = held.record["document"] is None
@@ -294,7 +300,7 @@
 
 
 def _tell(subject: Subject, winner: Winner) -> str:
-    """Tell which change won, with the values of an update and the names of other fields."""
+    """Describe the accepted change: an update with its values, others with field names only."""
     fields = ", ".join(
         (
             f"{change['path']} {change['before']!r} -> {change['after']!r}"
--- a/papayapier/config/book.py
+++ b/papayapier/config/book.py
@@ -1,12 +1,12 @@
-"""Keep the configuration that is in force on this instance.
-
-Only a higher version of an object replaces what is there, whichever way it came. The
-highest version does not prove that nothing is missing: a push can be lost while a later
-one arrives. So the book keeps a digest of all its (key, version) pairs: the sum, modulo
-2**64, of one hash for each pair. It changes by a subtraction and an addition with each
-change, does not depend on the order of arrival, costs nine bytes in a heartbeat, and two
-books with equal digests hold the same versions (but for a chance of 2**-64). The sum is
-kept in buckets by key, so that two books that differ exchange only the buckets that do.
+"""Hold the configuration that is in force on this instance.
+
+An object is replaced only by a higher version of it, whatever the source. The highest version
+does not prove that nothing is missing: one push can be lost and a later one can arrive. So the
+registry maintains a digest of all its (key, version) pairs: the sum, modulo 2**64, of one hash
+for each pair. The digest is updated by one subtraction and one addition per change, does not
+depend on the order of arrival and takes nine bytes in a heartbeat. Two registries with equal
+digests hold the same versions, except with a probability of 2**-64. The sum is split into
+buckets by key, so that two registries that differ exchange only the buckets that differ.
 """
 
 from collections.abc import Callable, Iterable
@@ -30,7 +30,7 @@
 
 
 class InForce(NamedTuple):
-    """Hold one object as applied; wanted is None when it was deleted."""
+    """Hold one applied object; wanted is None if the object was deleted."""
 
     version: int
     value: bytes
@@ -38,7 +38,7 @@
 
 
 class ProfileBook:
-    """Hold every configuration object in force, by key."""
+    """Hold all configuration objects in force, by key."""
 
     __slots__ = ("_buckets", "_objects", "_unreadable", "_version", "_watchers")
 
@@ -50,12 +50,12 @@
         self._watchers: list[Watcher] = []
 
     def profile(self, name: str) -> Profile | None:
-        """Return a profile in force."""
+        """Return a profile in force, or None."""
         wanted = self._wanted(PROFILES, name)
         return wanted if isinstance(wanted, Profile) else None
 
     def upstream(self, name: str) -> UpstreamWanted | None:
-        """Return the wanted state of an upstream."""
+        """Return the wanted state of an upstream, or None."""
         wanted = self._wanted(UPSTREAMS, name)
         return wanted if isinstance(wanted, UpstreamWanted) else None
 
@@ -81,7 +81,7 @@
         return held.version if held else 0
 
     def lacks(self, key: str, version: int) -> bool:
-        """Tell whether an object is worth fetching; one found unreadable is not."""
+        """Return whether a version should be fetched; one that could not be decoded should not."""
         return version > max(self.version_of(key), self._unreadable.get(key, 0))
 
     def digest(self) -> int:
@@ -101,25 +101,25 @@
         ]
 
     def objects_differing(self, buckets: Iterable[int]) -> list[ConfigPush]:
-        """Return the objects in the buckets whose digest differs from the given ones."""
+        """Return the objects in the buckets whose digests differ from the given digests."""
         same = {i for i, (a, b) in enumerate(zip(self._buckets, buckets, strict=False)) if a == b}
         return [push for push in self.objects() if _bucket_of(push.key) not in same]
 
     def watch(self, watcher: Watcher) -> None:
-        """Call a watcher with key and version after each change that is applied."""
+        """Register a callback that gets the key and version of each applied change."""
         self._watchers.append(watcher)
 
     def apply(self, key: str, version: int, value: bytes) -> bool:
-        """Put an object in force if it is newer than what is there."""
+        """Apply an object if it is newer than the one in force; return whether it was applied."""
         subject = records.subject_of(key)
         if subject is None:
             return False
         held = self._objects.get(key)
         value = records.without_history(value)
         if held is not None and version <= held.version:
-            # Two contents under one version mean that a peer or a folder holds another
-            # store's configuration: neither is "the" accepted one, and a higher version
-            # of it could replace ours. The counter and event 901 show it.
+            # Different contents with the same version mean that a peer or a data folder holds the
+            # configuration of another store. It is unknown which of them was accepted, and a
+            # higher version from there could replace ours. The counter and event 901 report it.
             same = version < held.version or records.same_document(value, held.value)
             invariants.check(same, Promise.CONFIG_FORWARD, key=key, version=version)
             return False
--- a/papayapier/config/checks.py
+++ b/papayapier/config/checks.py
@@ -1,7 +1,7 @@
-"""Check a wanted document before it is accepted, and name the path of each fault.
+"""Validate a configuration document before it is accepted, and name the path of each error.
 
-The types already state the range of each single field. The rules here are those between
-fields, and those that need to know what is in force now.
+The types define the valid range of each single field. This module checks rules that involve
+several fields or the configuration in force.
 """
 
 from collections.abc import Callable
@@ -18,16 +18,16 @@
 
 
 class Problem(NamedTuple):
-    """Name the field at fault and what is wrong with it; path is empty for the whole."""
+    """Name an invalid field and the reason; path is empty if it is the whole document."""
 
     path: str
     reason: str
 
 
 class Verdict(NamedTuple):
-    """Hold the result of a check: errors forbid a change, warnings do not.
+    """Hold the result of a check: errors prevent a change, warnings do not.
 
-    stranded is the queued work that the change would leave without a way to run.
+    stranded is the number of queued requests and items that could no longer run.
     """
 
     wanted: Wanted | None
@@ -37,7 +37,7 @@
 
 
 class CheckDeps(NamedTuple):
-    """Give a check what it needs to know of the running system."""
+    """Group the queries of the running system that a check needs."""
 
     current: Callable[[Subject], Wanted | None]
     queued_under: Callable[[str], int]
@@ -45,7 +45,7 @@
 
 
 def check_change(deps: CheckDeps, subject: Subject, document: object) -> Verdict:
-    """Check a document that is to replace what is in force; None stands for delete."""
+    """Check a document that is to replace the one in force; None stands for a deletion."""
     if document is None:
         return _check_stranding(deps, subject, Verdict(None, [], []))
     verdict = check_document(subject, document)
@@ -56,7 +56,7 @@
 
 
 def check_document(subject: Subject, document: object) -> Verdict:
-    """Check a document by itself."""
+    """Check a document without regard to the configuration in force."""
     kind = KINDS[subject.kind]
     errors = _field_errors(document, kind)
     if errors:
@@ -74,7 +74,7 @@
 
 
 def _field_errors(document: object, kind: type[Any]) -> list[Problem]:
-    """Check each top-level field by itself, since the decoder stops at its first error."""
+    """Check each top-level field separately, because the decoder stops at the first error."""
     if not isinstance(document, dict):
         return [Problem("", "expected an object")]
     hints = get_type_hints(kind, include_extras=True)
@@ -114,9 +114,11 @@
 def _profile_errors(profile: Profile) -> list[Problem]:
     errors = []
     if profile.urgency == "urgent" and profile.due_ms > URGENT_DUE_MOST_MS:
-        errors.append(Problem("due_ms", f"is over {URGENT_DUE_MOST_MS} for urgent work"))
+        errors.append(
+            Problem("due_ms", f"exceeds {URGENT_DUE_MOST_MS}, the maximum for urgent requests")
+        )
     if profile.urgency == "batch" and profile.batch.share == 0:
-        errors.append(Problem("batch.share", "is 0, so batch work would never run"))
+        errors.append(Problem("batch.share", "is 0, so batch items would never run"))
     return errors
 
 
@@ -125,10 +127,10 @@
     for field in ("models", "adapters"):
         names = getattr(upstream, field)
         if len(set(names)) < len(names):
-            errors.append(Problem(field, "names one twice"))
+            errors.append(Problem(field, "contains a duplicate"))
     roles = [count.role for count in upstream.roles]
     if len(set(roles)) < len(roles):
-        errors.append(Problem("roles", "names one twice"))
+        errors.append(Problem("roles", "contains a duplicate"))
     return errors
 
 
@@ -140,7 +142,7 @@
 
 
 def _check_stranding(deps: CheckDeps, subject: Subject, verdict: Verdict) -> Verdict:
-    """Count queued work that was accepted under rules which the change takes away."""
+    """Count the queued requests and items that could no longer run after the change."""
     current = deps.current(subject)
     if subject.kind != PROFILES or not isinstance(current, Profile):
         return verdict
@@ -153,7 +155,7 @@
 
 
 def _stranding(current: Profile, wanted: Wanted | None) -> str:
-    """Return the path of the field whose change strands queued work, or nothing."""
+    """Return the path of the field whose change prevents queued work from running, or ""."""
     if not isinstance(wanted, Profile):
         return "name"
     if wanted.upstream != current.upstream:
@@ -164,5 +166,5 @@
 
 
 def as_document(value: Wanted | None) -> Document | None:
-    """Return the stored form of a wanted document."""
+    """Return the stored form of a profile or wanted state."""
     return None if value is None else codec.to_document(value)
--- a/papayapier/config/fetch.py
+++ b/papayapier/config/fetch.py
@@ -1,8 +1,9 @@
-"""Read the objects that the store is known to have in a newer version.
+"""Read the objects of which the store is known to have a newer version.
 
-A short wait comes first, because the push of the accepting instance usually brings the
-object in that time and saves the read. That matters in a large fleet, where every instance
-sees the same watch. What could not be read stays wanted until it is in force.
+Each read is delayed briefly, because in that time the object usually arrives in a push of the
+accepting instance, which makes the read unnecessary. This saves many reads in a large fleet,
+where all instances receive the same watch events. Failed reads are retried until the version is
+in force.
 """
 
 import random
@@ -24,9 +25,10 @@
 
 
 class FetchDeps(NamedTuple):
-    """Group what fetching needs; hurry tells that nothing is in force here yet.
+    """Group the dependencies of Fetcher.
 
-    fetched is told key, version and value of each object that was put in force.
+    hurry returns True while the configuration is incomplete, to read without a delay. fetched is
+    called with key, version and value of each object that was read and applied.
     """
 
     clock: Clock
@@ -38,7 +40,7 @@
 
 
 class Fetcher:
-    """Hold the keys to read, and read them until their wanted versions are in force."""
+    """Read the requested keys until the requested versions are in force."""
 
     def __init__(self, deps: FetchDeps) -> None:
         self._deps = deps
@@ -47,7 +49,7 @@
         self._stopped = False
 
     def want(self, key: str, version: int) -> None:
-        """Read an object unless it comes into force by another way."""
+        """Read an object unless the version comes into force from another source first."""
         if self._stopped or not self._deps.book.lacks(key, version):
             return
         self._wanted[key] = max(version, self._wanted.get(key, 0))
@@ -56,18 +58,18 @@
             self._task.addErrback(self._failed)
 
     def idle(self) -> bool:
-        """Tell whether nothing is left to read."""
+        """Return whether nothing is left to read."""
         return not self._forget_applied()
 
     def stop(self) -> None:
-        """Read no more."""
+        """Stop reading."""
         self._stopped = True
         if self._task is not None:
             self._task.cancel()
 
     async def _run(self) -> None:
         pauses = Pauses(self._deps.rand)
-        # A pause also at the start keeps this from running inside the follower's listing.
+        # Sleep even for 0 ms, so that this does not run inside the follower's listing.
         await self._deps.clock.sleep(0 if self._deps.hurry() else PUSH_FIRST_MS)
         while self._forget_applied():
             keys = list(self._wanted)[:READS_AT_ONCE]
@@ -84,7 +86,7 @@
         return bool(self._wanted)
 
     async def _read(self, key: str) -> bool:
-        """Read one object; False asks for a pause."""
+        """Read one object; return False if a pause is needed before the next read."""
         match await self._deps.store.get(key):
             case Ok(stored):
                 if self._deps.book.apply(key, stored.version, stored.value):
@@ -97,7 +99,7 @@
                 return False
 
     def _failed(self, failure: Failure) -> None:
-        """Let the next want start again: without it, changes would be seen but never read."""
+        """Clear the failed task so that the next want() restarts it; else nothing is read again."""
         self._task = None
         if not isinstance(failure.value, CancelledError):
             events.emit(events.CONFIG_TASK_FAILED, error=repr(failure.value))
--- a/papayapier/config/folder.py
+++ b/papayapier/config/folder.py
@@ -1,7 +1,7 @@
-"""Keep a copy of the configuration in the data folder, where an instance has one.
+"""Save a copy of the configuration in the data folder, if the instance has one.
 
-The copy only saves transfers after a restart. It may be older than what a peer has, so
-what is read from it counts as unconfirmed until the store or a peer was heard from.
+The copy only avoids transfers after a restart. It may be older than a peer's configuration, so
+it counts as unconfirmed until the configuration was received from the store or a peer.
 """
 
 from typing import Final, NamedTuple
@@ -19,13 +19,13 @@
 
 
 class SavedConfig(NamedTuple):
-    """Hold the objects in force when the copy was made."""
+    """Hold the objects that were in force when the copy was saved."""
 
     objects: list[ConfigPush]
 
 
 class FolderKeeper:
-    """Load the copy at start and replace it soon after a change; without a folder do nothing."""
+    """Load the copy at start and save it after changes; without a folder do nothing."""
 
     def __init__(self, folder: str, clock: Clock, book: ProfileBook) -> None:
         self._folder = folder
@@ -33,7 +33,7 @@
         self._saving = DelayedSave(clock, SAVE_DELAY_MS, self._save)
 
     def load(self) -> None:
-        """Put the copy's objects into the book."""
+        """Apply the copy's objects to the registry."""
         if not self._folder:
             return
         match load_folder(self._folder):
@@ -46,12 +46,12 @@
                 events.emit(events.CONFIG_FROM_FOLDER, objects=len(objects), version=version)
 
     def changed(self) -> None:
-        """Save soon; changes that come together are saved together."""
+        """Schedule a save; changes in quick succession are saved once."""
         if self._folder:
             self._saving.changed()
 
     def close(self) -> None:
-        """Save what is still to be saved and stop."""
+        """Save pending changes and stop."""
         self._saving.close()
 
     def _save(self) -> None:
@@ -61,7 +61,7 @@
 
 
 def load_folder(folder: str) -> Result[list[ConfigPush], str]:
-    """Read the copy; a folder without one gives nothing."""
+    """Read the copy; return an empty list if the folder has none."""
     data = read_file(folder, FILE_NAME)
     if isinstance(data, Err):
         return data
--- a/papayapier/config/follow.py
+++ b/papayapier/config/follow.py
@@ -1,9 +1,9 @@
-"""Follow the store's configuration, for as long as this instance has to.
+"""Follow the store's configuration while this instance has to.
 
-In a small site every instance follows the store itself. In a large one only the relays of
-each data centre do (see peer.topology): a waiting watch counts as a call, and all instances
-together would use up the store's reads. The others follow it until they have had the whole
-configuration once, and again when they hear no peer.
+In a small site every instance follows the store itself. In a large one only the relays of each
+data centre do (see peer.topology): each pending watch counts as a call, and the watches of all
+instances would exhaust the store's read limit. The other instances follow the store until they
+have read the complete configuration once, and again while no peer's heartbeats arrive.
 """
 
 import random
@@ -24,9 +24,9 @@
 
 
 class FollowDeps(NamedTuple):
-    """Group what following needs; must_follow is asked again every second.
+    """Group the dependencies of the follower; must_follow is evaluated every second.
 
-    fetched is told key, version and value of each object that came from the store.
+    fetched is called with key, version and value of each object that was read from the store.
     """
 
     clock: Clock
@@ -39,7 +39,7 @@
 
 
 class StoreFollowing:
-    """Own the follower while it is needed, and read what it tells of."""
+    """Run the store follower while it is needed, and read the objects whose change it reports."""
 
     def __init__(self, deps: FollowDeps) -> None:
         self._deps = deps
@@ -59,25 +59,25 @@
         )
 
     def start(self) -> None:
-        """Begin to follow where needed."""
+        """Start to follow the store if needed."""
         self._review()
 
     def stop(self) -> None:
-        """Stop for good."""
+        """Stop permanently."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._unfollow()
         self._fetcher.stop()
 
     def complete(self) -> bool:
-        """Tell, and remember, whether all that the store had has been read once."""
+        """Return whether all objects of one listing of the store have been read; stays True."""
         listed = self._follower is not None and self._follower.listed_ms is not None
         if listed and self._fetcher.idle():
             self._complete = True
         return self._complete
 
     def heard_ms(self) -> int:
-        """Return when the last listing was begun that the store has answered."""
+        """Return the start time of the last listing that succeeded."""
         if self._follower is not None:
             self._heard_ms = max(self._heard_ms, self._follower.listed_ms or 0)
         return self._heard_ms
@@ -90,7 +90,7 @@
             self._follow()
 
     def _follow(self) -> None:
-        # A listing has a thousand keys a page, and each page counts as a read.
+        # A listing has 1,000 keys per page and each page counts as a read, so poll less often.
         pages = 1 + len(self._deps.book.objects()) // KEYS_PER_POLL
         cfg = self._deps.settings
         self._follower = Follower(
@@ -115,5 +115,6 @@
         if not change.deleted:
             self._fetcher.want(change.key, change.version)
         elif self._deps.book.version_of(change.key):
-            # Deletes of ours leave a tombstone, so this was done by hand past the trail.
+            # Accepted deletions leave a tombstone, so someone removed this object by hand,
+            # without an audit entry. It stays in force here.
             events.emit(events.CONFIG_MISSING, key=change.key, version=change.version)
--- a/papayapier/config/gaps.py
+++ b/papayapier/config/gaps.py
@@ -1,9 +1,9 @@
-"""Find out from peers' heartbeats that configuration is missing here, and ask for it.
+"""Detect from peers' heartbeats that configuration is missing here, and decide to request it.
 
-A heartbeat carries the sender's digest. Digests differ for a moment after every change,
-while the push is on its way, so only a difference that lasts is a gap. The same pair of
-digests that remains after an answer (the peer is the one that lacks something, or an
-object is unreadable here) is asked about ever more rarely.
+A heartbeat carries the sender's digest. Digests differ briefly after every change, while the
+push is in flight, so only a difference that persists is a gap. If the same pair of digests
+remains after a reply, because the peer is the one that lacks an object or an object cannot be
+decoded here, the peer is requested with exponential backoff.
 """
 
 from collections.abc import Collection
@@ -15,7 +15,7 @@
 
 
 class _Difference(NamedTuple):
-    """Remember a pair of digests, since when, and when to ask about it."""
+    """Hold a pair of digests that differ, the time of the next request, and the backoff."""
 
     theirs: int
     ours: int
@@ -24,7 +24,7 @@
 
 
 class GapFinder:
-    """Decide from digests whether a peer should be asked now."""
+    """Decide from digests whether to send a request to a peer now."""
 
     __slots__ = ("_differences",)
 
@@ -32,7 +32,10 @@
         self._differences: dict[str, _Difference] = {}
 
     def should_ask(self, peer: str, theirs: int, ours: int, now: int, complete: bool) -> bool:
-        """Take a peer's digest; complete tells that this instance is only catching up."""
+        """Return whether to request the peer's configuration now.
+
+        While this instance's configuration is not complete, the first request is immediate.
+        """
         if theirs == ours and complete:
             self._differences.pop(peer, None)
             return False
@@ -48,6 +51,6 @@
         return True
 
     def keep(self, peers: Collection[str]) -> None:
-        """Forget peers that are gone; instances are replaced all the time."""
+        """Drop the state of removed peers, since instances are replaced continually."""
         if len(self._differences) > len(peers):
             self._differences = {p: d for p, d in self._differences.items() if p in peers}
--- a/papayapier/config/keys.py
+++ b/papayapier/config/keys.py
@@ -1,8 +1,8 @@
-"""Tell whose key a caller shows.
+"""Find the holder of the API key in a request.
 
-A key is a secret: what is looked up is its digest, so that the time of a look tells nothing of the
-keys that are held, and the last comparison takes the same time wherever the two differ. Nothing
-here writes a line, and no error names a key.
+Keys are secret. They are looked up by digest, so that the duration of a lookup reveals nothing
+about the stored keys, and the final comparison takes constant time. This module logs nothing,
+and no error contains a key.
 """
 
 import hashlib
@@ -13,17 +13,17 @@
 Holder = TypeVar("Holder")
 
 SCHEME: Final = b"bearer"
-# Longer ones are no keys; they are not worth their digest.
+# Longer values cannot be keys, so no digest of them is computed.
 KEY_BYTES_MAX: Final = 1_024
 
 
 def digest_of(key: bytes) -> bytes:
-    """Return what is kept of a key."""
+    """Return the digest by which a key is stored."""
     return hashlib.sha256(key).digest()
 
 
 def shown_key(authorization: Sequence[bytes]) -> bytes | None:
-    """Return the key in the values of an Authorization header, which must be one."""
+    """Return the key from an Authorization header, or None unless it has exactly one value."""
     if len(authorization) != 1:
         return None
     scheme, _, key = authorization[0].strip().partition(b" ")
@@ -34,13 +34,13 @@
 
 
 class KeyRing(Generic[Holder]):
-    """Hold the digests of keys, each with whoever holds the key."""
+    """Map the digests of keys to the holders of the keys."""
 
     def __init__(self, holders: Iterable[tuple[bytes, Holder]]) -> None:
         self._holders = {digest: (digest, holder) for digest, holder in holders}
 
     def holder(self, authorization: Sequence[bytes]) -> Holder | None:
-        """Return the holder of the key that is shown."""
+        """Return the holder of the key in an Authorization header, or None."""
         key = shown_key(authorization)
         if key is None:
             return None
--- a/papayapier/config/profiles.py
+++ b/papayapier/config/profiles.py
@@ -1,4 +1,4 @@
-"""Define a profile: how one class of work must be treated."""
+"""Define a profile: how a class of requests or batch items is processed."""
 
 from typing import Annotated, Final, Literal, NamedTuple
 
@@ -16,23 +16,24 @@
 
 
 class CallerLimits(NamedTuple):
-    """Bound what one caller may have under way or queued on each instance; 0: no bound."""
+    """Limit the requests of one caller in flight or queued on each instance; 0 means no limit."""
 
     in_flight: Count = 0
     queued: Count = 0
 
 
 class RetryRule(NamedTuple):
-    """Bound the attempts of one request or item; only idempotent work is repeated."""
+    """Limit the attempts of one request or item; only idempotent ones are retried."""
 
     attempts: Annotated[int, Meta(ge=1, le=10)] = 3
 
 
 class BatchRule(NamedTuple):
-    """Bound what batch work of this profile may take of a replica.
+    """Limit what batch items of this profile may use of a replica.
 
-    share is the most of a replica's slots; isolation picks the point between online tail
-    latency ("tail") and batch throughput ("throughput"), or a baseline ("none", "static").
+    share is the maximum share of a replica's slots. isolation selects the trade-off between
+    online tail latency ("tail") and batch throughput ("throughput"), or a baseline ("none",
+    "static").
     """
 
     share: Share = 0.8
@@ -40,7 +41,7 @@
 
 
 class Profile(NamedTuple):
-    """Hold one profile as operators write it; due_ms counts from acceptance."""
+    """Hold one profile as written by operators; due_ms counts from acceptance."""
 
     name: Name
     upstream: Name
--- a/papayapier/config/records.py
+++ b/papayapier/config/records.py
@@ -1,14 +1,14 @@
-"""Define the stored form of one configuration object.
+"""Define the stored form of a configuration object.
 
-An object holds the document in force and the audit entries that led to it, so that one
-conditional update changes both and the trail cannot disagree with the configuration. The
-trail inside an object is bounded: older entries are copied to an object of their own under
-audit/ before they are dropped here (see accept). Peers are sent the record without its
-trail, because only accept, which reads the store, needs that.
+An object contains the document in force and the audit entries that led to it, so that one
+conditional update changes both and the audit trail cannot contradict the configuration. The
+trail inside an object is bounded: older entries are copied to a separate object under audit/
+before they are removed here (see accept). Peers receive the record without its trail, because
+only accept needs the trail, and it reads the store.
 
-The form is plain JSON, and unknown fields are ignored when reading. During an upgrade a
-newer release may store a field that an older one does not know; if the older one refused
-the object, the accepted change would not be in force there.
+The format is JSON, and unknown fields are ignored when decoding. During an upgrade a newer
+release may store a field that an older one does not know; if the older one rejected the object,
+the accepted change would not be in force there.
 """
 
 from typing import Any, Final, NamedTuple, TypedDict, get_args, get_type_hints
@@ -36,7 +36,7 @@
 
 
 class FieldChange(TypedDict):
-    """Tell one field's value before and after a change; None where there is none."""
+    """Hold one field's value before and after a change; None if the field was absent."""
 
     path: str
     before: Any
@@ -44,10 +44,10 @@
 
 
 class AuditEntry(TypedDict):
-    """Tell who changed one object, when, why and how.
+    """Record who changed an object, when, why and how.
 
-    seq counts the object's changes from 1. based_on is the version that was replaced, so
-    an entry's own version is its successor's based_on, or the object's version.
+    seq numbers the object's changes from 1. based_on is the version that was replaced, so the
+    version of an entry is the based_on of its successor, or the object's version for the last.
     """
 
     seq: int
@@ -62,20 +62,20 @@
 
 
 class Record(TypedDict):
-    """Hold one stored object; a document of None marks a deleted one."""
+    """Hold one stored object; a document of None marks a deleted object."""
 
     document: Document | None
     history: list[AuditEntry]
 
 
 class Spilled(TypedDict):
-    """Hold audit entries that no longer fit into their object."""
+    """Hold audit entries that were moved out of their object."""
 
     entries: list[AuditEntry]
 
 
 class Subject(NamedTuple):
-    """Name one configuration object; kind is a key of KINDS."""
+    """Identify one configuration object; kind is a key of KINDS."""
 
     kind: str
     name: str
@@ -87,16 +87,16 @@
 
     @property
     def audit_prefix(self) -> str:
-        """Return the prefix of the keys that hold its spilled audit entries."""
+        """Return the key prefix of the object's spilled audit entries."""
         return f"{AUDIT_PREFIX}{self.kind}/{self.name}/"
 
     def audit_key(self, seq: int) -> str:
-        """Return the key of the spilled entries that begin with a sequence number."""
+        """Return the key of the spilled entries that start at a sequence number."""
         return f"{self.audit_prefix}{seq:0{SEQ_DIGITS}d}"
 
 
 def subject_of(key: str) -> Subject | None:
-    """Return the subject that a key of the store stands for, if it is one of ours."""
+    """Return the configuration object that a store key identifies, or None for other keys."""
     parts = key.removeprefix(CONFIG_PREFIX).split("/")
     if not key.startswith(CONFIG_PREFIX) or len(parts) != 2 or parts[0] not in KINDS:
         return None
@@ -119,7 +119,7 @@
 
 
 def without_history(value: bytes) -> bytes:
-    """Return a stored object in the form that peers are sent."""
+    """Return a stored object without its audit trail, as it is sent to peers."""
     match decode(value):
         case Ok(record):
             return encode(Record(document=record["document"], history=[]))
@@ -128,7 +128,7 @@
 
 
 def same_document(one: bytes, other: bytes) -> bool:
-    """Tell whether two stored forms hold the same document, whichever release encoded them."""
+    """Return whether two encoded objects hold the same document, whichever release wrote them."""
     if one == other:
         return True
     match (decode(one), decode(other)):
@@ -139,13 +139,13 @@
 
 
 def typed(subject: Subject, document: Document) -> Result[Wanted, str]:
-    """Turn a stored document into its record, leaving out fields of newer releases."""
+    """Convert a stored document to its record type, ignoring fields of newer releases."""
     kind = KINDS[subject.kind]
     return codec.from_document(_known(document, kind), kind)
 
 
 def content_hash(document: Document | None) -> str:
-    """Return a short hash that tells whether two documents are the same."""
+    """Return a hash that identifies the content of a document."""
     return xxhash.xxh3_128_hexdigest(msgspec.json.encode(document, order="sorted"))
 
 
--- a/papayapier/config/route_table.py
+++ b/papayapier/config/route_table.py
@@ -1,7 +1,7 @@
-"""Choose the route of a request by its host and the longest path prefix.
+"""Select the route of a request by its host and the longest matching path prefix.
 
-Where the platform's operator writes routes in place of profiles, each route stands for a
-profile: what may be repeated, how long it may take, how many replicas it may try.
+On platforms where the operator configures routes instead of profiles, each route acts as a
+profile: it defines what may be retried, the time limit, and the number of attempts.
 """
 
 import random
@@ -17,7 +17,7 @@
 
 
 class WorkKind(Enum):
-    """Name what a route carries, which decides what may be repeated."""
+    """List the kinds of route, which decide what may be retried."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at_most_once"
@@ -26,20 +26,20 @@
 
 
 class Share(NamedTuple):
-    """Give an upstream's part of a route's requests."""
+    """Define an upstream's weight in the requests of a route."""
 
     upstream: str
     weight: float
 
 
 class Route(NamedTuple):
-    """Hold one route; times in ms.
+    """Hold one route.
 
-    timeout_ms is the longest time that the operator wants a request kept; objective_ms the time
-    in which an answer (a stream: its first event; a job: its acceptance) has its full worth;
-    rank 0 is the most urgent. resumable streams may go on at another replica. due_ms and
-    give_up_ms hold for jobs: when results are due and when an item may be abandoned, both
-    from the job's first send. public routes ask for no key.
+    timeout_ms is the operator's time limit of a request. objective_ms is the latency objective of
+    an answer (for a stream of its first event, for a job of its acceptance). rank 0 is the most
+    urgent. A resumable stream may continue at another replica. due_ms and give_up_ms apply to
+    jobs: when results are due and when an item may be abandoned, both counted from the job's
+    first send. public routes require no key.
     """
 
     name: str
@@ -58,12 +58,12 @@
     public: bool = False
 
     def repeatable(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         return self.kind is WorkKind.IDEMPOTENT or (self.kind is WorkKind.STREAM and self.resumable)
 
 
 class Limits(NamedTuple):
-    """Bound what a caller may send and how long it may take."""
+    """Limit the size of a caller's request and the time in which it must be received."""
 
     header_bytes: int
     body_bytes: int
@@ -72,7 +72,7 @@
 
 
 class RoutingConfig(NamedTuple):
-    """Hold one version of the operator's configuration; teams None asks nobody for a key."""
+    """Hold one version of the operator's configuration; without teams, no key is required."""
 
     version: int
     routes: tuple[Route, ...]
@@ -82,7 +82,7 @@
 
 
 class RouteTable:
-    """Find routes in one version of the configuration."""
+    """Look up routes in one version of the configuration."""
 
     def __init__(self, cfg: RoutingConfig) -> None:
         self.cfg = cfg
@@ -103,13 +103,13 @@
         return None
 
     def has_public_jobs(self, host: str) -> bool:
-        """Tell whether a host takes batch jobs, and asks for no key on any route for them."""
+        """Return whether a host has routes for batch jobs, all of them without a key."""
         name = host.partition(":")[0].lower()
         jobs = [one for one in self._by_host.get(name, ()) if one.kind is WorkKind.JOB]
         return bool(jobs) and all(route.public for route in jobs)
 
     def asker(self, public: bool, authorization: Sequence[bytes]) -> Result[Team | None, Refusal]:
-        """Return which team asks: ANYBODY on public routes, None where there are no teams."""
+        """Return the team of a request: ANYBODY on public routes, None if no teams are defined."""
         if self.cfg.teams is None:
             return Ok(None)
         return Ok(ANYBODY) if public else self.cfg.teams.asker(authorization)
@@ -121,7 +121,7 @@
 def pick_profile(route: Route, rand: random.Random, rank: int | None = None) -> Profile:
     """Return the profile of one request on a route, with its upstream chosen by weight.
 
-    rank is the asking team's, which goes before the route's.
+    rank is that of the request's team and overrides the route's rank.
     """
     rank = route.rank if rank is None else rank
     return Profile(
--- a/papayapier/config/routing_book.py
+++ b/papayapier/config/routing_book.py
@@ -1,4 +1,4 @@
-"""Hold the operator's routes that are in force; only a newer version replaces them."""
+"""Hold the operator's routes in force, which only a newer version replaces."""
 
 from collections.abc import Callable
 from typing import Final
@@ -13,7 +13,7 @@
 
 
 class RoutingBook:
-    """Hold the newest configuration seen; read decodes one."""
+    """Hold the newest routing configuration received; read decodes one."""
 
     def __init__(self, key: str, read: "Callable[[bytes], Result[RoutingConfig, str]]") -> None:
         self.key = key
@@ -28,15 +28,15 @@
         return self._table
 
     def version(self) -> int:
-        """Return the operator's version in force, or 0."""
+        """Return the version of the operator's configuration in force, or 0."""
         return self._table.cfg.version if self._table is not None else 0
 
     def watch(self, listener: Callable[[RouteTable], None]) -> None:
-        """Call back with each table that comes into force."""
+        """Register a callback for each route table that comes into force."""
         self._listeners.append(listener)
 
     def on_change(self, change: Change) -> None:
-        """Take what the store says of the configuration."""
+        """Process a change of the configuration reported by the store."""
         if change.key != self.key:
             return
         if change.deleted:
@@ -45,14 +45,14 @@
         self.offer(change.version, change.value, STORE)
 
     def offer(self, revision: int, value: bytes, source: str) -> bool:
-        """Bring a configuration into force if it is newer; tell whether it was."""
+        """Apply a configuration if it is newer; return whether it was applied."""
         if revision <= self.revision:
             return False
         read = self._read(value)
         if isinstance(read, Err):
             events.emit(events.CONFIG_UNREADABLE, key=self.key, reason=read.err_value)
             return False
-        # A late copy of an older version must not undo a newer one, whatever its revision.
+        # A delayed copy of an older version must not replace a newer one, whatever its revision.
         if read.ok_value.version < self.version():
             return False
         self.revision = revision
--- a/papayapier/config/spread.py
+++ b/papayapier/config/spread.py
@@ -1,9 +1,9 @@
-"""Bring every accepted change into force on this instance, by four ways at once.
+"""Apply every accepted change on this instance, from four redundant sources.
 
-A push from the accepting instance arrives first. Behind it stand the watch on the store,
-the peers' heartbeats (see gaps) and a slow poll, each of which alone is enough, because
-pushes, watches and peer links can go silent without an error. All ways end in
-ProfileBook.apply, which takes higher versions only, so they may overlap in any order.
+A push from the accepting instance arrives first. The watch on the store, the peers' heartbeats
+(see gaps) and a slow poll are fallbacks, each of which is sufficient alone, because pushes,
+watches and peer links can fail without an error. All sources call ProfileBook.apply, which
+accepts only higher versions, so they may overlap in any order.
 """
 
 import random
@@ -31,7 +31,10 @@
 
 
 class SpreadDeps(NamedTuple):
-    """Group what spreading needs; tell and broadcast never wait, plan is that of the links."""
+    """Group the dependencies of Spread.
+
+    tell and broadcast return immediately; plan returns the topology of the peer links.
+    """
 
     clock: Clock
     rand: random.Random
@@ -45,7 +48,7 @@
 
 
 class Spread:
-    """Keep one instance's book up to date, and help the peers to do so."""
+    """Keep the registry of this instance up to date, and send missing objects to peers."""
 
     def __init__(self, deps: SpreadDeps, book: ProfileBook) -> None:
         self._deps = deps
@@ -69,33 +72,33 @@
         )
 
     def start(self) -> None:
-        """Load the folder's copy and start to poll and watch."""
+        """Load the saved copy and start to poll and watch the store."""
         self._keeper.load()
         self._book.watch(lambda _key, _version: self._changed())
         self._following.start()
 
     async def stop(self) -> None:
-        """End the tasks and write the folder's copy."""
+        """Stop the tasks and save pending changes to the data folder."""
         self._following.stop()
         self._keeper.close()
 
     def fresh(self, now: int) -> Result[None, str]:
-        """Tell whether the configuration here may be relied on, or why not."""
+        """Return Ok if the configuration is complete and current, or the reason why not."""
         if not self._is_complete():
             return Err("the configuration has not been read from the store or a peer yet")
         age_ms = now - max(self._heard_peer_ms, self._following.heard_ms())
         self._deps.metrics.config_age.set(age_ms / MS_PER_S)
         if age_ms > self._deps.settings.stale_after_ms:
-            return Err(f"neither the store nor a peer was heard from for {age_ms} ms")
+            return Err(f"neither the store nor a peer was reached for {age_ms} ms")
         return Ok(None)
 
     def accepted(self, key: str, version: int, value: bytes) -> None:
-        """Put a change that the store has accepted in force here and push it to all peers."""
+        """Apply a change that the store has accepted, and push it to all peers."""
         self._book.apply(key, version, value)
         self._deps.broadcast(ConfigPush(key, version, records.without_history(value)))
 
     def on_peer(self, peer: str, message: Message) -> None:
-        """Take a message from a peer."""
+        """Process a message from a peer."""
         self._heard_peer_ms = self._deps.clock.now()
         match message:
             case ConfigPush(key, version, value):
@@ -135,26 +138,26 @@
             self._book.apply(item.key, item.version, item.value)
         if tell.ask_id not in self._asked:
             return
-        # A part can be lost when the link is replaced between two parts. Without the
-        # count, the last part alone would make this instance ready with a hole in it.
+        # A part can be lost when the link is replaced between two parts. Without the count, the
+        # last part alone would make this instance ready with an incomplete configuration.
         self._asked[tell.ask_id] += len(tell.objects)
         if tell.complete and self._asked[tell.ask_id] >= tell.total:
             self._complete = True
 
     def _is_complete(self) -> bool:
-        """Tell whether the whole configuration has been here once since the start."""
+        """Return whether the complete configuration was received once since the start."""
         self._complete = self._complete or self._following.complete()
         return self._complete
 
     def _must_follow(self) -> bool:
-        """Tell whether this instance has to follow the store itself."""
+        """Return whether this instance has to follow the store itself."""
         now = self._deps.clock.now()
         self._gaps.keep(self._deps.peers())
         alone = now - self._heard_peer_ms > self._deps.settings.poll_ms
         return self._deps.plan().relay or alone or not self._is_complete()
 
     def _fetched(self, key: str, version: int, value: bytes) -> None:
-        """Push what a relay has read and nobody has pushed: the others do not watch."""
+        """Push objects that a relay has read, since the other instances do not watch the store."""
         if not self._deps.plan().full_mesh and self._is_complete():
             self._deps.broadcast(ConfigPush(key, version, records.without_history(value)))
 
--- a/papayapier/config/start.py
+++ b/papayapier/config/start.py
@@ -1,4 +1,4 @@
-"""Start the configuration of one instance and offer it to the rest of the program."""
+"""Start the configuration service of one instance and expose its interface."""
 
 import random
 from collections.abc import Awaitable, Callable, Sequence
@@ -24,11 +24,11 @@
 
 
 class ConfigDeps(NamedTuple):
-    """Group what the configuration needs from the rest of the program.
+    """Group the dependencies of the configuration service.
 
-    tell and broadcast hand a message to one peer or all and never wait. queued_under counts
-    the queued requests and items of a profile; upstream_names lists the upstreams that
-    have replicas; plan is that of the links between instances.
+    tell and broadcast send a message to one peer or to all, and return immediately. queued_under
+    counts the queued requests and items of a profile. upstream_names returns the upstreams that
+    have replicas. plan returns the topology of the links between instances.
     """
 
     clock: Clock
@@ -45,7 +45,7 @@
 
 
 class Config(NamedTuple):
-    """Group the calls of the configuration of one instance."""
+    """Group the functions of the configuration service of one instance."""
 
     book: ProfileBook
     on_peer: Callable[[str, Message], None]
@@ -57,7 +57,7 @@
 
 
 def start_config(deps: ConfigDeps) -> Config:
-    """Start polling and watching, and return the calls of the configuration."""
+    """Start polling and watching the store, and return the functions of the service."""
     book = ProfileBook()
     spread = Spread(
         SpreadDeps(
--- a/papayapier/config/teams.py
+++ b/papayapier/config/teams.py
@@ -1,7 +1,8 @@
-"""Say which team a request is of, and what belongs to a team.
+"""Determine the team of a request, and what a team may access.
 
-Requests, resumed streams, calls on jobs and items are told apart here only: a request by the key
-that it shows, an item by the team of its job, whatever became of that job's key.
+This is the only place that decides the team of requests, resumed streams, calls on jobs and
+items: for a request by its API key, for an item by the team of its job, even if that team's key
+has been revoked since.
 """
 
 from collections.abc import Iterable, Sequence
@@ -16,8 +17,8 @@
 class Team(NamedTuple):
     """Hold one team of callers.
 
-    rate_per_s and burst bound what all instances together send of it; 0 is no bound. rank goes
-    before that of a route; None leaves the route's.
+    rate_per_s and burst limit the team's requests over all instances; 0 means no limit. rank
+    overrides the rank of a route unless it is None.
     """
 
     name: str
@@ -26,11 +27,11 @@
     rank: int | None = None
 
     def limited(self) -> bool:
-        """Tell whether there is a bound."""
+        """Return whether the team has a rate limit."""
         return self.rate_per_s > 0
 
 
-# Whoever asks on a route that asks for no key, where others do.
+# The team of requests on a public route, if teams are defined.
 ANYBODY: Final = Team("")
 
 
@@ -38,17 +39,17 @@
     """Hold the teams of one version of the configuration, by name and by key."""
 
     def __init__(self, teams: Iterable[tuple[Team, Sequence[bytes]]]) -> None:
-        """Take each team with the digests of its keys."""
+        """Create the registry from each team and the digests of its keys."""
         listed = list(teams)
         self._ring = KeyRing((digest, team) for team, digests in listed for digest in digests)
         self._by_name = {team.name: team for team, _ in listed}
 
     def named(self, name: str) -> Team | None:
-        """Return a team by its name."""
+        """Return the team with a name, or None."""
         return self._by_name.get(name)
 
     def asker(self, authorization: Sequence[bytes]) -> Result[Team, Refusal]:
-        """Return the team whose key is shown."""
+        """Return the team whose key is in the Authorization header."""
         team = self._ring.holder(authorization)
         if team is None:
             return Err(not_run(ErrorKind.UNAUTHORIZED, "the key is missing or not known"))
@@ -56,14 +57,14 @@
 
 
 def name_of(asker: Team | None) -> str:
-    """Return the name of who asks; empty for anybody."""
+    """Return the name of the requesting team; empty if there is none."""
     return "" if asker is None else asker.name
 
 
 def may_use(owner: str, asker: str) -> bool:
-    """Tell whether a team may read, end or send again what was made for a team.
+    """Return whether a team may read, end or resubmit what a team has created.
 
-    What was made where no key was asked for is everybody's, and so is everything to those who
-    ask where no key is asked for.
+    Objects created without a key are accessible to everyone, and requests without a required
+    key may access all objects.
     """
     return not owner or not asker or owner == asker
--- a/papayapier/config/trail.py
+++ b/papayapier/config/trail.py
@@ -1,8 +1,8 @@
-"""Read the audit trail, and move its older entries out of the objects they belong to.
+"""Read the audit trail, and move its older entries out of their configuration objects.
 
-The trail of one object is its own history and the spilled entries under audit/. Versions
-are the store's revisions, which rise over all objects, so they order the whole trail.
-Every seq of an object appears once: a missing one would show as a gap.
+The trail of an object consists of the history in the object and the spilled entries under
+audit/. Versions are the store's revisions, which increase across all objects, so they order the
+complete trail. Each seq of an object occurs once, so a missing entry is visible as a gap.
 """
 
 from typing import Final, NamedTuple
@@ -19,7 +19,7 @@
 
 
 class AuditFilter(NamedTuple):
-    """Choose entries of the trail; an empty field chooses all. since_ms is wall time."""
+    """Select entries of the trail; an empty field matches all. since_ms is wall-clock time."""
 
     kind: str = ""
     name: str = ""
@@ -29,7 +29,7 @@
 
 
 class AuditLine(NamedTuple):
-    """Hold one entry of the trail with its object and the version it got."""
+    """Hold one entry of the trail with its object and the version that the change got."""
 
     kind: str
     name: str
@@ -40,10 +40,10 @@
 async def spill(
     store: Store, subject: Subject, history: list[AuditEntry]
 ) -> Result[None, StoreError]:
-    """Copy the oldest entries out before they are dropped.
+    """Copy the oldest entries to an object of their own before they are dropped.
 
-    Two operators who race copy the same entries under the same key, so finding the object
-    there already is as good as having created it.
+    Concurrent changes copy the same entries to the same key, so an object that already exists
+    counts as success.
     """
     if len(history) < records.HISTORY_MOST:
         return Ok(None)
@@ -60,7 +60,7 @@
 
 
 def kept(history: list[AuditEntry]) -> list[AuditEntry]:
-    """Return the entries that stay in the object after a spill."""
+    """Return the entries that remain in the object after a spill."""
     return history[records.HISTORY_SPILL :] if len(history) >= records.HISTORY_MOST else history
 
 
@@ -83,7 +83,7 @@
 
 
 async def list_all(store: Store, prefix: str) -> Result[Listing, StoreError]:
-    """List every key under a prefix, page by page, with the revision of the first page."""
+    """List all keys under a prefix, page by page, with the revision of the first page."""
     found: list[Entry] = []
     revision: int | None = None
     after = ""
@@ -100,10 +100,10 @@
 
 
 async def audit(store: Store, chosen: AuditFilter) -> Result[list[AuditLine], StoreError]:
-    """Return the newest entries that a filter chooses, newest first.
+    """Return the newest entries that match a filter, newest first.
 
-    Objects are read from the most recently changed on, and no further than needed: an
-    object whose version is below the oldest of enough lines cannot add a newer one.
+    Objects are read in order of their last change, the latest first, until the limit is reached
+    and no further object can contain a newer entry than those found.
     """
     match await _candidates(store, chosen):
         case Err(error):
@@ -125,12 +125,12 @@
 
 
 def find(history: list[AuditEntry], change_id: str) -> AuditEntry | None:
-    """Return the entry of a change."""
+    """Return the entry with a change id, or None."""
     return next((entry for entry in history if entry["change_id"] == change_id), None)
 
 
 def version_after(history: list[AuditEntry], entry: AuditEntry, newest: int) -> int:
-    """Return the version an entry's change got: what the next change was based on."""
+    """Return the version that a change got: the one that the next change was based on."""
     later = next((e for e in history if e["seq"] == entry["seq"] + 1), None)
     return later["based_on"] if later else newest
 
@@ -159,7 +159,7 @@
 async def _lines_of(
     store: Store, subject: Subject, chosen: AuditFilter
 ) -> Result[list[AuditLine], StoreError]:
-    """Return an object's chosen lines; its spilled entries only when they may be needed."""
+    """Return an object's matching lines; read its spilled entries only if they may be needed."""
     match await store.get(subject.key):
         case Err(error):
             return Err(error)
--- a/papayapier/config/upstreams.py
+++ b/papayapier/config/upstreams.py
@@ -1,4 +1,4 @@
-"""Define the wanted state of an upstream: what its replicas must have loaded, and how."""
+"""Define the wanted state of an upstream: what its replicas must load, and under which limits."""
 
 from typing import Annotated, Final, NamedTuple
 
@@ -13,18 +13,18 @@
 
 
 class RoleCount(NamedTuple):
-    """Ask for a number of replicas in a role; replicas left over keep their role."""
+    """Require a number of replicas in a role; surplus replicas keep their role."""
 
     role: ItemName
     replicas: Count
 
 
 class OrderRule(NamedTuple):
-    """Set how orders to this upstream's engines are given.
+    """Configure how orders are sent to this upstream's engines.
 
-    checks_fence tells whether the engines refuse an order with an old fencing number; with
-    those that do not, a new controller waits longest_order_ms before its first order.
-    min_serving and min_serving_share bound from below the replicas that stay in service.
+    checks_fence states whether the engines refuse an order with an old fencing number. If they do
+    not, a new controller waits longest_order_ms before its first order. min_serving and
+    min_serving_share are lower limits of the replicas that stay in service.
     """
 
     checks_fence: bool = False
@@ -34,9 +34,9 @@
 
 
 class UpstreamWanted(NamedTuple):
-    """Hold the wanted state of one upstream as operators write it.
+    """Hold the wanted state of one upstream as written by operators.
 
-    Every replica has all of models and adapters; version is left alone when empty.
+    Every replica must have all models and adapters; an empty version is not enforced.
     """
 
     name: Name
--- a/papayapier/upstream/orders.py
+++ b/papayapier/upstream/orders.py
@@ -84,8 +84,8 @@
 class EngineControl(NamedTuple):
     """Group the control calls to model engines.
 
-    Each call times out after the progress limit of a stream. A Failure of send_order with sent MAYBE
-    means that the engine may or may not have accepted the order.
+    Each call times out after the progress limit of a stream. A Failure of send_order with sent
+    MAYBE means that the engine may or may not have accepted the order.
     """
 
     send_order: Callable[[Replica, Order], Awaitable[Result[OrderAnswer, Failure]]]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -388,7 +388,7 @@
     fleet.run(35_000, 500)
     now = fleet.time.clock.now()
     assert fleet.configs["a"].ready(now).is_ok()
-    assert "heard" in fleet.configs["b"].ready(now).unwrap_err()
+    assert "reached" in fleet.configs["b"].ready(now).unwrap_err()
     fleet.beat("a")
     assert fleet.configs["b"].ready(now).is_ok()
 
