--- a/papayapier/config/accept.py
+++ b/papayapier/config/accept.py
@@ -25,8 +25,8 @@
 
 SETTLE_MS: Final = 10_000
 RETRY_AFTER_MS: Final = 1_000
-ROUNDS_MOST: Final = 5
-REASON_MOST: Final = 500
+MAX_ROUNDS: Final = 5
+MAX_REASON_CHARS: Final = 500
 NAME_PATTERN: Final = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
 CHANGE_ID_PATTERN: Final = re.compile(r"[A-Za-z0-9._:-]{8,64}")
 
@@ -56,7 +56,7 @@
     warnings: list[Problem]
 
 
-class Winner(NamedTuple):
+class WinningChange(NamedTuple):
     """Report to an operator which concurrent change is in force instead of theirs."""
 
     version: int
@@ -68,20 +68,20 @@
 
     refusal: Refusal
     problems: list[Problem]
-    winner: Winner | None = None
+    winner: WinningChange | None = None
 
 
 class AcceptDeps(NamedTuple):
-    """Group the dependencies of accept_change; accepted is called with key, version and value."""
+    """Group the dependencies of accept_change; on_accepted gets key, version and value."""
 
     clock: Clock
     rand: random.Random
     store: Store
     checks: CheckDeps
-    accepted: Callable[[str, int, bytes], None]
+    on_accepted: Callable[[str, int, bytes], None]
 
 
-class _Held(NamedTuple):
+class _StoredObject(NamedTuple):
     """Hold the stored object that a change would replace; version is 0 if there is none."""
 
     version: int
@@ -90,11 +90,11 @@
     unreadable: bool = False
 
 
-_NOTHING: Final = Record(document=None, history=[])
-_Outcome = Result[Accepted, Rejected]
+_EMPTY_RECORD: Final = Record(document=None, history=[])
+_AcceptResult = Result[Accepted, Rejected]
 
 
-async def accept_change(deps: AcceptDeps, change: Change) -> _Outcome:
+async def accept_change(deps: AcceptDeps, change: Change) -> _AcceptResult:
     """Accept a change, or return why it was rejected and what is known of its outcome."""
     problems = _call_problems(change)
     if problems:
@@ -111,7 +111,7 @@
 class _Acceptance:
     """Run one change to its result.
 
-    _lost is the version that an update was based on whose answer was lost, or None.
+    _unsettled_version is the version that an update was based on whose answer was lost, or None.
     """
 
     def __init__(
@@ -121,52 +121,54 @@
         self._change = change
         self._document = document
         self._warnings = warnings
-        self._lost: int | None = None
+        self._unsettled_version: int | None = None
 
-    async def run(self) -> _Outcome:
+    async def run(self) -> _AcceptResult:
         """Read, check and write; start again when a concurrent change was accepted first."""
-        for _ in range(ROUNDS_MOST):
-            done = await self._round()
-            if done is not None:
-                return done
+        for _ in range(MAX_ROUNDS):
+            outcome = await self._try_once()
+            if outcome is not None:
+                return outcome
         return self._unavailable(StoreError.CONFLICT)
 
-    async def _round(self) -> _Outcome | None:
+    async def _try_once(self) -> _AcceptResult | None:
         match await self._read():
             case Err(error):
                 return self._unavailable(error)
-            case Ok(held):
+            case Ok(stored):
                 pass
-        match await self._already_done(held):
+        match await self._find_earlier(stored):
             case Err(error):
                 return self._unavailable(error)
             case Ok(known) if known is not None:
                 return known
-        if held.version == self._lost:
+        if stored.version == self._unsettled_version:
             return self._unavailable(StoreError.LOST)
-        self._lost = None
-        refused = self._refused(held)
+        self._unsettled_version = None
+        refused = self._rejection(stored)
         if refused is not None:
             return Err(refused)
-        return await self._write(held)
+        return await self._write(stored)
 
-    async def _read(self) -> Result[_Held, StoreError]:
+    async def _read(self) -> Result[_StoredObject, StoreError]:
         match await self._deps.store.get(self._change.subject.key):
             case Err(StoreError.NOT_FOUND):
-                return Ok(_Held(0, b"", _NOTHING))
+                return Ok(_StoredObject(0, b"", _EMPTY_RECORD))
             case Err(error):
                 return Err(error)
             case Ok(stored):
-                return Ok(_held(stored))
+                return Ok(_to_stored_object(stored))
 
-    async def _already_done(self, held: _Held) -> Result[_Outcome | None, StoreError]:
+    async def _find_earlier(
+        self, stored: _StoredObject
+    ) -> Result[_AcceptResult | None, StoreError]:
         """Return the result if the trail already contains this change, or None.
 
         It does after an update whose answer was lost, or when the operator repeats a call.
         """
-        history = held.record["history"]
+        history = stored.record["history"]
         if history and self._change.based_on < history[0]["based_on"]:
-            match await trail.spilled(self._deps.store, self._change.subject):
+            match await trail.read_spilled(self._deps.store, self._change.subject):
                 case Err(error):
                     return Err(error)
                 case Ok(older):
@@ -175,72 +177,82 @@
         if entry is None:
             return Ok(None)
         if entry["content"] != records.content_hash(self._document):
-            why = f"change id {self._change.change_id} was used for another change"
-            return Ok(Err(Rejected(not_run(ErrorKind.KEY_CONFLICT, why), [])))
-        return Ok(self._repeated(held, entry, trail.version_after(history, entry, held.version)))
+            reason = f"change id {self._change.change_id} was used for another change"
+            return Ok(Err(Rejected(not_run(ErrorKind.KEY_CONFLICT, reason), [])))
+        return Ok(
+            self._accept_repeated(
+                stored, entry, trail.version_of_entry(history, entry, stored.version)
+            )
+        )
 
-    def _repeated(self, held: _Held, entry: AuditEntry, version: int) -> _Outcome:
+    def _accept_repeated(
+        self, stored: _StoredObject, entry: AuditEntry, version: int
+    ) -> _AcceptResult:
         key = self._change.subject.key
-        self._deps.accepted(key, held.version, held.value)
-        return Ok(Accepted(version, self._lost is None, entry["changes"], self._warnings))
+        self._deps.on_accepted(key, stored.version, stored.value)
+        return Ok(
+            Accepted(version, self._unsettled_version is None, entry["changes"], self._warnings)
+        )
 
-    def _refused(self, held: _Held) -> Rejected | None:
-        if held.unreadable:
+    def _rejection(self, stored: _StoredObject) -> Rejected | None:
+        if stored.unreadable:
             # Overwriting it would silently drop its audit trail.
-            why = f"{self._change.subject.key} in the store is not a configuration object"
-            return Rejected(not_run(ErrorKind.INTERNAL, why), [])
-        gone = held.record["document"] is None
-        if self._document is None and gone:
-            why = f"{self._change.subject.name} does not exist"
-            return Rejected(not_run(ErrorKind.NOT_FOUND, why), [])
-        expected = 0 if gone and self._change.based_on == 0 else held.version
+            reason = f"{self._change.subject.key} in the store is not a configuration object"
+            return Rejected(not_run(ErrorKind.INTERNAL, reason), [])
+        deleted = stored.record["document"] is None
+        if self._document is None and deleted:
+            reason = f"{self._change.subject.name} does not exist"
+            return Rejected(not_run(ErrorKind.NOT_FOUND, reason), [])
+        expected = 0 if deleted and self._change.based_on == 0 else stored.version
         if self._change.based_on == expected:
             return None
-        return self._conflict(held)
+        return self._conflict(stored)
 
-    def _conflict(self, held: _Held) -> Rejected:
+    def _conflict(self, stored: _StoredObject) -> Rejected:
         subject = self._change.subject
         events.emit(events.CONFIG_CONFLICT, key=subject.key, who=self._change.who)
-        if not held.record["history"]:
-            why = f"based on version {self._change.based_on}, but {subject.name} does not exist"
-            return Rejected(not_run(ErrorKind.VERSION_CONFLICT, why), [])
-        winner = Winner(held.version, held.record["history"][-1])
-        return Rejected(not_run(ErrorKind.VERSION_CONFLICT, _tell(subject, winner)), [], winner)
-
-    async def _write(self, held: _Held) -> _Outcome | None:
-        match await trail.spill(self._deps.store, self._change.subject, held.record["history"]):
+        if not stored.record["history"]:
+            reason = f"based on version {self._change.based_on}, but {subject.name} does not exist"
+            return Rejected(not_run(ErrorKind.VERSION_CONFLICT, reason), [])
+        winner = WinningChange(stored.version, stored.record["history"][-1])
+        return Rejected(
+            not_run(ErrorKind.VERSION_CONFLICT, _describe_winner(subject, winner)), [], winner
+        )
+
+    async def _write(self, stored: _StoredObject) -> _AcceptResult | None:
+        match await trail.spill(self._deps.store, self._change.subject, stored.record["history"]):
             case Err(error):
                 return self._unavailable(error)
-        entry = self._entry(held)
-        value = records.encode(self._record(held, entry))
-        match await self._put(held, value):
+        entry = self._entry(stored)
+        value = records.encode(self._record(stored, entry))
+        match await self._update_store(stored, value):
             case Ok(version):
                 return self._accept(version, value, entry)
             case Err(StoreError.CONFLICT):
                 return None
             case Err(StoreError.LOST):
-                self._lost = held.version
+                self._unsettled_version = stored.version
                 return None
             case Err(error):
                 return self._unavailable(error)
 
-    def _accept(self, version: int, value: bytes, entry: AuditEntry) -> _Outcome:
+    def _accept(self, version: int, value: bytes, entry: AuditEntry) -> _AcceptResult:
         key = self._change.subject.key
         events.emit(events.CONFIG_ACCEPTED, key=key, version=version, who=entry["who"])
-        self._deps.accepted(key, version, value)
+        self._deps.on_accepted(key, version, value)
         return Ok(Accepted(version, False, entry["changes"], self._warnings))
 
-    async def _put(self, held: _Held, value: bytes) -> Result[int, StoreError]:
+    async def _update_store(self, stored: _StoredObject, value: bytes) -> Result[int, StoreError]:
         key = self._change.subject.key
         settling = Settling(self._deps.store, self._deps.clock, self._deps.rand)
         due_ms = self._deps.clock.now() + SETTLE_MS
-        if held.version == 0:
+        if stored.version == 0:
             return await create_settled(settling, key, value, due_ms)
-        return await update_settled(settling, key, value, held.version, due_ms)
+        return await update_settled(settling, key, value, stored.version, due_ms)
 
-    def _entry(self, held: _Held) -> AuditEntry:
-        history = held.record["history"]
-        before = held.record["document"]
+    def _entry(self, stored: _StoredObject) -> AuditEntry:
+        history = stored.record["history"]
+        before = stored.record["document"]
         return AuditEntry(
             seq=history[-1]["seq"] + 1 if history else 1,
             change_id=self._change.change_id,
@@ -248,32 +260,32 @@
             who=self._change.who,
             action=_action(before, self._document),
             reason=self._change.reason,
-            based_on=held.version,
+            based_on=stored.version,
             content=records.content_hash(self._document),
             changes=records.field_changes(before, self._document),
         )
 
-    def _record(self, held: _Held, entry: AuditEntry) -> Record:
-        kept = trail.kept(held.record["history"])
-        return Record(document=self._document, history=[*kept, entry])
+    def _record(self, stored: _StoredObject, entry: AuditEntry) -> Record:
+        retained = trail.retained(stored.record["history"])
+        return Record(document=self._document, history=[*retained, entry])
 
-    def _unavailable(self, error: StoreError) -> _Outcome:
+    def _unavailable(self, error: StoreError) -> _AcceptResult:
         kind = ErrorKind.STORE_UNAVAILABLE
-        if self._lost is None:
-            why = f"the store did not take the change: {error.value}"
-            return Err(Rejected(not_run(kind, why, RETRY_AFTER_MS), []))
+        if self._unsettled_version is None:
+            reason = f"the store did not take the change: {error.value}"
+            return Err(Rejected(not_run(kind, reason, RETRY_AFTER_MS), []))
         key = self._change.subject.key
         events.emit(events.CONFIG_UNSETTLED, key=key, change=self._change.change_id)
-        why = "the store's answer was lost; repeat with the same change_id to learn the outcome"
-        return Err(Rejected(unknown(kind, why, RETRY_AFTER_MS), []))
+        reason = "the store's answer was lost; repeat with the same change_id to learn the outcome"
+        return Err(Rejected(unknown(kind, reason, RETRY_AFTER_MS), []))
 
 
-def _held(stored: Stored) -> _Held:
+def _to_stored_object(stored: Stored) -> _StoredObject:
     match records.decode(stored.value):
         case Ok(record):
-            return _Held(stored.version, stored.value, record)
+            return _StoredObject(stored.version, stored.value, record)
         case _:
-            return _Held(stored.version, stored.value, _NOTHING, unreadable=True)
+            return _StoredObject(stored.version, stored.value, _EMPTY_RECORD, unreadable=True)
 
 
 def _call_problems(change: Change) -> list[Problem]:
@@ -284,8 +296,8 @@
         problems.append(Problem("change_id", f"must match {CHANGE_ID_PATTERN.pattern}"))
     if change.based_on < 0:
         problems.append(Problem("based_on", "must be 0 or the version that the change is based on"))
-    if not change.reason.strip() or len(change.reason) > REASON_MOST:
-        problems.append(Problem("reason", f"must be 1 to {REASON_MOST} characters"))
+    if not change.reason.strip() or len(change.reason) > MAX_REASON_CHARS:
+        problems.append(Problem("reason", f"must be 1 to {MAX_REASON_CHARS} characters"))
     return problems
 
 
@@ -299,7 +311,7 @@
     return "create" if before is None else "update"
 
 
-def _tell(subject: Subject, winner: Winner) -> str:
+def _describe_winner(subject: Subject, winner: WinningChange) -> str:
     """Describe the accepted change: an update with its values, others with field names only."""
     fields = ", ".join(
         (
--- a/papayapier/config/book.py
+++ b/papayapier/config/book.py
@@ -26,7 +26,7 @@
 BUCKETS: Final = 64
 DIGEST_MASK: Final = 2**64 - 1
 
-Watcher = Callable[[str, int], None]
+ChangeListener = Callable[[str, int], None]
 
 
 class InForce(NamedTuple):
@@ -40,14 +40,14 @@
 class ProfileBook:
     """Hold all configuration objects in force, by key."""
 
-    __slots__ = ("_buckets", "_objects", "_unreadable", "_version", "_watchers")
+    __slots__ = ("_buckets", "_listeners", "_objects", "_unreadable", "_version")
 
     def __init__(self) -> None:
         self._objects: dict[str, InForce] = {}
         self._buckets = [0] * BUCKETS
         self._unreadable: dict[str, int] = {}
         self._version = 0
-        self._watchers: list[Watcher] = []
+        self._listeners: list[ChangeListener] = []
 
     def profile(self, name: str) -> Profile | None:
         """Return a profile in force, or None."""
@@ -61,13 +61,15 @@
 
     def profiles(self) -> dict[str, Profile]:
         """Return every profile in force, by name."""
-        found = {e.wanted.name: e.wanted for e in self._live() if isinstance(e.wanted, Profile)}
+        found = {e.wanted.name: e.wanted for e in self._existing() if isinstance(e.wanted, Profile)}
         return dict(sorted(found.items()))
 
     def upstreams(self) -> dict[str, UpstreamWanted]:
         """Return the wanted state of every upstream, by name."""
         found = {
-            e.wanted.name: e.wanted for e in self._live() if isinstance(e.wanted, UpstreamWanted)
+            e.wanted.name: e.wanted
+            for e in self._existing()
+            if isinstance(e.wanted, UpstreamWanted)
         }
         return dict(sorted(found.items()))
 
@@ -77,8 +79,8 @@
 
     def version_of(self, key: str) -> int:
         """Return the version of one object in force, or 0."""
-        held = self._objects.get(key)
-        return held.version if held else 0
+        current = self._objects.get(key)
+        return current.version if current else 0
 
     def lacks(self, key: str, version: int) -> bool:
         """Return whether a version should be fetched; one that could not be decoded should not."""
@@ -95,9 +97,9 @@
     def objects(self, newer_than: int = 0) -> list[ConfigPush]:
         """Return the objects in force with a higher version than the given one."""
         return [
-            ConfigPush(key, held.version, held.value)
-            for key, held in self._objects.items()
-            if held.version > newer_than
+            ConfigPush(key, current.version, current.value)
+            for key, current in self._objects.items()
+            if current.version > newer_than
         ]
 
     def objects_differing(self, buckets: Iterable[int]) -> list[ConfigPush]:
@@ -105,65 +107,65 @@
         same = {i for i, (a, b) in enumerate(zip(self._buckets, buckets, strict=False)) if a == b}
         return [push for push in self.objects() if _bucket_of(push.key) not in same]
 
-    def watch(self, watcher: Watcher) -> None:
+    def watch(self, listener: ChangeListener) -> None:
         """Register a callback that gets the key and version of each applied change."""
-        self._watchers.append(watcher)
+        self._listeners.append(listener)
 
     def apply(self, key: str, version: int, value: bytes) -> bool:
         """Apply an object if it is newer than the one in force; return whether it was applied."""
-        subject = records.subject_of(key)
+        subject = records.parse_key(key)
         if subject is None:
             return False
-        held = self._objects.get(key)
+        current = self._objects.get(key)
         value = records.without_history(value)
-        if held is not None and version <= held.version:
+        if current is not None and version <= current.version:
             # Different contents with the same version mean that a peer or a data folder holds the
             # configuration of another store. It is unknown which of them was accepted, and a
             # higher version from there could replace ours. The counter and event 901 report it.
-            same = version < held.version or records.same_document(value, held.value)
+            same = version < current.version or records.same_document(value, current.value)
             invariants.check(same, Promise.CONFIG_FORWARD, key=key, version=version)
             return False
-        return self._put(subject, InForce(version, value, None))
+        return self._apply_object(subject, InForce(version, value, None))
 
-    def _put(self, subject: Subject, item: InForce) -> bool:
-        match _typed(subject, item.value):
+    def _apply_object(self, subject: Subject, item: InForce) -> bool:
+        match _decode_wanted(subject, item.value):
             case Ok(wanted):
                 item = item._replace(wanted=wanted)
-            case Err(why):
+            case Err(reason):
                 self._unreadable[subject.key] = item.version
                 events.emit(
-                    events.CONFIG_UNREADABLE, key=subject.key, version=item.version, reason=why
+                    events.CONFIG_UNREADABLE, key=subject.key, version=item.version, reason=reason
                 )
                 return False
-        self._count(subject.key, item.version)
+        self._update_digest(subject.key, item.version)
         self._objects[subject.key] = item
         self._version = max(self._version, item.version)
         events.emit(events.CONFIG_APPLIED, key=subject.key, version=item.version)
-        for watcher in self._watchers:
-            watcher(subject.key, item.version)
+        for listener in self._listeners:
+            listener(subject.key, item.version)
         return True
 
-    def _count(self, key: str, version: int) -> None:
+    def _update_digest(self, key: str, version: int) -> None:
         change = _pair_hash(key, version) - _pair_hash(key, self.version_of(key))
         bucket = _bucket_of(key)
         self._buckets[bucket] = (self._buckets[bucket] + change) & DIGEST_MASK
 
     def _wanted(self, kind: str, name: str) -> Wanted | None:
-        held = self._objects.get(Subject(kind, name).key)
-        return held.wanted if held else None
+        current = self._objects.get(Subject(kind, name).key)
+        return current.wanted if current else None
 
-    def _live(self) -> list[InForce]:
-        return [held for held in self._objects.values() if held.wanted is not None]
+    def _existing(self) -> list[InForce]:
+        return [current for current in self._objects.values() if current.wanted is not None]
 
 
-def _typed(subject: Subject, value: bytes) -> Ok[Wanted | None] | Err[str]:
+def _decode_wanted(subject: Subject, value: bytes) -> Ok[Wanted | None] | Err[str]:
     match records.decode(value):
-        case Err(why):
-            return Err(why)
+        case Err(reason):
+            return Err(reason)
         case Ok(record) if record["document"] is None:
             return Ok(None)
         case Ok(record):
-            return records.typed(subject, record["document"])
+            return records.parse_document(subject, record["document"])
 
 
 def _pair_hash(key: str, version: int) -> int:
--- a/papayapier/config/checks.py
+++ b/papayapier/config/checks.py
@@ -14,7 +14,7 @@
 from papayapier.config.records import KINDS, PROFILES, Document, Subject, Wanted
 from papayapier.config.upstreams import UpstreamWanted
 
-URGENT_DUE_MOST_MS: Final = 600_000
+MAX_URGENT_DUE_MS: Final = 600_000
 
 
 class Problem(NamedTuple):
@@ -62,8 +62,8 @@
     if errors:
         return Verdict(None, errors, [])
     match codec.from_document(document, kind):
-        case Err(why):
-            return Verdict(None, [_split(why)], [])
+        case Err(error):
+            return Verdict(None, [_parse_problem(error)], [])
         case Ok(wanted):
             return Verdict(wanted, _rule_errors(subject, wanted), [])
 
@@ -89,17 +89,17 @@
 
 def _value_errors(name: str, value: object, hint: Any) -> list[Problem]:
     match codec.from_document(value, hint):
-        case Err(why):
-            inner = _split(why)
+        case Err(error):
+            inner = _parse_problem(error)
             path = f"{name}.{inner.path}" if inner.path else name
             return [Problem(path.replace(".[", "["), inner.reason)]
         case _:
             return []
 
 
-def _split(why: str) -> Problem:
-    path, separator, reason = why.partition(": ")
-    return Problem(path, reason) if separator and " " not in path else Problem("", why)
+def _parse_problem(error: str) -> Problem:
+    path, separator, reason = error.partition(": ")
+    return Problem(path, reason) if separator and " " not in path else Problem("", error)
 
 
 def _rule_errors(subject: Subject, wanted: Wanted) -> list[Problem]:
@@ -113,9 +113,9 @@
 
 def _profile_errors(profile: Profile) -> list[Problem]:
     errors = []
-    if profile.urgency == "urgent" and profile.due_ms > URGENT_DUE_MOST_MS:
+    if profile.urgency == "urgent" and profile.due_ms > MAX_URGENT_DUE_MS:
         errors.append(
-            Problem("due_ms", f"exceeds {URGENT_DUE_MOST_MS}, the maximum for urgent requests")
+            Problem("due_ms", f"exceeds {MAX_URGENT_DUE_MS}, the maximum for urgent requests")
         )
     if profile.urgency == "batch" and profile.batch.share == 0:
         errors.append(Problem("batch.share", "is 0, so batch items would never run"))
@@ -146,15 +146,15 @@
     current = deps.current(subject)
     if subject.kind != PROFILES or not isinstance(current, Profile):
         return verdict
-    why = _stranding(current, verdict.wanted)
-    queued = deps.queued_under(subject.name) if why else 0
+    field = _stranding_field(current, verdict.wanted)
+    queued = deps.queued_under(subject.name) if field else 0
     if not queued:
         return verdict
-    problem = Problem(why, f"{queued} queued requests or items would be stranded")
+    problem = Problem(field, f"{queued} queued requests or items would be stranded")
     return verdict._replace(warnings=[*verdict.warnings, problem], stranded=queued)
 
 
-def _stranding(current: Profile, wanted: Wanted | None) -> str:
+def _stranding_field(current: Profile, wanted: Wanted | None) -> str:
     """Return the path of the field whose change prevents queued work from running, or ""."""
     if not isinstance(wanted, Profile):
         return "name"
--- a/papayapier/config/folder.py
+++ b/papayapier/config/config_file.py
@@ -24,7 +24,7 @@
     objects: list[ConfigPush]
 
 
-class FolderKeeper:
+class ConfigFile:
     """Load the copy at start and save it after changes; without a folder do nothing."""
 
     def __init__(self, folder: str, clock: Clock, book: ProfileBook) -> None:
@@ -36,9 +36,9 @@
         """Apply the copy's objects to the registry."""
         if not self._folder:
             return
-        match load_folder(self._folder):
-            case Err(why):
-                events.emit(events.CONFIG_FOLDER_FAILED, reason=why)
+        match read_saved(self._folder):
+            case Err(error):
+                events.emit(events.CONFIG_FOLDER_FAILED, reason=error)
             case Ok(objects):
                 for item in objects:
                     self._book.apply(item.key, item.version, item.value)
@@ -55,12 +55,12 @@
         self._saving.close()
 
     def _save(self) -> None:
-        match save_folder(self._folder, self._book.objects()):
-            case Err(why):
-                events.emit(events.CONFIG_FOLDER_FAILED, reason=why)
+        match write_saved(self._folder, self._book.objects()):
+            case Err(error):
+                events.emit(events.CONFIG_FOLDER_FAILED, reason=error)
 
 
-def load_folder(folder: str) -> Result[list[ConfigPush], str]:
+def read_saved(folder: str) -> Result[list[ConfigPush], str]:
     """Read the copy; return an empty list if the folder has none."""
     data = read_file(folder, FILE_NAME)
     if isinstance(data, Err):
@@ -70,6 +70,6 @@
     return codec.unpack(data.ok_value, SavedConfig).map(lambda saved: saved.objects)
 
 
-def save_folder(folder: str, objects: list[ConfigPush]) -> Result[None, str]:
+def write_saved(folder: str, objects: list[ConfigPush]) -> Result[None, str]:
     """Replace the copy."""
     return replace_file(folder, FILE_NAME, codec.pack(SavedConfig(objects)))
--- a/papayapier/config/fetch.py
+++ b/papayapier/config/fetch.py
@@ -20,23 +20,23 @@
 from papayapier.store.api import Store, StoreError
 from papayapier.store.watch import Pauses
 
-READS_AT_ONCE: Final = 8
-PUSH_FIRST_MS: Final = 50
+MAX_CONCURRENT_READS: Final = 8
+PUSH_WAIT_MS: Final = 50
 
 
 class FetchDeps(NamedTuple):
     """Group the dependencies of Fetcher.
 
-    hurry returns True while the configuration is incomplete, to read without a delay. fetched is
-    called with key, version and value of each object that was read and applied.
+    is_urgent returns True while the configuration is incomplete, to read without a delay.
+    on_fetched is called with key, version and value of each object that was read and applied.
     """
 
     clock: Clock
     rand: random.Random
     store: Store
     book: ProfileBook
-    hurry: Callable[[], bool]
-    fetched: Callable[[str, int, bytes], None]
+    is_urgent: Callable[[], bool]
+    on_fetched: Callable[[str, int, bytes], None]
 
 
 class Fetcher:
@@ -44,22 +44,22 @@
 
     def __init__(self, deps: FetchDeps) -> None:
         self._deps = deps
-        self._wanted: dict[str, int] = {}
+        self._requested: dict[str, int] = {}
         self._task: Deferred[None] | None = None
         self._stopped = False
 
-    def want(self, key: str, version: int) -> None:
+    def request(self, key: str, version: int) -> None:
         """Read an object unless the version comes into force from another source first."""
         if self._stopped or not self._deps.book.lacks(key, version):
             return
-        self._wanted[key] = max(version, self._wanted.get(key, 0))
+        self._requested[key] = max(version, self._requested.get(key, 0))
         if self._task is None:
             self._task = Deferred.fromCoroutine(self._run())
-            self._task.addErrback(self._failed)
+            self._task.addErrback(self._on_failure)
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether nothing is left to read."""
-        return not self._forget_applied()
+        return not self._drop_applied()
 
     def stop(self) -> None:
         """Stop reading."""
@@ -70,9 +70,9 @@
     async def _run(self) -> None:
         pauses = Pauses(self._deps.rand)
         # Sleep even for 0 ms, so that this does not run inside the follower's listing.
-        await self._deps.clock.sleep(0 if self._deps.hurry() else PUSH_FIRST_MS)
-        while self._forget_applied():
-            keys = list(self._wanted)[:READS_AT_ONCE]
+        await self._deps.clock.sleep(0 if self._deps.is_urgent() else PUSH_WAIT_MS)
+        while self._drop_applied():
+            keys = list(self._requested)[:MAX_CONCURRENT_READS]
             reads = [Deferred.fromCoroutine(self._read(key)) for key in keys]
             if all([await read for read in reads]):
                 pauses.reset()
@@ -80,26 +80,26 @@
                 await self._deps.clock.sleep(pauses.next_ms())
         self._task = None
 
-    def _forget_applied(self) -> bool:
+    def _drop_applied(self) -> bool:
         lacks = self._deps.book.lacks
-        self._wanted = {key: v for key, v in self._wanted.items() if lacks(key, v)}
-        return bool(self._wanted)
+        self._requested = {key: v for key, v in self._requested.items() if lacks(key, v)}
+        return bool(self._requested)
 
     async def _read(self, key: str) -> bool:
         """Read one object; return False if a pause is needed before the next read."""
         match await self._deps.store.get(key):
             case Ok(stored):
                 if self._deps.book.apply(key, stored.version, stored.value):
-                    self._deps.fetched(key, stored.version, stored.value)
-                return stored.version >= self._wanted.get(key, 0)
+                    self._deps.on_fetched(key, stored.version, stored.value)
+                return stored.version >= self._requested.get(key, 0)
             case Err(StoreError.NOT_FOUND):
-                self._wanted.pop(key, None)
+                self._requested.pop(key, None)
                 return True
             case _:
                 return False
 
-    def _failed(self, failure: Failure) -> None:
-        """Clear the failed task so that the next want() restarts it; else nothing is read again."""
+    def _on_failure(self, failure: Failure) -> None:
+        """Clear the failed task so that the next request() restarts it, else nothing is read."""
         self._task = None
         if not isinstance(failure.value, CancelledError):
             events.emit(events.CONFIG_TASK_FAILED, error=repr(failure.value))
--- a/papayapier/config/gaps.py
+++ b/papayapier/config/gap_detector.py
@@ -9,9 +9,9 @@
 from collections.abc import Collection
 from typing import Final, NamedTuple
 
-LASTING_MS: Final = 250
-ASK_AGAIN_MS: Final = 1_000
-ASK_AGAIN_MOST_MS: Final = 60_000
+MIN_GAP_MS: Final = 250
+RETRY_MS: Final = 1_000
+MAX_RETRY_MS: Final = 60_000
 
 
 class _Difference(NamedTuple):
@@ -19,11 +19,11 @@
 
     theirs: int
     ours: int
-    ask_at: int
-    wait_ms: int
+    request_at_ms: int
+    backoff_ms: int
 
 
-class GapFinder:
+class GapDetector:
     """Decide from digests whether to send a request to a peer now."""
 
     __slots__ = ("_differences",)
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self._differences: dict[str, _Difference] = {}
 
-    def should_ask(self, peer: str, theirs: int, ours: int, now: int, complete: bool) -> bool:
+    def should_request(self, peer: str, theirs: int, ours: int, now: int, complete: bool) -> bool:
         """Return whether to request the peer's configuration now.
 
         While this instance's configuration is not complete, the first request is immediate.
@@ -41,16 +41,18 @@
             return False
         known = self._differences.get(peer)
         if known is None or (known.theirs, known.ours) != (theirs, ours):
-            wait_ms = LASTING_MS if complete else 0
-            known = _Difference(theirs, ours, now + wait_ms, ASK_AGAIN_MS)
-        if now < known.ask_at:
+            backoff_ms = MIN_GAP_MS if complete else 0
+            known = _Difference(theirs, ours, now + backoff_ms, RETRY_MS)
+        if now < known.request_at_ms:
             self._differences[peer] = known
             return False
-        longer_ms = min(known.wait_ms * 2, ASK_AGAIN_MOST_MS)
-        self._differences[peer] = known._replace(ask_at=now + known.wait_ms, wait_ms=longer_ms)
+        next_backoff_ms = min(known.backoff_ms * 2, MAX_RETRY_MS)
+        self._differences[peer] = known._replace(
+            request_at_ms=now + known.backoff_ms, backoff_ms=next_backoff_ms
+        )
         return True
 
-    def keep(self, peers: Collection[str]) -> None:
+    def retain(self, peers: Collection[str]) -> None:
         """Drop the state of removed peers, since instances are replaced continually."""
         if len(self._differences) > len(peers):
             self._differences = {p: d for p, d in self._differences.items() if p in peers}
--- a/papayapier/config/keys.py
+++ b/papayapier/config/keys.py
@@ -14,7 +14,7 @@
 
 SCHEME: Final = b"bearer"
 # Longer values cannot be keys, so no digest of them is computed.
-KEY_BYTES_MAX: Final = 1_024
+MAX_KEY_BYTES: Final = 1_024
 
 
 def digest_of(key: bytes) -> bytes:
@@ -22,13 +22,13 @@
     return hashlib.sha256(key).digest()
 
 
-def shown_key(authorization: Sequence[bytes]) -> bytes | None:
+def bearer_key(authorization: Sequence[bytes]) -> bytes | None:
     """Return the key from an Authorization header, or None unless it has exactly one value."""
     if len(authorization) != 1:
         return None
     scheme, _, key = authorization[0].strip().partition(b" ")
     key = key.strip()
-    if scheme.lower() != SCHEME or not 0 < len(key) <= KEY_BYTES_MAX:
+    if scheme.lower() != SCHEME or not 0 < len(key) <= MAX_KEY_BYTES:
         return None
     return key
 
@@ -41,7 +41,7 @@
 
     def holder(self, authorization: Sequence[bytes]) -> Holder | None:
         """Return the holder of the key in an Authorization header, or None."""
-        key = shown_key(authorization)
+        key = bearer_key(authorization)
         if key is None:
             return None
         digest = digest_of(key)
--- a/papayapier/config/records.py
+++ b/papayapier/config/records.py
@@ -25,8 +25,8 @@
 AUDIT_PREFIX: Final = "audit/"
 PROFILES: Final = "profiles"
 UPSTREAMS: Final = "upstreams"
-HISTORY_MOST: Final = 16
-HISTORY_SPILL: Final = 8
+MAX_HISTORY_ENTRIES: Final = 16
+SPILLED_AT_ONCE: Final = 8
 SEQ_DIGITS: Final = 10
 
 Document = dict[str, Any]
@@ -95,7 +95,7 @@
         return f"{self.audit_prefix}{seq:0{SEQ_DIGITS}d}"
 
 
-def subject_of(key: str) -> Subject | None:
+def parse_key(key: str) -> Subject | None:
     """Return the configuration object that a store key identifies, or None for other keys."""
     parts = key.removeprefix(CONFIG_PREFIX).split("/")
     if not key.startswith(CONFIG_PREFIX) or len(parts) != 2 or parts[0] not in KINDS:
@@ -138,10 +138,10 @@
             return False
 
 
-def typed(subject: Subject, document: Document) -> Result[Wanted, str]:
+def parse_document(subject: Subject, document: Document) -> Result[Wanted, str]:
     """Convert a stored document to its record type, ignoring fields of newer releases."""
     kind = KINDS[subject.kind]
-    return codec.from_document(_known(document, kind), kind)
+    return codec.from_document(_known_fields(document, kind), kind)
 
 
 def content_hash(document: Document | None) -> str:
@@ -151,8 +151,8 @@
 
 def field_changes(before: Document | None, after: Document | None) -> list[FieldChange]:
     """List the fields, by path, in which two documents differ."""
-    old = _flat(before or {})
-    new = _flat(after or {})
+    old = _flatten(before or {})
+    new = _flatten(after or {})
     paths = list(dict.fromkeys([*old, *new]))
     return [
         FieldChange(path=path, before=old.get(path), after=new.get(path))
@@ -168,29 +168,29 @@
         return Err(str(exc))
 
 
-def _known(document: Document, kind: Any) -> Document:
+def _known_fields(document: Document, kind: Any) -> Document:
     hints = get_type_hints(kind)
     known = {}
     for name, value in document.items():
         if name not in hints:
             continue
-        known[name] = _known_part(value, hints[name])
+        known[name] = _known_value(value, hints[name])
     return known
 
 
-def _known_part(value: Any, hint: Any) -> Any:
+def _known_value(value: Any, hint: Any) -> Any:
     if isinstance(value, dict) and hasattr(hint, "_fields"):
-        return _known(value, hint)
+        return _known_fields(value, hint)
     if isinstance(value, list) and get_args(hint):
-        return [_known_part(part, get_args(hint)[0]) for part in value]
+        return [_known_value(part, get_args(hint)[0]) for part in value]
     return value
 
 
-def _flat(document: Document, path: str = "") -> Document:
+def _flatten(document: Document, path: str = "") -> Document:
     flat: Document = {}
     for name, value in document.items():
         if isinstance(value, dict):
-            flat.update(_flat(value, f"{path}{name}."))
+            flat.update(_flatten(value, f"{path}{name}."))
         else:
             flat[path + name] = value
     return flat
--- a/papayapier/config/route_table.py
+++ b/papayapier/config/route_table.py
@@ -105,7 +105,7 @@
     def has_public_jobs(self, host: str) -> bool:
         """Return whether a host has routes for batch jobs, all of them without a key."""
         name = host.partition(":")[0].lower()
-        jobs = [one for one in self._by_host.get(name, ()) if one.kind is WorkKind.JOB]
+        jobs = [route for route in self._by_host.get(name, ()) if route.kind is WorkKind.JOB]
         return bool(jobs) and all(route.public for route in jobs)
 
     def asker(self, public: bool, authorization: Sequence[bytes]) -> Result[Team | None, Refusal]:
--- a/papayapier/config/start.py
+++ b/papayapier/config/start.py
@@ -12,7 +12,7 @@
 from papayapier.config.book import ProfileBook
 from papayapier.config.checks import CheckDeps, Verdict
 from papayapier.config.records import PROFILES, Subject, Wanted
-from papayapier.config.spread import Spread, SpreadDeps
+from papayapier.config.sync import ConfigSync, ConfigSyncDeps
 from papayapier.config.trail import AuditFilter, AuditLine
 from papayapier.metrics import Metrics
 from papayapier.peer.messages import Message
@@ -20,7 +20,7 @@
 from papayapier.settings import ConfigSettings
 from papayapier.store.api import Store, StoreError
 
-EVERYBODY_FOLLOWS: Final = Plan(frozenset(), relay=True, full_mesh=True)
+FOLLOW_EVERYWHERE: Final = Plan(frozenset(), relay=True, full_mesh=True)
 
 
 class ConfigDeps(NamedTuple):
@@ -41,7 +41,7 @@
     peers: Callable[[], Sequence[str]]
     queued_under: Callable[[str], int]
     upstream_names: Callable[[], set[str]]
-    plan: Callable[[], Plan] = lambda: EVERYBODY_FOLLOWS
+    plan: Callable[[], Plan] = lambda: FOLLOW_EVERYWHERE
 
 
 class Config(NamedTuple):
@@ -59,8 +59,8 @@
 def start_config(deps: ConfigDeps) -> Config:
     """Start polling and watching the store, and return the functions of the service."""
     book = ProfileBook()
-    spread = Spread(
-        SpreadDeps(
+    sync = ConfigSync(
+        ConfigSyncDeps(
             deps.clock,
             deps.rand,
             deps.store,
@@ -76,16 +76,16 @@
     check_deps = CheckDeps(
         lambda subject: _current(book, subject), deps.queued_under, deps.upstream_names
     )
-    accept_deps = AcceptDeps(deps.clock, deps.rand, deps.store, check_deps, spread.accepted)
-    spread.start()
+    accept_deps = AcceptDeps(deps.clock, deps.rand, deps.store, check_deps, sync.on_accepted)
+    sync.start()
     return Config(
         book=book,
-        on_peer=spread.on_peer,
+        on_peer=sync.on_peer,
         check=lambda subject, document: checks.check_change(check_deps, subject, document),
         accept=lambda change: accept.accept_change(accept_deps, change),
-        audit=lambda chosen: trail.audit(deps.store, chosen),
-        ready=spread.fresh,
-        stop=spread.stop,
+        audit=lambda audit_filter: trail.audit(deps.store, audit_filter),
+        ready=sync.check_current,
+        stop=sync.stop,
     )
 
 
--- a/papayapier/config/follow.py
+++ b/papayapier/config/store_follower.py
@@ -19,14 +19,14 @@
 from papayapier.store.api import Change, Store
 from papayapier.store.watch import Follower, FollowPace
 
-REVIEW_MS: Final = 1_000
-KEYS_PER_POLL: Final = 1_000
+UPDATE_MS: Final = 1_000
+KEYS_PER_PAGE: Final = 1_000
 
 
 class FollowDeps(NamedTuple):
     """Group the dependencies of the follower; must_follow is evaluated every second.
 
-    fetched is called with key, version and value of each object that was read from the store.
+    on_fetched is called with key, version and value of each object that was read from the store.
     """
 
     clock: Clock
@@ -35,17 +35,17 @@
     settings: ConfigSettings
     book: ProfileBook
     must_follow: Callable[[], bool]
-    fetched: Callable[[str, int, bytes], None]
+    on_fetched: Callable[[str, int, bytes], None]
 
 
-class StoreFollowing:
+class StoreFollower:
     """Run the store follower while it is needed, and read the objects whose change it reports."""
 
     def __init__(self, deps: FollowDeps) -> None:
         self._deps = deps
         self._follower: Follower | None = None
         self._timer: Timer | None = None
-        self._heard_ms = 0
+        self._last_success_ms = 0
         self._complete = False
         self._fetcher = Fetcher(
             FetchDeps(
@@ -54,13 +54,13 @@
                 deps.store,
                 deps.book,
                 lambda: not self._complete,
-                deps.fetched,
+                deps.on_fetched,
             )
         )
 
     def start(self) -> None:
         """Start to follow the store if needed."""
-        self._review()
+        self._update()
 
     def stop(self) -> None:
         """Stop permanently."""
@@ -69,21 +69,21 @@
         self._unfollow()
         self._fetcher.stop()
 
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether all objects of one listing of the store have been read; stays True."""
         listed = self._follower is not None and self._follower.listed_ms is not None
-        if listed and self._fetcher.idle():
+        if listed and self._fetcher.is_idle():
             self._complete = True
         return self._complete
 
-    def heard_ms(self) -> int:
+    def last_success_ms(self) -> int:
         """Return the start time of the last listing that succeeded."""
         if self._follower is not None:
-            self._heard_ms = max(self._heard_ms, self._follower.listed_ms or 0)
-        return self._heard_ms
+            self._last_success_ms = max(self._last_success_ms, self._follower.listed_ms or 0)
+        return self._last_success_ms
 
-    def _review(self) -> None:
-        self._timer = self._deps.clock.call_later(REVIEW_MS, self._review)
+    def _update(self) -> None:
+        self._timer = self._deps.clock.call_later(UPDATE_MS, self._update)
         if not self._deps.must_follow():
             self._unfollow()
         elif self._follower is None:
@@ -91,7 +91,7 @@
 
     def _follow(self) -> None:
         # A listing has 1,000 keys per page and each page counts as a read, so poll less often.
-        pages = 1 + len(self._deps.book.objects()) // KEYS_PER_POLL
+        pages = 1 + len(self._deps.book.objects()) // KEYS_PER_PAGE
         cfg = self._deps.settings
         self._follower = Follower(
             self._deps.store,
@@ -104,16 +104,16 @@
         self._follower.start()
 
     def _unfollow(self) -> None:
-        self.complete()
-        self.heard_ms()
+        self.is_complete()
+        self.last_success_ms()
         if self._follower is not None:
             self._follower.stop()
             self._follower = None
 
     def _on_change(self, change: Change) -> None:
-        self.complete()
+        self.is_complete()
         if not change.deleted:
-            self._fetcher.want(change.key, change.version)
+            self._fetcher.request(change.key, change.version)
         elif self._deps.book.version_of(change.key):
             # Accepted deletions leave a tombstone, so someone removed this object by hand,
             # without an audit entry. It stays in force here.
--- a/papayapier/config/teams.py
+++ b/papayapier/config/teams.py
@@ -41,7 +41,7 @@
     def __init__(self, teams: Iterable[tuple[Team, Sequence[bytes]]]) -> None:
         """Create the registry from each team and the digests of its keys."""
         listed = list(teams)
-        self._ring = KeyRing((digest, team) for team, digests in listed for digest in digests)
+        self._keys = KeyRing((digest, team) for team, digests in listed for digest in digests)
         self._by_name = {team.name: team for team, _ in listed}
 
     def named(self, name: str) -> Team | None:
@@ -50,7 +50,7 @@
 
     def asker(self, authorization: Sequence[bytes]) -> Result[Team, Refusal]:
         """Return the team whose key is in the Authorization header."""
-        team = self._ring.holder(authorization)
+        team = self._keys.holder(authorization)
         if team is None:
             return Err(not_run(ErrorKind.UNAUTHORIZED, "the key is missing or not known"))
         return Ok(team)
--- a/papayapier/config/trail.py
+++ b/papayapier/config/trail.py
@@ -13,9 +13,9 @@
 from papayapier.config.records import AuditEntry, Subject
 from papayapier.store.api import Entry, Listing, Store, StoreError
 
-PAGE: Final = 1_000
+PAGE_KEYS: Final = 1_000
 LIMIT_DEFAULT: Final = 100
-SPILL_TRIES: Final = 3
+MAX_SPILL_ATTEMPTS: Final = 3
 
 
 class AuditFilter(NamedTuple):
@@ -45,12 +45,12 @@
     Concurrent changes copy the same entries to the same key, so an object that already exists
     counts as success.
     """
-    if len(history) < records.HISTORY_MOST:
+    if len(history) < records.MAX_HISTORY_ENTRIES:
         return Ok(None)
-    oldest = history[: records.HISTORY_SPILL]
+    oldest = history[: records.SPILLED_AT_ONCE]
     value = records.encode(records.Spilled(entries=oldest))
     error = StoreError.LOST
-    for _ in range(SPILL_TRIES):
+    for _ in range(MAX_SPILL_ATTEMPTS):
         match await store.create(subject.audit_key(oldest[0]["seq"]), value):
             case Ok(_) | Err(StoreError.CONFLICT):
                 return Ok(None)
@@ -59,12 +59,16 @@
     return Err(error)
 
 
-def kept(history: list[AuditEntry]) -> list[AuditEntry]:
+def retained(history: list[AuditEntry]) -> list[AuditEntry]:
     """Return the entries that remain in the object after a spill."""
-    return history[records.HISTORY_SPILL :] if len(history) >= records.HISTORY_MOST else history
+    return (
+        history[records.SPILLED_AT_ONCE :]
+        if len(history) >= records.MAX_HISTORY_ENTRIES
+        else history
+    )
 
 
-async def spilled(store: Store, subject: Subject) -> Result[list[AuditEntry], StoreError]:
+async def read_spilled(store: Store, subject: Subject) -> Result[list[AuditEntry], StoreError]:
     """Read the spilled entries of an object, oldest first."""
     found: list[AuditEntry] = []
     match await list_all(store, subject.audit_prefix):
@@ -88,7 +92,7 @@
     revision: int | None = None
     after = ""
     while True:
-        match await store.list(prefix, after, PAGE):
+        match await store.list(prefix, after, PAGE_KEYS):
             case Err(error):
                 return Err(error)
             case Ok(page):
@@ -99,29 +103,29 @@
                 after = page.objects[-1].key
 
 
-async def audit(store: Store, chosen: AuditFilter) -> Result[list[AuditLine], StoreError]:
+async def audit(store: Store, audit_filter: AuditFilter) -> Result[list[AuditLine], StoreError]:
     """Return the newest entries that match a filter, newest first.
 
     Objects are read in order of their last change, the latest first, until the limit is reached
     and no further object can contain a newer entry than those found.
     """
-    match await _candidates(store, chosen):
+    match await _list_candidates(store, audit_filter):
         case Err(error):
             return Err(error)
         case Ok(candidates):
             pass
     lines: list[AuditLine] = []
     for subject, version in sorted(candidates, key=lambda c: -c[1]):
-        if len(lines) >= chosen.limit and lines[chosen.limit - 1].version > version:
+        if len(lines) >= audit_filter.limit and lines[audit_filter.limit - 1].version > version:
             break
-        match await _lines_of(store, subject, chosen):
+        match await _read_lines(store, subject, audit_filter):
             case Err(StoreError.NOT_FOUND):
                 continue
             case Err(error):
                 return Err(error)
             case Ok(more):
                 lines = sorted([*lines, *more], key=lambda line: -line.version)
-    return Ok(lines[: chosen.limit])
+    return Ok(lines[: audit_filter.limit])
 
 
 def find(history: list[AuditEntry], change_id: str) -> AuditEntry | None:
@@ -129,35 +133,35 @@
     return next((entry for entry in history if entry["change_id"] == change_id), None)
 
 
-def version_after(history: list[AuditEntry], entry: AuditEntry, newest: int) -> int:
+def version_of_entry(history: list[AuditEntry], entry: AuditEntry, newest: int) -> int:
     """Return the version that a change got: the one that the next change was based on."""
     later = next((e for e in history if e["seq"] == entry["seq"] + 1), None)
     return later["based_on"] if later else newest
 
 
-async def _candidates(
-    store: Store, chosen: AuditFilter
+async def _list_candidates(
+    store: Store, audit_filter: AuditFilter
 ) -> Result[list[tuple[Subject, int]], StoreError]:
     prefix = records.CONFIG_PREFIX
-    if chosen.kind:
-        prefix += f"{chosen.kind}/{chosen.name}"
+    if audit_filter.kind:
+        prefix += f"{audit_filter.kind}/{audit_filter.name}"
     match await list_all(store, prefix):
         case Err(error):
             return Err(error)
         case Ok(listed):
             pass
-    found = [(records.subject_of(item.key), item.version) for item in listed.objects]
+    found = [(records.parse_key(item.key), item.version) for item in listed.objects]
     return Ok(
         [
             (subject, version)
             for subject, version in found
-            if subject is not None and chosen.name in ("", subject.name)
+            if subject is not None and audit_filter.name in ("", subject.name)
         ]
     )
 
 
-async def _lines_of(
-    store: Store, subject: Subject, chosen: AuditFilter
+async def _read_lines(
+    store: Store, subject: Subject, audit_filter: AuditFilter
 ) -> Result[list[AuditLine], StoreError]:
     """Return an object's matching lines; read its spilled entries only if they may be needed."""
     match await store.get(subject.key):
@@ -165,34 +169,35 @@
             return Err(error)
         case Ok(stored):
             history = records.decode(stored.value).unwrap_or(_EMPTY)["history"]
-    lines = _chosen(_numbered(subject, history, stored.version), chosen)
+    lines = _matching(_to_lines(subject, history, stored.version), audit_filter)
     oldest = history[0] if history else None
-    if oldest is None or oldest["seq"] == 1 or oldest["at_ms"] < chosen.since_ms:
+    if oldest is None or oldest["seq"] == 1 or oldest["at_ms"] < audit_filter.since_ms:
         return Ok(lines)
-    if len(lines) >= chosen.limit:
+    if len(lines) >= audit_filter.limit:
         return Ok(lines)
-    match await spilled(store, subject):
+    match await read_spilled(store, subject):
         case Err(error):
             return Err(error)
         case Ok(older):
             older = [entry for entry in older if entry["seq"] < oldest["seq"]]
-            lines += _chosen(_numbered(subject, older, oldest["based_on"]), chosen)
+            lines += _matching(_to_lines(subject, older, oldest["based_on"]), audit_filter)
             return Ok(lines)
 
 
 _EMPTY: Final = records.Record(document=None, history=[])
 
 
-def _numbered(subject: Subject, history: list[AuditEntry], newest: int) -> list[AuditLine]:
+def _to_lines(subject: Subject, history: list[AuditEntry], newest: int) -> list[AuditLine]:
     return [
-        AuditLine(subject.kind, subject.name, version_after(history, entry, newest), entry)
+        AuditLine(subject.kind, subject.name, version_of_entry(history, entry, newest), entry)
         for entry in history
     ]
 
 
-def _chosen(lines: list[AuditLine], chosen: AuditFilter) -> list[AuditLine]:
+def _matching(lines: list[AuditLine], audit_filter: AuditFilter) -> list[AuditLine]:
     return [
         line
         for line in lines
-        if chosen.who in ("", line.entry["who"]) and line.entry["at_ms"] >= chosen.since_ms
+        if audit_filter.who in ("", line.entry["who"])
+        and line.entry["at_ms"] >= audit_filter.since_ms
     ]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 from papayapier.config import records, trail
 from papayapier.config.accept import Accepted, Change, Rejected
 from papayapier.config.book import ProfileBook
-from papayapier.config.checks import URGENT_DUE_MOST_MS, check_document
+from papayapier.config.checks import MAX_URGENT_DUE_MS, check_document
 from papayapier.config.records import PROFILES, Subject
 from papayapier.config.start import Config, ConfigDeps, start_config
 from papayapier.config.trail import AuditFilter
@@ -243,7 +243,7 @@
     del wrong["idempotent"]
     found = {problem.path for problem in check_document(GATE, wrong).errors}
     assert found == {"due_ms", "urgency", "retry.attempts", "extra", "idempotent"}
-    late = gate(URGENT_DUE_MOST_MS + 1, urgency="urgent")
+    late = gate(MAX_URGENT_DUE_MS + 1, urgency="urgent")
     assert [p.path for p in check_document(GATE, late).errors] == ["due_ms"]
     (unknown,) = check_document(GATE, gate(retry={"again_ms": 100})).errors
     assert unknown.path == "retry" and "`again_ms`" in unknown.reason
@@ -260,7 +260,7 @@
     assert [line.entry["seq"] for line in lines] == list(range(40, 0, -1))
     assert all(old.version == new.entry["based_on"] for new, old in pairwise(lines))
     stored = records.decode(fleet.platform.objects[GATE.key].value).unwrap()
-    assert len(stored["history"]) <= records.HISTORY_MOST
+    assert len(stored["history"]) <= records.MAX_HISTORY_ENTRIES
     # A repeat of a change that has left the object is still recognised.
     assert fleet.apply("a", change(2_003, lines[36].entry["based_on"], "change-0003")).unwrap()[1]
 
--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -7,7 +7,7 @@
 from result import Err, Ok
 from twisted.web.http_headers import Headers
 
-from papayapier.config.keys import KEY_BYTES_MAX, KeyRing, digest_of, shown_key
+from papayapier.config.keys import MAX_KEY_BYTES, KeyRing, bearer_key, digest_of
 from papayapier.config.route_table import RouteTable, pick_profile
 from papayapier.config.teams import ANYBODY, Team, may_use
 from papayapier.dispatch.lost_sends import name_work
@@ -102,7 +102,7 @@
 def test_only_digests_are_held() -> None:
     ring = KeyRing([(digest_of(KEY.encode()), "yard")])
     assert KEY not in repr(vars(ring))
-    assert shown_key([b"Bearer " + b"k" * KEY_BYTES_MAX]) is not None
+    assert bearer_key([b"Bearer " + b"k" * MAX_KEY_BYTES]) is not None
 
 
 def test_a_replica_sees_the_team_and_no_key() -> None:
