--- a/papayapier/orders/__init__.py
+++ b/papayapier/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Bring model engines to the wanted state by orders from one controller."""
+"""Reconcile model engines with their wanted state through orders from one controller."""
--- a/papayapier/orders/controller.py
+++ b/papayapier/orders/controller.py
@@ -1,7 +1,7 @@
-"""Give the orders that the plan decides on, while this instance holds the lease.
+"""Send the orders that the plan decides on, while this instance holds the controller's lease.
 
-The lease is checked again immediately before each order goes out: between deciding and
-sending, the process may have been paused for longer than the lease.
+The lease is checked again immediately before each order is sent, because the process may have
+been paused for longer than the lease after the decision.
 """
 
 import random
@@ -39,18 +39,18 @@
 
 
 class ListedReplica(NamedTuple):
-    """Describe a replica that is listed and not leaving; serving tells that it is in use."""
+    """Describe a replica that is listed and not leaving; serving: it receives requests."""
 
     replica: Replica
     serving: bool
 
 
 class OrdersDeps(NamedTuple):
-    """Group what giving orders needs.
+    """Group the dependencies of the order controller.
 
-    wanted lists the wanted state of all upstreams, replicas those listed and not leaving,
-    instances the ids of the live entry instances. need is how many serving replicas an
-    upstream's load asks for at present; the configured bounds hold besides.
+    wanted returns the wanted state of all upstreams, replicas the listed replicas that are not
+    leaving, instances the ids of the live entry instances. need returns how many serving replicas
+    an upstream's current load requires; the configured minimum applies in addition.
     """
 
     clock: Clock
@@ -66,7 +66,7 @@
 
 
 class UnderwayLine(NamedTuple):
-    """Show one order under way."""
+    """Describe one order in progress, as shown to operators."""
 
     replica: str
     kind: str
@@ -74,7 +74,7 @@
 
 
 class NoteLine(NamedTuple):
-    """Show what lately became of an order."""
+    """Describe a recent event of an order, as shown to operators."""
 
     at_ms: int
     replica: str
@@ -85,7 +85,7 @@
 
 
 class OrdersView(NamedTuple):
-    """Show the orders as this instance knows them; only the controller knows any."""
+    """Describe the orders known to this instance; only the controller knows any."""
 
     controller: str
     underway: list[UnderwayLine]
@@ -93,21 +93,21 @@
 
 
 class OrderControl(NamedTuple):
-    """Group the calls of the orders of one instance."""
+    """Group the functions of the order controller of one instance."""
 
     show: Callable[[], OrdersView]
     stop: Callable[[], Awaitable[None]]
 
 
 def start_orders(deps: OrdersDeps) -> OrderControl:
-    """Start to take part in giving orders."""
+    """Start to compete for the controller's lease, and to send orders while holding it."""
     controller = Controller(deps)
     controller.start()
     return OrderControl(controller.show, controller.stop)
 
 
 class Controller:
-    """Hold the plan and the lease, and do what they say."""
+    """Run the steps that the plan decides on while the lease is held."""
 
     def __init__(self, deps: OrdersDeps) -> None:
         self._deps = deps
@@ -133,19 +133,19 @@
         )
 
     def start(self) -> None:
-        """Start to keep the lease and to take steps."""
+        """Start the tasks that renew the lease and run the plan's steps."""
         self._loop(self._keep_lease)
         self._loop(self._take_steps)
 
     async def stop(self) -> None:
-        """Give no more orders and give the lease back."""
+        """Stop sending orders and release the lease."""
         self._stopped = True
         for task in list(self._tasks):
             task.cancel()
         await self._lease.release(clean=not self._plan.underway())
 
     def show(self) -> OrdersView:
-        """Return what operators are shown."""
+        """Return the state that is shown to operators."""
         if not self._lease.held():
             return OrdersView(self._lease.holder, [], [])
         underway = [
@@ -156,7 +156,7 @@
 
     async def _keep_lease(self) -> None:
         while True:
-            # Without any wanted state there is nothing to order and no lease to write.
+            # Without any wanted state no orders are needed, so the lease is not acquired.
             if self._deps.wanted() or self._lease.held():
                 await self._lease.keep()
             pause_ms = self._deps.cfg.renew_ms * self._deps.rand.uniform(0.8, 1.0)
@@ -239,7 +239,7 @@
         self._follow(Deferred.fromCoroutine(work))
 
     def _loop(self, make: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Run a task for ever: if it stopped, wanted orders would never be given."""
+        """Run a task and restart it whenever it ends, or orders would no longer be sent."""
 
         def again() -> None:
             if not self._stopped:
--- a/papayapier/orders/lease.py
+++ b/papayapier/orders/lease.py
@@ -1,13 +1,13 @@
 """Hold the lease that makes one instance the controller of all orders.
 
-The lease object's version is the fencing number; every renewal raises it. The holder counts
-its time from when its last good renewal was sent, an observer from when it first read the
-version that it still reads, so the holder always stops first. A renewal that comes late,
-after a pause or an outage, is still good when its condition holds: the version proves that
-nobody else held the lease meanwhile.
-
-Only the two instances that rendezvous hashing ranks highest read the lease, so the reads do
-not grow with the fleet.
+The version of the lease object is the fencing number; every renewal increases it. The holder
+measures the lease time from when it sent its last successful renewal, an observer from when it
+first read the current version, so the holder always stops first. A late renewal, after a pause
+or an outage, is still valid if its condition holds: the version proves that no other instance
+held the lease in the meantime.
+
+Only the two instances that rendezvous hashing ranks highest read the lease, so the number of
+reads does not grow with the fleet.
 """
 
 import random
@@ -30,9 +30,9 @@
 
 
 class LeaseRecord(NamedTuple):
-    """Hold the stored lease; run differs at every start of a process.
+    """Hold the stored lease; run is a random number drawn at each start of a process.
 
-    released tells that the holder gave it back, clean that no order was under way then.
+    released: the holder released the lease. clean: no order was in progress then.
     """
 
     holder: str
@@ -43,7 +43,11 @@
 
 
 class LeaseDeps(NamedTuple):
-    """Group what the lease needs; began is told whether the last holder left it clean."""
+    """Group the dependencies of the lease.
+
+    began is called when the lease is acquired, with whether the last holder left no order in
+    progress.
+    """
 
     clock: Clock
     rand: random.Random
@@ -55,7 +59,7 @@
 
 
 class ControllerLease:
-    """Take, renew and give back the controller's lease."""
+    """Acquire, renew and release the controller's lease."""
 
     def __init__(self, deps: LeaseDeps) -> None:
         self._deps = deps
@@ -69,22 +73,22 @@
         self.holder = ""
 
     def fence(self) -> int:
-        """Return the fencing number to be put into orders."""
+        """Return the fencing number for new orders."""
         return self._version
 
     def held(self) -> bool:
-        """Tell whether this instance is the controller as far as it knows."""
+        """Return whether this instance is the controller as far as it knows."""
         return self._sent_ms is not None
 
     def may_act(self) -> bool:
-        """Tell whether an order may be given at this moment."""
+        """Return whether the lease is valid now, so that an order may be sent."""
         if self._sent_ms is None:
             return False
         now = self._deps.clock.now()
         return holder_may_act(self._sent_ms, self._deps.cfg.lease_ms, now, self._margin_ms)
 
     async def keep(self) -> None:
-        """Renew the lease if it is held, and otherwise look whether it can be taken."""
+        """Renew the lease if it is held; otherwise acquire it if possible."""
         if self._in_doubt:
             await self._read_own()
         if self.held():
@@ -93,12 +97,12 @@
             await self._try_to_take()
 
     async def release(self, clean: bool) -> None:
-        """Give the lease back, so that another instance need not wait for its end."""
+        """Release the lease, so that another instance need not wait until it expires."""
         if not self.held():
             return
         record = self._record()._replace(released=True, clean=clean)
         self._sent_ms = None
-        # When this fails, the lease merely ends by itself later.
+        # If this fails, the lease expires later.
         await self._deps.store.update(LEASE_KEY, codec.pack(record), self._version)
 
     def _is_candidate(self) -> bool:
@@ -115,7 +119,7 @@
                 self._in_doubt = True
 
     async def _read_own(self) -> None:
-        """Find out whether the last renewal took effect or another instance came first."""
+        """Read whether the last renewal took effect or another instance acquired the lease."""
         match await self._read():
             case Ok((version, record)) if (record.holder, record.run) == self._me():
                 self._version = version
@@ -162,7 +166,7 @@
         match await self._deps.store.get(LEASE_KEY):
             case Ok(stored):
                 record = codec.unpack(stored.value, LeaseRecord)
-                # An unreadable lease is one that nobody renews: it ends like any other.
+                # Nobody renews a lease that cannot be decoded, so it expires like any other.
                 return Ok((stored.version, record.unwrap_or(LeaseRecord("", 0, 0))))
             case Err(error):
                 return Err(error)
--- a/papayapier/orders/life.py
+++ b/papayapier/orders/life.py
@@ -1,11 +1,11 @@
-"""Follow one order from giving it to its end.
+"""Define the state machine of one order, from sending it to its result.
 
-given: its answer is awaited.  doubtful: the answer was lost, and the order may have arrived,
-may still be on its way, or never arrives.  taken: the engine lists it.  done: reading back
-shows it in effect.  failed: it has ended otherwise.
+given: waiting for its answer. doubtful: the answer was lost; the order may have arrived, may
+still be in flight, or may never arrive. taken: the engine lists the order. done: the engine's
+state shows that it took effect. failed: it ended without taking effect.
 
-Only reading back leads to done, and only reading back or the longest time of an order leads
-out of doubtful; so an order is never given twice because an answer was lost.
+Only the engine's state leads to done, and only the engine's state or the time limit of an order
+leads out of doubtful. So an order is never sent twice because an answer was lost.
 """
 
 from typing import Final, Protocol
@@ -18,38 +18,38 @@
 
 
 class OrderLife(Protocol):
-    """Describe what can be learnt of an order; ended and in_doubt ask for its state."""
+    """Declare the inputs of the state machine, and the query of its state."""
 
     def accepted(self) -> None:
-        """Note that the engine answered that it takes the order."""
+        """Handle an answer that the engine accepts the order."""
 
     def lost(self, now: int) -> None:
-        """Note that there was no whole answer."""
+        """Handle a missing or incomplete answer."""
 
     def refused(self, why: str) -> None:
-        """Note that the engine certainly did not take the order."""
+        """Handle a confirmed refusal, or an order that was not sent."""
 
     def effect_seen(self) -> None:
-        """Note that the order is in effect."""
+        """Handle an engine state in which the order is in effect."""
 
     def listed(self) -> None:
-        """Note that the engine lists the order."""
+        """Handle an engine state that lists the order as accepted."""
 
     def absent(self) -> None:
-        """Note that the engine neither lists it nor has it in effect."""
+        """Handle an engine state that neither lists the order nor has it in effect."""
 
     def overdue(self) -> None:
-        """Note that the longest time of an order has passed."""
+        """Handle the end of the order's time limit."""
 
     def state(self) -> str:
         """Return the name of the state."""
 
 
 class OrderFacts:
-    """Hold what does not change with the state, and how it ended.
+    """Hold the data of an order that does not depend on its state, and the reason of a failure.
 
-    look_after_ms is when a state must have been asked for to prove that a doubtful order
-    did not arrive. blames_item tells a failure of the item from one of the delivery.
+    Only an engine state requested at look_after_ms or later proves that a doubtful order did not
+    arrive. blames_item distinguishes a failure of the item from one of the delivery.
     """
 
     __slots__ = (
@@ -118,12 +118,12 @@
 
 @_doubtful.upon(OrderLife.absent).to(_failed)
 def _not_arrived(_: OrderLife, facts: OrderFacts) -> None:
-    facts.why = "the order did not arrive"
+    facts.why = "the order did not reach the engine"
 
 
 @_taken.upon(OrderLife.absent).to(_failed)
 def _forgotten(_: OrderLife, facts: OrderFacts) -> None:
-    facts.why = "the engine has forgotten the order"
+    facts.why = "the engine no longer lists the order"
     facts.blames_item = True
 
 
@@ -131,7 +131,7 @@
 @_doubtful.upon(OrderLife.overdue).to(_failed)
 @_taken.upon(OrderLife.overdue).to(_failed)
 def _too_long(_: OrderLife, facts: OrderFacts) -> None:
-    facts.why = "not in effect after the longest time of an order"
+    facts.why = "the order did not take effect within its time limit"
     facts.blames_item = True
 
 
--- a/papayapier/orders/memory.py
+++ b/papayapier/orders/memory.py
@@ -1,4 +1,4 @@
-"""Remember one replica: what it was seen to have, and the order that is under way there."""
+"""Track one replica: its last known state and the order in progress there."""
 
 from enum import Enum
 from typing import Final, NamedTuple
@@ -18,7 +18,7 @@
 
 
 class Sight(NamedTuple):
-    """Tell that a replica is listed, not leaving, and whether it serves."""
+    """Describe a replica that is listed and not leaving; serving: it receives requests."""
 
     replica_id: str
     upstream: str
@@ -26,7 +26,7 @@
 
 
 class Answered(Enum):
-    """Say what the answer to an order proves."""
+    """State what the answer to an order proves."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -35,14 +35,14 @@
 
 
 class Ended(NamedTuple):
-    """Tell how an order ended; why is empty when it is in effect."""
+    """Report the result of an order; why is empty if it took effect."""
 
     item: Item
     why: str
 
 
 class ReplicaMemory:
-    """Hold one replica; busy tells that it lacks, or may lack, something wanted."""
+    """Track one replica; busy: it lacks, or may lack, something of the wanted state."""
 
     __slots__ = (
         "_asked_ms",
@@ -70,42 +70,42 @@
         self._not_before_ms = 0
 
     def underway(self) -> Item | None:
-        """Return the item of the order under way."""
+        """Return the item of the order in progress, or None."""
         return self._facts.item if self._facts else None
 
     def serves(self) -> bool:
-        """Tell whether the replica adds to its upstream's capacity now.
+        """Return whether the replica contributes to its upstream's capacity now.
 
-        One that has failed an order may still be busy with it, whatever it reports. If it
-        counted as serving, a version that no replica can load would go to one after the
-        other until none serves.
+        A replica whose order failed may still be processing it, whatever it reports. If it
+        counted as serving, a version that no replica can load would be rolled out to one replica
+        after the other until none serves.
         """
         has_model = self.state is not None and bool(self.state.models)
         idle = self._facts is None and self._blamed is None
         return self.sight.serving and idle and has_model
 
     def forgive(self) -> None:
-        """Forget failures, because nothing is wanted that the replica lacks."""
+        """Clear the failures; called when the replica lacks nothing of the wanted state."""
         self._failures = 0
         self._blamed = None
 
     def role(self) -> str | None:
-        """Return the role that the replica has or is being given; None when not known."""
+        """Return the role that the replica has or is ordered to take; None if unknown."""
         if self._facts is not None and self._facts.item.kind is OrderKind.CHANGE_ROLE:
             return self._facts.item.name
         return self.state.role if self.state else None
 
     def may_be_ordered(self, now: int) -> bool:
-        """Tell whether the replica was just read, has no order and need not wait."""
+        """Return whether the state is fresh, no order is in progress and no backoff applies."""
         fresh = self.state is not None and now - self._asked_ms <= FRESH_MS
         return fresh and self._facts is None and now >= self._not_before_ms
 
     def halts(self, item: Item) -> bool:
-        """Tell whether an item has failed here so often that others should not get it."""
+        """Return whether an item failed here so often that other replicas must not get it."""
         return self._blamed == item and self._failures >= HALT_FAILURES
 
     def look_due(self, now: int) -> bool:
-        """Tell whether to read the replica now, and if so note that it is read."""
+        """Return whether to read the replica's state now, and if so record the read."""
         wait_ms = LOOK_BUSY_MS if self.busy or self._facts else LOOK_IDLE_MS
         if self._looked_ms is not None and now - self._looked_ms < wait_ms:
             return False
@@ -113,11 +113,11 @@
         return True
 
     def give(self, order: Order, item: Item, now: int, until_ms: int) -> None:
-        """Note that an order goes out."""
+        """Record an order that is being sent."""
         self._follow(OrderFacts(order.order_id, item, now, until_ms))
 
     def answered(self, order_id: str, answer: Answered, now: int) -> Ended | None:
-        """Take the answer to an order; return its end if it has ended."""
+        """Process the answer to an order; return its result if it has ended."""
         if self._facts is None or self._life is None or self._facts.order_id != order_id:
             return None
         if answer is Answered.ACCEPTED:
@@ -129,7 +129,7 @@
         return self._ended(now)
 
     def seen(self, state: EngineState, asked_ms: int, now: int, longest_ms: int) -> Ended | None:
-        """Take a state that was asked for at a time; return an order's end if it shows one."""
+        """Process a state requested at asked_ms; return the order's result if it has ended."""
         if asked_ms < self._asked_ms:
             return None
         if self.state is None and self._facts is None:
@@ -148,17 +148,17 @@
         return self._ended(now)
 
     def check_overdue(self, now: int) -> Ended | None:
-        """End an order that has taken too long."""
+        """Fail an order that has exceeded its time limit."""
         if self._facts is None or self._life is None or now < self._facts.until_ms:
             return None
         self._life.overdue()
         return self._ended(now)
 
     def _adopt(self, state: EngineState, now: int, longest_ms: int) -> None:
-        """Take a former controller's last order for under way if it is not in effect.
+        """Treat the previous controller's last order as in progress if it is not in effect.
 
-        The engine's list does not tell whether an order is still loading. Without this, a
-        new controller would order the same load a second time.
+        The engine's list does not show whether an order is still being processed. Without this,
+        a new controller would order the same load a second time.
         """
         if not state.orders:
             return
@@ -186,9 +186,9 @@
         return Ended(facts.item, facts.why)
 
     def _count_failure(self, facts: OrderFacts, now: int) -> None:
-        """Make the replica wait; the wait is longer than a state stays fresh.
+        """Count a failure and start the backoff, which is longer than a state counts as fresh.
 
-        So the next order needs a state that was read after this order's end.
+        So the next order requires a state that was read after this order ended.
         """
         if facts.blames_item and self._blamed != facts.item:
             self._blamed = facts.item
--- a/papayapier/orders/needs.py
+++ b/papayapier/orders/needs.py
@@ -1,4 +1,4 @@
-"""Work out what a replica still lacks of its upstream's wanted state."""
+"""Compute what a replica lacks of its upstream's wanted state."""
 
 from collections.abc import Mapping
 from typing import Final, NamedTuple
@@ -12,27 +12,27 @@
 
 
 class Item(NamedTuple):
-    """Name one thing that a replica can be ordered to have."""
+    """Identify a model, adapter, version or role that a replica can be ordered to have."""
 
     kind: OrderKind
     name: str
 
     @property
     def is_load(self) -> bool:
-        """Tell whether the engine reads from the weight store for it."""
+        """Return whether the engine reads from the weight store for this item."""
         return self.kind is not OrderKind.CHANGE_ROLE
 
     @property
     def takes_capacity(self) -> bool:
-        """Tell whether the engine may stop to admit requests; adapters load beside them."""
+        """Return whether the engine may stop admitting requests; it does not for adapters."""
         return self.kind is not OrderKind.LOAD_ADAPTER
 
 
 def missing(wanted: UpstreamWanted, state: EngineState, role: str) -> list[Item]:
-    """List what a replica lacks, in the order in which it is to be given.
+    """Return the items that a replica lacks, in the order in which to send them.
 
-    The version comes first, because an engine may forget what it has loaded when its
-    version changes. An empty role stands for any.
+    The version comes first, because an engine may unload its models when its version changes. An
+    empty role stands for any role.
     """
     items = [Item(OrderKind.LOAD_VERSION, wanted.version)] if wanted.version else []
     items += [Item(OrderKind.LOAD_MODEL, name) for name in wanted.models]
@@ -42,7 +42,7 @@
 
 
 def in_effect(state: EngineState, item: Item) -> bool:
-    """Tell whether a replica has an item."""
+    """Return whether a replica has an item."""
     match item.kind:
         case OrderKind.LOAD_MODEL:
             return item.name in state.models
@@ -55,11 +55,11 @@
 
 
 def assign_roles(wanted: UpstreamWanted, roles: Mapping[str, str]) -> dict[str, str]:
-    """Choose replicas for roles that have too few, and leave the others as they are.
+    """Assign replicas to roles that have too few, and change as few replicas as possible.
 
-    Replicas that have a wanted role keep it up to its number, so that one replica more or
-    less moves no other. Only replicas that are in no wanted role, or in one with too many,
-    change. The order of ids settles the rest, so that every controller chooses alike.
+    Replicas in a wanted role keep it up to the wanted number, so that adding or removing one
+    replica moves no other. Only replicas in no wanted role, or in a role with too many replicas,
+    are reassigned. Ties are resolved by replica id, so that every controller chooses the same.
     """
     chosen: dict[str, str] = {}
     for count in wanted.roles:
@@ -75,15 +75,15 @@
 
 
 def make_order(fence: int, number: int, item: Item) -> Order:
-    """Make an order whose id tells a later controller what it was for."""
+    """Create an order whose id contains its item, so that a later controller can identify it."""
     order_id = f"{fence}-{number}/{item.kind.value}/{item.name}"
     return Order(order_id, fence, item.kind, item.name)
 
 
 def item_of(order_id: str) -> Result[Item, str]:
-    """Return what an order id says that the order was for."""
+    """Parse the item from an order id."""
     parts = order_id.split("/", ID_PARTS - 1)
     kinds = {kind.value: kind for kind in OrderKind}
     if len(parts) != ID_PARTS or parts[1] not in kinds:
-        return Err(f"{order_id} is not an order of ours")
+        return Err(f"order id {order_id!r} was not created by a controller")
     return Ok(Item(kinds[parts[1]], parts[2]))
--- a/papayapier/orders/plan.py
+++ b/papayapier/orders/plan.py
@@ -1,22 +1,22 @@
-"""Decide which order to give next; no I/O, no clock, no randomness.
-
-The plan is the controller's memory of each replica: what it was last seen to have, and the
-one order that may be under way there. An order's answer proves little (it can be lost, and
-some engines accept orders whatever their number), so an order ends only by what reading back
-shows, or after the longest time that one may take; only then can the replica get another.
-
-Four limits hold back an order that is wanted:
-- Handover. Engines that ignore fencing numbers would also take a late order of the
-  controller before. For those, a new controller waits until the old lease and then the
-  longest order have passed. With the others it goes on at once, but takes the last order in
-  the engine's list for under way if it is not in effect.
-- Capacity. A replica with an order counts as not serving until the order is seen to have
-  taken effect, and no order may bring the serving replicas of its upstream below the need.
-  A version that breaks replicas therefore stops its own rollout.
-- Weights. Loads are spaced and counted, since the weight store limits the rate of all reads
-  together. A new controller begins with a whole gap.
-- Failure. After a failed order the replica waits ever longer, and after several failures of
-  an item the other replicas of the upstream are not given it.
+"""Decide which order to send next, without I/O, clock or randomness.
+
+The plan tracks for each replica its last known state and the single order that may be in
+progress there. The answer to an order proves little: it can be lost, and some engines accept
+orders whatever their fencing number. So an order ends only when the engine's state shows its
+result or when its time limit has passed; only then can the replica get another order.
+
+Four limits delay a required order:
+- Handover. Engines that ignore fencing numbers would also accept a late order of the previous
+  controller. For those, a new controller waits until the old lease and then the time limit of
+  an order have passed. For other engines it starts at once, but treats the last order in the
+  engine's list as in progress if it is not in effect.
+- Capacity. A replica with an order in progress counts as not serving until its state shows that
+  the order took effect, and no order may reduce the serving replicas of its upstream below the
+  required number. So the rollout of a version that breaks replicas stops by itself.
+- Weights. Loads are spaced in time and limited in number, because the weight store limits the
+  rate of all reads together. A new controller starts with a full gap.
+- Failure. After each failed order the replica's backoff grows, and after several failures of an
+  item the other replicas of the upstream do not get it.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -33,7 +33,7 @@
 
 
 class OrderLimits(NamedTuple):
-    """Bound what one controller does; lease_ms is that of the controller's lease."""
+    """Limit what one controller does; lease_ms is the duration of the controller's lease."""
 
     lease_ms: int
     load_gap_ms: int
@@ -41,20 +41,20 @@
 
 
 class Give(NamedTuple):
-    """Ask the controller to give an order."""
+    """Instruct the controller to send an order."""
 
     replica_id: str
     order: Order
 
 
 class Look(NamedTuple):
-    """Ask the controller to read a replica's state."""
+    """Instruct the controller to read a replica's state."""
 
     replica_id: str
 
 
 class NoteKind(Enum):
-    """Name what an operator is told about orders."""
+    """List the events of orders that are reported to operators."""
 
     GIVEN = "given"
     DONE = "done"
@@ -63,7 +63,7 @@
 
 
 class Note(NamedTuple):
-    """Tell an operator about an order, or about one that is wanted and held back."""
+    """Report an event of an order, or of a required order that is delayed."""
 
     kind: NoteKind
     replica_id: str
@@ -72,7 +72,7 @@
 
 
 class OrderPlan:
-    """Decide the next orders while this instance is controller."""
+    """Decide the next orders while this instance is the controller."""
 
     def __init__(self, limits: OrderLimits, need: Callable[[str], int]) -> None:
         self._limits = limits
@@ -89,9 +89,9 @@
         self._held: dict[str, str] = {}
 
     def begin(self, now: int, clean: bool) -> None:
-        """Begin as controller: nothing seen before counts.
+        """Start as controller and discard all states read before.
 
-        clean tells that the controller before left nothing under way.
+        clean: the previous controller left no order in progress.
         """
         self._begun_ms = now
         self._clean = clean
@@ -101,13 +101,13 @@
         self.set_replicas(sights)
 
     def set_wanted(self, wanted: Iterable[UpstreamWanted]) -> None:
-        """Take the wanted state of all upstreams."""
+        """Set the wanted state of all upstreams."""
         self._wanted = {upstream.name: upstream for upstream in wanted}
         for replica in self._replicas.values():
             replica.busy = True
 
     def set_replicas(self, sights: Iterable[Sight]) -> None:
-        """Take the listed replicas; one that is gone or leaving is forgotten."""
+        """Set the listed replicas; those that were removed or are leaving are dropped."""
         known = self._replicas
         self._replicas = {}
         for sight in sights:
@@ -118,7 +118,7 @@
         self._held = {id: why for id, why in self._held.items() if id in self._replicas}
 
     def seen(self, replica_id: str, state: EngineState, asked_ms: int, now: int) -> None:
-        """Take a state that was asked for at a time."""
+        """Process an engine state that was requested at asked_ms."""
         replica = self._replicas.get(replica_id)
         if replica is None or asked_ms < self._begun_ms:
             return
@@ -127,13 +127,13 @@
         self._note_end(replica, replica.seen(state, asked_ms, now, longest_ms))
 
     def answered(self, replica_id: str, order_id: str, answer: Answered, now: int) -> None:
-        """Take the answer to an order."""
+        """Process the answer to an order."""
         replica = self._replicas.get(replica_id)
         if replica is not None:
             self._note_end(replica, replica.answered(order_id, answer, now))
 
     def steps(self, fence: int, now: int) -> list[Give | Look]:
-        """Decide what to do now; the orders returned count as given."""
+        """Return the steps to run now; the returned orders count as sent."""
         for replica in self._replicas.values():
             self._note_end(replica, replica.check_overdue(now))
         self._loads = sum(item.is_load for item in self.underway().values())
@@ -146,22 +146,22 @@
         return steps
 
     def busy(self) -> bool:
-        """Tell whether any replica lacks something or has an order under way."""
+        """Return whether any replica lacks something or has an order in progress."""
         wanted = (r for r in self._replicas.values() if r.sight.upstream in self._wanted)
         return any(replica.busy or replica.underway() for replica in wanted)
 
     def notes(self) -> list[Note]:
-        """Return and forget what operators are to be told."""
+        """Return and clear the events to report to operators."""
         notes, self._notes = self._notes, []
         return notes
 
     def underway(self) -> dict[str, Item]:
-        """Return the items of the orders under way, by replica."""
+        """Return the items of the orders in progress, by replica."""
         items = {id: replica.underway() for id, replica in self._replicas.items()}
         return {id: item for id, item in items.items() if item is not None}
 
     def _group(self) -> None:
-        """Sort the replicas by upstream once, since every step goes through them."""
+        """Group the replicas by upstream once, since every step iterates over them."""
         self._groups = {}
         for replica in sorted(self._replicas.values(), key=lambda r: r.sight.replica_id):
             self._groups.setdefault(replica.sight.upstream, []).append(replica)
@@ -171,7 +171,7 @@
         roles = self._roles(wanted, replicas, now) if wanted.roles else {}
         gives = []
         for replica in replicas:
-            # Where no role depends on the others, only a new state can bring a new order.
+            # Without roles, which depend on other replicas, only a new state can require an order.
             settled = not replica.busy and not wanted.roles
             if replica.state is None or settled:
                 continue
@@ -186,9 +186,9 @@
     def _roles(
         self, wanted: UpstreamWanted, replicas: Sequence[ReplicaMemory], now: int
     ) -> dict[str, str]:
-        """Assign roles once all replicas were read, or those that can be read.
+        """Assign roles when all replicas have been read, or after ROLES_WAIT_MS.
 
-        Otherwise a replica would be moved into a role that another, not yet read, has.
+        Otherwise a replica would be moved into a role that a replica not yet read has.
         """
         roles = {replica.sight.replica_id: replica.role() for replica in replicas}
         known = {id: role for id, role in roles.items() if role is not None}
@@ -204,7 +204,7 @@
         replicas: Sequence[ReplicaMemory],
         now: int,
     ) -> bool:
-        """Tell whether an order may be given now; long waits are told to operators."""
+        """Return whether an order may be sent now; report it to operators if it is held back."""
         rule = wanted.orders
         handover_ms = self._begun_ms + self._limits.lease_ms + rule.longest_order_ms
         if not replica.may_be_ordered(now):
@@ -226,15 +226,15 @@
         wanted: UpstreamWanted,
         replicas: Sequence[ReplicaMemory],
     ) -> str:
-        """Return the reason why operators may have to help, or nothing."""
+        """Return the reason why an order is held back and operators may have to act, or ""."""
         halting = [other.sight.replica_id for other in replicas if other.halts(item)]
         if halting and not replica.halts(item):
-            return f"it failed {HALT_FAILURES} times on {halting[0]}"
+            return f"the item failed {HALT_FAILURES} times on {halting[0]}"
         if not item.takes_capacity or not replica.serves():
             return ""
         serving = sum(other.serves() for other in replicas)
         need = self._needed(wanted, len(replicas))
-        return "" if serving - 1 >= need else f"{serving} replicas serve and {need} are needed"
+        return "" if serving - 1 >= need else f"{serving} replicas serve and {need} are required"
 
     def _needed(self, wanted: UpstreamWanted, listed: int) -> int:
         rule = wanted.orders
