--- a/papayapier/config/teams.py
+++ b/papayapier/config/teams.py
@@ -56,15 +56,15 @@
         return Ok(team)
 
 
-def name_of(asker: Team | None) -> str:
+def name_of(team: Team | None) -> str:
     """Return the name of the requesting team; empty if there is none."""
-    return "" if asker is None else asker.name
+    return "" if team is None else team.name
 
 
-def may_use(owner: str, asker: str) -> bool:
+def may_use(owner: str, team: str) -> bool:
     """Return whether a team may read, end or resubmit what a team has created.
 
     Objects created without a key are accessible to everyone, and requests without a required
     key may access all objects.
     """
-    return not owner or not asker or owner == asker
+    return not owner or not team or owner == team
--- a/papayapier/orders/controller.py
+++ b/papayapier/orders/controller.py
@@ -16,8 +16,15 @@
 from papayapier.clock import MS_PER_S, Clock
 from papayapier.config.upstreams import UpstreamWanted
 from papayapier.orders.lease import ControllerLease, LeaseDeps
-from papayapier.orders.memory import Answered, Sight
-from papayapier.orders.plan import Give, Look, Note, NoteKind, OrderLimits, OrderPlan
+from papayapier.orders.plan import (
+    OrderEvent,
+    OrderEventKind,
+    OrderLimits,
+    OrderPlan,
+    ReadState,
+    SendOrder,
+)
+from papayapier.orders.replica_tracker import AnswerOutcome, ReplicaInfo
 from papayapier.settings import OrderSettings
 from papayapier.store.api import Store
 from papayapier.upstream.api import Replica, Sent
@@ -25,16 +32,16 @@
 
 TICK_BUSY_MS: Final = 250
 TICK_IDLE_MS: Final = 2_000
-LOOKS_AT_ONCE: Final = 32
-RESTART_MS: Final = 1_000
+MAX_CONCURRENT_READS: Final = 32
+RESTART_DELAY_MS: Final = 1_000
 MS_PER_MIN: Final = 60 * MS_PER_S
-NOTES_KEPT: Final = 100
+MAX_RECENT_EVENTS: Final = 100
 
-NOTE_EVENTS: Final = {
-    NoteKind.GIVEN: events.ORDER_GIVEN,
-    NoteKind.DONE: events.ORDER_DONE,
-    NoteKind.FAILED: events.ORDER_FAILED,
-    NoteKind.HELD: events.ORDER_HELD,
+LOG_EVENTS: Final = {
+    OrderEventKind.GIVEN: events.ORDER_GIVEN,
+    OrderEventKind.DONE: events.ORDER_DONE,
+    OrderEventKind.FAILED: events.ORDER_FAILED,
+    OrderEventKind.HELD: events.ORDER_HELD,
 }
 
 
@@ -65,7 +72,7 @@
     need: Callable[[str], int]
 
 
-class UnderwayLine(NamedTuple):
+class OrderInProgress(NamedTuple):
     """Describe one order in progress, as shown to operators."""
 
     replica: str
@@ -73,7 +80,7 @@
     name: str
 
 
-class NoteLine(NamedTuple):
+class RecentOrderEvent(NamedTuple):
     """Describe a recent event of an order, as shown to operators."""
 
     at_ms: int
@@ -88,8 +95,8 @@
     """Describe the orders known to this instance; only the controller knows any."""
 
     controller: str
-    underway: list[UnderwayLine]
-    lately: list[NoteLine]
+    underway: list[OrderInProgress]
+    lately: list[RecentOrderEvent]
 
 
 class OrderControl(NamedTuple):
@@ -116,8 +123,8 @@
         self._plan = OrderPlan(limits, deps.need)
         self._wanted: list[UpstreamWanted] = []
         self._replicas: dict[str, Replica] = {}
-        self._looks = DeferredSemaphore(LOOKS_AT_ONCE)
-        self._lately: list[NoteLine] = []
+        self._read_slots = DeferredSemaphore(MAX_CONCURRENT_READS)
+        self._recent: list[RecentOrderEvent] = []
         self._tasks: set[Deferred[None]] = set()
         self._stopped = False
         self._lease = ControllerLease(
@@ -128,37 +135,37 @@
                 deps.cfg,
                 deps.instance,
                 deps.instances,
-                lambda clean: self._plan.begin(deps.clock.now(), clean),
+                lambda clean: self._plan.start(deps.clock.now(), clean),
             )
         )
 
     def start(self) -> None:
         """Start the tasks that renew the lease and run the plan's steps."""
-        self._loop(self._keep_lease)
-        self._loop(self._take_steps)
+        self._run_forever(self._maintain_lease)
+        self._run_forever(self._take_steps)
 
     async def stop(self) -> None:
         """Stop sending orders and release the lease."""
         self._stopped = True
         for task in list(self._tasks):
             task.cancel()
-        await self._lease.release(clean=not self._plan.underway())
+        await self._lease.release(clean=not self._plan.items_in_progress())
 
     def show(self) -> OrdersView:
         """Return the state that is shown to operators."""
-        if not self._lease.held():
+        if not self._lease.is_held():
             return OrdersView(self._lease.holder, [], [])
         underway = [
-            UnderwayLine(id, item.kind.value, item.name)
-            for id, item in sorted(self._plan.underway().items())
+            OrderInProgress(id, item.kind.value, item.name)
+            for id, item in sorted(self._plan.items_in_progress().items())
         ]
-        return OrdersView(self._deps.instance, underway, list(self._lately))
+        return OrdersView(self._deps.instance, underway, list(self._recent))
 
-    async def _keep_lease(self) -> None:
+    async def _maintain_lease(self) -> None:
         while True:
             # Without any wanted state no orders are needed, so the lease is not acquired.
-            if self._deps.wanted() or self._lease.held():
-                await self._lease.keep()
+            if self._deps.wanted() or self._lease.is_held():
+                await self._lease.renew_or_acquire()
             pause_ms = self._deps.cfg.renew_ms * self._deps.rand.uniform(0.8, 1.0)
             await self._deps.clock.sleep(pause_ms)
 
@@ -166,98 +173,103 @@
         while True:
             if self._lease.may_act():
                 self._step()
-            busy = self._lease.held() and self._plan.busy()
+            busy = self._lease.is_held() and self._plan.busy()
             await self._deps.clock.sleep(TICK_BUSY_MS if busy else TICK_IDLE_MS)
 
     def _step(self) -> None:
-        self._take_inputs()
+        self._update_inputs()
         for step in self._plan.steps(self._lease.fence(), self._deps.clock.now()):
             replica = self._replicas[step.replica_id]
             match step:
-                case Give(_, order):
-                    self._run(self._give(replica, order))
-                case Look():
-                    self._run(self._look(replica))
-        for note in self._plan.notes():
-            self._tell(note)
-
-    def _take_inputs(self) -> None:
+                case SendOrder(_, order):
+                    self._spawn(self._send_order(replica, order))
+                case ReadState():
+                    self._spawn(self._read_state(replica))
+        for event in self._plan.take_events():
+            self._report_event(event)
+
+    def _update_inputs(self) -> None:
         wanted = list(self._deps.wanted())
         if wanted != self._wanted:
             self._wanted = wanted
             self._plan.set_wanted(wanted)
-        listed = self._deps.replicas()
-        self._replicas = {one.replica.id: one.replica for one in listed}
+        replicas = self._deps.replicas()
+        self._replicas = {
+            listed_replica.replica.id: listed_replica.replica for listed_replica in replicas
+        }
         self._plan.set_replicas(
-            Sight(one.replica.id, one.replica.upstream, one.serving) for one in listed
+            ReplicaInfo(
+                listed_replica.replica.id, listed_replica.replica.upstream, listed_replica.serving
+            )
+            for listed_replica in replicas
         )
 
-    async def _give(self, replica: Replica, order: Order) -> None:
-        answer = Answered.NOT_SENT
+    async def _send_order(self, replica: Replica, order: Order) -> None:
+        answer = AnswerOutcome.NOT_SENT
         if self._lease.may_act():
             answer = await self._send(replica, order)
-        self._plan.answered(replica.id, order.order_id, answer, self._deps.clock.now())
+        self._plan.on_answer(replica.id, order.order_id, answer, self._deps.clock.now())
 
-    async def _send(self, replica: Replica, order: Order) -> Answered:
+    async def _send(self, replica: Replica, order: Order) -> AnswerOutcome:
         match await self._deps.orders.send_order(replica, order):
             case Ok(answer) if answer.accepted:
-                return Answered.ACCEPTED
+                return AnswerOutcome.ACCEPTED
             case Ok(answer):
                 events.emit(
                     events.ORDER_FENCED, replica=replica.id, ours=order.fence, seen=answer.fence
                 )
-                return Answered.REFUSED
+                return AnswerOutcome.REFUSED
             case Err(failure) if failure.sent is Sent.NO:
-                return Answered.NOT_SENT
+                return AnswerOutcome.NOT_SENT
             case _:
-                return Answered.LOST
+                return AnswerOutcome.LOST
 
-    async def _look(self, replica: Replica) -> None:
-        await self._looks.acquire()
+    async def _read_state(self, replica: Replica) -> None:
+        await self._read_slots.acquire()
         try:
-            asked_ms = self._deps.clock.now()
+            requested_ms = self._deps.clock.now()
             read = await self._deps.orders.read_state(replica)
         finally:
-            self._looks.release()
+            self._read_slots.release()
         if isinstance(read, Ok):
-            self._plan.seen(replica.id, read.ok_value, asked_ms, self._deps.clock.now())
+            self._plan.on_state(replica.id, read.ok_value, requested_ms, self._deps.clock.now())
 
-    def _tell(self, note: Note) -> None:
-        kind, name = note.item.kind.value, note.item.name
+    def _report_event(self, event: OrderEvent) -> None:
+        kind, name = event.item.kind.value, event.item.name
         events.emit(
-            NOTE_EVENTS[note.kind],
-            replica=note.replica_id,
+            LOG_EVENTS[event.kind],
+            replica=event.replica_id,
             order=kind,
             name=name,
-            reason=note.reason,
+            reason=event.reason,
         )
         at_ms = self._deps.clock.wall()
-        line = NoteLine(at_ms, note.replica_id, kind, name, note.kind.value, note.reason)
-        self._lately = [line, *self._lately][:NOTES_KEPT]
+        line = RecentOrderEvent(at_ms, event.replica_id, kind, name, event.kind.value, event.reason)
+        self._recent = [line, *self._recent][:MAX_RECENT_EVENTS]
 
-    def _run(self, work: Coroutine[Any, Any, None]) -> None:
-        self._follow(Deferred.fromCoroutine(work))
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        self._track(Deferred.fromCoroutine(coroutine))
 
-    def _loop(self, make: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    def _run_forever(self, make_task: Callable[[], Coroutine[Any, Any, None]]) -> None:
         """Run a task and restart it whenever it ends, or orders would no longer be sent."""
 
-        def again() -> None:
+        def schedule_restart() -> None:
             if not self._stopped:
-                self._deps.clock.call_later(RESTART_MS, restart)
+                self._deps.clock.call_later(RESTART_DELAY_MS, restart)
 
         def restart() -> None:
             if not self._stopped:
-                self._loop(make)
+                self._run_forever(make_task)
 
-        self._follow(Deferred.fromCoroutine(make())).addCallback(lambda _: again())
+        self._track(Deferred.fromCoroutine(make_task())).addCallback(lambda _: schedule_restart())
 
-    def _follow(self, task: "Deferred[None]") -> "Deferred[None]":
+    def _track(self, task: "Deferred[None]") -> "Deferred[None]":
         self._tasks.add(task)
-        task.addErrback(_report)
+        task.addErrback(_log_failure)
         task.addBoth(lambda _: self._tasks.discard(task))
         return task
 
 
-def _report(failure: Failure) -> None:
+def _log_failure(failure: Failure) -> None:
     if not isinstance(failure.value, CancelledError):
         events.emit(events.ORDERS_TASK_FAILED, error=failure.getTraceback())
--- a/papayapier/orders/needs.py
+++ b/papayapier/orders/items.py
@@ -8,7 +8,7 @@
 from papayapier.config.upstreams import UpstreamWanted
 from papayapier.upstream.orders import EngineState, Order, OrderKind
 
-ID_PARTS: Final = 3
+ORDER_ID_PARTS: Final = 3
 
 
 class Item(NamedTuple):
@@ -28,7 +28,7 @@
         return self.kind is not OrderKind.LOAD_ADAPTER
 
 
-def missing(wanted: UpstreamWanted, state: EngineState, role: str) -> list[Item]:
+def missing_items(wanted: UpstreamWanted, state: EngineState, role: str) -> list[Item]:
     """Return the items that a replica lacks, in the order in which to send them.
 
     The version comes first, because an engine may unload its models when its version changes. An
@@ -63,8 +63,8 @@
     """
     chosen: dict[str, str] = {}
     for count in wanted.roles:
-        having = sorted(id for id, role in roles.items() if role == count.role)
-        chosen.update(dict.fromkeys(having[: count.replicas], count.role))
+        holders = sorted(id for id, role in roles.items() if role == count.role)
+        chosen.update(dict.fromkeys(holders[: count.replicas], count.role))
     free = sorted(id for id in roles if id not in chosen)
     for count in wanted.roles:
         lacking = count.replicas - sum(role == count.role for role in chosen.values())
@@ -80,10 +80,10 @@
     return Order(order_id, fence, item.kind, item.name)
 
 
-def item_of(order_id: str) -> Result[Item, str]:
+def parse_order_id(order_id: str) -> Result[Item, str]:
     """Parse the item from an order id."""
-    parts = order_id.split("/", ID_PARTS - 1)
+    parts = order_id.split("/", ORDER_ID_PARTS - 1)
     kinds = {kind.value: kind for kind in OrderKind}
-    if len(parts) != ID_PARTS or parts[1] not in kinds:
+    if len(parts) != ORDER_ID_PARTS or parts[1] not in kinds:
         return Err(f"order id {order_id!r} was not created by a controller")
     return Ok(Item(kinds[parts[1]], parts[2]))
--- a/papayapier/orders/lease.py
+++ b/papayapier/orders/lease.py
@@ -24,8 +24,8 @@
 from papayapier.store.api import Store, StoreError
 
 LEASE_KEY: Final = "leases/orders"
-CANDIDATES: Final = 2
-MARGIN_SHARE: Final = 10
+CANDIDATE_COUNT: Final = 2
+MARGIN_DIVISOR: Final = 10
 RUN_BITS: Final = 48
 
 
@@ -45,7 +45,7 @@
 class LeaseDeps(NamedTuple):
     """Group the dependencies of the lease.
 
-    began is called when the lease is acquired, with whether the last holder left no order in
+    on_acquired is called when the lease is acquired, with whether the last holder left no order in
     progress.
     """
 
@@ -55,7 +55,7 @@
     cfg: OrderSettings
     instance: str
     instances: Callable[[], Sequence[str]]
-    began: Callable[[bool], None]
+    on_acquired: Callable[[bool], None]
 
 
 class ControllerLease:
@@ -63,97 +63,99 @@
 
     def __init__(self, deps: LeaseDeps) -> None:
         self._deps = deps
-        self._run = deps.rand.getrandbits(RUN_BITS)
+        self._run_id = deps.rand.getrandbits(RUN_BITS)
         self._view = LeaseView()
         self._version = 0
         self._renewals = 0
-        self._sent_ms: int | None = None
-        self._in_doubt = False
-        self._margin_ms = deps.cfg.lease_ms // MARGIN_SHARE
+        self._renewal_sent_ms: int | None = None
+        self._unconfirmed = False
+        self._margin_ms = deps.cfg.lease_ms // MARGIN_DIVISOR
         self.holder = ""
 
     def fence(self) -> int:
         """Return the fencing number for new orders."""
         return self._version
 
-    def held(self) -> bool:
+    def is_held(self) -> bool:
         """Return whether this instance is the controller as far as it knows."""
-        return self._sent_ms is not None
+        return self._renewal_sent_ms is not None
 
     def may_act(self) -> bool:
         """Return whether the lease is valid now, so that an order may be sent."""
-        if self._sent_ms is None:
+        if self._renewal_sent_ms is None:
             return False
         now = self._deps.clock.now()
-        return holder_may_act(self._sent_ms, self._deps.cfg.lease_ms, now, self._margin_ms)
+        return holder_may_act(self._renewal_sent_ms, self._deps.cfg.lease_ms, now, self._margin_ms)
 
-    async def keep(self) -> None:
+    async def renew_or_acquire(self) -> None:
         """Renew the lease if it is held; otherwise acquire it if possible."""
-        if self._in_doubt:
+        if self._unconfirmed:
             await self._read_own()
-        if self.held():
+        if self.is_held():
             await self._renew()
         elif self._is_candidate():
-            await self._try_to_take()
+            await self._try_acquire()
 
     async def release(self, clean: bool) -> None:
         """Release the lease, so that another instance need not wait until it expires."""
-        if not self.held():
+        if not self.is_held():
             return
         record = self._record()._replace(released=True, clean=clean)
-        self._sent_ms = None
+        self._renewal_sent_ms = None
         # If this fails, the lease expires later.
         await self._deps.store.update(LEASE_KEY, codec.pack(record), self._version)
 
     def _is_candidate(self) -> bool:
         ranked = sorted(self._deps.instances(), key=lambda i: (score(LEASE_KEY, i), i))
-        return self._deps.instance in ranked[-CANDIDATES:]
+        return self._deps.instance in ranked[-CANDIDATE_COUNT:]
 
     async def _renew(self) -> None:
-        sent_ms = self._deps.clock.now()
+        renewal_sent_ms = self._deps.clock.now()
         match await self._write(self._version):
             case Ok(version):
                 self._version = version
-                self._sent_ms = sent_ms
+                self._renewal_sent_ms = renewal_sent_ms
             case Err(StoreError.CONFLICT | StoreError.LOST):
-                self._in_doubt = True
+                self._unconfirmed = True
 
     async def _read_own(self) -> None:
         """Read whether the last renewal took effect or another instance acquired the lease."""
         match await self._read():
-            case Ok((version, record)) if (record.holder, record.run) == self._me():
+            case Ok((version, record)) if (record.holder, record.run) == self._identity():
                 self._version = version
-                self._in_doubt = False
+                self._unconfirmed = False
             case Ok(_) | Err(StoreError.NOT_FOUND):
-                self._in_doubt = False
-                self._lose()
+                self._unconfirmed = False
+                self._mark_lost()
 
-    def _lose(self) -> None:
-        if self.held():
-            self._sent_ms = None
+    def _mark_lost(self) -> None:
+        if self.is_held():
+            self._renewal_sent_ms = None
             events.emit(events.CONTROLLER_LOST, instance=self._deps.instance)
 
-    async def _try_to_take(self) -> None:
+    async def _try_acquire(self) -> None:
         match await self._read():
             case Ok((version, record)):
                 self.holder = "" if record.released else record.holder
                 now = self._deps.clock.now()
                 self._view.observe(version, now)
-                ended = self._view.expired(self._deps.cfg.lease_ms, now, self._margin_ms)
-                if record.released or ended:
-                    await self._take(version, record.clean)
+                is_expired = self._view.expired(self._deps.cfg.lease_ms, now, self._margin_ms)
+                if record.released or is_expired:
+                    await self._acquire(version, record.clean)
             case Err(StoreError.NOT_FOUND):
-                await self._take(0, False)
+                await self._acquire(0, False)
 
-    async def _take(self, version: int, clean: bool) -> None:
-        sent_ms = self._deps.clock.now()
+    async def _acquire(self, version: int, clean: bool) -> None:
+        renewal_sent_ms = self._deps.clock.now()
         match await self._write(version):
-            case Ok(new):
-                self._version = new
-                self._sent_ms = sent_ms
+            case Ok(new_version):
+                self._version = new_version
+                self._renewal_sent_ms = renewal_sent_ms
                 self.holder = self._deps.instance
-                events.emit(events.CONTROLLER_BEGAN, instance=self.holder, fence=new, clean=clean)
-                self._deps.began(clean)
+                events.emit(
+                    events.CONTROLLER_BEGAN, instance=self.holder, fence=new_version, clean=clean
+                )
+                self._deps.on_acquired(clean)
 
     async def _write(self, version: int) -> Result[int, StoreError]:
         self._renewals += 1
@@ -172,7 +174,7 @@
                 return Err(error)
 
     def _record(self) -> LeaseRecord:
-        return LeaseRecord(self._deps.instance, self._run, self._renewals)
+        return LeaseRecord(self._deps.instance, self._run_id, self._renewals)
 
-    def _me(self) -> tuple[str, int]:
-        return (self._deps.instance, self._run)
+    def _identity(self) -> tuple[str, int]:
+        return (self._deps.instance, self._run_id)
--- a/papayapier/orders/plan.py
+++ b/papayapier/orders/plan.py
@@ -25,8 +25,14 @@
 from typing import Final, NamedTuple
 
 from papayapier.config.upstreams import UpstreamWanted
-from papayapier.orders.memory import HALT_FAILURES, Answered, Ended, ReplicaMemory, Sight
-from papayapier.orders.needs import Item, assign_roles, make_order, missing
+from papayapier.orders.items import Item, assign_roles, make_order, missing_items
+from papayapier.orders.replica_tracker import (
+    MAX_ITEM_FAILURES,
+    AnswerOutcome,
+    OrderResult,
+    ReplicaInfo,
+    ReplicaTracker,
+)
 from papayapier.upstream.orders import EngineState, Order
 
 ROLES_WAIT_MS: Final = 10_000
@@ -40,20 +46,20 @@
     loads_at_once: int
 
 
-class Give(NamedTuple):
+class SendOrder(NamedTuple):
     """Instruct the controller to send an order."""
 
     replica_id: str
     order: Order
 
 
-class Look(NamedTuple):
+class ReadState(NamedTuple):
     """Instruct the controller to read a replica's state."""
 
     replica_id: str
 
 
-class NoteKind(Enum):
+class OrderEventKind(Enum):
     """List the events of orders that are reported to operators."""
 
     GIVEN = "given"
@@ -62,10 +68,10 @@
     HELD = "held"
 
 
-class Note(NamedTuple):
+class OrderEvent(NamedTuple):
     """Report an event of an order, or of a required order that is delayed."""
 
-    kind: NoteKind
+    kind: OrderEventKind
     replica_id: str
     item: Item
     reason: str
@@ -78,158 +84,160 @@
         self._limits = limits
         self._need = need
         self._wanted: dict[str, UpstreamWanted] = {}
-        self._replicas: dict[str, ReplicaMemory] = {}
-        self._groups: dict[str, list[ReplicaMemory]] = {}
-        self._begun_ms = 0
+        self._replicas: dict[str, ReplicaTracker] = {}
+        self._groups: dict[str, list[ReplicaTracker]] = {}
+        self._started_ms = 0
         self._clean = False
         self._loads = 0
         self._last_load_ms = 0
         self._number = 0
-        self._notes: list[Note] = []
-        self._held: dict[str, str] = {}
+        self._events: list[OrderEvent] = []
+        self._held_back: dict[str, str] = {}
 
-    def begin(self, now: int, clean: bool) -> None:
+    def start(self, now: int, clean: bool) -> None:
         """Start as controller and discard all states read before.
 
         clean: the previous controller left no order in progress.
         """
-        self._begun_ms = now
+        self._started_ms = now
         self._clean = clean
         self._last_load_ms = now
-        sights = [replica.sight for replica in self._replicas.values()]
+        infos = [replica.info for replica in self._replicas.values()]
         self._replicas = {}
-        self.set_replicas(sights)
+        self.set_replicas(infos)
 
     def set_wanted(self, wanted: Iterable[UpstreamWanted]) -> None:
         """Set the wanted state of all upstreams."""
         self._wanted = {upstream.name: upstream for upstream in wanted}
         for replica in self._replicas.values():
-            replica.busy = True
+            replica.may_lack_items = True
 
-    def set_replicas(self, sights: Iterable[Sight]) -> None:
+    def set_replicas(self, infos: Iterable[ReplicaInfo]) -> None:
         """Set the listed replicas; those that were removed or are leaving are dropped."""
         known = self._replicas
         self._replicas = {}
-        for sight in sights:
-            replica = known.get(sight.replica_id) or ReplicaMemory(sight)
-            replica.sight = sight
-            self._replicas[sight.replica_id] = replica
+        for info in infos:
+            replica = known.get(info.replica_id) or ReplicaTracker(info)
+            replica.info = info
+            self._replicas[info.replica_id] = replica
         self._group()
-        self._held = {id: why for id, why in self._held.items() if id in self._replicas}
+        self._held_back = {
+            id: reason for id, reason in self._held_back.items() if id in self._replicas
+        }
 
-    def seen(self, replica_id: str, state: EngineState, asked_ms: int, now: int) -> None:
-        """Process an engine state that was requested at asked_ms."""
+    def on_state(self, replica_id: str, state: EngineState, requested_ms: int, now: int) -> None:
+        """Process an engine state that was requested at requested_ms."""
         replica = self._replicas.get(replica_id)
-        if replica is None or asked_ms < self._begun_ms:
+        if replica is None or requested_ms < self._started_ms:
             return
-        wanted = self._wanted.get(replica.sight.upstream)
+        wanted = self._wanted.get(replica.info.upstream)
         longest_ms = wanted.orders.longest_order_ms if wanted else 0
-        self._note_end(replica, replica.seen(state, asked_ms, now, longest_ms))
+        self._record_result(replica, replica.on_state(state, requested_ms, now, longest_ms))
 
-    def answered(self, replica_id: str, order_id: str, answer: Answered, now: int) -> None:
+    def on_answer(self, replica_id: str, order_id: str, answer: AnswerOutcome, now: int) -> None:
         """Process the answer to an order."""
         replica = self._replicas.get(replica_id)
         if replica is not None:
-            self._note_end(replica, replica.answered(order_id, answer, now))
+            self._record_result(replica, replica.on_answer(order_id, answer, now))
 
-    def steps(self, fence: int, now: int) -> list[Give | Look]:
+    def steps(self, fence: int, now: int) -> list[SendOrder | ReadState]:
         """Return the steps to run now; the returned orders count as sent."""
         for replica in self._replicas.values():
-            self._note_end(replica, replica.check_overdue(now))
-        self._loads = sum(item.is_load for item in self.underway().values())
-        steps: list[Give | Look] = []
+            self._record_result(replica, replica.check_overdue(now))
+        self._loads = sum(item.is_load for item in self.items_in_progress().values())
+        steps: list[SendOrder | ReadState] = []
         for name in sorted(self._wanted):
-            steps += self._orders_of(self._wanted[name], fence, now)
+            steps += self._orders_for(self._wanted[name], fence, now)
         for replica in self._replicas.values():
-            if replica.sight.upstream in self._wanted and replica.look_due(now):
-                steps.append(Look(replica.sight.replica_id))
+            if replica.info.upstream in self._wanted and replica.read_due(now):
+                steps.append(ReadState(replica.info.replica_id))
         return steps
 
     def busy(self) -> bool:
         """Return whether any replica lacks something or has an order in progress."""
-        wanted = (r for r in self._replicas.values() if r.sight.upstream in self._wanted)
-        return any(replica.busy or replica.underway() for replica in wanted)
+        wanted = (r for r in self._replicas.values() if r.info.upstream in self._wanted)
+        return any(replica.may_lack_items or replica.item_in_progress() for replica in wanted)
 
-    def notes(self) -> list[Note]:
+    def take_events(self) -> list[OrderEvent]:
         """Return and clear the events to report to operators."""
-        notes, self._notes = self._notes, []
-        return notes
+        events, self._events = self._events, []
+        return events
 
-    def underway(self) -> dict[str, Item]:
+    def items_in_progress(self) -> dict[str, Item]:
         """Return the items of the orders in progress, by replica."""
-        items = {id: replica.underway() for id, replica in self._replicas.items()}
+        items = {id: replica.item_in_progress() for id, replica in self._replicas.items()}
         return {id: item for id, item in items.items() if item is not None}
 
     def _group(self) -> None:
         """Group the replicas by upstream once, since every step iterates over them."""
         self._groups = {}
-        for replica in sorted(self._replicas.values(), key=lambda r: r.sight.replica_id):
-            self._groups.setdefault(replica.sight.upstream, []).append(replica)
+        for replica in sorted(self._replicas.values(), key=lambda r: r.info.replica_id):
+            self._groups.setdefault(replica.info.upstream, []).append(replica)
 
-    def _orders_of(self, wanted: UpstreamWanted, fence: int, now: int) -> list[Give]:
+    def _orders_for(self, wanted: UpstreamWanted, fence: int, now: int) -> list[SendOrder]:
         replicas = self._groups.get(wanted.name, [])
         roles = self._roles(wanted, replicas, now) if wanted.roles else {}
-        gives = []
+        send_orders = []
         for replica in replicas:
             # Without roles, which depend on other replicas, only a new state can require an order.
-            settled = not replica.busy and not wanted.roles
+            settled = not replica.may_lack_items and not wanted.roles
             if replica.state is None or settled:
                 continue
-            items = missing(wanted, replica.state, roles.get(replica.sight.replica_id, ""))
-            replica.busy = bool(items)
+            items = missing_items(wanted, replica.state, roles.get(replica.info.replica_id, ""))
+            replica.may_lack_items = bool(items)
             if not items:
-                replica.forgive()
+                replica.clear_failures()
             elif self._allowed(replica, items[0], wanted, replicas, now):
-                gives.append(self._give(replica, items[0], wanted, fence, now))
-        return gives
+                send_orders.append(self._start_order(replica, items[0], wanted, fence, now))
+        return send_orders
 
     def _roles(
-        self, wanted: UpstreamWanted, replicas: Sequence[ReplicaMemory], now: int
+        self, wanted: UpstreamWanted, replicas: Sequence[ReplicaTracker], now: int
     ) -> dict[str, str]:
         """Assign roles when all replicas have been read, or after ROLES_WAIT_MS.
 
         Otherwise a replica would be moved into a role that a replica not yet read has.
         """
-        roles = {replica.sight.replica_id: replica.role() for replica in replicas}
+        roles = {replica.info.replica_id: replica.role() for replica in replicas}
         known = {id: role for id, role in roles.items() if role is not None}
-        if len(known) < len(roles) and now < self._begun_ms + ROLES_WAIT_MS:
+        if len(known) < len(roles) and now < self._started_ms + ROLES_WAIT_MS:
             return {}
         return assign_roles(wanted, known)
 
     def _allowed(
         self,
-        replica: ReplicaMemory,
+        replica: ReplicaTracker,
         item: Item,
         wanted: UpstreamWanted,
-        replicas: Sequence[ReplicaMemory],
+        replicas: Sequence[ReplicaTracker],
         now: int,
     ) -> bool:
         """Return whether an order may be sent now; report it to operators if it is held back."""
         rule = wanted.orders
-        handover_ms = self._begun_ms + self._limits.lease_ms + rule.longest_order_ms
+        handover_ms = self._started_ms + self._limits.lease_ms + rule.longest_order_ms
         if not replica.may_be_ordered(now):
             return False
         if not (rule.checks_fence or self._clean) and now < handover_ms:
             return False
         if item.is_load and not self._load_allowed(now):
             return False
-        why = self._held_back(replica, item, wanted, replicas)
-        if why and self._held.get(replica.sight.replica_id) != why:
-            self._note(NoteKind.HELD, replica, item, why)
-        self._held[replica.sight.replica_id] = why
-        return not why
+        reason = self._hold_back_reason(replica, item, wanted, replicas)
+        if reason and self._held_back.get(replica.info.replica_id) != reason:
+            self._record(OrderEventKind.HELD, replica, item, reason)
+        self._held_back[replica.info.replica_id] = reason
+        return not reason
 
-    def _held_back(
+    def _hold_back_reason(
         self,
-        replica: ReplicaMemory,
+        replica: ReplicaTracker,
         item: Item,
         wanted: UpstreamWanted,
-        replicas: Sequence[ReplicaMemory],
+        replicas: Sequence[ReplicaTracker],
     ) -> str:
         """Return the reason why an order is held back and operators may have to act, or ""."""
-        halting = [other.sight.replica_id for other in replicas if other.halts(item)]
-        if halting and not replica.halts(item):
-            return f"the item failed {HALT_FAILURES} times on {halting[0]}"
+        blocking = [other.info.replica_id for other in replicas if other.blocks_item(item)]
+        if blocking and not replica.blocks_item(item):
+            return f"the item failed {MAX_ITEM_FAILURES} times on {blocking[0]}"
         if not item.takes_capacity or not replica.serves():
             return ""
         serving = sum(other.serves() for other in replicas)
@@ -245,22 +253,24 @@
         spaced = now >= self._last_load_ms + self._limits.load_gap_ms
         return spaced and self._loads < self._limits.loads_at_once
 
-    def _give(
-        self, replica: ReplicaMemory, item: Item, wanted: UpstreamWanted, fence: int, now: int
-    ) -> Give:
+    def _start_order(
+        self, replica: ReplicaTracker, item: Item, wanted: UpstreamWanted, fence: int, now: int
+    ) -> SendOrder:
         self._number += 1
         order = make_order(fence, self._number, item)
-        replica.give(order, item, now, now + wanted.orders.longest_order_ms)
+        replica.start_order(order, item, now, now + wanted.orders.longest_order_ms)
         if item.is_load:
             self._last_load_ms = now
             self._loads += 1
-        self._note(NoteKind.GIVEN, replica, item, order.order_id)
-        return Give(replica.sight.replica_id, order)
-
-    def _note_end(self, replica: ReplicaMemory, ended: Ended | None) -> None:
-        if ended is not None:
-            kind = NoteKind.FAILED if ended.why else NoteKind.DONE
-            self._note(kind, replica, ended.item, ended.why)
-
-    def _note(self, kind: NoteKind, replica: ReplicaMemory, item: Item, why: str) -> None:
-        self._notes.append(Note(kind, replica.sight.replica_id, item, why))
+        self._record(OrderEventKind.GIVEN, replica, item, order.order_id)
+        return SendOrder(replica.info.replica_id, order)
+
+    def _record_result(self, replica: ReplicaTracker, result: OrderResult | None) -> None:
+        if result is not None:
+            kind = OrderEventKind.FAILED if result.reason else OrderEventKind.DONE
+            self._record(kind, replica, result.item, result.reason)
+
+    def _record(
+        self, kind: OrderEventKind, replica: ReplicaTracker, item: Item, reason: str
+    ) -> None:
+        self._events.append(OrderEvent(kind, replica.info.replica_id, item, reason))
--- a/tests/test_config_operate.py
+++ b/tests/test_config_operate.py
@@ -29,7 +29,7 @@
 from papayapier.main import make_parser
 from papayapier.metrics import make_metrics
 from papayapier.operate import client, configuration, reports
-from papayapier.orders.controller import OrdersView, UnderwayLine
+from papayapier.orders.controller import OrderInProgress, OrdersView
 from papayapier.settings import ConfigSettings, KeyEntry
 from tests.batch_world import URL, World
 from tests.fake_store import FakePlatform
@@ -87,7 +87,7 @@
         return Status("entry-1", [one, behind])
 
     def _orders(self) -> OrdersView:
-        return OrdersView("entry-1", [UnderwayLine("r1", "load_model", "pass-7b")], [])
+        return OrdersView("entry-1", [OrderInProgress("r1", "load_model", "pass-7b")], [])
 
     async def _call(
         self, method: str, path: str, body: object = None, key: str = KEY
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -3,7 +3,7 @@
 from itertools import pairwise
 
 from papayapier.config.upstreams import RoleCount
-from papayapier.orders.needs import assign_roles, item_of
+from papayapier.orders.items import assign_roles, parse_order_id
 from papayapier.upstream.orders import OrderKind
 from tests.orders_world import LEASE_MS, LONGEST_MS, World, wanted_pass
 
@@ -108,6 +108,6 @@
 
 
 def test_order_id_tells_what_it_was_for() -> None:
-    item = item_of("12-1/load_model/org/model-7b").unwrap()
+    item = parse_order_id("12-1/load_model/org/model-7b").unwrap()
     assert (item.kind, item.name) == (OrderKind.LOAD_MODEL, "org/model-7b")
-    assert item_of("strange").is_err()
+    assert parse_order_id("strange").is_err()
--- a/tests/test_orders_machine.py
+++ b/tests/test_orders_machine.py
@@ -5,9 +5,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from papayapier.config.upstreams import RoleCount
-from papayapier.orders.memory import Answered, Sight
-from papayapier.orders.needs import missing
-from papayapier.orders.plan import Give, Look, OrderPlan
+from papayapier.orders.items import missing_items
+from papayapier.orders.plan import OrderPlan, ReadState, SendOrder
+from papayapier.orders.replica_tracker import AnswerOutcome, ReplicaInfo
 from papayapier.upstream.orders import Order, OrderKind
 from tests.orders_world import GAP_MS, LIMITS, FakeEngine, wanted_pass
 
@@ -40,8 +40,8 @@
         """Let another controller begin; orders of the old one are no longer on their way."""
         self.fence += 1
         self.late = []
-        self.plan.set_replicas(self._sights())
-        self.plan.begin(self.now, clean)
+        self.plan.set_replicas(self._infos())
+        self.plan.start(self.now, clean)
         self.loads = []
 
     @rule(steps=st.integers(1, 40), fate=st.sampled_from(["ok", "lost", "late", "dropped"]))
@@ -49,15 +49,15 @@
         for _ in range(steps):
             self.now += 500
             self._deliver_late()
-            self.plan.set_replicas(self._sights())
+            self.plan.set_replicas(self._infos())
             for step in self.plan.steps(self.fence, self.now):
-                if isinstance(step, Give):
+                if isinstance(step, SendOrder):
                     self._give(step, fate)
                     fate = "ok"
                 else:
                     self._look(step)
             self._check_capacity()
-            self.plan.notes()
+            self.plan.take_events()
 
     @rule(name=st.sampled_from(["r0", "r1", "r2"]))
     def restart_engine(self, name: str) -> None:
@@ -68,36 +68,36 @@
         self.down = {name} if lost else set()
         self.any_lost = True
 
-    def _sights(self) -> list[Sight]:
-        return [Sight(name, "pass", name not in self.down) for name in self.engines]
+    def _infos(self) -> list[ReplicaInfo]:
+        return [ReplicaInfo(name, "pass", name not in self.down) for name in self.engines]
 
-    def _give(self, give: Give, fate: str) -> None:
+    def _give(self, give: SendOrder, fate: str) -> None:
         name, order = give
         if order.kind is not OrderKind.CHANGE_ROLE:
             assert not self.loads or self.now - self.loads[-1] >= GAP_MS
             self.loads.append(self.now)
         if name in self.down:
-            self.plan.answered(name, order.order_id, Answered.NOT_SENT, self.now)
+            self.plan.on_answer(name, order.order_id, AnswerOutcome.NOT_SENT, self.now)
         elif fate == "ok":
             answer = self.engines[name].take(order)
-            kind = Answered.ACCEPTED if answer.accepted else Answered.REFUSED
-            self.plan.answered(name, order.order_id, kind, self.now)
+            kind = AnswerOutcome.ACCEPTED if answer.accepted else AnswerOutcome.REFUSED
+            self.plan.on_answer(name, order.order_id, kind, self.now)
         else:
             if fate == "lost":
                 self.engines[name].take(order)
             elif fate == "late":
                 self.late.append((name, order))
-            self.plan.answered(name, order.order_id, Answered.LOST, self.now)
+            self.plan.on_answer(name, order.order_id, AnswerOutcome.LOST, self.now)
 
     def _deliver_late(self) -> None:
         for name, order in self.late:
             self.engines[name].take(order)
         self.late = []
 
-    def _look(self, look: Look) -> None:
+    def _look(self, look: ReadState) -> None:
         if look.replica_id not in self.down:
             state = self.engines[look.replica_id].read()
-            self.plan.seen(look.replica_id, state, self.now, self.now)
+            self.plan.on_state(look.replica_id, state, self.now, self.now)
 
     def _check_capacity(self) -> None:
         """Count replicas out of service by our orders; lost ones are not the plan's doing."""
@@ -120,7 +120,7 @@
             if not self.plan.busy():
                 break
         for engine in self.engines.values():
-            assert missing(self.wanted, engine.read(), "") == []
+            assert missing_items(self.wanted, engine.read(), "") == []
         prefill = [engine.state.role for engine in self.engines.values()].count("prefill")
         # A replica that was lost while another took its role keeps it when it returns.
         assert prefill >= 1 if self.any_lost else prefill == 1
