--- a/tests/test_unframed_answers.py
+++ b/tests/test_unframed_answers.py
@@ -1,4 +1,4 @@
-"""Test answers whose body has no declared length and ends with its connection."""
+"""Test answers without a declared body length, which end when the connection closes."""
 
 from typing import Any
 
@@ -28,6 +28,8 @@
 
 
 class UnframedTest(TestCase):
+    """Test that a close ends such an answer, and that a reset makes it incomplete."""
+
     timeout = 20
 
     def setUp(self) -> None:
@@ -48,12 +50,12 @@
 
         return Deferred.fromCoroutine(close())
 
-    async def _answered(
+    async def _answer(
         self,
         end: Any,
         fresh: bool = True,
         body: bytes = b"half of",
-        taker: StreamTaker | None = None,
+        consumer: StreamTaker | None = None,
     ) -> Any:
         def respond(conn: RawConnection, _head: bytes) -> None:
             conn.write(HEAD + body)
@@ -62,54 +64,64 @@
         self.server.respond = respond
         replica = Replica("i-1", "app", "127.0.0.1", self.port.getHost().port, "z")
         due_ms = self.clock.now() + 5_000
-        call = RawCall("r-1", "GET", "/x", Headers({}), b"", due_ms, fresh, taker is not None)
-        return await self.send(replica, call, taker)
+        call = RawCall("r-1", "GET", "/x", Headers({}), b"", due_ms, fresh, consumer is not None)
+        return await self.send(replica, call, consumer)
+
+    def test_answer_is_complete_after_a_close(self) -> Any:
+        """An orderly close of the connection is the end of the body."""
 
-    def test_a_closed_one_is_whole(self) -> Any:
         async def run() -> None:
-            sent = await self._answered(lambda conn: conn.transport.loseConnection())
-            assert isinstance(sent, Ok), sent
-            assert sent.ok_value.body == b"half of"
+            result = await self._answer(lambda conn: conn.transport.loseConnection())
+            assert isinstance(result, Ok), result
+            assert result.ok_value.body == b"half of"
 
         return Deferred.fromCoroutine(run())
 
-    def _is_cut(self, fresh: bool) -> Any:
-        # Symptom: a caller gets a success with half of the replica's body, framed as whole.
-        # Events: a replica answers without a length and crashes within its answer.
-        # Cause: the end of the connection counted as the end of the body, also by a reset.
+    def _check_reset(self, fresh: bool) -> Any:
+        """Check that an answer is incomplete if the connection is reset within its body.
+
+        A replica answers without a length and crashes. If a reset counted as the end of the body,
+        the caller would get a truncated body as a success.
+        """
+
         async def run() -> None:
-            sent = await self._answered(lambda conn: conn.transport.abortConnection(), fresh)
-            assert isinstance(sent, Err), sent
-            assert (sent.err_value.kind, sent.err_value.sent) == (FailureKind.CUT, Sent.MAYBE)
+            result = await self._answer(lambda conn: conn.transport.abortConnection(), fresh)
+            assert isinstance(result, Err), result
+            assert (result.err_value.kind, result.err_value.sent) == (FailureKind.CUT, Sent.MAYBE)
 
         return Deferred.fromCoroutine(run())
 
-    def test_one_that_is_reset_is_not_whole(self) -> Any:
-        return self._is_cut(fresh=True)
+    def test_answer_is_incomplete_after_a_reset(self) -> Any:
+        """A reset of a new connection must not end the body."""
+        return self._check_reset(fresh=True)
 
-    def test_one_that_is_reset_on_a_kept_connection_is_not_whole(self) -> Any:
-        return self._is_cut(fresh=False)
+    def test_answer_is_incomplete_after_a_reset_of_an_idle_connection(self) -> Any:
+        """A reset must not end the body on a connection from the pool either."""
+        return self._check_reset(fresh=False)
 
-    async def _streamed(self, body: bytes) -> tuple[Any, bytes]:
+    async def _stream(self, body: bytes) -> tuple[Any, bytes]:
         caller = Caller()
-        taker = PassedStream(caller, NO_EVENT, resumable=True)
-        sent = await self._answered(RawConnection.close, body=body, taker=taker)
-        return sent, caller.body
+        consumer = PassedStream(caller, NO_EVENT, resumable=True)
+        result = await self._answer(RawConnection.close, body=body, consumer=consumer)
+        return result, caller.body
+
+    def test_stream_closed_after_an_event_is_complete(self) -> Any:
+        """A close after a complete event ends a stream successfully."""
 
-    def test_a_stream_that_is_closed_after_an_event_is_whole(self) -> Any:
         async def run() -> None:
-            sent, passed = await self._streamed(EVENT)
-            assert isinstance(sent, Ok), sent
+            result, passed = await self._stream(EVENT)
+            assert isinstance(result, Ok), result
             assert passed == EVENT
 
         return Deferred.fromCoroutine(run())
 
-    def test_a_stream_that_is_closed_within_an_event_is_not_whole(self) -> Any:
-        # Failure: a stream of a replica process that is killed ends as complete, in half an event.
+    def test_stream_closed_within_an_event_is_incomplete(self) -> Any:
+        """The stream of a killed replica process must not end as complete within an event."""
+
         async def run() -> None:
-            sent, passed = await self._streamed(EVENT + b"id: 2\nda")
-            assert isinstance(sent, Err), sent
-            assert (sent.err_value.kind, sent.err_value.sent) == (FailureKind.CUT, Sent.MAYBE)
+            result, passed = await self._stream(EVENT + b"id: 2\nda")
+            assert isinstance(result, Err), result
+            assert (result.err_value.kind, result.err_value.sent) == (FailureKind.CUT, Sent.MAYBE)
             assert passed == EVENT
 
         return Deferred.fromCoroutine(run())
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,6 +1,6 @@
 """Test calls to replicas over real sockets, against a server that sends raw bytes.
 
-Timers run on a fake clock, so a silence takes no time; only bytes are really waited for.
+Timers run on a fake clock, so timeouts take no real time; only socket I/O does.
 """
 
 from typing import Any, cast
@@ -70,25 +70,29 @@
         return cast(Reply, (await self.send(**changes)).unwrap())
 
     async def failure(self, **changes: Any) -> Failure:
-        ended = await self.send(**changes)
-        assert isinstance(ended, Err), ended
-        return cast(Failure, ended.err_value)
+        result = await self.send(**changes)
+        assert isinstance(result, Err), result
+        return cast(Failure, result.err_value)
 
-    async def keep_connection(self) -> None:
-        """Leave one kept connection behind, which nothing is known against."""
+    async def leave_idle_connection(self) -> None:
+        """Leave one idle connection in the pool that may be reused."""
         self.server.answer_with(framed(whole()))
         await self.reply(stream=False)
         self.fake.elapse(1)
 
 
-class WholeAnswerTest(UpstreamTestCase):
+class CompleteAnswerTest(UpstreamTestCase):
+    """Test complete answers, which must be parsed or passed on."""
+
     async def test_json(self) -> None:
+        """Text, token count, finish reason and load of a JSON answer are parsed."""
         self.server.answer_with(framed(whole()))
         reply = await self.reply(stream=False)
         equal((reply.text, reply.tokens, reply.finish_reason), ("a b", 2, "stop"))
         equal(reply.load and reply.load[:3], (1, 2, 3))
 
     async def test_stream(self) -> None:
+        """Tokens of a stream are reported one by one and joined in the reply."""
         self.server.answer_with(chunked(piece("a "), LAST, DONE))
         reply = await self.reply()
         equal((reply.text, reply.tokens, reply.finish_reason), ("a b", 2, "stop"))
@@ -96,12 +100,14 @@
         equal(self.metrics.upstream_calls.labels("chat", "answered")._value.get(), 1.0)
 
     async def test_plain_answer_is_passed_on_whatever_its_status(self) -> None:
+        """A plain service's error status must not become a failure of the call."""
         self.server.answer_with(framed(b"no such pass", status=404))
         reply = await self.reply(method="DELETE", path="/calls/pass", stream=False)
         equal((reply.status, reply.body, reply.text), (404, b"no such pass", ""))
         equal(self.server.requests[0].split(b"\r\n")[0], b"DELETE /calls/pass HTTP/1.1")
 
-    async def test_engine_refusal_names_its_reason_and_keeps_the_connection(self) -> None:
+    async def test_engine_refusal_has_its_reason_and_keeps_the_connection(self) -> None:
+        """A refusal must contain the engine's reason, and its connection must be reused."""
         self.server.answer_with(framed(b"no such model", status=400), framed(whole()))
         failure = await self.failure()
         equal((failure.kind, failure.status), (FailureKind.STATUS, 400))
@@ -110,23 +116,27 @@
         equal(len(self.server.carriers), 1)
 
     async def test_load(self) -> None:
+        """The load report of GET /load is parsed."""
         self.server.answer_with(framed(b'{"running":1,"waiting":2,"slots":3,"step_ms":4.5}'))
         load = (await self.ups.load(self.replica)).unwrap()
         equal(load[:4], (1, 2, 3, 4.5))
 
 
 class NotSentTest(UpstreamTestCase):
+    """Test failures before the request is written, and connections that must not be used."""
+
     async def test_refused(self) -> None:
-        # Symptom: a call fails at once. Sequence: the replica is gone, its port refuses.
-        # Cause: no connection, so nothing can have run.
+        """A refused connect must be reported as not sent, because nothing can have run."""
         await maybeDeferred(self.port.stopListening)
         failure = await self.failure()
         equal((failure.kind, failure.sent, failure.fresh), (FailureKind.CONNECT, Sent.NO, True))
         assert failure.closed
 
-    async def test_connecting_takes_too_long(self) -> None:
-        # Symptom: a call hangs before it is sent. Sequence: the replica's machine is off and
-        # nothing answers the connect. Cause: only a timer can end it.
+    async def test_connect_timeout(self) -> None:
+        """A call must not hang when the replica's machine is off and nothing answers the connect.
+
+        It is reported as not sent, and not as a refused connection.
+        """
         self.ups = make_upstreams(
             cast(Any, MemoryReactorClock)(), self.fake.clock, CFG, make_metrics()
         )
@@ -137,35 +147,44 @@
         assert not failure.closed
 
     async def test_due_before_it_is_sent(self) -> None:
+        """A call whose due time has passed must not open a connection."""
         failure = await self.failure(due_ms=0)
         equal((failure.kind, failure.sent), (FailureKind.DUE, Sent.NO))
         equal(self.server.connections, [])
 
-    async def test_unwritable_path(self) -> None:
+    async def test_unencodable_path(self) -> None:
+        """A path that cannot be encoded must be reported as not sent."""
         failure = await self.failure(path="/a b")
         equal((failure.kind, failure.sent), (FailureKind.BROKEN, Sent.NO))
 
-    async def test_kept_connection_that_the_replica_has_closed(self) -> None:
-        # Symptom: a call fails although the replica is well, and nobody knows if it ran.
-        # Sequence: the replica closes an idle connection; before the reactor has read that,
-        # a call is written to it. Cause: the close is in the socket but was not looked for.
-        await self.keep_connection()
+    async def test_idle_connection_that_the_replica_has_closed(self) -> None:
+        """A call must not be written to an idle connection that the replica has closed.
+
+        The close is in the socket, but the reactor has not read it yet. Without a check of the
+        socket the call fails, and it is unknown whether it ran.
+        """
+        await self.leave_idle_connection()
         self.server.connections[0].close_at_once()
         self.server.answer_with(framed(whole()))
         await self.reply(stream=False)
         equal(len(self.server.carriers), 2)
 
-    async def test_fresh_call_uses_no_kept_connection(self) -> None:
-        await self.keep_connection()
+    async def test_fresh_call_uses_no_idle_connection(self) -> None:
+        """A call with fresh must open a new connection."""
+        await self.leave_idle_connection()
         self.server.answer_with(framed(whole()))
         await self.reply(stream=False, fresh=True)
         equal(len(self.server.carriers), 2)
 
 
 class SilenceTest(UpstreamTestCase):
+    """Test the time limits of a call after its request was written."""
+
     async def test_before_the_first_byte(self) -> None:
-        # Symptom: a call never ends. Sequence: the connection opens, the request goes out,
-        # no byte comes. Cause: the replica hangs, or the way to it swallows everything.
+        """A call must end when no byte is received after the request was written.
+
+        The replica hangs, or the network path drops all packets.
+        """
         sending = self.send()
         conn = await self.server.next_request()
         self.fake.elapse(CFG.first_byte_ms)
@@ -173,10 +192,12 @@
         equal((failure.kind, failure.sent, failure.fresh), (FailureKind.SILENT, Sent.MAYBE, True))
         await conn.closed
 
-    async def test_head_comes_long_before_the_first_token(self) -> None:
-        # Symptom: calls fail whenever an engine is busy. Sequence: the engine sends the head
-        # at once, and the first token when a slot is free. Cause: the limit between tokens
-        # was counted from the head.
+    async def test_head_arrives_long_before_the_first_token(self) -> None:
+        """The progress limit must not be counted from the head of an answer.
+
+        An engine sends the head at once, and the first token when a slot becomes free. Calls to
+        busy engines would fail.
+        """
         self.server.answer_with(chunked(end=b""))
         sending = self.send()
         conn = await self.server.next_request()
@@ -185,9 +206,8 @@
         conn.write(chunked(LAST, DONE, head=b""))
         equal((await sending).unwrap().text, "b")
 
-    async def test_amid_a_stream(self) -> None:
-        # Symptom: tokens stop and the caller waits. Sequence: after some tokens no byte
-        # comes. Cause: as above; first-byte time has long passed, so progress is watched.
+    async def test_within_a_stream(self) -> None:
+        """A stream that stops after some tokens must end when the progress limit has passed."""
         self.server.answer_with(chunked(piece("a "), end=b""))
         sending = self.send()
         await self.server.next_request()
@@ -199,18 +219,20 @@
         failure = (await sending).err_value
         equal((failure.kind, failure.sent), (FailureKind.SILENT, Sent.MAYBE))
 
-    async def test_an_answer_that_came_in_a_pause_is_taken(self) -> None:
-        # Symptom: replicas that answer in time are taken for silent, and their connections
-        # closed. Sequence: the process is kept from its sockets past a call's limit; the answer
-        # is there. Cause: timers that are due go before bytes that have come.
+    async def test_answer_that_arrived_in_a_pause_is_used(self) -> None:
+        """An answer that arrived while the process was paused must be used.
+
+        The pause lasts beyond the call's limit. If due timers ran before received bytes were
+        read, the replica would be treated as silent and its connection closed.
+        """
         sending = self.send(stream=False)
         conn = await self.server.next_request()
         conn.write_at_once(framed(whole()))
         self.fake.advance(CFG.first_byte_ms)
         equal((await sending).unwrap().body, whole())
 
-    async def keep_two_and_lose_one(self, limit_ms: int, due_ms: int) -> Failure:
-        """Keep two connections, wait in vain on one of them, and send another call."""
+    async def time_out_one_of_two(self, limit_ms: int, due_ms: int) -> Failure:
+        """Leave two idle connections, let a call time out on one, and send another call."""
         plain: dict[str, Any] = {"path": "/calls/a", "stream": False}
         first, second = self.send(**plain), self.send(**plain)
         while len(self.server.requests) < 2:
@@ -230,22 +252,22 @@
         equal(len(self.server.carriers), 3)
         return cast(Failure, failure)
 
-    async def test_kept_connection_is_condemned_and_not_the_replica(self) -> None:
-        # Symptom: every call to a healthy replica fails in turn. Sequence: a firewall
-        # forgets two open connections; a call on one is silent, so is the next on the other.
-        # Cause: only the connection that failed was replaced, not its equally old sibling.
-        failure = await self.keep_two_and_lose_one(CFG.first_byte_ms, 60_000)
+    async def test_silence_drops_all_idle_connections(self) -> None:
+        """After silence on an idle connection, other idle connections must not be used either.
+
+        A firewall drops its state of two open connections. If only the silent one were replaced,
+        the next call would fail on the other, although the replica is healthy.
+        """
+        failure = await self.time_out_one_of_two(CFG.first_byte_ms, 60_000)
         equal((failure.kind, failure.fresh), (FailureKind.SILENT, False))
 
-    async def test_call_that_is_due_soon_still_shows_a_silent_connection(self) -> None:
-        # As above, but each call is due before its silence has lasted long enough.
-        failure = await self.keep_two_and_lose_one(100, 101)
+    async def test_call_that_is_due_soon_drops_all_idle_connections(self) -> None:
+        """The same must hold when the call's due time passes before the silence limit."""
+        failure = await self.time_out_one_of_two(100, 101)
         equal((failure.kind, failure.fresh), (FailureKind.DUE, False))
 
     async def test_due(self) -> None:
-        # Symptom: an answer comes after its due time, when nobody can use it any more.
-        # Sequence: the replica is slow; due time passes first. Cause: the first-byte limit
-        # alone knows nothing of the due time.
+        """A call must end at its due time, even if that is before the first-byte limit."""
         sending = self.send(due_ms=100)
         conn = await self.server.next_request()
         self.fake.elapse(100)
@@ -253,10 +275,12 @@
         equal((failure.kind, failure.sent), (FailureKind.DUE, Sent.MAYBE))
         await conn.closed
 
-    async def test_late_answer_reaches_nobody(self) -> None:
-        # Symptom: a caller gets the answer to an earlier request. Sequence: a call passes its
-        # due time; its answer comes later, on the connection that the next call now uses.
-        # Cause: the connection was reused while an answer was still to come.
+    async def test_late_answer_is_dropped(self) -> None:
+        """The late answer to a call must not be read as the answer to the next call.
+
+        A call passes its due time, and its answer arrives later. Its connection must not be
+        reused while that answer is outstanding.
+        """
         sending = self.send(stream=False, due_ms=100)
         conn = await self.server.next_request()
         self.fake.elapse(100)
@@ -269,8 +293,10 @@
 
 
 class BrokenAnswerTest(UpstreamTestCase):
+    """Test incomplete, malformed and misdirected answers, which must end in a failure."""
+
     async def check_broken(self, answer: bytes, kind: FailureKind, **changes: Any) -> None:
-        """Expect the failure, and that its connection is never used again."""
+        """Expect the failure, and that the connection is closed."""
         self.server.answer_with(answer)
         requested = self.server.next_request()
         sending = self.send(**changes)
@@ -281,28 +307,35 @@
         equal((failure.kind, failure.sent), (kind, Sent.MAYBE))
         await conn.closed
 
-    async def test_cut_json(self) -> None:
-        # Symptom: a caller gets half an answer. Sequence: the replica dies amid a body.
-        # Cause: the length that was declared is not compared with what came.
+    async def test_truncated_json(self) -> None:
+        """A body shorter than its declared length must not be passed on.
+
+        The replica crashes while it sends the body.
+        """
         await self.check_broken(framed(whole())[:-5], FailureKind.CUT, stream=False)
 
-    async def test_cut_stream(self) -> None:
-        # As above, for a stream; its end mark alone would not show that bytes are missing.
+    async def test_truncated_stream(self) -> None:
+        """A stream without its last HTTP chunk is incomplete, even after [DONE]."""
         await self.check_broken(chunked(piece("a "), end=b""), FailureKind.CUT)
         await self.check_broken(chunked(LAST, DONE, end=b""), FailureKind.CUT)
 
-    async def test_cut_before_an_answer(self) -> None:
+    async def test_connection_lost_before_an_answer(self) -> None:
+        """A connection that closes before the answer must be reported as possibly sent."""
         await self.check_broken(b"", FailureKind.CUT)
 
     async def test_stream_without_its_end(self) -> None:
-        # Symptom: an answer lacks its end and looks whole. Sequence: the engine ends the body
-        # in good order, but without [DONE] or a finish_reason. Cause: its work was aborted.
+        """A stream without [DONE] or a finish_reason must not count as complete.
+
+        The engine aborts the generation but ends the HTTP body in order.
+        """
         await self.check_broken(chunked(piece("a "), LAST), FailureKind.CUT)
         await self.check_broken(chunked(piece("a "), DONE), FailureKind.BROKEN)
 
     async def test_wrong_id(self) -> None:
-        # Symptom: a caller reads another's answer. Sequence: the replica mixes up two
-        # requests, in the header, the body or amid a stream. Cause: ids not compared.
+        """An answer to another request must not reach the caller.
+
+        The replica mixes up two requests, in the header, in the body or within a stream.
+        """
         crossed = piece("x", request_id="r2")
         wrong = FailureKind.WRONG_ID
         await self.check_broken(framed(whole(), "r2"), wrong, stream=False)
@@ -312,20 +345,24 @@
         await self.check_broken(framed(b"pass 7", "r2"), wrong, stream=False, path="/calls/a")
         await self.check_broken(framed(b"busy", "r2", 503), wrong)
 
-    async def test_connection_with_a_wrong_answer_is_not_given_to_the_next_call(self) -> None:
-        # Symptom: two callers in a row read each other's answers. Sequence: an answer ends,
-        # its connection goes back to the pool, its id turns out wrong, and in the same turn
-        # the next call is sent. Cause: closing takes effect only in the reactor's next turn.
+    async def test_connection_with_a_wrong_answer_is_not_reused(self) -> None:
+        """A connection that carried an answer with a wrong id must not be reused.
+
+        It is back in the pool when the id is checked, and the next call is sent in the same
+        reactor iteration, before a normal close takes effect.
+        """
         plain: dict[str, Any] = {"path": "/calls/a", "stream": False}
         self.server.answer_with(framed(b"", "r2"), framed(b""))
         second = await self.send(**plain).addCallback(lambda _: self.send(**plain))
         equal((second.unwrap().status, len(self.server.carriers)), (200, 2))
 
     async def test_no_id(self) -> None:
+        """An answer without a request id must not be passed on."""
         answer = framed(whole()).replace(b"X-Request-Id: r1\r\n", b"")
         await self.check_broken(answer, FailureKind.WRONG_ID, stream=False)
 
-    async def test_unreadable(self) -> None:
+    async def test_malformed(self) -> None:
+        """Answers with missing fields, and data after the end of a stream, must be rejected."""
         await self.check_broken(framed(b'{"id":"r1"}'), FailureKind.BROKEN, stream=False)
         await self.check_broken(chunked(b"data: {}\n\n"), FailureKind.BROKEN)
         await self.check_broken(chunked(LAST, DONE, piece("more")), FailureKind.BROKEN)
@@ -334,8 +371,7 @@
         cast(Any, self).patch(module, name, value)
 
     async def test_bounds(self) -> None:
-        # Symptom: an instance runs out of memory. Sequence: a replica sends without end.
-        # Cause: what has been received is kept without a bound.
+        """An endless answer must not exhaust the instance's memory."""
         self.bound(replies, "MAX_BODY_BYTES", 10)
         self.bound(sse, "MAX_EVENT_BYTES", 10)
         await self.check_broken(framed(whole()), FailureKind.BROKEN, stream=False)
@@ -343,10 +379,9 @@
         self.bound(sse, "MAX_TEXT_CHARS", 3)
         await self.check_broken(chunked(piece("abcd")), FailureKind.BROKEN)
 
-    async def test_bytes_nobody_asked_for(self) -> None:
-        # Symptom: a caller gets an answer to nothing it asked. Sequence: a replica sends a
-        # second answer on an idle connection. Cause: it would be read as the next call's.
-        await self.keep_connection()
+    async def test_unsolicited_bytes(self) -> None:
+        """A second answer on an idle connection must not be read as the answer to the next call."""
+        await self.leave_idle_connection()
         self.server.connections[0].write_at_once(framed(whole()))
         self.server.answer_with(framed(whole()))
         await self.reply(stream=False)
@@ -354,9 +389,10 @@
 
 
 class CancelTest(UpstreamTestCase):
-    async def test_cancel_closes_the_connection_and_tells_the_engine(self) -> None:
-        # Symptom: an engine generates for a caller that has gone, and its slot stays taken.
-        # Sequence: the caller goes away amid a stream. Cause: nobody told the engine.
+    """Test the cancellation of calls."""
+
+    async def test_cancel_closes_the_connection_and_notifies_the_engine(self) -> None:
+        """An engine must not continue to generate, and hold a slot, for a departed caller."""
         sending = self.send()
         conn = await self.server.next_request()
         sending.cancel()
@@ -366,9 +402,11 @@
         while not self.server.cancels:
             await deferLater(reactor, 0)
 
-    async def test_cancels_do_not_come_in_a_burst(self) -> None:
-        # Symptom: online requests are slow whenever batch gives way. Sequence: many streams
-        # are cancelled at once, each with a message. Cause: all were sent at the same time.
+    async def test_cancels_are_not_sent_in_a_burst(self) -> None:
+        """Cancelling many streams at once must not send all cancel requests at the same time.
+
+        The burst would slow down the online requests for which the batch streams are preempted.
+        """
         self.server.answers_cancels = False
         sends = [self.send() for _ in range(8)]
         while len(self.server.requests) < 8:
--- a/tests/test_upstream_parts.py
+++ b/tests/test_upstream_parts.py
@@ -1,4 +1,4 @@
-"""Test the parts of the upstream package that need no call: bodies, streams, polls, orders."""
+"""Test the upstream package apart from calls: bodies, streams, load polls, orders."""
 
 import json
 import random
@@ -27,7 +27,8 @@
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=50)
 @given(st.lists(st.integers(0, 400), max_size=6), st.booleans())
-def test_stream_reads_the_same_wherever_the_network_cuts_it(cuts: list[int], crlf: bool) -> None:
+def test_stream_parses_the_same_however_it_is_split(cuts: list[int], crlf: bool) -> None:
+    """The tokens must not depend on how the network splits the bytes."""
     stream = b": a comment\n\n" + piece("a ") + piece("\u00e9") + LAST + DONE
     stream = stream.replace(b"\n", b"\r\n") if crlf else stream
     tokens: list[Token] = []
@@ -41,6 +42,7 @@
 
 
 def test_body_keeps_the_callers_keys() -> None:
+    """Keys that are not needed for streaming must reach the engine unchanged."""
     body = b'{"model":"m","prompt":"p","seed":1.50,"nested":{"a":[null]},"resume_text":"x "}'
     assert b'"seed":1.50' in streaming_body(body, "")
     sent = json.loads(streaming_body(body, "y "))
@@ -50,6 +52,8 @@
 
 
 def test_prefix_is_the_start_of_the_prompt() -> None:
+    """The prefix is taken from a prompt or from the text of messages, and is bounded."""
+
     def prefix(**keys: Any) -> str:
         return parse_generation(json.dumps({"model": "m", **keys}).encode()).unwrap().prefix
 
@@ -74,6 +78,7 @@
     ],
 )
 def test_malformed_body_names_the_field(body: bytes, at: str) -> None:
+    """The error for a malformed body must start with the invalid field."""
     error = parse_generation(body).unwrap_err()
     assert error.startswith(at), error
 
@@ -81,65 +86,64 @@
 NO_HANDLER = AnswerHandler(lambda head: Ok(lambda data, now_ms: None), lambda declared: None)
 
 
-class _Polled:
-    """Answer load questions when the test says so."""
+class _PollRecorder:
+    """Run load polls that are answered when the test does so."""
 
     def __init__(self) -> None:
         self.fake = fake_clock()
-        self.asked: list[tuple[str, Deferred[Result[Load, Failure]]]] = []
-        self.seen: list[object] = []
-        on_report = OnReport(lambda _, load: self.seen.append(load), self._fail)
+        self.pending: list[tuple[str, Deferred[Result[Load, Failure]]]] = []
+        self.results: list[object] = []
+        handlers = OnReport(lambda _, load: self.results.append(load), self._fail)
         rand = random.Random(1)
-        self.reports = make_reports(self.fake.clock, rand, 100, self._read, on_report)
+        self.polls = make_reports(self.fake.clock, rand, 100, self._read, handlers)
 
     async def _read(self, replica: Replica) -> Result[Load, Failure]:
         answer: Deferred[Result[Load, Failure]] = Deferred()
-        self.asked.append((replica.id, answer))
+        self.pending.append((replica.id, answer))
         return await answer
 
     def _fail(self, replica: Replica, failure: Failure) -> None:
-        self.seen.append(failure.kind)
+        self.results.append(failure.kind)
 
 
 def _replica(name: str) -> Replica:
     return Replica(name, "chat", "127.0.0.1", 1, "dc1")
 
 
-def test_polls_ask_again_only_after_an_answer() -> None:
-    # Symptom: a hung replica is flooded with polls. Sequence: it does not answer, and every
-    # interval another poll is sent. Cause: polls that follow a fixed beat.
-    polled = _Polled()
-    polled.reports.poll([_replica("a")])
-    polled.fake.advance(5_000)
-    assert [name for name, _ in polled.asked] == ["a"]
+def test_next_poll_is_sent_only_after_an_answer() -> None:
+    """A replica that hangs must not be flooded with polls at a fixed interval."""
+    recorder = _PollRecorder()
+    recorder.polls.poll([_replica("a")])
+    recorder.fake.advance(5_000)
+    assert [name for name, _ in recorder.pending] == ["a"]
     load = Load(1, 0, 4, 5.0, 0)
-    polled.asked[0][1].callback(Ok(load))
-    polled.fake.advance(121)
-    polled.asked[1][1].callback(Err(Failure(FailureKind.SILENT, Sent.MAYBE, "")))
-    polled.fake.advance(79)
-    assert len(polled.asked) == 2
-    polled.fake.advance(42)
-    assert len(polled.asked) == 3
-    assert polled.seen == [load, FailureKind.SILENT]
-    polled.reports.close()
+    recorder.pending[0][1].callback(Ok(load))
+    recorder.fake.advance(121)
+    recorder.pending[1][1].callback(Err(Failure(FailureKind.SILENT, Sent.MAYBE, "")))
+    recorder.fake.advance(79)
+    assert len(recorder.pending) == 2
+    recorder.fake.advance(42)
+    assert len(recorder.pending) == 3
+    assert recorder.results == [load, FailureKind.SILENT]
+    recorder.polls.close()
 
 
 def test_polls_follow_the_list_and_stop() -> None:
-    polled = _Polled()
-    polled.reports.poll([_replica("a"), _replica("b")])
-    polled.fake.advance(100)
-    assert sorted(name for name, _ in polled.asked) == ["a", "b"]
-    polled.reports.poll([_replica("b"), _replica("c")])
-    polled.fake.advance(100)
-    assert sorted(name for name, _ in polled.asked) == ["a", "b", "c"]
-    polled.reports.close()
-    assert polled.fake.source.getDelayedCalls() == []
-    assert polled.seen == []
+    """Only listed replicas are recorder, and no timer remains after close."""
+    recorder = _PollRecorder()
+    recorder.polls.poll([_replica("a"), _replica("b")])
+    recorder.fake.advance(100)
+    assert sorted(name for name, _ in recorder.pending) == ["a", "b"]
+    recorder.polls.poll([_replica("b"), _replica("c")])
+    recorder.fake.advance(100)
+    assert sorted(name for name, _ in recorder.pending) == ["a", "b", "c"]
+    recorder.polls.close()
+    assert recorder.fake.source.getDelayedCalls() == []
+    assert recorder.results == []
 
 
 def test_pools_of_replaced_replicas_are_dropped() -> None:
-    # Symptom: memory grows for days. Sequence: replicas are replaced at new addresses, and
-    # the pools of the old ones stay. Cause: nothing says that an address will not come back.
+    """Connection pools of old addresses must not accumulate when replicas are replaced."""
     fake = fake_clock()
     links = Links(cast(Any, MemoryReactorClock)(), fake.clock, CFG)
     out = OutgoingRequest("GET", "/load", Headers(), b"", 10**9, False)
@@ -149,31 +153,35 @@
     equal(links.addresses(), [("127.0.0.1", 4)])
 
 
-class OrdersTest(UpstreamTestCase):
+class EngineControlTest(UpstreamTestCase):
+    """Test the control calls to model engines."""
+
     def setUp(self) -> None:
         super().setUp()
-        self.orders = make_orders(reactor, self.fake.clock, CFG)
+        self.engine_control = make_orders(reactor, self.fake.clock, CFG)
 
     async def close_all(self) -> None:
-        await self.orders.close()
+        await self.engine_control.close()
         await super().close_all()
 
-    async def give(self, answer: bytes) -> Any:
+    async def send_order(self, answer: bytes) -> Any:
         self.server.answer_with(answer)
         order = Order("o1", 7, OrderKind.LOAD_MODEL, "m")
-        return await self.orders.send_order(self.replica, order)
+        return await self.engine_control.send_order(self.replica, order)
 
     async def test_order(self) -> None:
-        accepted = await self.give(framed(b'{"accepted":true}'))
+        """Acceptance, refusal, error status and a malformed answer are told apart."""
+        accepted = await self.send_order(framed(b'{"accepted":true}'))
         equal(accepted, Ok(OrderAnswer(True, 0)))
-        refused = await self.give(framed(b'{"accepted":false,"fence":9}', status=409))
+        refused = await self.send_order(framed(b'{"accepted":false,"fence":9}', status=409))
         equal(refused, Ok(OrderAnswer(False, 9)))
-        failed = await self.give(framed(b"oh", status=500))
+        failed = await self.send_order(framed(b"oh", status=500))
         equal((failed.err_value.kind, failed.err_value.status), (FailureKind.STATUS, 500))
-        broken = await self.give(framed(b"[]"))
+        broken = await self.send_order(framed(b"[]"))
         equal(broken.err_value.kind, FailureKind.BROKEN)
 
     async def test_reads(self) -> None:
+        """State, models and cache events are parsed; unknown fields are ignored."""
         state = (
             b'{"models":["m"],"adapters":[],"role":"mixed","version":"1","fence":7,'
             b'"orders":["o1"],"later":"key"}'
@@ -183,18 +191,17 @@
             framed(b'{"object":"list","data":[{"id":"m","object":"model"}]}'),
             framed(b'{"events":[{"seq":3,"kind":"evicted","prefix":"p"}],"next":4}'),
         )
-        found = (await self.orders.read_state(self.replica)).unwrap()
+        found = (await self.engine_control.read_state(self.replica)).unwrap()
         equal(found, (("m",), (), "mixed", "1", 7, ("o1",)))
-        equal((await self.orders.list_models(self.replica)).unwrap(), ("m",))
-        events = (await self.orders.cache_events(self.replica, 2)).unwrap()
+        equal((await self.engine_control.list_models(self.replica)).unwrap(), ("m",))
+        events = (await self.engine_control.cache_events(self.replica, 2)).unwrap()
         equal(events, (((3, False, "p"),), 4))
         assert self.server.requests[2].startswith(b"GET /cache_events?since=2 ")
 
     async def test_silent_engine(self) -> None:
-        # Symptom: the controller waits for ever. Sequence: an order is given, no answer
-        # comes. Cause: no time limit; the order may have been taken all the same.
-        giving = Deferred.fromCoroutine(cast(Any, self.give(b"")))
+        """An order without an answer must time out, and may have been accepted all the same."""
+        sending = Deferred.fromCoroutine(cast(Any, self.send_order(b"")))
         await self.server.next_request()
         self.fake.elapse(CFG.progress_ms)
-        failure = (await giving).err_value
+        failure = (await sending).err_value
         equal(failure.sent, Sent.MAYBE)
