--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Test acceptance of changes, the book, the audit trail and the spread between instances."""
+"""Test changes of the configuration, its audit trail and its replication between instances."""
 
 import random
 from itertools import pairwise
@@ -29,12 +29,12 @@
 
 
 @pytest.fixture(autouse=True)
-def broken_promises_raise() -> None:
+def raise_on_broken_invariants() -> None:
     invariants.raise_on_failure(True)
 
 
 class Fleet:
-    """Run several instances' configurations against one platform, with links to cut."""
+    """Run the configuration of several instances on one platform, with links that can fail."""
 
     def __init__(
         self, names: str = "abc", cfg: ConfigSettings | None = None, relays: str = ""
@@ -76,10 +76,10 @@
         self.configs[name] = start_config(deps)
         return self.configs[name]
 
-    def lose(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         wait(self.configs.pop(name).stop())
 
-    def beat(self, name: str) -> None:
+    def send_heartbeat(self, name: str) -> None:
         """Send one instance's heartbeat to all others."""
         book = self.configs[name].book
         message = Heartbeat(name, 1, "live", book.version(), (), book.digest())
@@ -142,6 +142,7 @@
 
 
 def test_change_is_in_force_everywhere_at_once_and_in_the_trail() -> None:
+    """An accepted change must reach all instances and appear in the audit trail."""
     fleet = Fleet()
     first = fleet.apply("a", change(2_000, 0)).unwrap()
     second = fleet.apply("b", change(3_000, first.version)).unwrap()
@@ -151,7 +152,8 @@
     assert lines[0].entry["changes"] == [{"path": "due_ms", "before": 2_000, "after": 3_000}]
 
 
-def test_racing_operator_is_told_who_won_and_with_what() -> None:
+def test_conflict_reports_the_accepted_change() -> None:
+    """An operator whose change conflicts must see whose change was accepted, with its values."""
     fleet = Fleet()
     first = fleet.apply("a", change(2_000, 0)).unwrap()
     fleet.apply("a", change(3_000, first.version, who="ana")).unwrap()
@@ -165,9 +167,10 @@
 
 
 def test_lost_answer_is_settled() -> None:
-    # Symptom: an operator is told that a change failed, and later finds it in force.
-    # Sequence: the store takes the update, its answer is lost.
-    # Cause: a lost answer taken for a failure. Reading back finds the change id.
+    """A change must not be reported as failed when only the store's answer was lost.
+
+    Reading the object finds the change id.
+    """
     fleet = Fleet()
     fleet.platform.fail(Fault.LOST_AFTER, call="create")
     done = fleet.apply("a", change(2_000, 0)).unwrap()
@@ -175,12 +178,13 @@
     assert fleet.due("c") == 2_000
 
 
-def test_write_that_arrives_late_is_not_called_not_run() -> None:
-    # Symptom: a change refused as "not run" comes into force a second later.
-    # Sequence: the update is held up on its way; reading back shows the old version; the
-    # refusal goes out; the update arrives.
-    # Cause: one read-back proves nothing while the write may still arrive. The repeated
-    # write with the same condition wins first, so the late one can only fail.
+def test_delayed_write_is_not_reported_as_not_run() -> None:
+    """A change refused as "not run" must not come into force later.
+
+    The update is delayed in the network, and reading the object shows the old version. That
+    proves nothing while the write may still arrive. The write is repeated with the same
+    condition and succeeds first, so the delayed one can only fail.
+    """
     fleet = Fleet()
     fleet.platform.fail(Fault.LOST_DELAYED, call="create", delay_ms=1_000)
     done = fleet.apply("a", change(2_000, 0)).unwrap()
@@ -190,6 +194,7 @@
 
 
 def test_unsettled_change_is_unknown_and_its_repeat_finds_it() -> None:
+    """A change with an unknown outcome must be reported so, and repeating it must find it."""
     fleet = Fleet()
     fleet.platform.fail(Fault.LOST_AFTER, call="create", delay_ms=100)
     running = Deferred.fromCoroutine(accept_on(fleet.configs["a"], change(2_000, 0)))
@@ -204,6 +209,7 @@
 
 
 def test_store_down_refuses_as_not_run() -> None:
+    """While the store is unavailable a change is refused as not run."""
     fleet = Fleet()
     fleet.platform.down = True
     refused = fleet.apply("a", change(2_000, 0)).unwrap_err().refusal
@@ -211,6 +217,7 @@
 
 
 def test_change_id_used_for_other_content_is_a_conflict() -> None:
+    """A reused change id must not return the result of another change."""
     fleet = Fleet()
     fleet.apply("a", change(2_000, 0, "same-change-id"))
     refused = fleet.apply("a", change(3_000, 0, "same-change-id")).unwrap_err().refusal
@@ -218,18 +225,20 @@
 
 
 def test_delete_leaves_a_tombstone_and_can_be_followed_by_a_create() -> None:
+    """A deletion must apply everywhere, and versions must keep increasing after a new create."""
     fleet = Fleet()
     first = fleet.apply("a", change(2_000, 0)).unwrap()
-    gone = fleet.apply("b", change(None, first.version)).unwrap()
+    deleted = fleet.apply("b", change(None, first.version)).unwrap()
     assert [fleet.due(name) for name in "abc"] == [None] * 3
-    missing = fleet.apply("a", change(None, gone.version, who="rui")).unwrap_err()
+    missing = fleet.apply("a", change(None, deleted.version, who="rui")).unwrap_err()
     assert missing.refusal.kind is ErrorKind.NOT_FOUND
     again = fleet.apply("a", change(5_000, 0, who="rui")).unwrap()
-    assert again.version > gone.version
+    assert again.version > deleted.version
     assert fleet.due("c") == 5_000
 
 
-def test_stranding_change_says_so_and_needs_leave() -> None:
+def test_stranding_change_needs_permission() -> None:
+    """A change after which queued work cannot run must be refused unless it is allowed."""
     fleet = Fleet()
     first = fleet.apply("a", change(2_000, 0)).unwrap()
     fleet.queued = 7
@@ -238,7 +247,8 @@
     assert fleet.apply("a", change(None, first.version, strand=True)).is_ok()
 
 
-def test_every_field_at_fault_is_named() -> None:
+def test_every_invalid_field_is_named() -> None:
+    """All invalid fields of a document must be reported, not only the first."""
     wrong = gate(due_ms=1, urgency="soon", retry={"attempts": 0}, extra=1)
     del wrong["idempotent"]
     found = {problem.path for problem in check_document(GATE, wrong).errors}
@@ -249,7 +259,8 @@
     assert unknown.path == "retry" and "`again_ms`" in unknown.reason
 
 
-def test_older_entries_are_spilled_and_the_trail_stays_whole() -> None:
+def test_older_entries_are_spilled_and_the_trail_stays_complete() -> None:
+    """The history in an object is bounded, but no audit entry may be lost."""
     fleet = Fleet("a")
     version = 0
     for number in range(40):
@@ -261,11 +272,12 @@
     assert all(old.version == new.entry["based_on"] for new, old in pairwise(lines))
     stored = records.decode(fleet.platform.objects[GATE.key].value).unwrap()
     assert len(stored["history"]) <= records.MAX_HISTORY_ENTRIES
-    # A repeat of a change that has left the object is still recognised.
+    # A repeated change whose entry was spilled is still recognised.
     assert fleet.apply("a", change(2_003, lines[36].entry["based_on"], "change-0003")).unwrap()[1]
 
 
 def test_lower_version_is_never_applied() -> None:
+    """An older object that arrives late must not replace a newer one."""
     book = ProfileBook()
     new = records.encode(records.Record(document=gate(3_000), history=[]))
     old = records.encode(records.Record(document=gate(2_000), history=[]))
@@ -277,6 +289,7 @@
 
 
 def test_record_of_a_newer_release_is_applied() -> None:
+    """Unknown fields of a newer release must not prevent an object from being applied."""
     book = ProfileBook()
     document = gate(3_000, retry={"attempts": 2, "later": 1}, later=[])
     value = codec.to_json({"document": document, "history": [], "later": {}})
@@ -284,9 +297,11 @@
 
 
 def test_missing_middle_object_is_found_by_digest() -> None:
-    # Symptom: one instance treats a profile by old rules for good, with an equal version.
-    # Sequence: the push of change 1 to c is lost, the push of change 2 arrives.
-    # Cause: the highest version in a heartbeat does not show a hole below it.
+    """An instance must not keep an old profile forever after a push was lost.
+
+    The push of change 1 to instance c is lost and the push of change 2 arrives. The highest
+    version in a heartbeat does not show the gap; the digest does.
+    """
     fleet = Fleet(cfg=ConfigSettings(poll_ms=80_000_000, watch_ms=80_000_000))
     fleet.platform.cut = {"c"}
     fleet.silent = {("a", "c")}
@@ -298,13 +313,14 @@
     assert books[0].version() == books[1].version()
     assert fleet.due("c") is None
     for _ in range(2):
-        fleet.beat("b")
+        fleet.send_heartbeat("b")
         fleet.run(500)
     assert fleet.due("c") == 2_000
     assert books[0].digest() == books[1].digest()
 
 
 def test_watch_and_poll_each_suffice() -> None:
+    """A change must arrive when pushes are lost and either the watch or the listing fails."""
     for cut in ("watch", "list"):
         fleet = Fleet("ab")
         fleet.run(100)
@@ -315,19 +331,21 @@
         assert fleet.due("b") == 2_000, cut
 
 
-def test_relay_pushes_what_only_the_store_tells() -> None:
-    # Symptom: in a large site most instances stay at the old profile for long.
-    # Sequence: an instance accepts a change and is lost before it pushes.
-    # Cause: only relays watch the store, and nobody told the others.
+def test_relay_pushes_what_it_reads_from_the_store() -> None:
+    """In a large site, instances must not keep an old profile when the accepting one is lost.
+
+    An instance accepts a change and is lost before it pushes it. Only relays watch the store, so
+    a relay must push the change to the others.
+    """
     fleet = Fleet("abc", relays="b")
     fleet.run(3_000)
     for name in "abc":
-        fleet.beat(name)
+        fleet.send_heartbeat(name)
     fleet.run(1_000)
     before = fleet.platform.calls["list"] + fleet.platform.calls["watch"]
     fleet.silent = {("a", "b"), ("a", "c")}
     fleet.apply("a", change(2_000, 0))
-    fleet.beat("b")
+    fleet.send_heartbeat("b")
     fleet.run(500)
     assert fleet.due("c") == 2_000
     others = fleet.platform.calls["list"] + fleet.platform.calls["watch"] - before
@@ -336,64 +354,71 @@
     assert all(c.ready(fleet.time.clock.now()).is_ok() for c in fleet.configs.values())
 
 
-def test_restart_in_an_outage_asks_peers_and_is_ready_only_then() -> None:
-    # Symptom: after a restart in an outage an instance refuses a profile that exists.
-    # Sequence: store down; an instance starts with nothing; callers are sent to it.
-    # Cause: it said ready before it had heard the configuration from anyone.
+def test_restart_in_an_outage_requests_peers_and_is_ready_only_then() -> None:
+    """An instance must not be ready before it has received the configuration.
+
+    It starts without a copy while the store is unavailable. If it were ready, it would get
+    callers and refuse profiles that exist.
+    """
     fleet = Fleet("ab")
     fleet.apply("a", change(2_000, 0))
-    fleet.lose("b")
+    fleet.remove("b")
     fleet.platform.down = True
     restarted = fleet.start("b")
     fleet.run(1_000)
     assert restarted.ready(fleet.time.clock.now()).is_err()
-    fleet.beat("a")
+    fleet.send_heartbeat("a")
     assert restarted.ready(fleet.time.clock.now()) == Ok(None)
     assert fleet.due("b") == 2_000
 
 
 def test_two_empty_instances_do_not_make_each_other_ready() -> None:
+    """Equal digests of two empty instances do not prove that the configuration is complete."""
     fleet = Fleet("")
     fleet.platform.down = True
     for name in "ab":
         fleet.start(name)
     for name in "abab":
-        fleet.beat(name)
+        fleet.send_heartbeat(name)
     assert all(c.ready(fleet.time.clock.now()).is_err() for c in fleet.configs.values())
 
 
-def test_folder_is_used_but_a_peer_goes_before_it(tmp_path: Any) -> None:
-    # Symptom: an instance goes back to an older profile after its restart in an outage.
-    # Sequence: its folder was written before the last change; the store is down.
-    # Cause: the folder's copy taken as current without hearing a peer.
+def test_folder_is_used_but_a_peer_has_precedence(tmp_path: Any) -> None:
+    """The copy in the data folder must not count as current until a peer has confirmed it.
+
+    The copy was saved before the last change, and the instance restarts while the store is
+    unavailable. It would otherwise go back to an older profile.
+    """
     kept = ConfigSettings(poll_ms=POLL_MS, data_folder=str(tmp_path))
     fleet = Fleet("a")
     first = fleet.apply("a", change(2_000, 0)).unwrap()
     fleet.start("b", kept)
     fleet.run(2_000)
-    fleet.lose("b")
+    fleet.remove("b")
     fleet.apply("a", change(3_000, first.version))
     fleet.platform.down = True
     restarted = fleet.start("b", kept)
     assert fleet.due("b") == 2_000
     assert restarted.ready(fleet.time.clock.now()).is_err()
-    fleet.beat("a")
+    fleet.send_heartbeat("a")
     assert fleet.due("b") == 3_000
     assert restarted.ready(fleet.time.clock.now()).is_ok()
 
 
-def test_instance_that_hears_nobody_becomes_not_ready() -> None:
+def test_isolated_instance_becomes_not_ready() -> None:
+    """An instance that reaches neither the store nor a peer must become not ready."""
     fleet = Fleet("ab")
     fleet.platform.cut = {"b"}
     fleet.run(35_000, 500)
     now = fleet.time.clock.now()
     assert fleet.configs["a"].ready(now).is_ok()
     assert "reached" in fleet.configs["b"].ready(now).unwrap_err()
-    fleet.beat("a")
+    fleet.send_heartbeat("a")
     assert fleet.configs["b"].ready(now).is_ok()
 
 
 def test_object_removed_by_hand_stays_in_force() -> None:
+    """An object deleted from the store without an audit entry must stay in force."""
     fleet = Fleet("ab")
     fleet.apply("a", change(2_000, 0))
     wait(fleet.platform.store().delete(GATE.key, 1))
@@ -402,6 +427,7 @@
 
 
 def test_audit_filters() -> None:
+    """The trail is filtered by operator, name, time and limit; a store error is returned."""
     fleet = Fleet("a")
     first = fleet.apply("a", change(2_000, 0, who="ana")).unwrap()
     fleet.run(1_000)
--- a/tests/test_config_machine.py
+++ b/tests/test_config_machine.py
@@ -1,4 +1,4 @@
-"""Drive several instances' configuration through random changes, faults, losses and restarts."""
+"""Test the configuration of several instances with random changes, faults and restarts."""
 
 from typing import Any
 
@@ -23,7 +23,7 @@
 
 
 class ConfigMachine(RuleBasedStateMachine):
-    """Check that accepted changes stay, refused ones never come, and all agree in the end."""
+    """Check that accepted changes persist, refused ones never apply, and instances converge."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -68,17 +68,17 @@
         self.fleet.silent = {(sender, receiver)}
 
     @rule(name=NAMES)
-    def beat(self, name: str) -> None:
-        self.fleet.beat(name)
+    def send_heartbeat(self, name: str) -> None:
+        self.fleet.send_heartbeat(name)
 
     @rule(name=NAMES)
     def restart(self, name: str) -> None:
-        self.fleet.lose(name)
+        self.fleet.remove(name)
         self.lowest = {key: v for key, v in self.lowest.items() if key[0] != name}
         self.fleet.start(name)
 
     @invariant()
-    def versions_only_rise(self) -> None:
+    def versions_only_increase(self) -> None:
         for name, config in self.fleet.configs.items():
             for item in config.book.objects():
                 assert item.version >= self.lowest.get((name, item.key), 0)
@@ -123,7 +123,7 @@
 
     def _check_answers(self, got: dict[str, int]) -> None:
         for change_id, running in self.running.items():
-            assert running.called, "an operator waits for ever"
+            assert running.called, "a change has no result"
             done: Any = running.result
             if not isinstance(done, Err):
                 assert done.ok_value.version == got[change_id]
--- a/tests/test_config_operate.py
+++ b/tests/test_config_operate.py
@@ -1,4 +1,4 @@
-"""Test the operators' routes and commands over real sockets."""
+"""Test the operator HTTP routes and command line over real sockets."""
 
 import argparse
 import contextlib
@@ -41,7 +41,7 @@
 
 
 class OperateTest(TestCase):
-    """Run one instance's operator address and call it as the commands do."""
+    """Run an instance's operator HTTP address and call it through the commands."""
 
     timeout = TIMEOUT_S
 
@@ -96,7 +96,7 @@
         return got.unwrap()
 
     async def _command(self, *args: str, key: str = KEY, port: int = 0) -> tuple[int, str, str]:
-        """Run a command's coroutine as the command line would; return code and output."""
+        """Run a command as the command line does; return its exit code, stdout and stderr."""
         options = make_parser().parse_args(list(args))
         here = client.Client(f"127.0.0.1:{port or self.port}", key)
         out, err = io.TextIOWrapper(io.BytesIO(), write_through=True), io.StringIO()
@@ -109,7 +109,8 @@
         path.write_text(text, encoding="utf-8")
         return str(path)
 
-    async def test_key_is_needed_and_appears_nowhere(self) -> None:
+    async def test_key_is_required_and_appears_nowhere(self) -> None:
+        """Requests need a valid key, and no key may be stored or logged."""
         seen: list[tuple[events.Event, object]] = []
 
         def emit(event: events.Event, **fields: object) -> None:
@@ -135,11 +136,13 @@
         assert KEY not in repr(seen)
         assert "wrong-key" not in repr(seen)
 
-    async def test_without_operators_this_machine_may_call(self) -> None:
+    async def test_without_operators_no_key_is_required(self) -> None:
+        """If no operators are configured, calls from the same machine need no key."""
         code, out, _ = await self._command("profile", "list", key="", port=self.open_port)
         assert (code, out.split()[:2]) == (0, ["name", "version"])
 
-    async def test_whole_life_of_a_profile(self) -> None:
+    async def test_lifecycle_of_a_profile(self) -> None:
+        """Check, create, diff, update, conflict, read, audit and delete a profile."""
         first = self._file(
             '{"name": "gate", /* scale */ "upstream": "pass", "urgency": "urgent",'
             ' "due_ms": 2000, "idempotent": false}'
@@ -175,7 +178,8 @@
         code, _, err = await self._command("profile", "get", "gate")
         assert (code, err.startswith("papayapier: not_found")) == (1, True)
 
-    async def test_wrong_file_names_each_field_and_exits_with_2(self) -> None:
+    async def test_invalid_file_names_each_field_and_exits_with_2(self) -> None:
+        """Each invalid field of a file gets a line, and the exit code is 2."""
         wrong = self._file('{"name": "gate", "upstream": "pass", "urgency": "soon", "due_ms": 1}')
         code, _, err = await self._command("profile", "check", wrong)
         lines = err.splitlines()
@@ -185,6 +189,7 @@
         assert (code, len(err.splitlines())) == (2, 1)
 
     async def test_upstream_and_status(self) -> None:
+        """Wanted state, fleet status and orders are shown."""
         wanted = self._file('{"name": "pass", "models": ["pass-7b"]}')
         code, _, _ = await self._command(
             "upstream", "apply", wanted, "--based-on", "0", "--reason", "first"
@@ -198,7 +203,8 @@
         assert "given by: entry-1" in out
         assert "pass-7b" in out
 
-    async def test_job_commands_reach_the_jobs_of_a_caller(self) -> None:
+    async def test_job_commands_access_the_jobs_of_a_caller(self) -> None:
+        """An operator can list, show, read and cancel the jobs of a named caller only."""
         world = World(clock=real_clock())
         batch = world.start("a")
         self.addCleanup(lambda: Deferred.fromCoroutine(_stop(batch)))
@@ -224,7 +230,8 @@
         code, out, _ = await self._command("job", "cancel", job_id, *jobs, port=port)
         assert code == 0
 
-    async def test_nobody_listening_is_one_line(self) -> None:
+    async def test_refused_connection_is_reported_in_one_line(self) -> None:
+        """A command whose instance does not listen must not print a traceback."""
         code, _, err = await self._command("status", port=1)
         assert (code, len(err.splitlines())) == (1, 1)
 
@@ -234,13 +241,15 @@
 
 
 def test_audit_times() -> None:
+    """Relative and absolute times are parsed, and others are rejected."""
     now = 1_700_000_000_000
     assert reports.since_ms("2h", now).unwrap() == now - 7_200_000
     assert reports.since_ms("2023-11-14T22:13:20", now).unwrap() == now
     assert reports.since_ms("soon", now).is_err()
 
 
-def test_every_operator_command_is_registered_and_explained() -> None:
+def test_every_operator_command_is_registered() -> None:
+    """Each operator command is known to the parser and has a function to run."""
     parser = make_parser()
     for args in (
         ["profile", "list"],
--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -1,4 +1,4 @@
-"""Test who counts as asking, and that a key goes no further than its check."""
+"""Test how the team of a request is determined, and that keys are not passed on."""
 
 import json
 from typing import Any
@@ -49,7 +49,8 @@
         [b"Bearer " + KEY.encode() + b" more"],
     ],
 )
-def test_what_is_no_known_key_is_refused(shown: list[bytes]) -> None:
+def test_unknown_and_malformed_keys_are_refused(shown: list[bytes]) -> None:
+    """A missing, unknown or malformed key is refused, and the reason must not contain a key."""
     asker = table(*TEAMS).asker(False, shown)
     assert isinstance(asker, Err)
     assert asker.err_value.kind is ErrorKind.UNAUTHORIZED
@@ -58,19 +59,22 @@
 
 
 @pytest.mark.parametrize("shown", [f"Bearer {KEY}", f"bearer  {KEY} ", "Bearer second"])
-def test_each_key_of_a_team_shows_it(shown: str) -> None:
+def test_each_key_of_a_team_is_accepted(shown: str) -> None:
+    """Each of a team's keys identifies the team, whatever the case and spaces of the scheme."""
     asker = table(*TEAMS).asker(False, [shown.encode()])
     assert asker == Ok(Team("yard", 5.5, 7, 1))
 
 
-def test_public_routes_and_no_teams_ask_for_no_key() -> None:
+def test_public_routes_and_no_teams_require_no_key() -> None:
+    """Keys are required only on routes that are not public, and only if teams are defined."""
     assert table(*TEAMS).asker(True, []) == Ok(ANYBODY)
     bare = RouteTable(read_configuration(json.dumps(configuration()).encode()).unwrap())
     assert bare.asker(False, []) == Ok(None)
     assert isinstance(table().asker(False, [b"Bearer x"]), Err)
 
 
-def test_a_host_of_public_jobs_asks_for_no_key() -> None:
+def test_a_host_of_public_jobs_requires_no_key() -> None:
+    """A host has public jobs only if all its routes for jobs are public."""
     host = str(configuration()["routes"][0]["host"])
     assert table(*TEAMS, public=True).has_public_jobs(host)
     assert not table(*TEAMS).has_public_jobs(host)
@@ -89,9 +93,10 @@
         ("apiKeys", ["third"], "apiKeys"),
     ],
 )
-def test_an_odd_team_is_named_by_its_field_and_never_by_its_key(
+def test_error_for_an_invalid_team_names_the_field_and_no_key(
     field: str, value: Any, at: str
 ) -> None:
+    """The error for an invalid team names its field and must not contain a key."""
     document = {**configuration(), "tenants": [{**TEAMS[0], field: value}, TEAMS[1]]}
     read = read_configuration(json.dumps(document).encode())
     assert isinstance(read, Err)
@@ -99,13 +104,15 @@
     assert not any(key in read.err_value for key in (KEY, "third"))
 
 
-def test_only_digests_are_held() -> None:
+def test_only_digests_are_stored() -> None:
+    """Keys themselves must not be kept in memory; a key of the maximum length is accepted."""
     ring = KeyRing([(digest_of(KEY.encode()), "yard")])
     assert KEY not in repr(vars(ring))
     assert bearer_key([b"Bearer " + b"k" * MAX_KEY_BYTES]) is not None
 
 
-def test_a_replica_sees_the_team_and_no_key() -> None:
+def test_a_replica_gets_the_team_and_no_key() -> None:
+    """The key is removed from forwarded headers, and a team stated by the caller is replaced."""
     sent = Headers(
         {"authorization": [f"Bearer {KEY}"], "x-tenant": ["depot", "x"], "X-Model": ["m"]}
     )
@@ -116,56 +123,60 @@
 
 
 @pytest.mark.parametrize(("rank", "urgency"), [(None, "urgent"), (0, "urgent"), (1, "normal")])
-def test_a_teams_rank_goes_before_the_routes(rank: int | None, urgency: str) -> None:
+def test_a_teams_rank_overrides_the_routes(rank: int | None, urgency: str) -> None:
+    """The rank of a team, if it has one, decides the urgency in place of the route's rank."""
     import random
 
     route = table(*TEAMS).cfg.routes[0]
     assert pick_profile(route, random.Random(1), rank).urgency == urgency
 
 
-def test_the_same_words_of_two_teams_are_two_works() -> None:
-    # Symptom: a team is refused work that ended replicas for another.
+def test_equal_requests_of_two_teams_have_different_fingerprints() -> None:
+    """A team's request must not be quarantined for replica losses under another team's."""
     names = {name_work("POST", "h", "/a", b"x", team) for team in ("", "yard", "depot")}
     assert len(names) == 3
 
 
 @pytest.mark.parametrize(
-    ("owner", "asker", "may"),
+    ("owner", "team", "allowed"),
     [("yard", "yard", True), ("yard", "depot", False), ("", "yard", True), ("yard", "", True)],
 )
-def test_jobs_are_their_teams(owner: str, asker: str, may: bool) -> None:
-    assert may_use(owner, asker) is may
+def test_jobs_are_accessible_to_their_team_only(owner: str, team: str, allowed: bool) -> None:
+    """Reading, resubmitting and ending a job require its team, on every instance."""
+    assert may_use(owner, team) is allowed
     world = DeskWorld()
     items = (item("a"),)
     submitted = world.begin(world.desk.submit(JOB, "h", "/j", items, 1_000, 0, owner))
     assert submitted.end() == Ok(None)
-    # Another instance, which knows the job by its record only.
+    # The second desk is another instance, which knows the job only from its stored record.
     for desk in (world.desk, DeskWorld(world.memory).desk):
-        read = world.begin(desk.results(JOB, 0, 0, asker)).end()
-        body = world.begin(desk.item(JOB, "a", asker)).end()
-        again = world.begin(desk.submit(JOB, "h", "/j", items, 1_000, 0, asker)).end()
-        for said in (read, body, again):
-            assert isinstance(said, Ok) is may
-    ended = world.begin(world.desk.end(JOB, 1_000, asker)).end()
-    assert isinstance(ended, Ok) is may
-    assert (b'"team"' not in world.memory.objects[job_key(JOB)][1]) or not may
+        read = world.begin(desk.results(JOB, 0, 0, team)).end()
+        body = world.begin(desk.item(JOB, "a", team)).end()
+        again = world.begin(desk.submit(JOB, "h", "/j", items, 1_000, 0, team)).end()
+        for result in (read, body, again):
+            assert isinstance(result, Ok) is allowed
+    ended = world.begin(world.desk.end(JOB, 1_000, team)).end()
+    assert isinstance(ended, Ok) is allowed
+    assert (b'"team"' not in world.memory.objects[job_key(JOB)][1]) or not allowed
 
 
 def test_an_item_runs_for_its_jobs_team_whatever_its_headers_say() -> None:
+    """A team or key in an item's own headers must not reach the replica."""
     world = World("lm")
-    work = world.job("j", 1, 10_000)
-    work.record = work.record._replace(team="yard")
-    (one,) = work.items.values()
+    job = world.job("j", 1, 10_000)
+    job.record = job.record._replace(team="yard")
+    (item_run,) = job.items.values()
     headers = {"Authorization": f"Bearer {KEY}", "x-tenant": "depot", "X-Model": "m"}
-    one.item = one.item._replace(headers=headers)
+    item_run.item = item_run.item._replace(headers=headers)
     world.real_headers()
     world.pump()
-    call = world.calls[one.item.id]
+    call = world.calls[item_run.item.id]
     assert call.headers.getRawHeaders("X-Tenant") == ["yard"]
     assert not call.headers.hasHeader("Authorization")
 
 
-def test_refusals_say_what_callers_may_do() -> None:
+def test_refusals_have_the_status_for_their_kind() -> None:
+    """Callers decide by the status whether to retry."""
     assert raw_status(not_run(ErrorKind.OVER_ALLOWANCE, "")) == 429
     assert raw_status(not_run(ErrorKind.NOT_GRANTED, "")) == 503
     assert raw_status(not_run(ErrorKind.KEY_CONFLICT, "")) == 409
