--- a/tests/orders_world.py
+++ b/tests/orders_world.py
@@ -1,4 +1,4 @@
-"""Run controllers of orders over a fake platform and fake engines."""
+"""Run order controllers on a fake platform with fake engines."""
 
 import random
 from collections import Counter
@@ -29,7 +29,7 @@
 
 
 class FakeEngine:
-    """Take orders and have them in effect after a time; count what it is told to load."""
+    """Accept orders that take effect after a delay, and count the orders by item."""
 
     def __init__(self, now: Any, checks_fence: bool, models: tuple[str, ...] = ("base",)) -> None:
         self.now = now
@@ -38,15 +38,15 @@
         self.state = EMPTY._replace(models=models)
         self.loading: list[tuple[int, Order]] = []
         self.overlaps = 0
-        self.taken: Counter[tuple[OrderKind, str]] = Counter()
+        self.accepted: Counter[tuple[OrderKind, str]] = Counter()
         self.load_ms = 4_000
 
-    def take(self, order: Order) -> OrderAnswer:
+    def accept(self, order: Order) -> OrderAnswer:
         self.settle()
         if self.checks_fence and order.fence < self.state.fence:
             return OrderAnswer(False, self.state.fence)
         self.overlaps += bool(self.loading)
-        self.taken[order.kind, order.name] += 1
+        self.accepted[order.kind, order.name] += 1
         fence = max(order.fence, self.state.fence) if self.checks_fence else 0
         self.state = self.state._replace(fence=fence, orders=(*self.state.orders, order.order_id))
         self.loading.append((self.now() + self.load_ms, order))
@@ -56,9 +56,9 @@
         for due, order in list(self.loading):
             if self.now() >= due:
                 self.loading.remove((due, order))
-                self._put(order)
+                self._apply(order)
 
-    def _put(self, order: Order) -> None:
+    def _apply(self, order: Order) -> None:
         state = self.state
         if order.kind is OrderKind.LOAD_MODEL:
             state = state._replace(models=tuple(dict.fromkeys((*state.models, order.name))))
@@ -85,7 +85,7 @@
 
 
 class World:
-    """Run several controllers against one platform and one set of engines."""
+    """Run several controllers on one platform with one set of engines."""
 
     def __init__(self, names: str, checks_fence: bool, replicas: int = 4) -> None:
         self.time = fake_clock()
@@ -95,22 +95,22 @@
         self.engines = {
             f"r{n}": FakeEngine(self.time.clock.now, checks_fence) for n in range(replicas)
         }
-        self.given: list[tuple[int, str, str, Order]] = []
+        self.sent: list[tuple[int, str, str, Order]] = []
         self.lose_answers = 0
         self.controls: dict[str, OrderControl] = {}
         for name in names:
             self.start(name)
 
     def start(self, name: str) -> None:
-        async def give(replica: Replica, order: Order) -> Result[OrderAnswer, Failure]:
-            self.given.append((int(self.time.clock.now()), name, replica.id, order))
-            answer = self.engines[replica.id].take(order)
+        async def send_order(replica: Replica, order: Order) -> Result[OrderAnswer, Failure]:
+            self.sent.append((int(self.time.clock.now()), name, replica.id, order))
+            answer = self.engines[replica.id].accept(order)
             if self.lose_answers:
                 self.lose_answers -= 1
                 return Err(Failure(FailureKind.CUT, Sent.MAYBE, "cut"))
             return Ok(answer)
 
-        async def state(replica: Replica) -> Result[EngineState, Failure]:
+        async def read_state(replica: Replica) -> Result[EngineState, Failure]:
             return Ok(self.engines[replica.id].read())
 
         unused: Any = None
@@ -121,7 +121,7 @@
                 store=self.platform.store(name),
                 cfg=OrderSettings(),
                 instance=name,
-                orders=EngineControl(give, state, unused, unused, unused),
+                orders=EngineControl(send_order, read_state, unused, unused, unused),
                 wanted=lambda: self.wanted,
                 replicas=lambda: [
                     ListedReplica(Replica(id, "pass", "127.0.0.1", 1, "dc-a"), True)
--- a/tests/test_orders_http.py
+++ b/tests/test_orders_http.py
@@ -1,4 +1,4 @@
-"""Test the orders' whole way, from wanted state to engines, over real sockets."""
+"""Test orders end to end, from wanted state to engines, over real sockets."""
 
 import random
 from typing import Any, cast
@@ -29,11 +29,12 @@
 
 
 class OrdersOverHttpTest(TestCase):
-    """Bring two engines to a wanted state."""
+    """Test two engines that are reconciled with a wanted state."""
 
     timeout = 30
 
-    async def test_engines_come_to_the_wanted_state(self) -> None:
+    async def test_engines_reach_the_wanted_state(self) -> None:
+        """Each order must be sent exactly once, until both engines have the wanted state."""
         clock = real_clock()
         engines: list[EngineServer] = []
         for _ in range(2):
@@ -64,11 +65,11 @@
         states = [engine.core.orders for engine in engines]
         while sum(note.end == "done" for note in control.show().lately) < ORDERS:
             await clock.sleep(20)
-        assert [one.state.version for one in states] == ["2", "2"]
-        assert ["pass-7b" in one.state.models for one in states] == [True, True]
-        assert sorted(one.state.role for one in states) == ["mixed", "prefill"]
-        assert all(times == 1 for one in states for times in one.times.values())
-        assert sum(len(one.times) for one in states) == ORDERS
+        assert [engine.state.version for engine in states] == ["2", "2"]
+        assert ["pass-7b" in engine.state.models for engine in states] == [True, True]
+        assert sorted(engine.state.role for engine in states) == ["mixed", "prefill"]
+        assert all(times == 1 for engine in states for times in engine.times.values())
+        assert sum(len(engine.times) for engine in states) == ORDERS
 
 
 async def _stop(control: Any, orders: Any) -> None:
--- a/tests/test_orders_machine.py
+++ b/tests/test_orders_machine.py
@@ -1,4 +1,4 @@
-"""Test the plan of orders by a state machine."""
+"""Test the order plan with a rule-based state machine."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -13,7 +13,11 @@
 
 
 class PlanMachine(RuleBasedStateMachine):
-    """Drive a plan against engines with lost, late and refused orders, restarts and losses."""
+    """Run a plan on engines with lost, late and refused orders, restarts and unreachable engines.
+
+    No engine may get two loads at once, loads keep their spacing, enough replicas stay in service,
+    and the engines reach the wanted state in the end.
+    """
 
     @initialize(checks=st.booleans(), count=st.integers(3, 5))
     def begin(self, checks: bool, count: int) -> None:
@@ -23,7 +27,7 @@
         self.plan = OrderPlan(LIMITS, lambda _: 0)
         self.fence = 1
         self.down: set[str] = set()
-        self.any_lost = False
+        self.any_unreachable = False
         self.late: list[tuple[str, Order]] = []
         self.loads: list[int] = []
         self.want("v1", ())
@@ -37,7 +41,7 @@
 
     @rule(clean=st.just(False))
     def take_over(self, clean: bool) -> None:
-        """Let another controller begin; orders of the old one are no longer on their way."""
+        """Start another controller; orders of the old one are no longer in flight."""
         self.fence += 1
         self.late = []
         self.plan.set_replicas(self._infos())
@@ -52,10 +56,10 @@
             self.plan.set_replicas(self._infos())
             for step in self.plan.steps(self.fence, self.now):
                 if isinstance(step, SendOrder):
-                    self._give(step, fate)
+                    self._send(step, fate)
                     fate = "ok"
                 else:
-                    self._look(step)
+                    self._read(step)
             self._check_capacity()
             self.plan.take_events()
 
@@ -66,41 +70,41 @@
     @rule(name=st.sampled_from(["r0", "r1"]), lost=st.booleans())
     def lose_engine(self, name: str, lost: bool) -> None:
         self.down = {name} if lost else set()
-        self.any_lost = True
+        self.any_unreachable = True
 
     def _infos(self) -> list[ReplicaInfo]:
         return [ReplicaInfo(name, "pass", name not in self.down) for name in self.engines]
 
-    def _give(self, give: SendOrder, fate: str) -> None:
-        name, order = give
+    def _send(self, step: SendOrder, fate: str) -> None:
+        name, order = step
         if order.kind is not OrderKind.CHANGE_ROLE:
             assert not self.loads or self.now - self.loads[-1] >= GAP_MS
             self.loads.append(self.now)
         if name in self.down:
             self.plan.on_answer(name, order.order_id, AnswerOutcome.NOT_SENT, self.now)
         elif fate == "ok":
-            answer = self.engines[name].take(order)
+            answer = self.engines[name].accept(order)
             kind = AnswerOutcome.ACCEPTED if answer.accepted else AnswerOutcome.REFUSED
             self.plan.on_answer(name, order.order_id, kind, self.now)
         else:
             if fate == "lost":
-                self.engines[name].take(order)
+                self.engines[name].accept(order)
             elif fate == "late":
                 self.late.append((name, order))
             self.plan.on_answer(name, order.order_id, AnswerOutcome.LOST, self.now)
 
     def _deliver_late(self) -> None:
         for name, order in self.late:
-            self.engines[name].take(order)
+            self.engines[name].accept(order)
         self.late = []
 
-    def _look(self, look: ReadState) -> None:
-        if look.replica_id not in self.down:
-            state = self.engines[look.replica_id].read()
-            self.plan.on_state(look.replica_id, state, self.now, self.now)
+    def _read(self, step: ReadState) -> None:
+        if step.replica_id not in self.down:
+            state = self.engines[step.replica_id].read()
+            self.plan.on_state(step.replica_id, state, self.now, self.now)
 
     def _check_capacity(self) -> None:
-        """Count replicas out of service by our orders; lost ones are not the plan's doing."""
+        """Check that orders leave enough replicas in service; unreachable ones do not count."""
         for engine in self.engines.values():
             engine.settle()
         blocked = [n for n, e in self.engines.items() if e.loading and n not in self.down]
@@ -122,8 +126,8 @@
         for engine in self.engines.values():
             assert missing_items(self.wanted, engine.read(), "") == []
         prefill = [engine.state.role for engine in self.engines.values()].count("prefill")
-        # A replica that was lost while another took its role keeps it when it returns.
-        assert prefill >= 1 if self.any_lost else prefill == 1
+        # A replica that was unreachable while another took its role keeps the role afterwards.
+        assert prefill >= 1 if self.any_unreachable else prefill == 1
 
 
 TestPlanMachine = PlanMachine.TestCase
