--- a/papayapier/config/accept.py
+++ b/papayapier/config/accept.py
@@ -99,13 +99,13 @@
     problems = _call_problems(change)
     if problems:
         return Err(_bad_request(problems))
-    verdict = checks.check_change(deps.checks, change.subject, change.document)
-    if verdict.errors:
-        return Err(_bad_request(verdict.errors))
-    if verdict.stranded and not change.strand:
-        return Err(_bad_request(verdict.warnings))
-    document = checks.as_document(verdict.wanted)
-    return await _Acceptance(deps, change, document, verdict.warnings).run()
+    check_result = checks.check_change(deps.checks, change.subject, change.document)
+    if check_result.errors:
+        return Err(_bad_request(check_result.errors))
+    if check_result.stranded and not change.strand:
+        return Err(_bad_request(check_result.warnings))
+    document = checks.as_document(check_result.wanted)
+    return await _Acceptance(deps, change, document, check_result.warnings).run()
 
 
 class _Acceptance:
--- a/papayapier/config/checks.py
+++ b/papayapier/config/checks.py
@@ -24,7 +24,7 @@
     reason: str
 
 
-class Verdict(NamedTuple):
+class CheckResult(NamedTuple):
     """Hold the result of a check: errors prevent a change, warnings do not.
 
     stranded is the number of queued requests and items that could no longer run.
@@ -44,28 +44,28 @@
     upstreams: Callable[[], set[str]]
 
 
-def check_change(deps: CheckDeps, subject: Subject, document: object) -> Verdict:
+def check_change(deps: CheckDeps, subject: Subject, document: object) -> CheckResult:
     """Check a document that is to replace the one in force; None stands for a deletion."""
     if document is None:
-        return _check_stranding(deps, subject, Verdict(None, [], []))
-    verdict = check_document(subject, document)
-    if verdict.errors:
-        return verdict
-    verdict = verdict._replace(warnings=_warnings(deps, verdict.wanted))
-    return _check_stranding(deps, subject, verdict)
+        return _check_stranding(deps, subject, CheckResult(None, [], []))
+    check_result = check_document(subject, document)
+    if check_result.errors:
+        return check_result
+    check_result = check_result._replace(warnings=_warnings(deps, check_result.wanted))
+    return _check_stranding(deps, subject, check_result)
 
 
-def check_document(subject: Subject, document: object) -> Verdict:
+def check_document(subject: Subject, document: object) -> CheckResult:
     """Check a document without regard to the configuration in force."""
     kind = KINDS[subject.kind]
     errors = _field_errors(document, kind)
     if errors:
-        return Verdict(None, errors, [])
+        return CheckResult(None, errors, [])
     match codec.from_document(document, kind):
         case Err(error):
-            return Verdict(None, [_parse_problem(error)], [])
+            return CheckResult(None, [_parse_problem(error)], [])
         case Ok(wanted):
-            return Verdict(wanted, _rule_errors(subject, wanted), [])
+            return CheckResult(wanted, _rule_errors(subject, wanted), [])
 
 
 def describe(problems: list[Problem]) -> str:
@@ -141,17 +141,17 @@
     return []
 
 
-def _check_stranding(deps: CheckDeps, subject: Subject, verdict: Verdict) -> Verdict:
+def _check_stranding(deps: CheckDeps, subject: Subject, check_result: CheckResult) -> CheckResult:
     """Count the queued requests and items that could no longer run after the change."""
     current = deps.current(subject)
     if subject.kind != PROFILES or not isinstance(current, Profile):
-        return verdict
-    field = _stranding_field(current, verdict.wanted)
+        return check_result
+    field = _stranding_field(current, check_result.wanted)
     queued = deps.queued_under(subject.name) if field else 0
     if not queued:
-        return verdict
+        return check_result
     problem = Problem(field, f"{queued} queued requests or items would be stranded")
-    return verdict._replace(warnings=[*verdict.warnings, problem], stranded=queued)
+    return check_result._replace(warnings=[*check_result.warnings, problem], stranded=queued)
 
 
 def _stranding_field(current: Profile, wanted: Wanted | None) -> str:
--- a/papayapier/config/config_file.py
+++ b/papayapier/config/config_file.py
@@ -27,9 +27,9 @@
 class ConfigFile:
     """Load the copy at start and save it after changes; without a folder do nothing."""
 
-    def __init__(self, folder: str, clock: Clock, book: ProfileBook) -> None:
+    def __init__(self, folder: str, clock: Clock, registry: ProfileBook) -> None:
         self._folder = folder
-        self._book = book
+        self._registry = registry
         self._saving = DelayedSave(clock, SAVE_DELAY_MS, self._save)
 
     def load(self) -> None:
@@ -41,8 +41,8 @@
                 events.emit(events.CONFIG_FOLDER_FAILED, reason=error)
             case Ok(objects):
                 for item in objects:
-                    self._book.apply(item.key, item.version, item.value)
-                version = self._book.version()
+                    self._registry.apply(item.key, item.version, item.value)
+                version = self._registry.version()
                 events.emit(events.CONFIG_FROM_FOLDER, objects=len(objects), version=version)
 
     def changed(self) -> None:
@@ -55,7 +55,7 @@
         self._saving.close()
 
     def _save(self) -> None:
-        match write_saved(self._folder, self._book.objects()):
+        match write_saved(self._folder, self._registry.objects()):
             case Err(error):
                 events.emit(events.CONFIG_FOLDER_FAILED, reason=error)
 
--- a/papayapier/config/fetch.py
+++ b/papayapier/config/fetch.py
@@ -34,7 +34,7 @@
     clock: Clock
     rand: random.Random
     store: Store
-    book: ProfileBook
+    registry: ProfileBook
     is_urgent: Callable[[], bool]
     on_fetched: Callable[[str, int, bytes], None]
 
@@ -50,7 +50,7 @@
 
     def request(self, key: str, version: int) -> None:
         """Read an object unless the version comes into force from another source first."""
-        if self._stopped or not self._deps.book.lacks(key, version):
+        if self._stopped or not self._deps.registry.lacks(key, version):
             return
         self._requested[key] = max(version, self._requested.get(key, 0))
         if self._task is None:
@@ -81,7 +81,7 @@
         self._task = None
 
     def _drop_applied(self) -> bool:
-        lacks = self._deps.book.lacks
+        lacks = self._deps.registry.lacks
         self._requested = {key: v for key, v in self._requested.items() if lacks(key, v)}
         return bool(self._requested)
 
@@ -89,7 +89,7 @@
         """Read one object; return False if a pause is needed before the next read."""
         match await self._deps.store.get(key):
             case Ok(stored):
-                if self._deps.book.apply(key, stored.version, stored.value):
+                if self._deps.registry.apply(key, stored.version, stored.value):
                     self._deps.on_fetched(key, stored.version, stored.value)
                 return stored.version >= self._requested.get(key, 0)
             case Err(StoreError.NOT_FOUND):
--- a/papayapier/config/records.py
+++ b/papayapier/config/records.py
@@ -127,11 +127,11 @@
             return value
 
 
-def same_document(one: bytes, other: bytes) -> bool:
+def same_document(first: bytes, second: bytes) -> bool:
     """Return whether two encoded objects hold the same document, whichever release wrote them."""
-    if one == other:
+    if first == second:
         return True
-    match (decode(one), decode(other)):
+    match (decode(first), decode(second)):
         case (Ok(left), Ok(right)):
             return left["document"] == right["document"]
         case _:
--- a/papayapier/config/start.py
+++ b/papayapier/config/start.py
@@ -10,7 +10,7 @@
 from papayapier.config import accept, checks, trail
 from papayapier.config.accept import AcceptDeps, Accepted, Change, Rejected
 from papayapier.config.book import ProfileBook
-from papayapier.config.checks import CheckDeps, Verdict
+from papayapier.config.checks import CheckDeps, CheckResult
 from papayapier.config.records import PROFILES, Subject, Wanted
 from papayapier.config.sync import ConfigSync, ConfigSyncDeps
 from papayapier.config.trail import AuditFilter, AuditLine
@@ -49,7 +49,7 @@
 
     book: ProfileBook
     on_peer: Callable[[str, Message], None]
-    check: Callable[[Subject, object], Verdict]
+    check: Callable[[Subject, object], CheckResult]
     accept: Callable[[Change], Awaitable[Result[Accepted, Rejected]]]
     audit: Callable[[AuditFilter], Awaitable[Result[list[AuditLine], StoreError]]]
     ready: Callable[[int], Result[None, str]]
@@ -58,7 +58,7 @@
 
 def start_config(deps: ConfigDeps) -> Config:
     """Start polling and watching the store, and return the functions of the service."""
-    book = ProfileBook()
+    registry = ProfileBook()
     sync = ConfigSync(
         ConfigSyncDeps(
             deps.clock,
@@ -71,15 +71,15 @@
             deps.peers,
             deps.plan,
         ),
-        book,
+        registry,
     )
     check_deps = CheckDeps(
-        lambda subject: _current(book, subject), deps.queued_under, deps.upstream_names
+        lambda subject: _current(registry, subject), deps.queued_under, deps.upstream_names
     )
     accept_deps = AcceptDeps(deps.clock, deps.rand, deps.store, check_deps, sync.on_accepted)
     sync.start()
     return Config(
-        book=book,
+        book=registry,
         on_peer=sync.on_peer,
         check=lambda subject, document: checks.check_change(check_deps, subject, document),
         accept=lambda change: accept.accept_change(accept_deps, change),
@@ -89,7 +89,7 @@
     )
 
 
-def _current(book: ProfileBook, subject: Subject) -> Wanted | None:
+def _current(registry: ProfileBook, subject: Subject) -> Wanted | None:
     if subject.kind == PROFILES:
-        return book.profile(subject.name)
-    return book.upstream(subject.name)
+        return registry.profile(subject.name)
+    return registry.upstream(subject.name)
--- a/papayapier/config/store_follower.py
+++ b/papayapier/config/store_follower.py
@@ -33,7 +33,7 @@
     rand: random.Random
     store: Store
     settings: ConfigSettings
-    book: ProfileBook
+    registry: ProfileBook
     must_follow: Callable[[], bool]
     on_fetched: Callable[[str, int, bytes], None]
 
@@ -52,7 +52,7 @@
                 deps.clock,
                 deps.rand,
                 deps.store,
-                deps.book,
+                deps.registry,
                 lambda: not self._complete,
                 deps.on_fetched,
             )
@@ -91,7 +91,7 @@
 
     def _follow(self) -> None:
         # A listing has 1,000 keys per page and each page counts as a read, so poll less often.
-        pages = 1 + len(self._deps.book.objects()) // KEYS_PER_PAGE
+        pages = 1 + len(self._deps.registry.objects()) // KEYS_PER_PAGE
         cfg = self._deps.settings
         self._follower = Follower(
             self._deps.store,
@@ -114,7 +114,7 @@
         self.is_complete()
         if not change.deleted:
             self._fetcher.request(change.key, change.version)
-        elif self._deps.book.version_of(change.key):
+        elif self._deps.registry.version_of(change.key):
             # Accepted deletions leave a tombstone, so someone removed this object by hand,
             # without an audit entry. It stays in force here.
             events.emit(events.CONFIG_MISSING, key=change.key, version=change.version)
--- a/papayapier/config/sync.py
+++ b/papayapier/config/sync.py
@@ -50,10 +50,10 @@
 class ConfigSync:
     """Keep the registry of this instance up to date, and send missing objects to peers."""
 
-    def __init__(self, deps: ConfigSyncDeps, book: ProfileBook) -> None:
+    def __init__(self, deps: ConfigSyncDeps, registry: ProfileBook) -> None:
         self._deps = deps
-        self._book = book
-        self._config_file = ConfigFile(deps.settings.data_folder, deps.clock, book)
+        self._registry = registry
+        self._config_file = ConfigFile(deps.settings.data_folder, deps.clock, registry)
         self._gaps = GapDetector()
         self._last_peer_ms = 0
         self._complete = False
@@ -65,7 +65,7 @@
                 deps.rand,
                 deps.store,
                 deps.settings,
-                book,
+                registry,
                 self._must_follow,
                 self._fetched,
             )
@@ -74,7 +74,7 @@
     def start(self) -> None:
         """Load the saved copy and start to poll and watch the store."""
         self._config_file.load()
-        self._book.watch(lambda _key, _version: self._changed())
+        self._registry.watch(lambda _key, _version: self._changed())
         self._store_follower.start()
 
     async def stop(self) -> None:
@@ -94,7 +94,7 @@
 
     def on_accepted(self, key: str, version: int, value: bytes) -> None:
         """Apply a change that the store has accepted, and push it to all peers."""
-        self._book.apply(key, version, value)
+        self._registry.apply(key, version, value)
         self._deps.broadcast(ConfigPush(key, version, records.without_history(value)))
 
     def on_peer(self, peer: str, message: Message) -> None:
@@ -102,7 +102,7 @@
         self._last_peer_ms = self._deps.clock.now()
         match message:
             case ConfigPush(key, version, value):
-                self._book.apply(key, version, value)
+                self._registry.apply(key, version, value)
             case ConfigAsk():
                 self._reply(peer, message)
             case ConfigTell():
@@ -112,21 +112,21 @@
 
     def _compare_digests(self, peer: str, heartbeat: Heartbeat) -> None:
         now = self._deps.clock.now()
-        ours = self._book.digest()
+        ours = self._registry.digest()
         complete = self._is_complete()
         if not self._gaps.should_request(peer, heartbeat.config_digest, ours, now, complete):
             return
         if complete:
-            events.emit(events.CONFIG_GAP, peer=peer, ours=self._book.version())
+            events.emit(events.CONFIG_GAP, peer=peer, ours=self._registry.version())
         self._request_id += 1
         self._received_counts = {self._request_id: 0}
-        buckets = tuple(self._book.buckets())
-        self._deps.notify(peer, ConfigAsk(self._request_id, self._book.version(), buckets))
+        buckets = tuple(self._registry.buckets())
+        self._deps.notify(peer, ConfigAsk(self._request_id, self._registry.version(), buckets))
 
     def _reply(self, peer: str, request: ConfigAsk) -> None:
-        objects = self._book.objects(request.newer_than)
+        objects = self._registry.objects(request.newer_than)
         if request.buckets:
-            objects = self._book.objects_differing(request.buckets)
+            objects = self._registry.objects_differing(request.buckets)
         parts = cut_parts(objects, _size)
         for number, part in enumerate(parts, 1):
             more = number < len(parts)
@@ -135,7 +135,7 @@
 
     def _apply_reply(self, reply: ConfigTell) -> None:
         for item in reply.objects:
-            self._book.apply(item.key, item.version, item.value)
+            self._registry.apply(item.key, item.version, item.value)
         if reply.ask_id not in self._received_counts:
             return
         # A part can be lost when the link is replaced between two parts. Without the count, the
@@ -162,7 +162,7 @@
             self._deps.broadcast(ConfigPush(key, version, records.without_history(value)))
 
     def _changed(self) -> None:
-        self._deps.metrics.config_version.set(self._book.version())
+        self._deps.metrics.config_version.set(self._registry.version())
         self._config_file.changed()
 
 
--- a/papayapier/orders/plan.py
+++ b/papayapier/orders/plan.py
@@ -187,7 +187,7 @@
             replica.may_lack_items = bool(items)
             if not items:
                 replica.clear_failures()
-            elif self._allowed(replica, items[0], wanted, replicas, now):
+            elif self._may_send(replica, items[0], wanted, replicas, now):
                 send_orders.append(self._start_order(replica, items[0], wanted, fence, now))
         return send_orders
 
@@ -204,7 +204,7 @@
             return {}
         return assign_roles(wanted, known)
 
-    def _allowed(
+    def _may_send(
         self,
         replica: ReplicaTracker,
         item: Item,
@@ -219,7 +219,7 @@
             return False
         if not (rule.checks_fence or self._clean) and now < handover_ms:
             return False
-        if item.is_load and not self._load_allowed(now):
+        if item.is_load and not self._may_load(now):
             return False
         reason = self._hold_back_reason(replica, item, wanted, replicas)
         if reason and self._held_back.get(replica.info.replica_id) != reason:
@@ -241,15 +241,15 @@
         if not item.takes_capacity or not replica.serves():
             return ""
         serving = sum(other.serves() for other in replicas)
-        need = self._needed(wanted, len(replicas))
+        need = self._required_serving(wanted, len(replicas))
         return "" if serving - 1 >= need else f"{serving} replicas serve and {need} are required"
 
-    def _needed(self, wanted: UpstreamWanted, listed: int) -> int:
+    def _required_serving(self, wanted: UpstreamWanted, listed: int) -> int:
         rule = wanted.orders
         share = ceil(rule.min_serving_share * listed)
         return max(rule.min_serving, share, self._need(wanted.name))
 
-    def _load_allowed(self, now: int) -> bool:
+    def _may_load(self, now: int) -> bool:
         spaced = now >= self._last_load_ms + self._limits.load_gap_ms
         return spaced and self._loads < self._limits.loads_at_once
 
