--- a/papayapier/orders/items.py
+++ b/papayapier/orders/items.py
@@ -85,5 +85,5 @@
     parts = order_id.split("/", ORDER_ID_PARTS - 1)
     kinds = {kind.value: kind for kind in OrderKind}
     if len(parts) != ORDER_ID_PARTS or parts[1] not in kinds:
-        return Err(f"order id {order_id} was not created by a controller")
+        return Err(f"{order_id} was not created by a controller")
     return Ok(Item(kinds[parts[1]], parts[2]))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -157,12 +157,12 @@
     fleet = Fleet()
     first = fleet.apply("a", change(2_000, 0)).unwrap()
     fleet.apply("a", change(3_000, first.version, who="ana")).unwrap()
-    lost = fleet.apply("b", change(4_000, first.version, who="rui")).unwrap_err()
-    assert lost.refusal.kind is ErrorKind.VERSION_CONFLICT
-    assert lost.refusal.outcome is Outcome.NOT_RUN
-    assert lost.winner is not None
-    assert lost.winner.entry["who"] == "ana"
-    assert "due_ms 2000 -> 3000" in lost.refusal.reason
+    rejected = fleet.apply("b", change(4_000, first.version, who="rui")).unwrap_err()
+    assert rejected.refusal.kind is ErrorKind.VERSION_CONFLICT
+    assert rejected.refusal.outcome is Outcome.NOT_RUN
+    assert rejected.winner is not None
+    assert rejected.winner.entry["who"] == "ana"
+    assert "due_ms 2000 -> 3000" in rejected.refusal.reason
     assert fleet.due("b") == 3_000
 
 
@@ -249,9 +249,9 @@
 
 def test_every_invalid_field_is_named() -> None:
     """All invalid fields of a document must be reported, not only the first."""
-    wrong = gate(due_ms=1, urgency="soon", retry={"attempts": 0}, extra=1)
-    del wrong["idempotent"]
-    found = {problem.path for problem in check_document(GATE, wrong).errors}
+    invalid = gate(due_ms=1, urgency="soon", retry={"attempts": 0}, extra=1)
+    del invalid["idempotent"]
+    found = {problem.path for problem in check_document(GATE, invalid).errors}
     assert found == {"due_ms", "urgency", "retry.attempts", "extra", "idempotent"}
     late = gate(MAX_URGENT_DUE_MS + 1, urgency="urgent")
     assert [p.path for p in check_document(GATE, late).errors] == ["due_ms"]
@@ -389,15 +389,15 @@
     The copy was saved before the last change, and the instance restarts while the store is
     unavailable. It would otherwise go back to an older profile.
     """
-    kept = ConfigSettings(poll_ms=POLL_MS, data_folder=str(tmp_path))
+    with_folder = ConfigSettings(poll_ms=POLL_MS, data_folder=str(tmp_path))
     fleet = Fleet("a")
     first = fleet.apply("a", change(2_000, 0)).unwrap()
-    fleet.start("b", kept)
+    fleet.start("b", with_folder)
     fleet.run(2_000)
     fleet.remove("b")
     fleet.apply("a", change(3_000, first.version))
     fleet.platform.down = True
-    restarted = fleet.start("b", kept)
+    restarted = fleet.start("b", with_folder)
     assert fleet.due("b") == 2_000
     assert restarted.ready(fleet.time.clock.now()).is_err()
     fleet.send_heartbeat("a")
--- a/tests/test_config_operate.py
+++ b/tests/test_config_operate.py
@@ -82,9 +82,9 @@
         await self.config.stop()
 
     def _status(self) -> Status:
-        one = InstanceStatus("entry-1", "serving", True, "", 3, True, 0)
-        behind = InstanceStatus("entry-2", "serving", True, "", 2, False, 40)
-        return Status("entry-1", [one, behind])
+        current = InstanceStatus("entry-1", "serving", True, "", 3, True, 0)
+        outdated = InstanceStatus("entry-2", "serving", True, "", 2, False, 40)
+        return Status("entry-1", [current, outdated])
 
     def _orders(self) -> OrdersView:
         return OrdersView("entry-1", [OrderInProgress("r1", "load_model", "pass-7b")], [])
@@ -98,10 +98,10 @@
     async def _command(self, *args: str, key: str = KEY, port: int = 0) -> tuple[int, str, str]:
         """Run a command as the command line does; return its exit code, stdout and stderr."""
         options = make_parser().parse_args(list(args))
-        here = client.Client(f"127.0.0.1:{port or self.port}", key)
+        operator_client = client.Client(f"127.0.0.1:{port or self.port}", key)
         out, err = io.TextIOWrapper(io.BytesIO(), write_through=True), io.StringIO()
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
-            code = await options.run(here, options)
+            code = await options.run(operator_client, options)
         return code, out.buffer.getvalue().decode(), err.getvalue()
 
     def _file(self, text: str) -> str:
@@ -111,10 +111,10 @@
 
     async def test_key_is_required_and_appears_nowhere(self) -> None:
         """Requests need a valid key, and no key may be stored or logged."""
-        seen: list[tuple[events.Event, object]] = []
+        emitted: list[tuple[events.Event, object]] = []
 
         def emit(event: events.Event, **fields: object) -> None:
-            seen.append((event, fields))
+            emitted.append((event, fields))
 
         self.enterContext(mock.patch.object(events, "emit", emit))
         for key in ("", "wrong-key"):
@@ -132,9 +132,9 @@
         assert KEY.encode() not in stored
         assert ANA.key_sha256.encode() not in stored
         assert b'"who":"ana"' in stored
-        assert any(event is events.OPERATOR_REFUSED for event, _ in seen)
-        assert KEY not in repr(seen)
-        assert "wrong-key" not in repr(seen)
+        assert any(event is events.OPERATOR_REFUSED for event, _ in emitted)
+        assert KEY not in repr(emitted)
+        assert "wrong-key" not in repr(emitted)
 
     async def test_without_operators_no_key_is_required(self) -> None:
         """If no operators are configured, calls from the same machine need no key."""
@@ -180,8 +180,8 @@
 
     async def test_invalid_file_names_each_field_and_exits_with_2(self) -> None:
         """Each invalid field of a file gets a line, and the exit code is 2."""
-        wrong = self._file('{"name": "gate", "upstream": "pass", "urgency": "soon", "due_ms": 1}')
-        code, _, err = await self._command("profile", "check", wrong)
+        invalid = self._file('{"name": "gate", "upstream": "pass", "urgency": "soon", "due_ms": 1}')
+        code, _, err = await self._command("profile", "check", invalid)
         lines = err.splitlines()
         assert code == 2
         assert [line.split(": ")[2] for line in lines] == ["urgency", "due_ms", "idempotent"]
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -33,6 +33,8 @@
 
 
 class UpstreamTestCase(TestCase):
+    """Connect the upstream client to a raw server, on a fake clock."""
+
     timeout = 5
 
     def setUp(self) -> None:
@@ -231,7 +233,7 @@
         self.fake.advance(CFG.first_byte_ms)
         equal((await sending).unwrap().body, whole())
 
-    async def time_out_one_of_two(self, limit_ms: int, due_ms: int) -> Failure:
+    async def time_out_on_one_of_two(self, limit_ms: int, due_ms: int) -> Failure:
         """Leave two idle connections, let a call time out on one, and send another call."""
         plain: dict[str, Any] = {"path": "/calls/a", "stream": False}
         first, second = self.send(**plain), self.send(**plain)
@@ -258,12 +260,12 @@
         A firewall drops its state of two open connections. If only the silent one were replaced,
         the next call would fail on the other, although the replica is healthy.
         """
-        failure = await self.time_out_one_of_two(CFG.first_byte_ms, 60_000)
+        failure = await self.time_out_on_one_of_two(CFG.first_byte_ms, 60_000)
         equal((failure.kind, failure.fresh), (FailureKind.SILENT, False))
 
     async def test_call_that_is_due_soon_drops_all_idle_connections(self) -> None:
         """The same must hold when the call's due time passes before the silence limit."""
-        failure = await self.time_out_one_of_two(100, 101)
+        failure = await self.time_out_on_one_of_two(100, 101)
         equal((failure.kind, failure.fresh), (FailureKind.DUE, False))
 
     async def test_due(self) -> None:
