--- a/papayapier/config/checks.py
+++ b/papayapier/config/checks.py
@@ -1,7 +1,7 @@
-"""Check a wanted document before it is accepted, and name the path of each fault.
+"""Validate a configuration document before it is accepted, and name the path of each error.
 
-The types already state the range of each single field. The rules here are those between
-fields, and those that need to know what is in force now.
+The types define the valid range of each single field. This module checks rules that involve
+several fields or the configuration in force.
 """
 
 from collections.abc import Callable
@@ -14,20 +14,20 @@
 from papayapier.config.records import KINDS, PROFILES, Document, Subject, Wanted
 from papayapier.config.upstreams import UpstreamWanted
 
-URGENT_DUE_MOST_MS: Final = 600_000
+MAX_URGENT_DUE_MS: Final = 600_000
 
 
 class Problem(NamedTuple):
-    """Name the field at fault and what is wrong with it; path is empty for the whole."""
+    """Name an invalid field and the reason; path is empty if it is the whole document."""
 
     path: str
     reason: str
 
 
-class Verdict(NamedTuple):
-    """Hold the result of a check: errors forbid a change, warnings do not.
+class CheckResult(NamedTuple):
+    """Hold the result of a check: errors prevent a change, warnings do not.
 
-    stranded is the queued work that the change would leave without a way to run.
+    stranded is the number of queued requests and items that could no longer run.
     """
 
     wanted: Wanted | None
@@ -37,35 +37,35 @@
 
 
 class CheckDeps(NamedTuple):
-    """Give a check what it needs to know of the running system."""
+    """Group the queries of the running system that a check needs."""
 
     current: Callable[[Subject], Wanted | None]
     queued_under: Callable[[str], int]
     upstreams: Callable[[], set[str]]
 
 
-def check_change(deps: CheckDeps, subject: Subject, document: object) -> Verdict:
-    """Check a document that is to replace what is in force; None stands for delete."""
+def check_change(deps: CheckDeps, subject: Subject, document: object) -> CheckResult:
+    """Check a document that is to replace the one in force; None stands for a deletion."""
     if document is None:
-        return _check_stranding(deps, subject, Verdict(None, [], []))
-    verdict = check_document(subject, document)
-    if verdict.errors:
-        return verdict
-    verdict = verdict._replace(warnings=_warnings(deps, verdict.wanted))
-    return _check_stranding(deps, subject, verdict)
+        return _check_stranding(deps, subject, CheckResult(None, [], []))
+    check_result = check_document(subject, document)
+    if check_result.errors:
+        return check_result
+    check_result = check_result._replace(warnings=_warnings(deps, check_result.wanted))
+    return _check_stranding(deps, subject, check_result)
 
 
-def check_document(subject: Subject, document: object) -> Verdict:
-    """Check a document by itself."""
+def check_document(subject: Subject, document: object) -> CheckResult:
+    """Check a document without regard to the configuration in force."""
     kind = KINDS[subject.kind]
     errors = _field_errors(document, kind)
     if errors:
-        return Verdict(None, errors, [])
+        return CheckResult(None, errors, [])
     match codec.from_document(document, kind):
-        case Err(why):
-            return Verdict(None, [_split(why)], [])
+        case Err(error):
+            return CheckResult(None, [_parse_problem(error)], [])
         case Ok(wanted):
-            return Verdict(wanted, _rule_errors(subject, wanted), [])
+            return CheckResult(wanted, _rule_errors(subject, wanted), [])
 
 
 def describe(problems: list[Problem]) -> str:
@@ -74,7 +74,7 @@
 
 
 def _field_errors(document: object, kind: type[Any]) -> list[Problem]:
-    """Check each top-level field by itself, since the decoder stops at its first error."""
+    """Check each top-level field separately, because the decoder stops at the first error."""
     if not isinstance(document, dict):
         return [Problem("", "expected an object")]
     hints = get_type_hints(kind, include_extras=True)
@@ -89,17 +89,17 @@
 
 def _value_errors(name: str, value: object, hint: Any) -> list[Problem]:
     match codec.from_document(value, hint):
-        case Err(why):
-            inner = _split(why)
+        case Err(error):
+            inner = _parse_problem(error)
             path = f"{name}.{inner.path}" if inner.path else name
             return [Problem(path.replace(".[", "["), inner.reason)]
         case _:
             return []
 
 
-def _split(why: str) -> Problem:
-    path, separator, reason = why.partition(": ")
-    return Problem(path, reason) if separator and " " not in path else Problem("", why)
+def _parse_problem(error: str) -> Problem:
+    path, separator, reason = error.partition(": ")
+    return Problem(path, reason) if separator and " " not in path else Problem("", error)
 
 
 def _rule_errors(subject: Subject, wanted: Wanted) -> list[Problem]:
@@ -113,10 +113,12 @@
 
 def _profile_errors(profile: Profile) -> list[Problem]:
     errors = []
-    if profile.urgency == "urgent" and profile.due_ms > URGENT_DUE_MOST_MS:
-        errors.append(Problem("due_ms", f"is over {URGENT_DUE_MOST_MS} for urgent work"))
+    if profile.urgency == "urgent" and profile.due_ms > MAX_URGENT_DUE_MS:
+        errors.append(
+            Problem("due_ms", f"exceeds {MAX_URGENT_DUE_MS}, the maximum for urgent requests")
+        )
     if profile.urgency == "batch" and profile.batch.share == 0:
-        errors.append(Problem("batch.share", "is 0, so batch work would never run"))
+        errors.append(Problem("batch.share", "is 0, so batch items would never run"))
     return errors
 
 
@@ -125,10 +127,10 @@
     for field in ("models", "adapters"):
         names = getattr(upstream, field)
         if len(set(names)) < len(names):
-            errors.append(Problem(field, "names one twice"))
+            errors.append(Problem(field, "contains a duplicate"))
     roles = [count.role for count in upstream.roles]
     if len(set(roles)) < len(roles):
-        errors.append(Problem("roles", "names one twice"))
+        errors.append(Problem("roles", "contains a duplicate"))
     return errors
 
 
@@ -139,21 +141,21 @@
     return []
 
 
-def _check_stranding(deps: CheckDeps, subject: Subject, verdict: Verdict) -> Verdict:
-    """Count queued work that was accepted under rules which the change takes away."""
+def _check_stranding(deps: CheckDeps, subject: Subject, check_result: CheckResult) -> CheckResult:
+    """Count the queued requests and items that could no longer run after the change."""
     current = deps.current(subject)
     if subject.kind != PROFILES or not isinstance(current, Profile):
-        return verdict
-    why = _stranding(current, verdict.wanted)
-    queued = deps.queued_under(subject.name) if why else 0
+        return check_result
+    field = _stranding_field(current, check_result.wanted)
+    queued = deps.queued_under(subject.name) if field else 0
     if not queued:
-        return verdict
-    problem = Problem(why, f"{queued} queued requests or items would be stranded")
-    return verdict._replace(warnings=[*verdict.warnings, problem], stranded=queued)
+        return check_result
+    problem = Problem(field, f"{queued} queued requests or items would be stranded")
+    return check_result._replace(warnings=[*check_result.warnings, problem], stranded=queued)
 
 
-def _stranding(current: Profile, wanted: Wanted | None) -> str:
-    """Return the path of the field whose change strands queued work, or nothing."""
+def _stranding_field(current: Profile, wanted: Wanted | None) -> str:
+    """Return the path of the field whose change prevents queued work from running, or ""."""
     if not isinstance(wanted, Profile):
         return "name"
     if wanted.upstream != current.upstream:
@@ -164,5 +166,5 @@
 
 
 def as_document(value: Wanted | None) -> Document | None:
-    """Return the stored form of a wanted document."""
+    """Return the stored form of a profile or wanted state."""
     return None if value is None else codec.to_document(value)
--- a/papayapier/config/folder.py
+++ b/papayapier/config/config_file.py
@@ -1,7 +1,7 @@
-"""Keep a copy of the configuration in the data folder, where an instance has one.
+"""Save a copy of the configuration in the data folder, if the instance has one.
 
-The copy only saves transfers after a restart. It may be older than what a peer has, so
-what is read from it counts as unconfirmed until the store or a peer was heard from.
+The copy only avoids transfers after a restart. It may be older than a peer's configuration, so
+it counts as unconfirmed until the configuration was received from the store or a peer.
 """
 
 from typing import Final, NamedTuple
@@ -19,49 +19,49 @@
 
 
 class SavedConfig(NamedTuple):
-    """Hold the objects in force when the copy was made."""
+    """Hold the objects that were in force when the copy was saved."""
 
     objects: list[ConfigPush]
 
 
-class FolderKeeper:
-    """Load the copy at start and replace it soon after a change; without a folder do nothing."""
+class ConfigFile:
+    """Load the copy at start and save it after changes; without a folder do nothing."""
 
-    def __init__(self, folder: str, clock: Clock, book: ProfileBook) -> None:
+    def __init__(self, folder: str, clock: Clock, registry: ProfileBook) -> None:
         self._folder = folder
-        self._book = book
+        self._registry = registry
         self._saving = DelayedSave(clock, SAVE_DELAY_MS, self._save)
 
     def load(self) -> None:
-        """Put the copy's objects into the book."""
+        """Apply the copy's objects to the registry."""
         if not self._folder:
             return
-        match load_folder(self._folder):
-            case Err(why):
-                events.emit(events.CONFIG_FOLDER_FAILED, reason=why)
+        match read_saved(self._folder):
+            case Err(error):
+                events.emit(events.CONFIG_FOLDER_FAILED, reason=error)
             case Ok(objects):
                 for item in objects:
-                    self._book.apply(item.key, item.version, item.value)
-                version = self._book.version()
+                    self._registry.apply(item.key, item.version, item.value)
+                version = self._registry.version()
                 events.emit(events.CONFIG_FROM_FOLDER, objects=len(objects), version=version)
 
     def changed(self) -> None:
-        """Save soon; changes that come together are saved together."""
+        """Schedule a save; changes in quick succession are saved once."""
         if self._folder:
             self._saving.changed()
 
     def close(self) -> None:
-        """Save what is still to be saved and stop."""
+        """Save pending changes and stop."""
         self._saving.close()
 
     def _save(self) -> None:
-        match save_folder(self._folder, self._book.objects()):
-            case Err(why):
-                events.emit(events.CONFIG_FOLDER_FAILED, reason=why)
+        match write_saved(self._folder, self._registry.objects()):
+            case Err(error):
+                events.emit(events.CONFIG_FOLDER_FAILED, reason=error)
 
 
-def load_folder(folder: str) -> Result[list[ConfigPush], str]:
-    """Read the copy; a folder without one gives nothing."""
+def read_saved(folder: str) -> Result[list[ConfigPush], str]:
+    """Read the copy; return an empty list if the folder has none."""
     data = read_file(folder, FILE_NAME)
     if isinstance(data, Err):
         return data
@@ -70,6 +70,6 @@
     return codec.unpack(data.ok_value, SavedConfig).map(lambda saved: saved.objects)
 
 
-def save_folder(folder: str, objects: list[ConfigPush]) -> Result[None, str]:
+def write_saved(folder: str, objects: list[ConfigPush]) -> Result[None, str]:
     """Replace the copy."""
     return replace_file(folder, FILE_NAME, codec.pack(SavedConfig(objects)))
--- a/papayapier/config/records.py
+++ b/papayapier/config/records.py
@@ -1,14 +1,14 @@
-"""Define the stored form of one configuration object.
+"""Define the stored form of a configuration object.
 
-An object holds the document in force and the audit entries that led to it, so that one
-conditional update changes both and the trail cannot disagree with the configuration. The
-trail inside an object is bounded: older entries are copied to an object of their own under
-audit/ before they are dropped here (see accept). Peers are sent the record without its
-trail, because only accept, which reads the store, needs that.
+An object contains the document in force and the audit entries that led to it, so that one
+conditional update changes both and the audit trail cannot contradict the configuration. The
+trail inside an object is bounded: older entries are copied to a separate object under audit/
+before they are removed here (see accept). Peers receive the record without its trail, because
+only accept needs the trail, and it reads the store.
 
-The form is plain JSON, and unknown fields are ignored when reading. During an upgrade a
-newer release may store a field that an older one does not know; if the older one refused
-the object, the accepted change would not be in force there.
+The format is JSON, and unknown fields are ignored when decoding. During an upgrade a newer
+release may store a field that an older one does not know; if the older one rejected the object,
+the accepted change would not be in force there.
 """
 
 from typing import Any, Final, NamedTuple, TypedDict, get_args, get_type_hints
@@ -25,8 +25,8 @@
 AUDIT_PREFIX: Final = "audit/"
 PROFILES: Final = "profiles"
 UPSTREAMS: Final = "upstreams"
-HISTORY_MOST: Final = 16
-HISTORY_SPILL: Final = 8
+MAX_HISTORY_ENTRIES: Final = 16
+SPILLED_AT_ONCE: Final = 8
 SEQ_DIGITS: Final = 10
 
 Document = dict[str, Any]
@@ -36,7 +36,7 @@
 
 
 class FieldChange(TypedDict):
-    """Tell one field's value before and after a change; None where there is none."""
+    """Hold one field's value before and after a change; None if the field was absent."""
 
     path: str
     before: Any
@@ -44,10 +44,10 @@
 
 
 class AuditEntry(TypedDict):
-    """Tell who changed one object, when, why and how.
+    """Record who changed an object, when, why and how.
 
-    seq counts the object's changes from 1. based_on is the version that was replaced, so
-    an entry's own version is its successor's based_on, or the object's version.
+    seq numbers the object's changes from 1. based_on is the version that was replaced, so the
+    version of an entry is the based_on of its successor, or the object's version for the last.
     """
 
     seq: int
@@ -62,20 +62,20 @@
 
 
 class Record(TypedDict):
-    """Hold one stored object; a document of None marks a deleted one."""
+    """Hold one stored object; a document of None marks a deleted object."""
 
     document: Document | None
     history: list[AuditEntry]
 
 
 class Spilled(TypedDict):
-    """Hold audit entries that no longer fit into their object."""
+    """Hold audit entries that were moved out of their object."""
 
     entries: list[AuditEntry]
 
 
 class Subject(NamedTuple):
-    """Name one configuration object; kind is a key of KINDS."""
+    """Identify one configuration object; kind is a key of KINDS."""
 
     kind: str
     name: str
@@ -87,16 +87,16 @@
 
     @property
     def audit_prefix(self) -> str:
-        """Return the prefix of the keys that hold its spilled audit entries."""
+        """Return the key prefix of the object's spilled audit entries."""
         return f"{AUDIT_PREFIX}{self.kind}/{self.name}/"
 
     def audit_key(self, seq: int) -> str:
-        """Return the key of the spilled entries that begin with a sequence number."""
+        """Return the key of the spilled entries that start at a sequence number."""
         return f"{self.audit_prefix}{seq:0{SEQ_DIGITS}d}"
 
 
-def subject_of(key: str) -> Subject | None:
-    """Return the subject that a key of the store stands for, if it is one of ours."""
+def parse_key(key: str) -> Subject | None:
+    """Return the configuration object that a store key identifies, or None for other keys."""
     parts = key.removeprefix(CONFIG_PREFIX).split("/")
     if not key.startswith(CONFIG_PREFIX) or len(parts) != 2 or parts[0] not in KINDS:
         return None
@@ -119,7 +119,7 @@
 
 
 def without_history(value: bytes) -> bytes:
-    """Return a stored object in the form that peers are sent."""
+    """Return a stored object without its audit trail, as it is sent to peers."""
     match decode(value):
         case Ok(record):
             return encode(Record(document=record["document"], history=[]))
@@ -127,32 +127,32 @@
             return value
 
 
-def same_document(one: bytes, other: bytes) -> bool:
-    """Tell whether two stored forms hold the same document, whichever release encoded them."""
-    if one == other:
+def same_document(first: bytes, second: bytes) -> bool:
+    """Return whether two encoded objects hold the same document, whichever release wrote them."""
+    if first == second:
         return True
-    match (decode(one), decode(other)):
+    match (decode(first), decode(second)):
         case (Ok(left), Ok(right)):
             return left["document"] == right["document"]
         case _:
             return False
 
 
-def typed(subject: Subject, document: Document) -> Result[Wanted, str]:
-    """Turn a stored document into its record, leaving out fields of newer releases."""
+def parse_document(subject: Subject, document: Document) -> Result[Wanted, str]:
+    """Convert a stored document to its record type, ignoring fields of newer releases."""
     kind = KINDS[subject.kind]
-    return codec.from_document(_known(document, kind), kind)
+    return codec.from_document(_known_fields(document, kind), kind)
 
 
 def content_hash(document: Document | None) -> str:
-    """Return a short hash that tells whether two documents are the same."""
+    """Return a hash that identifies the content of a document."""
     return xxhash.xxh3_128_hexdigest(msgspec.json.encode(document, order="sorted"))
 
 
 def field_changes(before: Document | None, after: Document | None) -> list[FieldChange]:
     """List the fields, by path, in which two documents differ."""
-    old = _flat(before or {})
-    new = _flat(after or {})
+    old = _flatten(before or {})
+    new = _flatten(after or {})
     paths = list(dict.fromkeys([*old, *new]))
     return [
         FieldChange(path=path, before=old.get(path), after=new.get(path))
@@ -168,29 +168,29 @@
         return Err(str(exc))
 
 
-def _known(document: Document, kind: Any) -> Document:
+def _known_fields(document: Document, kind: Any) -> Document:
     hints = get_type_hints(kind)
     known = {}
     for name, value in document.items():
         if name not in hints:
             continue
-        known[name] = _known_part(value, hints[name])
+        known[name] = _known_value(value, hints[name])
     return known
 
 
-def _known_part(value: Any, hint: Any) -> Any:
+def _known_value(value: Any, hint: Any) -> Any:
     if isinstance(value, dict) and hasattr(hint, "_fields"):
-        return _known(value, hint)
+        return _known_fields(value, hint)
     if isinstance(value, list) and get_args(hint):
-        return [_known_part(part, get_args(hint)[0]) for part in value]
+        return [_known_value(part, get_args(hint)[0]) for part in value]
     return value
 
 
-def _flat(document: Document, path: str = "") -> Document:
+def _flatten(document: Document, path: str = "") -> Document:
     flat: Document = {}
     for name, value in document.items():
         if isinstance(value, dict):
-            flat.update(_flat(value, f"{path}{name}."))
+            flat.update(_flatten(value, f"{path}{name}."))
         else:
             flat[path + name] = value
     return flat
--- a/papayapier/config/start.py
+++ b/papayapier/config/start.py
@@ -1,4 +1,4 @@
-"""Start the configuration of one instance and offer it to the rest of the program."""
+"""Start the configuration service of one instance and expose its interface."""
 
 import random
 from collections.abc import Awaitable, Callable, Sequence
@@ -10,9 +10,9 @@
 from papayapier.config import accept, checks, trail
 from papayapier.config.accept import AcceptDeps, Accepted, Change, Rejected
 from papayapier.config.book import ProfileBook
-from papayapier.config.checks import CheckDeps, Verdict
+from papayapier.config.checks import CheckDeps, CheckResult
 from papayapier.config.records import PROFILES, Subject, Wanted
-from papayapier.config.spread import Spread, SpreadDeps
+from papayapier.config.sync import ConfigSync, ConfigSyncDeps
 from papayapier.config.trail import AuditFilter, AuditLine
 from papayapier.metrics import Metrics
 from papayapier.peer.messages import Message
@@ -20,15 +20,15 @@
 from papayapier.settings import ConfigSettings
 from papayapier.store.api import Store, StoreError
 
-EVERYBODY_FOLLOWS: Final = Plan(frozenset(), relay=True, full_mesh=True)
+FOLLOW_EVERYWHERE: Final = Plan(frozenset(), relay=True, full_mesh=True)
 
 
 class ConfigDeps(NamedTuple):
-    """Group what the configuration needs from the rest of the program.
+    """Group the dependencies of the configuration service.
 
-    tell and broadcast hand a message to one peer or all and never wait. queued_under counts
-    the queued requests and items of a profile; upstream_names lists the upstreams that
-    have replicas; plan is that of the links between instances.
+    tell and broadcast send a message to one peer or to all, and return immediately. queued_under
+    counts the queued requests and items of a profile. upstream_names returns the upstreams that
+    have replicas. plan returns the topology of the links between instances.
     """
 
     clock: Clock
@@ -41,15 +41,15 @@
     peers: Callable[[], Sequence[str]]
     queued_under: Callable[[str], int]
     upstream_names: Callable[[], set[str]]
-    plan: Callable[[], Plan] = lambda: EVERYBODY_FOLLOWS
+    plan: Callable[[], Plan] = lambda: FOLLOW_EVERYWHERE
 
 
 class Config(NamedTuple):
-    """Group the calls of the configuration of one instance."""
+    """Group the functions of the configuration service of one instance."""
 
     book: ProfileBook
     on_peer: Callable[[str, Message], None]
-    check: Callable[[Subject, object], Verdict]
+    check: Callable[[Subject, object], CheckResult]
     accept: Callable[[Change], Awaitable[Result[Accepted, Rejected]]]
     audit: Callable[[AuditFilter], Awaitable[Result[list[AuditLine], StoreError]]]
     ready: Callable[[int], Result[None, str]]
@@ -57,10 +57,10 @@
 
 
 def start_config(deps: ConfigDeps) -> Config:
-    """Start polling and watching, and return the calls of the configuration."""
-    book = ProfileBook()
-    spread = Spread(
-        SpreadDeps(
+    """Start polling and watching the store, and return the functions of the service."""
+    registry = ProfileBook()
+    sync = ConfigSync(
+        ConfigSyncDeps(
             deps.clock,
             deps.rand,
             deps.store,
@@ -71,25 +71,25 @@
             deps.peers,
             deps.plan,
         ),
-        book,
+        registry,
     )
     check_deps = CheckDeps(
-        lambda subject: _current(book, subject), deps.queued_under, deps.upstream_names
+        lambda subject: _current(registry, subject), deps.queued_under, deps.upstream_names
     )
-    accept_deps = AcceptDeps(deps.clock, deps.rand, deps.store, check_deps, spread.accepted)
-    spread.start()
+    accept_deps = AcceptDeps(deps.clock, deps.rand, deps.store, check_deps, sync.on_accepted)
+    sync.start()
     return Config(
-        book=book,
-        on_peer=spread.on_peer,
+        book=registry,
+        on_peer=sync.on_peer,
         check=lambda subject, document: checks.check_change(check_deps, subject, document),
         accept=lambda change: accept.accept_change(accept_deps, change),
-        audit=lambda chosen: trail.audit(deps.store, chosen),
-        ready=spread.fresh,
-        stop=spread.stop,
+        audit=lambda audit_filter: trail.audit(deps.store, audit_filter),
+        ready=sync.check_current,
+        stop=sync.stop,
     )
 
 
-def _current(book: ProfileBook, subject: Subject) -> Wanted | None:
+def _current(registry: ProfileBook, subject: Subject) -> Wanted | None:
     if subject.kind == PROFILES:
-        return book.profile(subject.name)
-    return book.upstream(subject.name)
+        return registry.profile(subject.name)
+    return registry.upstream(subject.name)
--- a/papayapier/config/follow.py
+++ b/papayapier/config/store_follower.py
@@ -1,9 +1,9 @@
-"""Follow the store's configuration, for as long as this instance has to.
+"""Follow the store's configuration while this instance has to.
 
-In a small site every instance follows the store itself. In a large one only the relays of
-each data centre do (see peer.topology): a waiting watch counts as a call, and all instances
-together would use up the store's reads. The others follow it until they have had the whole
-configuration once, and again when they hear no peer.
+In a small site every instance follows the store itself. In a large one only the relays of each
+data centre do (see peer.topology): each pending watch counts as a call, and the watches of all
+instances would exhaust the store's read limit. The other instances follow the store until they
+have read the complete configuration once, and again while no peer's heartbeats arrive.
 """
 
 import random
@@ -19,79 +19,79 @@
 from papayapier.store.api import Change, Store
 from papayapier.store.watch import Follower, FollowPace
 
-REVIEW_MS: Final = 1_000
-KEYS_PER_POLL: Final = 1_000
+UPDATE_MS: Final = 1_000
+KEYS_PER_PAGE: Final = 1_000
 
 
 class FollowDeps(NamedTuple):
-    """Group what following needs; must_follow is asked again every second.
+    """Group the dependencies of the follower; must_follow is evaluated every second.
 
-    fetched is told key, version and value of each object that came from the store.
+    on_fetched is called with key, version and value of each object that was read from the store.
     """
 
     clock: Clock
     rand: random.Random
     store: Store
     settings: ConfigSettings
-    book: ProfileBook
+    registry: ProfileBook
     must_follow: Callable[[], bool]
-    fetched: Callable[[str, int, bytes], None]
+    on_fetched: Callable[[str, int, bytes], None]
 
 
-class StoreFollowing:
-    """Own the follower while it is needed, and read what it tells of."""
+class StoreFollower:
+    """Run the store follower while it is needed, and read the objects whose change it reports."""
 
     def __init__(self, deps: FollowDeps) -> None:
         self._deps = deps
         self._follower: Follower | None = None
         self._timer: Timer | None = None
-        self._heard_ms = 0
+        self._last_success_ms = 0
         self._complete = False
         self._fetcher = Fetcher(
             FetchDeps(
                 deps.clock,
                 deps.rand,
                 deps.store,
-                deps.book,
+                deps.registry,
                 lambda: not self._complete,
-                deps.fetched,
+                deps.on_fetched,
             )
         )
 
     def start(self) -> None:
-        """Begin to follow where needed."""
-        self._review()
+        """Start to follow the store if needed."""
+        self._update()
 
     def stop(self) -> None:
-        """Stop for good."""
+        """Stop permanently."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._unfollow()
         self._fetcher.stop()
 
-    def complete(self) -> bool:
-        """Tell, and remember, whether all that the store had has been read once."""
+    def is_complete(self) -> bool:
+        """Return whether all objects of one listing of the store have been read; stays True."""
         listed = self._follower is not None and self._follower.listed_ms is not None
-        if listed and self._fetcher.idle():
+        if listed and self._fetcher.is_idle():
             self._complete = True
         return self._complete
 
-    def heard_ms(self) -> int:
-        """Return when the last listing was begun that the store has answered."""
+    def last_success_ms(self) -> int:
+        """Return the start time of the last listing that succeeded."""
         if self._follower is not None:
-            self._heard_ms = max(self._heard_ms, self._follower.listed_ms or 0)
-        return self._heard_ms
+            self._last_success_ms = max(self._last_success_ms, self._follower.listed_ms or 0)
+        return self._last_success_ms
 
-    def _review(self) -> None:
-        self._timer = self._deps.clock.call_later(REVIEW_MS, self._review)
+    def _update(self) -> None:
+        self._timer = self._deps.clock.call_later(UPDATE_MS, self._update)
         if not self._deps.must_follow():
             self._unfollow()
         elif self._follower is None:
             self._follow()
 
     def _follow(self) -> None:
-        # A listing has a thousand keys a page, and each page counts as a read.
-        pages = 1 + len(self._deps.book.objects()) // KEYS_PER_POLL
+        # A listing has 1,000 keys per page and each page counts as a read, so poll less often.
+        pages = 1 + len(self._deps.registry.objects()) // KEYS_PER_PAGE
         cfg = self._deps.settings
         self._follower = Follower(
             self._deps.store,
@@ -104,16 +104,17 @@
         self._follower.start()
 
     def _unfollow(self) -> None:
-        self.complete()
-        self.heard_ms()
+        self.is_complete()
+        self.last_success_ms()
         if self._follower is not None:
             self._follower.stop()
             self._follower = None
 
     def _on_change(self, change: Change) -> None:
-        self.complete()
+        self.is_complete()
         if not change.deleted:
-            self._fetcher.want(change.key, change.version)
-        elif self._deps.book.version_of(change.key):
-            # Deletes of ours leave a tombstone, so this was done by hand past the trail.
+            self._fetcher.request(change.key, change.version)
+        elif self._deps.registry.version_of(change.key):
+            # Accepted deletions leave a tombstone, so someone removed this object by hand,
+            # without an audit entry. It stays in force here.
             events.emit(events.CONFIG_MISSING, key=change.key, version=change.version)
--- a/papayapier/upstream/answers.py
+++ b/papayapier/upstream/answers.py
@@ -1,8 +1,8 @@
-"""Check that what a replica sent is the whole answer to the call, and read it.
+"""Validate and parse a replica's answer to a call.
 
-An answer names its call twice: in the header X-Request-Id and, from a model engine, in the
-field id of the body and of every piece of a stream. An answer to another call, or part of
-one, would be worse for the caller than none, so any doubt ends in a Fault.
+An answer identifies its request twice: in the header X-Request-Id and, from a model engine,
+in the field id of the body and of every chunk of a stream. Passing on an incomplete answer, or
+one to another request, harms the caller more than an error, so any mismatch ends in a Fault.
 """
 
 from typing import Final, NamedTuple, NotRequired, TypedDict
@@ -14,8 +14,8 @@
 from papayapier.upstream.api import Failure, FailureKind, Load, Sent
 from papayapier.upstream.phases import Fault
 
-REQUEST_ID: Final = b"X-Request-Id"
-LOAD: Final = b"X-Load"
+REQUEST_ID_HEADER: Final = b"X-Request-Id"
+LOAD_HEADER: Final = b"X-Load"
 
 
 class Message(TypedDict):
@@ -25,7 +25,7 @@
 
 
 class Choice(TypedDict):
-    """Hold one choice of a whole answer: chat has message, completions have text."""
+    """Hold one choice of a complete answer: chat has message, completions have text."""
 
     finish_reason: str | None
     message: NotRequired[Message]
@@ -33,13 +33,13 @@
 
 
 class Usage(TypedDict):
-    """Hold the counts of an answer."""
+    """Hold the token counts of an answer."""
 
     completion_tokens: int
 
 
-class WholeAnswer(TypedDict):
-    """Hold a JSON answer."""
+class CompletionAnswer(TypedDict):
+    """Hold the JSON answer of a model engine to a call that is not streamed."""
 
     id: str
     choices: list[Choice]
@@ -47,7 +47,7 @@
 
 
 class LoadReport(TypedDict):
-    """Hold the answer to GET /load; a plain service has no steps."""
+    """Hold the answer to GET /load; step_ms is missing for a plain service."""
 
     running: int
     waiting: int
@@ -55,62 +55,62 @@
     step_ms: NotRequired[float]
 
 
-class Parsed(NamedTuple):
-    """Hold what is read from an engine's answer."""
+class ParsedAnswer(NamedTuple):
+    """Hold the fields read from an engine's answer."""
 
     text: str
     tokens: int
     finish_reason: str
 
 
-NOTHING_PARSED: Final = Parsed("", 0, "")
+EMPTY_ANSWER: Final = ParsedAnswer("", 0, "")
 
-_WHOLE: Final = msgspec.json.Decoder(WholeAnswer)
-_LOAD: Final = msgspec.json.Decoder(LoadReport)
+_ANSWER_DECODER: Final = msgspec.json.Decoder(CompletionAnswer)
+_LOAD_DECODER: Final = msgspec.json.Decoder(LoadReport)
 
 
-class Collected:
-    """Gather a body of a bounded size."""
+class BodyCollector:
+    """Collect a body of bounded size."""
 
-    __slots__ = ("_limit", "_parts", "_size")
+    __slots__ = ("_chunks", "_limit", "_size")
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
-        self._parts: list[bytes] = []
+        self._chunks: list[bytes] = []
         self._size = 0
 
     def add(self, data: bytes, _now_ms: int) -> Fault | None:
-        """Take a part."""
+        """Append received bytes; return a Fault when the body exceeds the limit."""
         self._size += len(data)
         if self._size > self._limit:
             return Fault(FailureKind.BROKEN, f"answer longer than {self._limit} bytes")
-        self._parts.append(data)
+        self._chunks.append(data)
         return None
 
     def end(self, declared: bool) -> Fault | None:
-        """Check that the body had a length, without which a cut would not show."""
+        """Check that the body had a declared length; without one, truncation is undetectable."""
         if declared:
             return None
         return Fault(FailureKind.CUT, "answer has no declared length")
 
     def body(self) -> bytes:
-        """Return all parts joined."""
-        return b"".join(self._parts)
+        """Return the collected body."""
+        return b"".join(self._chunks)
 
 
-def wrong_id(found: str, request_id: str) -> Fault:
-    """Say that an answer belongs to another request."""
-    return Fault(FailureKind.WRONG_ID, f"answer has id {found!r}, not {request_id!r}")
+def wrong_id_fault(answer_id: str, request_id: str) -> Fault:
+    """Return the fault for an answer that belongs to another request."""
+    return Fault(FailureKind.WRONG_ID, f"answer has id {answer_id!r}, not {request_id!r}")
 
 
-def parse_whole(body: bytes, request_id: str) -> Result[Parsed, Fault]:
-    """Read the JSON answer of an engine."""
+def parse_complete(body: bytes, request_id: str) -> Result[ParsedAnswer, Fault]:
+    """Parse the complete JSON answer of an engine and check its id."""
     try:
-        answer = _WHOLE.decode(body)
+        answer = _ANSWER_DECODER.decode(body)
     except msgspec.MsgspecError as exc:
-        return Err(Fault(FailureKind.BROKEN, f"answer cannot be read: {exc}"))
+        return Err(Fault(FailureKind.BROKEN, f"answer cannot be decoded: {exc}"))
     if answer["id"] != request_id:
-        return Err(wrong_id(answer["id"], request_id))
+        return Err(wrong_id_fault(answer["id"], request_id))
     if not answer["choices"]:
         return Err(Fault(FailureKind.BROKEN, "answer has no choices"))
     choice = answer["choices"][0]
@@ -119,7 +119,7 @@
         return Err(Fault(FailureKind.BROKEN, "answer has no finish_reason"))
     usage = answer.get("usage")
     tokens = usage["completion_tokens"] if usage else 0
-    return Ok(Parsed(_text(choice), tokens, finish_reason))
+    return Ok(ParsedAnswer(_text(choice), tokens, finish_reason))
 
 
 def _text(choice: Choice) -> str:
@@ -131,8 +131,8 @@
 
 
 def parse_load_header(headers: Headers, now_ms: int) -> Load | None:
-    """Read RUNNING/WAITING/SLOTS; a malformed header counts as none."""
-    parts = header_text(headers, LOAD).split("/")
+    """Parse the header X-Load, RUNNING/WAITING/SLOTS; a malformed header counts as none."""
+    parts = header_text(headers, LOAD_HEADER).split("/")
     if len(parts) != 3 or not all(part.isascii() and part.isdigit() for part in parts):
         return None
     running, waiting, slots = map(int, parts)
@@ -140,13 +140,13 @@
 
 
 def parse_load(status: int, body: bytes, now_ms: int) -> Result[Load, Failure]:
-    """Read the answer to GET /load."""
+    """Parse the answer to GET /load."""
     if status != 200:
         return Err(Failure(FailureKind.STATUS, Sent.MAYBE, f"status {status}", status))
     try:
-        report = _LOAD.decode(body)
+        report = _LOAD_DECODER.decode(body)
     except msgspec.MsgspecError as exc:
-        return Err(Failure(FailureKind.BROKEN, Sent.MAYBE, f"load cannot be read: {exc}"))
+        return Err(Failure(FailureKind.BROKEN, Sent.MAYBE, f"load report cannot be decoded: {exc}"))
     step_ms = report.get("step_ms", 0.0)
     return Ok(Load(report["running"], report["waiting"], report["slots"], step_ms, now_ms))
 
--- a/papayapier/upstream/engine_calls.py
+++ b/papayapier/upstream/engine_calls.py
@@ -1,7 +1,7 @@
-"""Read and change the body of a call to a model engine.
+"""Parse and modify the body of a call to a model engine.
 
-The body belongs to the caller. Only the keys that matter for routing and resuming are read,
-and every other key goes on to the engine as it came.
+The body belongs to the caller. Only the keys needed for routing and for resuming a stream are
+read; every other key is passed on to the engine unchanged.
 """
 
 from typing import Any, Final, NamedTuple, NotRequired, TypedDict
@@ -14,7 +14,7 @@
 
 
 class Generation(NamedTuple):
-    """Hold what is read from a body."""
+    """Hold the fields read from a body."""
 
     model: str
     stream: bool
@@ -39,35 +39,35 @@
     resume_text: NotRequired[str | None]
 
 
-_READ: Final = msgspec.json.Decoder(_Body)
-# Raw leaves each value as the caller wrote it.
-_KEYS: Final = msgspec.json.Decoder(dict[str, msgspec.Raw])
-_TEXT: Final = msgspec.json.Decoder(str | None)
+_BODY_DECODER: Final = msgspec.json.Decoder(_Body)
+# msgspec.Raw keeps each value exactly as the caller encoded it.
+_KEYS_DECODER: Final = msgspec.json.Decoder(dict[str, msgspec.Raw])
+_TEXT_DECODER: Final = msgspec.json.Decoder(str | None)
 _MISSING: Final = "Object missing required field "
 
 
 def parse_generation(body: bytes) -> Result[Generation, str]:
-    """Read a body, or name the field that is at fault."""
+    """Parse a body; the error names the invalid field."""
     try:
-        read = _READ.decode(body)
+        fields = _BODY_DECODER.decode(body)
     except msgspec.MsgspecError as exc:
-        return Err(_plain(exc))
-    if "messages" not in read and "prompt" not in read:
+        return Err(_describe_error(exc))
+    if "messages" not in fields and "prompt" not in fields:
         return Err("messages: missing, and there is no prompt")
-    if (read.get("max_tokens") or 0) < 0:
+    if (fields.get("max_tokens") or 0) < 0:
         return Err("max_tokens: must not be negative")
-    return Ok(Generation(read["model"], bool(read.get("stream")), _prefix(read)))
+    return Ok(Generation(fields["model"], bool(fields.get("stream")), _prefix(fields)))
 
 
 def streaming_body(body: bytes, received: str) -> bytes:
-    """Ask for a stream that goes on after the text received so far.
+    """Return the body that requests a stream which continues after the received text.
 
-    A body that is not a JSON object goes out unchanged, and the engine refuses it.
+    A body that is not a JSON object is returned unchanged, and the engine refuses it.
     """
     try:
-        keys: dict[str, Any] = dict(_KEYS.decode(body))
-        # The caller may itself have asked to go on after some text.
-        resumed = _TEXT.decode(keys.get("resume_text", b"null")) or ""
+        keys: dict[str, Any] = dict(_KEYS_DECODER.decode(body))
+        # The caller may itself have asked to continue after some text.
+        resumed = _TEXT_DECODER.decode(keys.get("resume_text", b"null")) or ""
     except msgspec.MsgspecError:
         return body
     keys["stream"] = True
@@ -76,11 +76,11 @@
     return msgspec.json.encode(keys)
 
 
-def _prefix(read: _Body) -> str:
-    """Return the start of the prompt; equal starts share cached work in an engine."""
-    if "messages" in read:
-        return _messages_prefix(read["messages"])
-    prompt = read["prompt"]
+def _prefix(fields: _Body) -> str:
+    """Return the start of the prompt; requests with equal prefixes can share an engine's cache."""
+    if "messages" in fields:
+        return _messages_prefix(fields["messages"])
+    prompt = fields["prompt"]
     if isinstance(prompt, str):
         return prompt[:PREFIX_CHARS]
     return prompt[0][:PREFIX_CHARS] if prompt else ""
@@ -105,8 +105,8 @@
     return content or ""
 
 
-def _plain(exc: Exception) -> str:
-    """Reword a msgspec message so that it starts with the field at fault."""
+def _describe_error(exc: Exception) -> str:
+    """Rewrite a msgspec error message so that it starts with the invalid field."""
     message, _, path = str(exc).partition(" - at ")
     where = path.strip("`").removeprefix("$").removeprefix(".")
     if message.startswith(_MISSING):
--- a/papayapier/upstream/phases.py
+++ b/papayapier/upstream/phases.py
@@ -1,7 +1,7 @@
-"""Say, for each phase of an exchange, how long it may take and what its failure means.
+"""Define the phases of an exchange: the time limit of each and the meaning of its failure.
 
-Before the request is taken to a connection nothing can have reached the replica. After it,
-everything may have. The phases make that line explicit.
+Until the request is written to a connection, nothing can have reached the replica. From then
+on, all of it may have. The phases make this boundary explicit.
 """
 
 from typing import NamedTuple, Protocol
@@ -13,7 +13,7 @@
 
 
 class Fault(NamedTuple):
-    """Say why what was received is not an answer."""
+    """Explain why the received data is not a valid answer."""
 
     kind: FailureKind
     reason: str
@@ -21,25 +21,25 @@
 
 
 class Phases(Protocol):
-    """Describe what happens to an exchange and what is asked about it."""
+    """Declare the inputs and queries of the state machine of an exchange."""
 
-    def taken(self) -> None:
-        """Note that the request is about to be written."""
+    def request_written(self) -> None:
+        """Enter the phase after the request was written."""
 
-    def started(self) -> None:
-        """Note that the body of the answer has begun."""
+    def body_started(self) -> None:
+        """Enter the phase after the first byte of the answer's body."""
 
-    def end(self) -> None:
-        """Note that nothing more counts."""
+    def finish(self) -> None:
+        """Enter the final state."""
 
     def limit_ms(self) -> int:
-        """Return how long the phase may go without a byte."""
+        """Return how long the phase may last without a received byte."""
 
-    def overdue(self) -> Fault:
-        """Return what it means that the limit has passed."""
+    def timeout_fault(self) -> Fault:
+        """Return the fault for a phase that exceeded its limit."""
 
-    def lost(self, why: str) -> Fault:
-        """Return what it means that the connection is lost."""
+    def connection_lost_fault(self, reason: str) -> Fault:
+        """Return the fault for a connection that was lost in this phase."""
 
 
 _builder = TypeMachineBuilder(Phases, UpstreamSettings)
@@ -48,19 +48,19 @@
 _receiving = _builder.state("receiving")
 _ended = _builder.state("ended")
 
-_connecting.upon(Phases.taken).to(_waiting).returns(None)
-_waiting.upon(Phases.started).to(_receiving).returns(None)
+_connecting.upon(Phases.request_written).to(_waiting).returns(None)
+_waiting.upon(Phases.body_started).to(_receiving).returns(None)
 for _state in (_connecting, _waiting, _receiving):
-    _state.upon(Phases.end).to(_ended).returns(None)
+    _state.upon(Phases.finish).to(_ended).returns(None)
 
-_connecting.upon(Phases.overdue).loop().returns(
-    Fault(FailureKind.CONNECT, "connecting took too long")
+_connecting.upon(Phases.timeout_fault).loop().returns(
+    Fault(FailureKind.CONNECT, "connecting timed out")
 )
-_waiting.upon(Phases.overdue).loop().returns(
-    Fault(FailureKind.SILENT, "no byte of the answer's body came")
+_waiting.upon(Phases.timeout_fault).loop().returns(
+    Fault(FailureKind.SILENT, "timed out waiting for the answer's body")
 )
-_receiving.upon(Phases.overdue).loop().returns(
-    Fault(FailureKind.SILENT, "the answer stopped coming")
+_receiving.upon(Phases.timeout_fault).loop().returns(
+    Fault(FailureKind.SILENT, "timed out waiting for more of the answer's body")
 )
 
 
@@ -79,19 +79,19 @@
     return cfg.progress_ms
 
 
-@_connecting.upon(Phases.lost).loop()
-def _connect_lost(_: Phases, __: UpstreamSettings, why: str) -> Fault:
-    return Fault(FailureKind.CONNECT, f"cannot connect: {why}")
+@_connecting.upon(Phases.connection_lost_fault).loop()
+def _connect_lost(_: Phases, __: UpstreamSettings, reason: str) -> Fault:
+    return Fault(FailureKind.CONNECT, f"cannot connect: {reason}")
 
 
-@_waiting.upon(Phases.lost).loop()
-def _answer_lost(_: Phases, __: UpstreamSettings, why: str) -> Fault:
-    return Fault(FailureKind.CUT, f"connection lost before the answer's body: {why}")
+@_waiting.upon(Phases.connection_lost_fault).loop()
+def _answer_lost(_: Phases, __: UpstreamSettings, reason: str) -> Fault:
+    return Fault(FailureKind.CUT, f"connection lost before the answer's body: {reason}")
 
 
-@_receiving.upon(Phases.lost).loop()
-def _progress_lost(_: Phases, __: UpstreamSettings, why: str) -> Fault:
-    return Fault(FailureKind.CUT, f"answer cut short: {why}")
+@_receiving.upon(Phases.connection_lost_fault).loop()
+def _progress_lost(_: Phases, __: UpstreamSettings, reason: str) -> Fault:
+    return Fault(FailureKind.CUT, f"answer truncated: {reason}")
 
 
 make_phases = _builder.build()
--- a/papayapier/upstream/pool.py
+++ b/papayapier/upstream/pool.py
@@ -1,13 +1,13 @@
-"""Keep connections to one replica and know which one a call is on.
+"""Pool the connections to one replica and record which connection a call uses.
 
-Twisted's HTTPConnectionPool gives a call any connection it has kept, and puts a connection
-back before the answer on it has been checked. Both hide what a truthful refusal needs: on
-which connection a call went, and whether that connection was new. A Lease stands between
-the pool and the endpoint, and records it.
+Twisted's HTTPConnectionPool assigns any idle connection to a call, and returns a connection to
+the pool before the answer on it has been validated. A correct refusal needs to know which
+connection carried the call and whether it was new, and the pool exposes neither. A Lease wraps
+the endpoint that the pool connects with, and records both.
 
-A kept connection is used only if bytes have come on it since another connection to the same
-replica was last seen silent. What went silent was not the replica but something between the
-two ends, and that may have lost track of every connection that was open at that time.
+An idle connection is reused only if bytes were received on it after another connection to the
+same replica went silent. In that case the cause is assumed to be not the replica but a
+middlebox on the path, which may have dropped its state of every connection open at that time.
 """
 
 import socket
@@ -23,173 +23,175 @@
 
 from papayapier.sockets import is_quiet
 
-# Connections in use are never bounded: a bound would let a call wait for another's answer.
-KEPT_MAX: Final = 4_096
-# Shorter than the 5 s after which common servers close an idle connection. A call written
-# to a connection that is being closed fails, and nobody can tell whether it ran.
-KEPT_IDLE_S: Final = 4
+# Bounds idle connections only. A bound on connections in use would make a call wait until
+# another one has its answer.
+MAX_IDLE_CONNECTIONS: Final = 4_096
+# Shorter than the 5 s after which common servers close an idle connection. A call written to a
+# connection that is being closed fails, and it is unknown whether it ran.
+MAX_IDLE_S: Final = 4
 
 KEEPALIVE_IDLE_S: Final = 2
 KEEPALIVE_INTERVAL_S: Final = 1
 KEEPALIVE_PROBES: Final = 3
 USER_TIMEOUT_MS: Final = 5_000
 
-# What the library calls the state of a connection with no request on it.
-IDLE: Final = "QUIESCENT"
+# Twisted's name for the state of a connection without a request.
+IDLE_STATE: Final = "QUIESCENT"
 
-# The library has no annotations here.
+# Twisted has no type annotations here.
 _Agent: Any = Agent
 
 
-class Lease:
-    """Connect for one call, and record the connection that the call is on.
+class ConnectionLease:
+    """Connect for a single call, and record which connection the call uses.
 
-    take is called just before the request is written, and returns False if it must not be.
+    before_write is called just before the request is written; if it returns False, the request is
+    not written.
     """
 
-    __slots__ = ("_endpoint", "_take", "fresh", "protocol")
+    __slots__ = ("_before_write", "_endpoint", "fresh", "protocol")
 
-    def __init__(self, endpoint: TCP4ClientEndpoint, take: Callable[[], bool]) -> None:
+    def __init__(self, endpoint: TCP4ClientEndpoint, before_write: Callable[[], bool]) -> None:
         self._endpoint = endpoint
-        self._take = take
+        self._before_write = before_write
         self.fresh = False
         self.protocol: Any = None
 
-    def endpointForURI(self, uri: object) -> "Lease":  # noqa: N802
-        """Return itself, whatever the address in the URI."""
+    def endpointForURI(self, uri: object) -> "ConnectionLease":  # noqa: N802
+        """Return this object, whatever the address in the URI."""
         return self
 
     def connect(self, protocolFactory: Any) -> Deferred[Any]:  # noqa: N803
         """Open a new connection."""
         self.fresh = True
         done: Deferred[Any] = self._endpoint.connect(protocolFactory)
-        return done.addCallback(_tune)
+        return done.addCallback(_set_tcp_options)
 
-    def use(self, protocol: Any) -> Any:
-        """Record the connection; the request is written to it right after this.
+    def assign(self, protocol: Any) -> Any:
+        """Record the connection; the request is written to it immediately afterwards.
 
-        Up to here not one byte of the request was given to a connection, so a failure can
-        truthfully be reported as not sent. After it, that is never certain again.
+        Before this call no byte of the request was passed to a connection, so a failure can be
+        reported as not sent. After it, the request may have been sent.
         """
-        if protocol.state != IDLE:
+        if protocol.state != IDLE_STATE:
             raise ConnectionAborted("the connection was lost before it was used")
-        if not self._take():
+        if not self._before_write():
             _abort(protocol)
-            raise ConnectionAborted("the call has ended before it was sent")
+            raise ConnectionAborted("the call ended before the request was sent")
         self.protocol = protocol
         return protocol
 
     def was_reset(self) -> bool:
-        """Tell whether the connection has ended in another way than by its peer's close."""
+        """Return whether the connection ended other than by an orderly close of the peer."""
         return self.protocol is not None and bool(self.protocol.was_reset)
 
-    def condemn(self) -> None:
-        """Close the connection at once, so that nothing else is ever read from it."""
+    def abort(self) -> None:
+        """Abort the connection, so that nothing more is read from it."""
         if self.protocol is not None:
             _abort(self.protocol)
 
 
 class ReplicaPool:
-    """Hold the kept connections to one address."""
+    """Hold the connections to one address."""
 
-    __slots__ = ("_endpoint", "_kept", "_reactor", "_single", "used_ms")
+    __slots__ = ("_endpoint", "_persistent", "_reactor", "_single_use", "last_used_ms")
 
     def __init__(self, reactor: Any, host: str, port: int) -> None:
-        self.used_ms = 0
+        self.last_used_ms = 0
         self._reactor = reactor
-        # The call's own timer bounds connecting; the endpoint's is not on our clock.
+        # The exchange's timer bounds connecting; the endpoint's timeout does not use our clock.
         self._endpoint = TCP4ClientEndpoint(reactor, host, port)
-        self._single = _make_pool(reactor, persistent=False)
-        self._kept = _make_pool(reactor, persistent=True)
+        self._single_use = _make_pool(reactor, persistent=False)
+        self._persistent = _make_pool(reactor, persistent=True)
 
-    def agent(self, lease: Lease, new_connection: bool) -> IAgent:
+    def agent(self, lease: ConnectionLease, new_connection: bool) -> IAgent:
         """Return an agent for one request."""
-        pool = self._single if new_connection else self._kept
+        pool = self._single_use if new_connection else self._persistent
         agent: IAgent = _Agent.usingEndpointFactory(self._reactor, lease, pool)
         return agent
 
-    def lease(self, take: Callable[[], bool]) -> Lease:
+    def lease(self, before_write: Callable[[], bool]) -> ConnectionLease:
         """Return a lease for one request."""
-        return Lease(self._endpoint, take)
+        return ConnectionLease(self._endpoint, before_write)
 
-    def trust(self, lease: Lease, at_ms: int) -> None:
-        """Note that a connection still carried bytes at a time."""
-        self._kept.alive_ms[lease.protocol] = at_ms
+    def mark_alive(self, lease: ConnectionLease, at_ms: int) -> None:
+        """Record that the connection carried bytes at this time."""
+        self._persistent.alive_ms[lease.protocol] = at_ms
 
-    def distrust(self, before_ms: int) -> None:
-        """Use no kept connection that has carried nothing after a time."""
-        self._kept.distrusted_ms = max(self._kept.distrusted_ms, before_ms)
+    def mark_dead_before(self, before_ms: int) -> None:
+        """Stop reusing idle connections that carried no bytes after this time."""
+        self._persistent.dead_before_ms = max(self._persistent.dead_before_ms, before_ms)
 
     def close(self) -> Deferred[None]:
-        """Close the kept connections."""
-        done: Deferred[None] = self._kept.closeCachedConnections()
+        """Close the idle connections."""
+        done: Deferred[None] = self._persistent.closeCachedConnections()
         return done
 
 
-class _LeasingPool(HTTPConnectionPool):
-    """Tell the lease which connection it was given, and give only trusted ones."""
+class _RecordingPool(HTTPConnectionPool):
+    """Record the assigned connection in the lease, and skip connections that may be dead."""
 
-    maxPersistentPerHost = KEPT_MAX  # noqa: N815
-    cachedConnectionTimeout = KEPT_IDLE_S  # noqa: N815
-    # The pool would send a request again by itself, and a replica would run it twice.
+    maxPersistentPerHost = MAX_IDLE_CONNECTIONS  # noqa: N815
+    cachedConnectionTimeout = MAX_IDLE_S  # noqa: N815
+    # The pool would otherwise retry a request by itself, and a replica could run it twice.
     retryAutomatically = False  # noqa: N815
 
     def __init__(self, reactor: Any, persistent: bool) -> None:
         base: Any = super()
         base.__init__(reactor, persistent=persistent)
         self.alive_ms: WeakKeyDictionary[Any, int] = WeakKeyDictionary()
-        self.distrusted_ms = -1
+        self.dead_before_ms = -1
 
     def getConnection(self, key: Any, endpoint: Any) -> Deferred[Any]:  # noqa: N802
         while True:
             given: Deferred[Any] = super().getConnection(key, endpoint)
-            if endpoint.fresh or self._usable(given.result):
-                return given.addCallback(endpoint.use)
+            if endpoint.fresh or self._is_reusable(given.result):
+                return given.addCallback(endpoint.assign)
             _abort(given.result)
 
-    def _usable(self, protocol: Any) -> bool:
-        if self.alive_ms.get(protocol, 0) <= self.distrusted_ms:
+    def _is_reusable(self, protocol: Any) -> bool:
+        if self.alive_ms.get(protocol, 0) <= self.dead_before_ms:
             return False
-        # A replica that has closed it shows here before the reactor has come round to it. Bytes
-        # that nobody asked for would be taken as the start of the next answer.
+        # Reading the socket shows a close by the replica before the reactor has processed it.
+        # Unsolicited bytes would be parsed as the start of the next answer.
         return is_quiet(protocol.transport.getHandle())
 
 
 def _make_pool(reactor: Any, persistent: bool) -> Any:
-    return _LeasingPool(reactor, persistent)
+    return _RecordingPool(reactor, persistent)
 
 
 def _abort(protocol: Any) -> None:
-    # abort() alone first sends what is still buffered; abortConnection() alone leaves the
-    # protocol looking idle until the next turn of the reactor, and a pool that already
-    # holds it would give it to the next call.
+    # abort() alone first sends what is still buffered. abortConnection() alone leaves the
+    # protocol in the idle state until the next reactor iteration, and a pool that already
+    # contains it would assign it to the next call.
     protocol.abort()
     protocol.transport.abortConnection()
 
 
-def _note_end(protocol: Any) -> None:
-    """Keep how a connection ends.
+def _record_close(protocol: Any) -> None:
+    """Record whether a connection is closed in order or reset.
 
-    The library ends a body without a declared length alike, whether the replica closed the
-    connection or it was reset on the way; taken for whole, a half answer would be passed on.
+    Twisted reports the end of a body without a declared length in the same way for both. If a
+    reset counted as the end of the body, a truncated answer would be passed on as complete.
     """
-    lost = protocol.connectionLost
+    connection_lost = protocol.connectionLost
 
     def on_lost(reason: Any) -> None:
         protocol.was_reset = not reason.check(ConnectionDone)
-        lost(reason)
+        connection_lost(reason)
 
     protocol.was_reset = False
     protocol.connectionLost = on_lost
 
 
-def _tune(protocol: Any) -> Any:
-    """Let the kernel notice a peer that is gone while nothing is due from it.
+def _set_tcp_options(protocol: Any) -> Any:
+    """Set the TCP options that detect a dead peer on an idle connection.
 
-    Without this, a connection that something in between has forgotten stays open on our
-    side; keepalive probes and the limit on unacknowledged data close it within seconds.
+    Without them, a connection whose state a middlebox has dropped stays open on this side.
+    Keepalive probes and the limit on unacknowledged data close it within seconds.
     """
-    _note_end(protocol)
+    _record_close(protocol)
     protocol.transport.setTcpKeepAlive(True)
     sock: socket.socket = protocol.transport.getHandle()
     for name, value in (
--- a/papayapier/upstream/sse.py
+++ b/papayapier/upstream/sse.py
@@ -1,15 +1,15 @@
-"""Read a stream of tokens sent as server-sent events.
+"""Parse a stream of tokens sent as server-sent events.
 
-Events are separated by blank lines and each holds one line "data: ". This is the hot path
-of an instance, so bytes are split in one go, and of each event only what is checked or
-passed on is decoded.
+Events are separated by blank lines and each has one line that starts with "data: ". This is the
+hot path of an instance, so received bytes are split in one call, and only the fields of an
+event that are checked or passed on are decoded.
 """
 
 from typing import Final, NotRequired, TypedDict
 
 import msgspec
 
-from papayapier.upstream.answers import Parsed, wrong_id
+from papayapier.upstream.answers import ParsedAnswer, wrong_id_fault
 from papayapier.upstream.api import FailureKind, OnToken, Token
 from papayapier.upstream.phases import Fault
 
@@ -20,13 +20,13 @@
 
 
 class Delta(TypedDict):
-    """Hold the piece of a chat stream; the first and last may have no content."""
+    """Hold the delta of a chat chunk; the first and the last chunk may have no content."""
 
     content: NotRequired[str | None]
 
 
 class StreamChoice(TypedDict):
-    """Hold one choice of a piece: chat has delta, completions have text."""
+    """Hold one choice of a chunk: chat has delta, completions have text."""
 
     finish_reason: NotRequired[str | None]
     delta: NotRequired[Delta]
@@ -34,7 +34,7 @@
 
 
 class Chunk(TypedDict):
-    """Hold one piece of a stream."""
+    """Hold one chunk of a stream."""
 
     id: str
     choices: list[StreamChoice]
@@ -44,16 +44,16 @@
 
 
 class StreamReader:
-    """Turn the bytes of one stream into tokens, and know whether it is whole."""
+    """Parse the bytes of one stream into tokens, and detect an incomplete stream."""
 
     __slots__ = (
+        "_buffer",
         "_chars",
+        "_complete",
         "_finish_reason",
         "_on_token",
         "_request_id",
-        "_rest",
         "_texts",
-        "_whole",
         "first_ms",
     )
 
@@ -61,68 +61,68 @@
         self._request_id = request_id
         self._finish_reason = ""
         self._on_token = on_token
-        self._rest = b""
+        self._buffer = b""
         self._texts: list[str] = []
         self._chars = 0
-        self._whole = False
+        self._complete = False
         self.first_ms = 0
 
-    def parsed(self) -> Parsed:
-        """Return what was received."""
-        return Parsed("".join(self._texts), len(self._texts), self._finish_reason)
+    def parsed(self) -> ParsedAnswer:
+        """Return the text, token count and finish reason received so far."""
+        return ParsedAnswer("".join(self._texts), len(self._texts), self._finish_reason)
 
     def feed(self, data: bytes, now_ms: int) -> Fault | None:
-        """Take received bytes, and call back for each token in them."""
-        if self._rest:
-            data = self._rest + data
+        """Process received bytes and call back for each token in them."""
+        if self._buffer:
+            data = self._buffer + data
         if b"\r" in data:
             data = data.replace(b"\r\n", b"\n")
         parts = data.split(b"\n\n")
-        self._rest = parts.pop()
-        if len(self._rest) > MAX_EVENT_BYTES:
+        self._buffer = parts.pop()
+        if len(self._buffer) > MAX_EVENT_BYTES:
             return Fault(FailureKind.BROKEN, f"event longer than {MAX_EVENT_BYTES} bytes")
         for part in parts:
-            payload = _payload(part)
-            fault = self._take(payload, now_ms) if payload else None
+            payload = _event_data(part)
+            fault = self._process(payload, now_ms) if payload else None
             if fault is not None:
                 return fault
         return None
 
     def end(self) -> Fault | None:
-        """Check that the stream ended with its end mark."""
-        if not self._whole:
-            return Fault(FailureKind.CUT, "stream ended without its end mark")
+        """Check that the stream ended with [DONE] and a finish_reason."""
+        if not self._complete:
+            return Fault(FailureKind.CUT, "stream ended without [DONE]")
         if not self._finish_reason:
             return Fault(FailureKind.BROKEN, "stream has no finish_reason")
         return None
 
-    def _take(self, payload: bytes, now_ms: int) -> Fault | None:
-        if self._whole:
-            return Fault(FailureKind.BROKEN, "stream goes on after its end mark")
+    def _process(self, payload: bytes, now_ms: int) -> Fault | None:
+        if self._complete:
+            return Fault(FailureKind.BROKEN, "stream continues after [DONE]")
         if payload == DONE:
-            self._whole = True
+            self._complete = True
             return None
         try:
             chunk = _CHUNK.decode(payload)
         except msgspec.MsgspecError as exc:
-            return Fault(FailureKind.BROKEN, f"piece of a stream cannot be read: {exc}")
+            return Fault(FailureKind.BROKEN, f"stream chunk cannot be decoded: {exc}")
         if chunk["id"] != self._request_id:
-            return wrong_id(chunk["id"], self._request_id)
+            return wrong_id_fault(chunk["id"], self._request_id)
         if not chunk["choices"]:
             return None
-        return self._take_choice(chunk["choices"][0], payload, now_ms)
+        return self._process_choice(chunk["choices"][0], payload, now_ms)
 
-    def _take_choice(self, choice: StreamChoice, payload: bytes, now_ms: int) -> Fault | None:
+    def _process_choice(self, choice: StreamChoice, payload: bytes, now_ms: int) -> Fault | None:
         delta = choice.get("delta")
         text = delta.get("content") if delta else choice.get("text")
         finish_reason = choice.get("finish_reason")
         if finish_reason:
             self._finish_reason = finish_reason
         if text:
-            return self._take_text(text, payload, now_ms)
+            return self._process_text(text, payload, now_ms)
         return None
 
-    def _take_text(self, text: str, payload: bytes, now_ms: int) -> Fault | None:
+    def _process_text(self, text: str, payload: bytes, now_ms: int) -> Fault | None:
         if not self._texts:
             self.first_ms = now_ms
         self._texts.append(text)
@@ -133,8 +133,8 @@
         return None
 
 
-def _payload(event: bytes) -> bytes:
-    """Return the data of an event; comments and other fields are passed over."""
+def _event_data(event: bytes) -> bytes:
+    """Return the data of an event; comments and other fields are ignored."""
     if event.startswith(DATA) and b"\n" not in event:
         return event[len(DATA) :].strip()
     lines = [line for line in event.split(b"\n") if line.startswith(DATA)]
--- a/tests/test_config_operate.py
+++ b/tests/test_config_operate.py
@@ -1,4 +1,4 @@
-"""Test the operators' routes and commands over real sockets."""
+"""Test the operator HTTP routes and command line over real sockets."""
 
 import argparse
 import contextlib
@@ -29,7 +29,7 @@
 from papayapier.main import make_parser
 from papayapier.metrics import make_metrics
 from papayapier.operate import client, configuration, reports
-from papayapier.orders.controller import OrdersView, UnderwayLine
+from papayapier.orders.controller import OrderInProgress, OrdersView
 from papayapier.settings import ConfigSettings, KeyEntry
 from tests.batch_world import URL, World
 from tests.fake_store import FakePlatform
@@ -41,7 +41,7 @@
 
 
 class OperateTest(TestCase):
-    """Run one instance's operator address and call it as the commands do."""
+    """Run an instance's operator HTTP address and call it through the commands."""
 
     timeout = TIMEOUT_S
 
@@ -82,12 +82,12 @@
         await self.config.stop()
 
     def _status(self) -> Status:
-        one = InstanceStatus("entry-1", "serving", True, "", 3, True, 0)
-        behind = InstanceStatus("entry-2", "serving", True, "", 2, False, 40)
-        return Status("entry-1", [one, behind])
+        current = InstanceStatus("entry-1", "serving", True, "", 3, True, 0)
+        outdated = InstanceStatus("entry-2", "serving", True, "", 2, False, 40)
+        return Status("entry-1", [current, outdated])
 
     def _orders(self) -> OrdersView:
-        return OrdersView("entry-1", [UnderwayLine("r1", "load_model", "pass-7b")], [])
+        return OrdersView("entry-1", [OrderInProgress("r1", "load_model", "pass-7b")], [])
 
     async def _call(
         self, method: str, path: str, body: object = None, key: str = KEY
@@ -96,12 +96,12 @@
         return got.unwrap()
 
     async def _command(self, *args: str, key: str = KEY, port: int = 0) -> tuple[int, str, str]:
-        """Run a command's coroutine as the command line would; return code and output."""
+        """Run a command as the command line does; return its exit code, stdout and stderr."""
         options = make_parser().parse_args(list(args))
-        here = client.Client(f"127.0.0.1:{port or self.port}", key)
+        operator_client = client.Client(f"127.0.0.1:{port or self.port}", key)
         out, err = io.TextIOWrapper(io.BytesIO(), write_through=True), io.StringIO()
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
-            code = await options.run(here, options)
+            code = await options.run(operator_client, options)
         return code, out.buffer.getvalue().decode(), err.getvalue()
 
     def _file(self, text: str) -> str:
@@ -109,11 +109,12 @@
         path.write_text(text, encoding="utf-8")
         return str(path)
 
-    async def test_key_is_needed_and_appears_nowhere(self) -> None:
-        seen: list[tuple[events.Event, object]] = []
+    async def test_key_is_required_and_appears_nowhere(self) -> None:
+        """Requests need a valid key, and no key may be stored or logged."""
+        emitted: list[tuple[events.Event, object]] = []
 
         def emit(event: events.Event, **fields: object) -> None:
-            seen.append((event, fields))
+            emitted.append((event, fields))
 
         self.enterContext(mock.patch.object(events, "emit", emit))
         for key in ("", "wrong-key"):
@@ -131,15 +132,17 @@
         assert KEY.encode() not in stored
         assert ANA.key_sha256.encode() not in stored
         assert b'"who":"ana"' in stored
-        assert any(event is events.OPERATOR_REFUSED for event, _ in seen)
-        assert KEY not in repr(seen)
-        assert "wrong-key" not in repr(seen)
+        assert any(event is events.OPERATOR_REFUSED for event, _ in emitted)
+        assert KEY not in repr(emitted)
+        assert "wrong-key" not in repr(emitted)
 
-    async def test_without_operators_this_machine_may_call(self) -> None:
+    async def test_without_operators_no_key_is_required(self) -> None:
+        """If no operators are configured, calls from the same machine need no key."""
         code, out, _ = await self._command("profile", "list", key="", port=self.open_port)
         assert (code, out.split()[:2]) == (0, ["name", "version"])
 
-    async def test_whole_life_of_a_profile(self) -> None:
+    async def test_lifecycle_of_a_profile(self) -> None:
+        """Check, create, diff, update, conflict, read, audit and delete a profile."""
         first = self._file(
             '{"name": "gate", /* scale */ "upstream": "pass", "urgency": "urgent",'
             ' "due_ms": 2000, "idempotent": false}'
@@ -175,9 +178,10 @@
         code, _, err = await self._command("profile", "get", "gate")
         assert (code, err.startswith("papayapier: not_found")) == (1, True)
 
-    async def test_wrong_file_names_each_field_and_exits_with_2(self) -> None:
-        wrong = self._file('{"name": "gate", "upstream": "pass", "urgency": "soon", "due_ms": 1}')
-        code, _, err = await self._command("profile", "check", wrong)
+    async def test_invalid_file_names_each_field_and_exits_with_2(self) -> None:
+        """Each invalid field of a file gets a line, and the exit code is 2."""
+        invalid = self._file('{"name": "gate", "upstream": "pass", "urgency": "soon", "due_ms": 1}')
+        code, _, err = await self._command("profile", "check", invalid)
         lines = err.splitlines()
         assert code == 2
         assert [line.split(": ")[2] for line in lines] == ["urgency", "due_ms", "idempotent"]
@@ -185,6 +189,7 @@
         assert (code, len(err.splitlines())) == (2, 1)
 
     async def test_upstream_and_status(self) -> None:
+        """Wanted state, fleet status and orders are shown."""
         wanted = self._file('{"name": "pass", "models": ["pass-7b"]}')
         code, _, _ = await self._command(
             "upstream", "apply", wanted, "--based-on", "0", "--reason", "first"
@@ -198,7 +203,8 @@
         assert "given by: entry-1" in out
         assert "pass-7b" in out
 
-    async def test_job_commands_reach_the_jobs_of_a_caller(self) -> None:
+    async def test_job_commands_access_the_jobs_of_a_caller(self) -> None:
+        """An operator can list, show, read and cancel the jobs of a named caller only."""
         world = World(clock=real_clock())
         batch = world.start("a")
         self.addCleanup(lambda: Deferred.fromCoroutine(_stop(batch)))
@@ -224,7 +230,8 @@
         code, out, _ = await self._command("job", "cancel", job_id, *jobs, port=port)
         assert code == 0
 
-    async def test_nobody_listening_is_one_line(self) -> None:
+    async def test_refused_connection_is_reported_in_one_line(self) -> None:
+        """A command whose instance does not listen must not print a traceback."""
         code, _, err = await self._command("status", port=1)
         assert (code, len(err.splitlines())) == (1, 1)
 
@@ -234,13 +241,15 @@
 
 
 def test_audit_times() -> None:
+    """Relative and absolute times are parsed, and others are rejected."""
     now = 1_700_000_000_000
     assert reports.since_ms("2h", now).unwrap() == now - 7_200_000
     assert reports.since_ms("2023-11-14T22:13:20", now).unwrap() == now
     assert reports.since_ms("soon", now).is_err()
 
 
-def test_every_operator_command_is_registered_and_explained() -> None:
+def test_every_operator_command_is_registered() -> None:
+    """Each operator command is known to the parser and has a function to run."""
     parser = make_parser()
     for args in (
         ["profile", "list"],
