--- a/papayapier/standin/__init__.py
+++ b/papayapier/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the platform, model engines and plain services."""
+"""Simulate the platform, model engines and plain services for tests and experiments."""
--- a/papayapier/standin/answers.py
+++ b/papayapier/standin/answers.py
@@ -1,8 +1,8 @@
-"""Compute the answer of a stand-in engine, so that anyone can verify it.
+"""Compute the deterministic text that a stand-in engine generates.
 
-Word i of an answer is a hash of i, seeded with a hash of the prompt. A check can thus tell
-a whole, right answer from a shortened one and from another prompt's. Words are joined by
-single spaces; a token is one word, with the space before it.
+Word i of an answer is a hash of i, seeded with a hash of the prompt, so a check can tell a
+complete and correct answer from a truncated one and from the answer to another prompt. Words
+are joined by single spaces; a token is one word with the space before it.
 """
 
 from collections.abc import Iterable
@@ -33,19 +33,19 @@
 
 
 def expected_text(prompt: str, max_tokens: int) -> str:
-    """Return the whole answer to a prompt."""
+    """Return the complete answer to a prompt."""
     return " ".join(islice(words(prompt), max_tokens))
 
 
 def words(prompt: str, start: int = 0) -> Iterable[str]:
-    """Yield the words of the endless answer to a prompt, from an index on."""
+    """Yield the words of the unbounded answer to a prompt, starting at an index."""
     seed = xxhash.xxh32_intdigest(prompt.encode())
     for index in count(start):
         yield xxhash.xxh32_hexdigest(str(index).encode(), seed)
 
 
 def prompt_of(body: GenerateBody) -> str:
-    """Return the prompt text of a request: its prompt, or its messages one a line."""
+    """Return the prompt text of a request: its prompt, or its messages joined by newlines."""
     if "messages" in body:
         return "\n".join(message["content"] for message in body["messages"])
     return body.get("prompt", "")
--- a/papayapier/standin/command.py
+++ b/papayapier/standin/command.py
@@ -1,4 +1,4 @@
-"""Run a fleet of stand-ins as a process, for tests and measurements."""
+"""Run a fleet of stand-ins as one process, for tests and measurements."""
 
 import argparse
 import signal
@@ -20,7 +20,7 @@
 
 
 class StandinParams(NamedTuple):
-    """Hold a file of parameters for the three kinds of stand-in."""
+    """Hold the parameters of the three kinds of stand-in, as read from a file."""
 
     platform: PlatformParams = PlatformParams()
     engine: EngineParams = EngineParams()
@@ -28,14 +28,14 @@
 
 
 class Addresses(NamedTuple):
-    """Tell where the stand-ins listen; platform_port is 0 without a platform."""
+    """Hold where the stand-ins listen; platform_port is 0 without a platform."""
 
     platform_port: int
     replicas: list[Member]
 
 
 def run_standin(options: argparse.Namespace) -> int:
-    """Run stand-ins until SIGTERM; the first line printed tells their addresses."""
+    """Run stand-ins until SIGTERM; the first printed line holds their addresses as JSON."""
     params = _read_params(options.params)
     if isinstance(params, Err):
         print(f"papayapier: {params.err_value}", file=sys.stderr)
--- a/papayapier/standin/crashes.py
+++ b/papayapier/standin/crashes.py
@@ -1,4 +1,4 @@
-"""Apply the switches that act on a whole stand-in at once: crash, restart and silence."""
+"""Apply the switches that affect all connections of a stand-in: crash, restart and silence."""
 
 from collections.abc import Callable
 from typing import Final
@@ -15,12 +15,12 @@
 from papayapier.standin.switches import Control, Mode, Switches, read_control
 from papayapier.standin.timers import Timers
 
-# Leaves the answer to POST /control time to go out before the crash cuts it off.
+# Time for the response to POST /control to be sent before a crash closes the connection.
 CONTROL_ANSWER_MS: Final = 10
 
 
 class Crashes:
-    """Stop and start one listener and the work behind it."""
+    """Stop and restart one listener, and drop its requests in progress."""
 
     __slots__ = ("_listener", "_lose_work", "_timers")
 
@@ -30,37 +30,37 @@
         self._timers = Timers(clock)
 
     def apply(self, switches: Switches, control: Control, conn: Connection | None) -> None:
-        """Act on a change of the switches that came in on a connection, if any."""
+        """Apply changed switches; conn is the connection that set them, if any."""
         mode = control.get("mode")
         if mode is Mode.CRASH and switches.times == 0:
             self.after_answer(conn, self.crash)
         if mode is Mode.SILENT and switches.times == 0:
-            # New connections work, so the mode does not outlast the moment.
+            # Only open connections are silenced; the mode is reset so that new ones work.
             switches.reset()
             self._listener.silence_all(conn)
         if control.get("restart_ms"):
             self._timers.call_later(control["restart_ms"], self.restart_or_tell)
 
     def after_answer(self, conn: Connection | None, call: Callable[[], None]) -> None:
-        """Run a call when the answer on a connection, if any, can have reached its caller."""
+        """Run a call once the response on a connection, if any, has had time to arrive."""
         link_ms = self._listener.table.link.delay_ms
         self._timers.call_later(CONTROL_ANSWER_MS + link_ms if conn else 0, call)
 
     def crash(self) -> None:
-        """Close the port and reset all connections; running work is lost."""
+        """Close the port and reset all connections; requests in progress are lost."""
         self._lose_work()
         Deferred.fromCoroutine(self._listener.close()).addErrback(_tell)
 
     def restart(self) -> Deferred[None]:
-        """Listen on the same port again, as soon as the crash has freed it."""
+        """Listen on the same port again, once the crash has released it."""
         return Deferred.fromCoroutine(self._listener.reopen())
 
     def restart_or_tell(self) -> None:
-        """Listen again, and log when that fails."""
+        """Listen again, and log a failure to do so."""
         self.restart().addErrback(_tell)
 
     def close(self) -> Deferred[None]:
-        """Stop for good."""
+        """Stop permanently."""
         self._timers.cancel_all()
         return Deferred.fromCoroutine(self._listener.close())
 
@@ -68,7 +68,7 @@
 def answer_control(
     request: Request, switches: Switches, merge: Callable[[Control, Connection], None]
 ) -> None:
-    """Answer GET and POST /control."""
+    """Handle GET and POST /control."""
     if request.method == b"POST":
         control = read_control(web.body_of(request))
         if isinstance(control, Err):
--- a/papayapier/standin/engine.py
+++ b/papayapier/standin/engine.py
@@ -1,4 +1,4 @@
-"""Stand in for a model engine over HTTP, with its faults and counts."""
+"""Simulate a model engine over HTTP, with injectable faults and counters."""
 
 from functools import partial
 from typing import Any, Final, NamedTuple, TypedDict
@@ -28,7 +28,7 @@
 
 
 class EngineCounts(NamedTuple):
-    """Hold the counts of GET /counts; orders counts each accepted order by id."""
+    """Hold the counters of GET /counts; orders has the number of times each order was accepted."""
 
     started: dict[str, int]
     finished: dict[str, int]
@@ -43,7 +43,7 @@
 
 
 class EngineServer:
-    """Serve the engine protocol, with its switches and counts at hand."""
+    """Serve the engine protocol; switches and counters can also be used in the process."""
 
     __slots__ = ("_crashes", "_last_job", "_listener", "core")
 
@@ -61,20 +61,20 @@
 
     @property
     def port(self) -> int:
-        """Return the port listened on."""
+        """Return the port that the server listens on."""
         return self._listener.port
 
     def listening(self) -> bool:
-        """Tell whether the port accepts connections."""
+        """Return whether the port accepts connections."""
         return self._listener.is_open()
 
     def control(self, control: Control, conn: Connection | None = None) -> None:
-        """Merge switches, as POST /control on a connection does."""
+        """Change switches, as POST /control does; conn is the connection that set them."""
         self.core.switches.merge(control)
         self._crashes.apply(self.core.switches, control, conn)
 
     def counts(self) -> EngineCounts:
-        """Return what has been counted so far."""
+        """Return the current counters."""
         return EngineCounts(
             started=dict(self.core.started),
             finished=dict(self.core.finished),
@@ -85,11 +85,11 @@
         )
 
     def restart(self) -> Deferred[None]:
-        """Start a crashed engine again on the same port, with nothing cached or ordered."""
+        """Restart a crashed engine on the same port, with an empty cache and no orders."""
         return self._crashes.restart()
 
     def close(self) -> Deferred[None]:
-        """Stop serving; running work is lost."""
+        """Stop serving; requests in progress are lost."""
         self.core.crash()
         return self._crashes.close()
 
@@ -141,7 +141,7 @@
             web.connection_of(request).silence()
 
     def _another(self, job: Job) -> Job:
-        """Return the job whose answer goes out in place of the right one."""
+        """Return the request whose answer is sent in place of the correct one."""
         last = self._last_job
         if last is not None and last.request_id != job.request_id and last.prompt != job.prompt:
             return job._replace(request_id=last.request_id, prompt=last.prompt)
@@ -179,5 +179,5 @@
 def start_engine(
     reactor: Any, clock: Clock, params: EngineParams, host: str, port: int
 ) -> Deferred[EngineServer]:
-    """Start an engine; port 0 picks a free one."""
+    """Start an engine; port 0 picks a free port."""
     return execute(partial(EngineServer, reactor, clock, params, host, port))
--- a/papayapier/standin/engine_core.py
+++ b/papayapier/standin/engine_core.py
@@ -1,4 +1,4 @@
-"""Drive the batching model by a clock, with one timer per step, and count what runs."""
+"""Drive the batching model by a clock, with one timer per step, and count requests."""
 
 import random
 from collections import Counter
@@ -20,7 +20,7 @@
 
 
 class _Run:
-    """Hold one accepted job until its end."""
+    """Hold one accepted request until it finishes."""
 
     __slots__ = ("job", "output", "seq")
 
@@ -31,7 +31,7 @@
 
 
 class EngineCore:
-    """Hold an engine's batch, cache, orders and counts."""
+    """Hold an engine's batch, cache, orders and counters."""
 
     __slots__ = (
         "_batch",
@@ -69,25 +69,25 @@
         self._reports = LaggedReports(params.load_lag_ms, self._load_now())
 
     def load_mark(self) -> str:
-        """Return the load of now as the X-Load header has it."""
+        """Return the current load in the format of the X-Load header."""
         batch = self._batch
         return f"{batch.running}/{batch.waiting}/{self._params.slots}"
 
     def load(self) -> LoadReport:
-        """Return the load report, which lags."""
+        """Return the load report, which lags behind the current load."""
         return self._reports.get(self._clock.now())
 
     def running(self) -> int:
-        """Return the number of sequences that hold a slot now."""
+        """Return the number of sequences that occupy a slot now."""
         return self._batch.running
 
     def has_loaded(self, model: str) -> bool:
-        """Tell whether requests for a model or adapter are answered."""
+        """Return whether the engine answers requests for a model or adapter."""
         state = self.orders.state
         return not self._params.checks_models or model in [*state.models, *state.adapters]
 
     def accept(self, job: Job, output: Output, mode: Mode) -> Callable[[], None]:
-        """Take a job in and return the call that cancels it."""
+        """Accept a request and return a function that cancels it."""
         run = _Run(job, output)
         self._runs[run] = None
         if mode is Mode.HANG:
@@ -100,7 +100,7 @@
         return partial(self._cancel, run)
 
     def cancel(self, request_id: str) -> bool:
-        """Cancel the jobs with a request id, and tell whether there were any."""
+        """Cancel the requests with an id, and return whether there were any."""
         found = [run for run in self._runs if run.job.request_id == request_id]
         for run in found:
             self._cancel(run)
@@ -108,11 +108,11 @@
         return bool(found)
 
     def order(self, order: Order) -> bool:
-        """Take an order, or refuse it because of its fencing number."""
+        """Accept an order, or refuse it because of its fencing number."""
         return self.orders.take(order)
 
     def crash(self) -> None:
-        """Lose everything that is not on disk."""
+        """Drop all state that is kept in memory only."""
         self._timers.cancel_all()
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
@@ -162,18 +162,18 @@
         self._note_load()
 
     def _start_step(self) -> None:
-        """Begin a step unless one is under way."""
+        """Begin a step unless one is in progress."""
         if self._timer is not None:
             return
         self._due = self._now()
         self._next_step()
 
     def _next_step(self) -> None:
-        """Schedule the end of the next step from the due time of the last one.
+        """Schedule the end of the next step relative to the due time of the last one.
 
-        Counting from now instead would add the process's own delays to every step, and an
-        engine would look slower the busier the test machine is. The catch-up is bounded, so
-        that a pause of the process is not followed by a burst.
+        Scheduling relative to now would add the process's own delays to every step, so that
+        an engine would appear slower on a busier test machine. The catch-up is bounded, so
+        that a pause of the process is not followed by a burst of steps.
         """
         length = self._batch.begin_step(admitting=self.orders.loading == 0)
         if length is None:
--- a/papayapier/standin/engine_steps.py
+++ b/papayapier/standin/engine_steps.py
@@ -1,10 +1,10 @@
 """Model continuous batching as a state machine without I/O or clock.
 
-All running sequences share each step, and each one whose prompt is prefilled makes one
-token in it. A step takes a base time, plus some for each running sequence, plus the
-prefill of prompt tokens that the prefix cache lacks; prefill is cut into pieces, so that a
-long prompt slows many steps a little instead of one step a lot. Sequences wait in order of
-arrival for a slot and for room in the KV cache: the engine knows no priorities.
+All running sequences share each step, and each sequence whose prompt is prefilled generates
+one token in it. A step takes a base time, a time for each running sequence, and the time to
+prefill the prompt tokens that are not in the prefix cache. Prefill is split into chunks, so
+that a long prompt slows many steps slightly instead of one step greatly. Sequences wait in
+order of arrival for a slot and for space in the KV cache: the engine has no priorities.
 """
 
 from collections import OrderedDict
@@ -17,9 +17,9 @@
 
 
 class WeightSource(NamedTuple):
-    """Tell an engine where its weights are (HOST:PORT), and how it tries to get them.
+    """Set where an engine reads its weights (HOST:PORT), and how often it retries.
 
-    Without an address an engine has all weights on its own disk.
+    Without an address an engine has all weights on its local disk.
     """
 
     address: str = ""
@@ -28,9 +28,9 @@
 
 
 class EngineParams(NamedTuple):
-    """Set an engine's normal behaviour; link_delay_ms is the way to its callers, one way.
+    """Set an engine's normal behaviour; link_delay_ms is the one-way network delay.
 
-    With checks_models, a request for anything but a loaded model or adapter is refused.
+    With checks_models, a request for a model or adapter that is not loaded is refused.
     """
 
     slots: int = 32
@@ -52,7 +52,7 @@
 
 
 class Sequence:
-    """Hold one request inside the engine; stride 3 makes a token every third step."""
+    """Hold one request inside the engine; with stride 3 it gets a token every third step."""
 
     __slots__ = (
         "blocks",
@@ -101,7 +101,7 @@
 
     @property
     def running(self) -> int:
-        """Return the number of sequences that hold a slot."""
+        """Return the number of sequences that occupy a slot."""
         return len(self._running)
 
     @property
@@ -110,11 +110,11 @@
         return len(self._waiting)
 
     def submit(self, seq: Sequence) -> None:
-        """Put a sequence last in the line."""
+        """Append a sequence to the waiting queue."""
         self._waiting[seq] = None
 
     def remove(self, seq: Sequence) -> bool:
-        """Take a sequence out before its end; return whether it was there."""
+        """Remove an unfinished sequence; return whether it was present."""
         if seq in self._waiting:
             del self._waiting[seq]
             return True
@@ -124,13 +124,13 @@
         return False
 
     def clear(self) -> None:
-        """Lose all sequences, as a crash does."""
+        """Drop all sequences, as a crash does."""
         self._running.clear()
         self._waiting.clear()
         self.kv_used = 0
 
     def begin_step(self, admitting: bool = True) -> float | None:
-        """Admit what fits and return how long the step takes, or None with nothing to do."""
+        """Admit waiting sequences and return the step's duration, or None if none is running."""
         if admitting:
             self._admit()
         if not self._running:
@@ -141,7 +141,7 @@
         return self.step_ms + params.prefill_ms * prefill
 
     def end_step(self) -> int:
-        """Make the tokens of the step and return how many."""
+        """Generate the tokens of the step and return their number."""
         made = 0
         for seq in list(self._running):
             # A token's callback may have removed another sequence.
@@ -172,12 +172,12 @@
     def _start(self, seq: Sequence) -> None:
         self._running[seq] = None
         self.kv_used += seq.kv_need
-        # The last prompt token is always computed: the first new token comes from it.
+        # The last prompt token is always computed, because the first new token depends on it.
         seq.prefill_left -= min(self._cache.match(seq.blocks), seq.prompt_tokens - 1)
         seq.on_start()
 
     def _prefill(self) -> int:
-        """Spend the step's prefill budget in order of arrival, and return how much."""
+        """Spend the step's prefill budget in order of arrival, and return the tokens prefilled."""
         budget = self._params.prefill_per_step
         for seq in self._running:
             if seq.prefill_left == 0:
--- a/papayapier/standin/instances.py
+++ b/papayapier/standin/instances.py
@@ -1,4 +1,4 @@
-"""Keep the platform's instance list, which shows the truth only after a lag."""
+"""Keep the platform's instance list, which shows changes only after a lag."""
 
 from collections.abc import Callable, Iterable
 from functools import partial
@@ -12,7 +12,7 @@
 
 
 class Instances:
-    """Hold the true members, and the list as callers see it."""
+    """Hold the members as reported, and the list as callers see it."""
 
     __slots__ = (
         "_clock",
@@ -42,11 +42,11 @@
         self._removed: frozenset[str] = frozenset()
 
     def knows(self, instance: str) -> bool:
-        """Tell whether an instance is a member, whatever the list shows."""
+        """Return whether an instance is a member, whether or not the list shows it yet."""
         return instance in self._true
 
     def mark(self, leaving: Iterable[str], removed: Iterable[str]) -> None:
-        """Show these members as leaving or not at all, whatever they report themselves."""
+        """List these members as leaving or not at all, overriding their own reports."""
         was = {instance: self._marked(instance) for instance in self._true}
         self._leaving, self._removed = frozenset(leaving), frozenset(removed)
         for instance, member in was.items():
@@ -58,7 +58,7 @@
         return list(self._shown.values())
 
     def report(self, member: Member) -> None:
-        """Take a report; the list changes only when the record is new or different."""
+        """Record a report; the list changes only when the record is new or different."""
         self._expire_later(member)
         if self._true.get(member.id) == member:
             return
@@ -66,25 +66,25 @@
         self._show_later(member.id)
 
     def withdraw(self, instance: str) -> None:
-        """Take an instance out."""
+        """Remove an instance."""
         self._stop_expiry(instance)
         if self._true.pop(instance, None) is not None:
             self._show_later(instance)
 
     def show_now(self) -> None:
-        """Let the list catch up with the truth at once, for the start of a fleet."""
+        """Publish all members without lag, for the start of a fleet."""
         self._pending.cancel_all()
         marked = {instance: self._marked(instance) for instance in self._true}
         self._shown = {instance: member for instance, member in marked.items() if member}
         self._changed()
 
     def pause_expiry(self) -> None:
-        """Drop nobody for now: an outage keeps reports away."""
+        """Suspend expiry, because no reports arrive during an outage."""
         for instance in list(self._expiries):
             self._stop_expiry(instance)
 
     def resume_expiry(self) -> None:
-        """Give every member a full period again."""
+        """Resume expiry, giving every member a full expiry period."""
         for member in self._true.values():
             self._expire_later(member)
 
--- a/papayapier/standin/jobs.py
+++ b/papayapier/standin/jobs.py
@@ -1,6 +1,6 @@
-"""Read generate requests and write their answers, as JSON or as SSE.
+"""Parse generate requests and encode their responses, as JSON or as server-sent events.
 
-The bytes of a chunk around its word are encoded once for each request, because a chunk is
+The constant bytes around a chunk's word are encoded once per request, because a chunk is
 written for every token.
 """
 
@@ -23,7 +23,7 @@
 
 
 class Job(NamedTuple):
-    """Hold one generate request; done_words are those already in its resume text."""
+    """Hold one generate request; done_words is the number of words in its resume text."""
 
     request_id: str
     call_id: str
@@ -36,19 +36,19 @@
 
     @property
     def left(self) -> int:
-        """Return how many tokens are still to be made."""
+        """Return how many tokens remain to be generated."""
         return max(0, self.max_tokens - self.done_words)
 
 
 class ChunkFrame(NamedTuple):
-    """Hold the bytes before and after the word of a chunk."""
+    """Hold the constant bytes before and after the word of a chunk."""
 
     before: bytes
     after: bytes
 
 
 def read_job(request: Request) -> Result[Job, str]:
-    """Read a generate request, or say what is wrong with it."""
+    """Parse a generate request, or return what is wrong with it."""
     try:
         body = msgspec.json.decode(web.body_of(request), type=GenerateBody)
     except msgspec.MsgspecError as exc:
@@ -72,20 +72,20 @@
 
 
 def chunk_frame(job: Job) -> ChunkFrame:
-    """Encode the parts of a chunk that do not change from token to token."""
+    """Encode the parts of a chunk that are the same for every token."""
     before, after = _event(_chunk(job, PLACE, None)).rsplit(PLACE.encode(), 1)
     return ChunkFrame(before, after)
 
 
 def last_chunks(job: Job) -> bytes:
-    """Encode the chunk that ends a stream, and the end mark."""
+    """Encode the final chunk of a stream, and the end marker."""
     chunk = _chunk(job, "", LENGTH)
     chunk["usage"] = _usage(job)
     return _event(chunk) + END_MARK
 
 
 def whole_answer(job: Job, text: str) -> bytes:
-    """Encode a JSON answer."""
+    """Encode a response that is not streamed."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": LENGTH}
     if job.chat:
         choice["message"] = {"role": "assistant", "content": text}
--- a/papayapier/standin/limits.py
+++ b/papayapier/standin/limits.py
@@ -8,7 +8,7 @@
 
 
 class Bucket:
-    """Allow an amount a second (calls or bytes), and a burst of BURST_MS worth of it."""
+    """Allow an amount per second (calls or bytes), with a burst of BURST_MS at that rate."""
 
     __slots__ = ("_at_ms", "_clock", "_level")
 
@@ -18,7 +18,9 @@
         self._level: float | None = None
 
     def take(self, per_s: int, amount: int = 1) -> bool:
-        """Take an amount, unless there is too little; a rate of 0 means no limit."""
+        """Take an amount if there are enough tokens; a rate of 0 means no limit.
+
+        An amount above the burst size raises the capacity to that amount."""
         if per_s == 0:
             return True
         now = self._clock.now()
--- a/papayapier/standin/link.py
+++ b/papayapier/standin/link.py
@@ -1,9 +1,9 @@
-"""Delay what passes between a stand-in and its callers, as a network link does.
+"""Delay the traffic between a stand-in and its callers, as a network link does.
 
-On one machine a link takes microseconds, and a stand-in's users are about a millisecond away.
-Everything passes in the order in which it was sent. What is sent in one tick of the reactor
-is one batch: its delay is counted from the end of the tick, so that nothing arrives early and
-an engine's step costs two timers, however many tokens it makes.
+On one machine a connection has a delay of microseconds, while the callers of a real upstream
+are about a millisecond away. Traffic is delivered in the order in which it was sent. All
+traffic of one reactor tick forms a batch, whose delay starts at the end of the tick: nothing
+arrives early, and an engine step takes two timers however many tokens it generates.
 """
 
 from collections import deque
@@ -17,7 +17,7 @@
 
 
 class Link:
-    """Run calls after a fixed delay and in order; without a delay, run them at once."""
+    """Run calls after a fixed delay, in order; with a delay of 0, run them at once."""
 
     __slots__ = ("_batches", "_clock", "_tick", "delay_ms")
 
@@ -28,7 +28,7 @@
         self._batches: deque[list[tuple[Callable[[Any], None], Any]]] = deque()
 
     def carry(self, call: Callable[[T], None], value: T) -> None:
-        """Run a call on a value at the other end of the link."""
+        """Run a call on a value after the delay."""
         if self.delay_ms == 0:
             call(value)
             return
@@ -43,7 +43,7 @@
 
     def _arrive(self) -> None:
         for call, value in self._batches.popleft():
-            # One connection's failure would otherwise lose what the others sent in the tick.
+            # Otherwise one failing connection would lose the other connections' data of the batch.
             try:
                 call(value)
             except Exception as exc:
--- a/papayapier/standin/listener.py
+++ b/papayapier/standin/listener.py
@@ -1,8 +1,8 @@
-"""Listen for HTTP for the stand-ins, on connections that can be delayed, cut or silenced.
+"""Serve HTTP for the stand-ins, on connections that can be delayed, reset or silenced.
 
-twisted.web does the protocol. Each connection is wrapped, because the faults that matter
-happen below HTTP: a connection that goes silent still looks open to both ends, so a
-client notices only by its own timers; a reset connection loses bytes already written.
+twisted.web implements the protocol. Each connection is wrapped, because the simulated faults
+happen below HTTP: a silent connection still looks open to both ends, so a client detects it
+only by its own timeouts; a reset connection loses bytes that were already written.
 """
 
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 
 class Traffic:
-    """Count the bytes that cross the connections of one listener."""
+    """Count the bytes received and sent on the connections of one listener."""
 
     __slots__ = ("bytes_in", "bytes_out")
 
@@ -35,19 +35,19 @@
 
 
 class Connection(ProtocolWrapper):
-    """Pass bytes both ways over a link until silenced; then pass nothing and stay open."""
+    """Pass bytes in both directions over a link; once silenced, pass none and stay open."""
 
     silent = False
     _aborted = False
     _ends: tuple[Any, Any]
 
     def connectionMade(self) -> None:  # noqa: N802
-        # The link can hand over a request whose client has hung up meanwhile; the closed
-        # socket would no longer tell its addresses, which twisted.web asks for.
+        # The link can deliver a request after its client has disconnected. twisted.web asks
+        # for the addresses then, and a closed socket no longer has them.
         transport = cast(Any, self.transport)
         self._ends = (transport.getHost(), transport.getPeer())
-        # Without this, Nagle's algorithm holds a token back until the client's delayed
-        # acknowledgement; it shows as 40 ms steps in the time between tokens.
+        # Without this, Nagle's algorithm delays a token until the client's delayed
+        # acknowledgement, which adds 40 ms steps to the time between tokens.
         transport.setTcpNoDelay(True)
 
     def getHost(self) -> Any:  # noqa: N802
@@ -57,12 +57,12 @@
         return self._ends[1]
 
     def silence(self) -> None:
-        """Stop reading and writing for good, without closing."""
+        """Stop reading and writing permanently, without closing the connection."""
         self.silent = True
         cast(Any, self.transport).stopReading()
 
     def abort(self) -> None:
-        """Reset the connection; bytes that are still on their way are lost, both ways."""
+        """Reset the connection; bytes in transit in either direction are lost."""
         self._aborted = True
         cast(Any, self.transport).abortConnection()
 
@@ -70,7 +70,7 @@
         self._table().link.carry(self._take_in, data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        # Told over the link too: the request that came before the end is heard first.
+        # Passed over the link too, so that it is handled after the data received before it.
         self._table().link.carry(cast(Any, super()).connectionLost, reason)
 
     def write(self, data: bytes) -> None:
@@ -105,7 +105,7 @@
 
 
 class ConnectionTable(WrappingFactory[Connection]):
-    """Keep the open connections of one listener."""
+    """Track the open connections of one listener."""
 
     protocol = Connection
     noisy = False
@@ -138,7 +138,7 @@
 
 
 class _QuietSite(Site):
-    """Write no access log."""
+    """Serve without an access log."""
 
     noisy = False
     displayTracebacks = False  # noqa: N815
@@ -148,10 +148,9 @@
 
 
 class _MemoryRequest(Request):
-    """Keep every body in memory, where twisted would put a large one into a file.
+    """Keep every request body in memory; twisted would write a large one to a file.
 
-    Writing a file blocks the reactor, and a platform under test would answer late on a busy
-    disk for no reason of its own.
+    Writing a file blocks the reactor, so on a busy disk the stand-in would respond late.
     """
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
@@ -159,7 +158,7 @@
 
 
 class _Root(Resource):
-    """Hand every request to one function, which finishes it now or later."""
+    """Pass every request to one function, which finishes it now or later."""
 
     isLeaf = True  # noqa: N815
 
@@ -173,7 +172,7 @@
 
 
 class Listener:
-    """Own a listening port and its connections; it can be closed and opened again."""
+    """Own a listening port and its connections; it can be closed and reopened."""
 
     __slots__ = ("_listening", "_reactor", "_stopped", "host", "port", "table")
 
@@ -189,16 +188,16 @@
         self._stopped: Deferred[None] = succeed(None)
 
     def open(self) -> None:
-        """Listen; CannotListenError tells that the address is in use."""
+        """Start listening; raises CannotListenError when the address is in use."""
         self._listening = self._reactor.listenTCP(self.port, self.table, interface=self.host)
         self.port = self._listening.getHost().port
 
     def is_open(self) -> bool:
-        """Tell whether the port accepts connections."""
+        """Return whether the port accepts connections."""
         return self._listening is not None
 
     def silence_all(self, but: Connection | None = None) -> None:
-        """Silence every open connection, except the one that asks for it."""
+        """Silence every open connection except one."""
         for conn in self.table.connections():
             if conn is not but:
                 conn.silence()
@@ -209,7 +208,7 @@
             conn.abort()
 
     async def close(self) -> None:
-        """Stop listening, reset all connections and wait until they are gone."""
+        """Stop listening, reset all connections and wait until they are closed."""
         if self._listening is not None:
             listening, self._listening = self._listening, None
             self._stopped = maybeDeferred(listening.stopListening)
@@ -218,13 +217,13 @@
         await self.table.when_empty()
 
     async def reopen(self) -> None:
-        """Listen again on the same port, unless it is open."""
+        """Listen again on the same port, unless it is already open."""
         await self._until_stopped()
         if self._listening is None:
             self.open()
 
     async def _until_stopped(self) -> None:
-        """Wait until the port is free; several callers may wait at once."""
+        """Wait until the port is released; several calls may wait at once."""
         if self._stopped.called:
             return
         freed: Deferred[None] = Deferred()
--- a/papayapier/standin/load_report.py
+++ b/papayapier/standin/load_report.py
@@ -1,11 +1,11 @@
-"""Report an engine's load as it was some time ago."""
+"""Report an engine's load with a lag."""
 
 from collections import deque
 from typing import NamedTuple
 
 
 class LoadReport(NamedTuple):
-    """Hold what GET /load shows; at_ms is the engine's own monotonic clock."""
+    """Hold the response of GET /load; at_ms is a reading of the engine's monotonic clock."""
 
     running: int
     waiting: int
@@ -17,7 +17,7 @@
 
 
 class LaggedReports:
-    """Keep the reports of the last lag_ms and the one that was valid before them."""
+    """Keep the reports of the last lag_ms and the one in effect before them."""
 
     __slots__ = ("_lag_ms", "_reports")
 
@@ -26,14 +26,14 @@
         self._reports = deque([first])
 
     def add(self, report: LoadReport) -> None:
-        """Note the load of now."""
+        """Record the current load."""
         if self._reports[-1].at_ms == report.at_ms:
             self._reports.pop()
         self._reports.append(report)
         self._prune(report.at_ms)
 
     def get(self, now: int) -> LoadReport:
-        """Return the load of lag_ms ago."""
+        """Return the load as of lag_ms ago."""
         self._prune(now)
         report = self._reports[0]
         return report._replace(at_ms=max(report.at_ms, now - self._lag_ms))
--- a/papayapier/standin/long_polls.py
+++ b/papayapier/standin/long_polls.py
@@ -1,4 +1,4 @@
-"""Hold the long polls that wait for a change."""
+"""Track the long polls that wait for a change."""
 
 from collections.abc import Callable
 from functools import partial
@@ -11,7 +11,7 @@
 
 
 class Poll:
-    """Hold one waiting call."""
+    """Hold one waiting long poll."""
 
     __slots__ = ("look", "prefix", "reply", "timer")
 
@@ -23,7 +23,7 @@
 
 
 class LongPolls:
-    """Keep the waiting calls, and answer each one on a change or at its end."""
+    """Track the waiting calls, and answer each on a change or at its timeout."""
 
     __slots__ = ("_clock", "_idents", "_polls")
 
@@ -33,7 +33,7 @@
         self._polls: dict[int, Poll] = {}
 
     def add(self, prefix: str, wait_ms: int, look: Look, reply: Reply) -> Callable[[], None]:
-        """Answer at once if there is something to tell, or else wait; return a cancel call."""
+        """Answer at once if there is a change, otherwise wait; return a function that cancels."""
         answer = look(wait_ms == 0)
         if answer is not None:
             reply(answer)
@@ -44,7 +44,7 @@
         return partial(self._forget, ident)
 
     def wake(self, key: str) -> None:
-        """Let the calls look again whose prefix a changed key has."""
+        """Recheck the calls whose prefix matches a changed key."""
         for ident, poll in list(self._polls.items()):
             if not key.startswith(poll.prefix):
                 continue
@@ -54,14 +54,14 @@
                 poll.reply(answer)
 
     def end_all(self, answer: Answer) -> None:
-        """Give every waiting call the same answer."""
+        """Send the same response to every waiting call."""
         polls = list(self._polls.values())
         self.forget_all()
         for poll in polls:
             poll.reply(answer)
 
     def forget_all(self) -> None:
-        """Drop the waiting calls without an answer."""
+        """Drop the waiting calls without a response."""
         for ident in list(self._polls):
             self._forget(ident)
 
--- a/papayapier/standin/objects.py
+++ b/papayapier/standin/objects.py
@@ -1,8 +1,8 @@
-"""Keep the platform's objects: versions, conditional changes, listings and their history.
+"""Store the platform's objects: versions, conditional changes, listings and change history.
 
 One revision counter numbers every accepted change, and an object's version is the revision
-of its last change. The history holds the latest changes only; whoever asks for older ones
-is told to list again.
+of its last change. The history holds only the latest changes; a watch that starts before
+them gets an error and has to list again.
 """
 
 from bisect import bisect_left, bisect_right, insort
@@ -28,7 +28,7 @@
 
     def __init__(self, history: int) -> None:
         self.revision = 0
-        # The revision up to which changes are no longer kept.
+        # Changes up to this revision are no longer in the history.
         self.forgotten = 0
         self._objects: dict[str, _Object] = {}
         self._keys: list[str] = []
@@ -72,7 +72,7 @@
         return Listing(entries, len(page) > limit, self.revision)
 
     def changes(self, prefix: str, since: int) -> Result[Changes, StoreError]:
-        """Return the last change of each key with a prefix after a revision."""
+        """Return the last change after a revision of each key with a prefix."""
         if since < self.forgotten or since > self.revision:
             return Err(StoreError.TOO_OLD)
         latest: dict[str, Change] = {}
--- a/papayapier/standin/orders.py
+++ b/papayapier/standin/orders.py
@@ -1,4 +1,4 @@
-"""Model how an engine takes orders: fencing check, load time and what it then has."""
+"""Model how an engine executes orders: fencing check, load time and resulting state."""
 
 from collections.abc import Callable, Coroutine
 from functools import partial
@@ -13,7 +13,7 @@
 
 KEPT_ORDERS: Final = 1_000
 
-# Read the weights of a name; tell whether they came whole.
+# Read the weights of a model; return whether they were received completely.
 Fetch = Callable[[str], Coroutine[Any, Any, bool]]
 OrderKind = Literal["load_model", "load_adapter", "load_version", "change_role"]
 
@@ -28,7 +28,7 @@
 
 
 class EngineState(NamedTuple):
-    """Hold what GET /state shows; orders are those accepted, also if still loading."""
+    """Hold the response of GET /state; orders lists accepted orders, including those loading."""
 
     models: list[str]
     adapters: list[str]
@@ -39,11 +39,11 @@
 
 
 class Orders:
-    """Keep what an engine has loaded; an order takes effect after its load time.
+    """Track what an engine has loaded; an order takes effect after its load time.
 
-    While a model, version or role loads, the engine admits no sequences. With a fetch, what
-    is to be loaded is first read from the weight store. An order whose weights do not come
-    in a number of tries has failed: the engine no longer lists it.
+    While a model, version or role loads, the engine admits no sequences. With a fetch
+    function, the weights are first read from the weight store. An order whose weights cannot
+    be read within the configured number of tries fails, and is no longer listed.
     """
 
     __slots__ = (
@@ -74,7 +74,7 @@
         self.state = _initial(params, 0)
 
     def restart(self) -> None:
-        """Forget what was loaded; the highest fencing number is kept, as if on disk."""
+        """Drop what was loaded; the highest fencing number is kept, as if on disk."""
         fetching, self._fetching = self._fetching, set()
         for task in fetching:
             task.cancel()
@@ -82,7 +82,7 @@
         self.state = _initial(self._params, self.state.fence)
 
     def take(self, order: Order) -> bool:
-        """Accept an order, or refuse it because of a higher fencing number seen before."""
+        """Accept an order, or refuse it if a higher fencing number was seen before."""
         if self._params.checks_fence:
             if order["fence"] < self.state.fence:
                 return False
@@ -106,7 +106,7 @@
 
         def ended(got: bool) -> None:
             if task not in self._fetching:
-                # A crash has cancelled it; going on would load into the restarted engine.
+                # Cancelled by a crash: continuing would load into the restarted engine.
                 return
             self._fetching.remove(task)
             if got:
--- a/papayapier/standin/outputs.py
+++ b/papayapier/standin/outputs.py
@@ -1,6 +1,6 @@
-"""Write the tokens of one job to its caller, with the faults that spoil an answer.
+"""Write the tokens of one request to its caller, and inject faults into responses.
 
-An Output is a pair of closures, so that the engine knows nothing of JSON, SSE or faults.
+An Output is a group of closures, so that the engine does not depend on JSON, SSE or faults.
 """
 
 from collections.abc import Callable, Iterator
@@ -15,7 +15,7 @@
 
 
 class Output(NamedTuple):
-    """Group what happens on a token, at the end, and when the job is cancelled."""
+    """Group the callbacks for a token, for the end, and for a cancellation."""
 
     token: Callable[[], None]
     done: Callable[[], None]
@@ -23,9 +23,9 @@
 
 
 def make_output(request: Request, shown: Job, mode: Mode, load_mark: Callable[[], str]) -> Output:
-    """Make the output for a request; shown is the job whose id and text go out.
+    """Make the output for a request; shown is the request whose id and text are sent.
 
-    A stream's headers go out at once, with the load as it was before this job.
+    A stream's headers are sent at once, with the load before this request is accepted.
     """
     web.set_header(request, "x-request-id", shown.request_id)
     tokens = _tokens(shown)
@@ -36,7 +36,7 @@
 
 
 def _tokens(job: Job) -> Iterator[str]:
-    """Yield the tokens that are still to come; each but the very first has a space before."""
+    """Yield the remaining tokens; each except the first of the answer starts with a space."""
     for index, word in enumerate(words(job.prompt, job.done_words), job.done_words):
         yield word if index == 0 else " " + word
 
@@ -94,7 +94,7 @@
 
 
 def _closer(request: Request) -> Callable[[], None]:
-    """Make the call that closes a cancelled request without an end mark."""
+    """Make the callback that closes a cancelled request without an end marker."""
 
     def close() -> None:
         if not web.is_gone(request):
--- a/papayapier/standin/platform.py
+++ b/papayapier/standin/platform.py
@@ -1,8 +1,8 @@
-"""Stand in for the platform: object API, watches, instance list, limits and faults.
+"""Simulate the platform: object API, watches, instance list, limits and faults.
 
-A change takes effect when its call arrives, and its answer goes out after the latency. A
-client that gives up in between thus cannot know whether the change was made; with
-lose_answers it cannot know either, because its connection is cut instead.
+A change takes effect when its call arrives, and the response is sent after the latency. A
+client that gives up in between cannot know whether the change was made; with lose_answers it
+cannot know either, because its connection is reset instead of a response.
 """
 
 from functools import partial
@@ -35,7 +35,7 @@
 class PlatformParams(NamedTuple):
     """Set the platform's normal behaviour; rates of 0 mean no limit.
 
-    latency_ms is the platform's own time for a call, link_delay_ms the way to it, one way.
+    latency_ms is the platform's processing time, link_delay_ms the one-way network delay.
     """
 
     latency_ms: int = 2
@@ -50,9 +50,9 @@
 class PlatformControl(TypedDict, total=False):
     """Hold the keys of POST /control.
 
-    With drop_watches, watches that wait or come in are never answered, as when the network
-    has lost their connections; the client sees silence. With refuse_connections the port is
-    closed; restart_ms, which is not kept, opens it again after that time.
+    With drop_watches, waiting and new watches are never answered, as when the network has
+    lost their connections. With refuse_connections the port is closed; restart_ms reopens it
+    after that time, and is not stored as a switch.
     """
 
     outage: bool
@@ -71,7 +71,7 @@
 
 
 class PlatformCounts(NamedTuple):
-    """Hold the counts of GET /counts; weights are read, and limited, apart from objects."""
+    """Hold the counters of GET /counts; weight reads are counted and limited separately."""
 
     reads: int
     writes: int
@@ -84,7 +84,7 @@
 
 
 class PlatformServer:
-    """Serve the platform's protocol, with its switches and counts at hand."""
+    """Serve the platform's protocol; switches and counters can also be used in the process."""
 
     __slots__ = (
         "_crashes",
@@ -124,20 +124,20 @@
 
     @property
     def port(self) -> int:
-        """Return the port listened on."""
+        """Return the port that the server listens on."""
         return self._listener.port
 
     def register(self, member: Member) -> None:
-        """Put a member into the list without lag."""
+        """Add a member to the list without lag."""
         self.instances.report(member)
         self.instances.show_now()
 
     def listening(self) -> bool:
-        """Tell whether the port accepts connections."""
+        """Return whether the port accepts connections."""
         return self._listener.is_open()
 
     def control(self, control: PlatformControl, conn: Connection | None = None) -> None:
-        """Merge switches, as POST /control on a connection does."""
+        """Change switches, as POST /control does; conn is the connection that set them."""
         before = self.switches
         now = self.switches = _merged(before, control)
         self.instances.mark(now["leaving"], now["removed"])
@@ -155,7 +155,7 @@
         self._guard_expiry(before)
 
     def counts(self) -> PlatformCounts:
-        """Return what has been counted so far."""
+        """Return the current counters."""
         traffic = self._listener.table.traffic
         return PlatformCounts(
             reads=self._reads,
@@ -169,7 +169,7 @@
         )
 
     def close(self) -> Deferred[None]:
-        """Stop serving; everything stored is forgotten."""
+        """Stop serving; stored objects are lost."""
         self._timers.cancel_all()
         self._polls.forget_all()
         self.instances.close()
@@ -180,7 +180,7 @@
             self._crashes.crash()
 
     def _guard_expiry(self, before: PlatformControl) -> None:
-        """Drop nobody while reports cannot come in."""
+        """Suspend the expiry of members while their reports cannot arrive."""
         if _is_away(self.switches) and not _is_away(before):
             self.instances.pause_expiry()
         if _is_away(before) and not _is_away(self.switches):
@@ -320,7 +320,7 @@
 def start_platform(
     reactor: Any, clock: Clock, params: PlatformParams, host: str, port: int
 ) -> Deferred[PlatformServer]:
-    """Start a platform; port 0 picks a free one."""
+    """Start a platform; port 0 picks a free port."""
     return execute(PlatformServer, reactor, clock, params, host, port)
 
 
--- a/papayapier/standin/platform_calls.py
+++ b/papayapier/standin/platform_calls.py
@@ -1,4 +1,4 @@
-"""Turn the platform's HTTP calls into calls on its objects, and the results into answers."""
+"""Translate the platform's HTTP calls into calls on its objects, and results into responses."""
 
 import re
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class Answer(NamedTuple):
-    """Hold an answer of the platform; version 0 means none."""
+    """Hold a response of the platform; version 0 means no ETag."""
 
     status: int
     body: bytes = b""
@@ -31,12 +31,12 @@
     version: int = 0
 
 
-# Return the answer, or None to go on waiting; the argument says that the wait is over.
+# Return the response, or None to continue waiting; the argument is True at the timeout.
 Look = Callable[[bool], Answer | None]
 
 
 class Wait(NamedTuple):
-    """Hold what a long poll asks for."""
+    """Hold the arguments of a long poll."""
 
     prefix: str
     since: int
@@ -44,12 +44,12 @@
 
 
 def failed(status: int, reason: str) -> Answer:
-    """Make an answer that gives a reason."""
+    """Make an error response with a reason."""
     return Answer(status, msgspec.json.encode({"error": reason}))
 
 
 def read_object(objects: Objects, request: Request) -> Answer:
-    """Answer GET /objects/KEY."""
+    """Handle GET /objects/KEY."""
     found = objects.get(_key_of(request))
     if isinstance(found, Err):
         return failed(404, "no such object")
@@ -57,7 +57,7 @@
 
 
 def list_objects(objects: Objects, request: Request) -> Answer:
-    """Answer GET /list."""
+    """Handle GET /list."""
     limit = web.query(request, "limit", str(LIST_LIMIT))
     if not limit.isdigit():
         return failed(400, "limit must be a number")
@@ -68,7 +68,7 @@
 
 
 def write_object(objects: Objects, request: Request) -> Answer:
-    """Answer PUT and DELETE /objects/KEY."""
+    """Handle PUT and DELETE /objects/KEY."""
     key = _key_of(request)
     if KEY.fullmatch(key) is None:
         return failed(400, "not a valid key")
@@ -86,20 +86,20 @@
 
 
 def read_member(request: Request) -> Result[Member, str]:
-    """Read the record that an instance reports about itself."""
+    """Parse the record that an instance reports about itself."""
     read = codec.from_json(web.body_of(request), Member)
     if isinstance(read, Ok) and read.ok_value.id != instance_of(request):
-        return Err("the id differs from the path")
+        return Err("the id does not match the path")
     return read
 
 
 def instance_of(request: Request) -> str:
-    """Return the instance that a call on /instances/ID names."""
+    """Return the instance id in the path of a call on /instances/ID."""
     return web.path_of(request)[len(INSTANCE_PATH) :]
 
 
 def wait_of(request: Request) -> Wait | None:
-    """Read the arguments of a long poll, or return None when they are malformed."""
+    """Parse the arguments of a long poll; return None when they are malformed."""
     since, wait_ms = web.query(request, "since", "0"), web.query(request, "wait_ms", "0")
     if not (since.isdigit() and wait_ms.isdigit()):
         return None
@@ -107,12 +107,12 @@
 
 
 def look_at_changes(objects: Objects, wait: Wait) -> Look:
-    """Make the look of a watch."""
+    """Make the function that checks a watch for changes."""
 
     def look(last: bool) -> Answer | None:
         found = objects.changes(wait.prefix, wait.since)
         if isinstance(found, Err):
-            return failed(410, "the history starts later: list again")
+            return failed(410, "the history no longer has these changes: list again")
         if not found.ok_value.changes and not last:
             return None
         changes = [
@@ -125,7 +125,7 @@
 
 
 def look_at_members(instances: Instances, wait: Wait) -> Look:
-    """Make the look of a call that waits for the instance list to change."""
+    """Make the function that checks whether the instance list has changed."""
 
     def look(last: bool) -> Answer | None:
         if instances.revision == wait.since and not last:
--- a/papayapier/standin/prefix_cache.py
+++ b/papayapier/standin/prefix_cache.py
@@ -1,8 +1,8 @@
-"""Model an engine's prefix cache: limited blocks, least recently used out first.
+"""Model an engine's prefix cache: a limited number of blocks with LRU eviction.
 
-A prompt is cut into blocks of BLOCK_TOKENS words. A block is named by the xxh64 hash (hex)
-of all words up to its end, joined by single spaces, so that two prompts share a block only
-if they share everything before it too. The cache events carry these names.
+A prompt is split into blocks of BLOCK_TOKENS words. A block's name is the xxh64 hash (hex) of
+all words up to its end, joined by single spaces, so two prompts share a block only if they
+also share everything before it. The cache events carry these names.
 """
 
 import random
@@ -19,7 +19,7 @@
 
 
 class CacheEvent(NamedTuple):
-    """Tell that a block has come or gone; at_ms is when it happened."""
+    """Report that a block was stored or evicted; at_ms is the time of the change."""
 
     seq: int
     kind: EventKind
@@ -28,7 +28,7 @@
 
 
 class CacheParams(NamedTuple):
-    """Set the size of the cache, and how late and how incomplete its events are."""
+    """Set the size of the cache, and the lag and the loss rate of its events."""
 
     blocks: int = 2_048
     event_lag_ms: int = 500
@@ -49,7 +49,7 @@
         self._next = 1
 
     def match(self, names: list[str]) -> int:
-        """Return how many tokens of a prompt are cached, and mark them as used."""
+        """Return how many tokens of a prompt are cached, and mark their blocks as recently used."""
         found = 0
         for name in names:
             if name not in self._blocks:
@@ -71,11 +71,11 @@
             self._record("evicted", oldest)
 
     def clear(self) -> None:
-        """Forget all blocks without a word, as a crash does."""
+        """Drop all blocks without an event, as a crash does."""
         self._blocks.clear()
 
     def events_since(self, since: int) -> tuple[list[CacheEvent], int]:
-        """Return the events from a number on that are old enough, and the next number."""
+        """Return the events from a number on that are older than the lag, and the next number."""
         limit = self._now() - self._params.event_lag_ms
         found = [event for event in self._events if event.seq >= since and event.at_ms <= limit]
         return found, found[-1].seq + 1 if found else since
@@ -88,7 +88,7 @@
 
 
 def block_names(words: list[str]) -> list[str]:
-    """Name the whole blocks of a prompt, first to last."""
+    """Return the names of the complete blocks of a prompt, in order."""
     running = xxhash.xxh64()
     names: list[str] = []
     for start in range(0, len(words) - BLOCK_TOKENS + 1, BLOCK_TOKENS):
--- a/papayapier/standin/run.py
+++ b/papayapier/standin/run.py
@@ -1,4 +1,4 @@
-"""Start a whole fleet of stand-ins: one platform, model engines and plain services."""
+"""Start a fleet of stand-ins: one platform, model engines and plain services."""
 
 from typing import Any, Final, NamedTuple
 
@@ -13,9 +13,10 @@
 
 
 class FleetParams(NamedTuple):
-    """Size a fleet; data centres are assigned round robin, and port 0 picks a free one.
+    """Set the size of a fleet; data centres are assigned round robin.
 
-    first numbers the first replica of each upstream, so that two fleets can share a platform.
+    platform_port 0 picks a free port. first is the number of the first replica of each
+    upstream, so that two fleets can share a platform.
     """
 
     engines: int = 9
@@ -33,7 +34,7 @@
 
 
 class Replicas(NamedTuple):
-    """Hold running replicas and how the instance list shows them, engines first."""
+    """Hold running replicas and their records in the instance list, engines first."""
 
     engines: list[EngineServer]
     services: list[ServiceServer]
@@ -64,7 +65,7 @@
 async def run_fleet(reactor: Any, clock: Clock, fleet: FleetParams) -> Fleet:
     """Start a platform and replicas, and list the replicas as static members.
 
-    Unless told otherwise, the engines take their weights from the platform's process.
+    Unless an address is configured, the engines read their weights from the platform.
     """
     platform = await start_platform(reactor, clock, fleet.platform, fleet.host, fleet.platform_port)
     if not fleet.engine.weights.address:
@@ -77,7 +78,7 @@
 
 
 async def run_replicas(reactor: Any, clock: Clock, fleet: FleetParams) -> Replicas:
-    """Start replicas only; the caller lists them at a platform of its own."""
+    """Start replicas only; the caller registers them with a platform."""
     replicas = Replicas([], [], [])
     for index in range(fleet.engines):
         params = fleet.engine._replace(seed=fleet.engine.seed + index)
--- a/papayapier/standin/service.py
+++ b/papayapier/standin/service.py
@@ -1,7 +1,7 @@
-"""Stand in for a plain service that counts each call by its id, so that a double run shows.
+"""Simulate a plain service that counts each call by its id, so that a repeated run is detected.
 
-Once accepted, a call runs to its end even when its caller has gone: a service that writes
-a pass does not take it back.
+An accepted call runs to completion even when its caller has disconnected: a service that has
+issued a pass does not revoke it.
 """
 
 import hashlib
@@ -30,7 +30,7 @@
 
 
 class ServiceParams(NamedTuple):
-    """Set a plain service's normal behaviour; link_delay_ms is the way to its callers."""
+    """Set a plain service's normal behaviour; link_delay_ms is the one-way network delay."""
 
     slots: int = 16
     work_ms: int = 20
@@ -38,7 +38,7 @@
 
 
 class ServiceCounts(NamedTuple):
-    """Hold the counts of GET /counts; a call counts when its work begins."""
+    """Hold the counters of GET /counts; a call is counted when it starts to run."""
 
     calls: dict[str, int]
     total: int
@@ -52,7 +52,7 @@
 
 
 class ServiceServer:
-    """Serve plain calls, with switches and counts at hand."""
+    """Serve plain calls; switches and counters can also be used in the process."""
 
     __slots__ = (
         "_crashes",
@@ -81,7 +81,7 @@
 
     @property
     def port(self) -> int:
-        """Return the port listened on."""
+        """Return the port that the server listens on."""
         return self._listener.port
 
     def waiting(self) -> int:
@@ -89,20 +89,20 @@
         return len(self._waiting)
 
     def control(self, control: Control, conn: Connection | None = None) -> None:
-        """Merge switches, as POST /control on a connection does."""
+        """Change switches, as POST /control does; conn is the connection that set them."""
         self.switches.merge(control)
         self._crashes.apply(self.switches, control, conn)
 
     def counts(self) -> ServiceCounts:
-        """Return what has been counted so far."""
+        """Return the current counters."""
         return ServiceCounts(calls=dict(self.calls), total=self.calls.total())
 
     def restart(self) -> Deferred[None]:
-        """Start a crashed service again on the same port."""
+        """Restart a crashed service on the same port."""
         return self._crashes.restart()
 
     def close(self) -> Deferred[None]:
-        """Stop serving; running work is lost."""
+        """Stop serving; calls in progress are lost."""
         self._lose_work()
         return self._crashes.close()
 
@@ -167,7 +167,7 @@
 def start_service(
     reactor: Any, clock: Clock, params: ServiceParams, host: str, port: int
 ) -> Deferred[ServiceServer]:
-    """Start a plain service; port 0 picks a free one."""
+    """Start a plain service; port 0 picks a free port."""
     return execute(partial(ServiceServer, reactor, clock, params, host, port))
 
 
--- a/papayapier/standin/switches.py
+++ b/papayapier/standin/switches.py
@@ -1,4 +1,4 @@
-"""Read switches, and hold those that engines and plain services share."""
+"""Parse fault switches, and hold those that engines and plain services share."""
 
 from enum import Enum
 from typing import Any, Final, TypedDict, TypeVar
@@ -25,7 +25,7 @@
 
 
 class Control(TypedDict, total=False):
-    """Hold the keys of POST /control; restart_ms starts a crashed stand-in again."""
+    """Hold the keys of POST /control; restart_ms restarts a crashed stand-in after that time."""
 
     mode: Mode
     slow_factor: float
@@ -34,7 +34,7 @@
 
 
 class Switches:
-    """Keep the switches and tell which mode applies to the next request."""
+    """Hold the switches and select the mode of the next request."""
 
     __slots__ = ("mode", "slow_factor", "times")
 
@@ -44,7 +44,7 @@
         self.times = 0
 
     def merge(self, control: Control) -> None:
-        """Take over the keys that are given."""
+        """Set the switches that are given, and keep the others."""
         if "mode" in control:
             self.mode = control["mode"]
             self.times = 0
@@ -52,7 +52,7 @@
         self.times = control.get("times", self.times)
 
     def take(self) -> Mode:
-        """Return the mode for one request, and count it down."""
+        """Return the mode for one request, and decrement the number of times it still applies."""
         mode = self.mode
         if self.times > 0:
             self.times -= 1
@@ -61,21 +61,21 @@
         return mode
 
     def hangs_always(self) -> bool:
-        """Tell whether calls other than control and counts hang too."""
+        """Return whether all calls except /control and /counts hang."""
         return self.mode is Mode.HANG and self.times == 0
 
     def reset(self) -> None:
-        """Go back to normal, as after a restart."""
+        """Restore the normal mode, as after a restart."""
         self.mode = Mode.OK
         self.times = 0
 
     def show(self) -> dict[str, object]:
-        """Return the switches as GET /control shows them."""
+        """Return the switches as sent by GET /control."""
         return {"mode": self.mode.value, "slow_factor": self.slow_factor, "times": self.times}
 
 
 def read_control(body: bytes) -> Result[Control, str]:
-    """Decode and check the body of POST /control of an engine or service."""
+    """Decode and validate the body of POST /control of an engine or service."""
     read = read_switches(body, Control)
     if isinstance(read, Err):
         return read
@@ -88,9 +88,9 @@
 
 
 def read_switches(body: bytes, kind: type[T]) -> Result[T, str]:
-    """Decode switches, and refuse a key that is none.
+    """Decode switches, and refuse unknown keys.
 
-    A misspelt switch would otherwise do nothing, and a test of a fault would pass because
+    Otherwise a misspelt switch would have no effect, and a test of a fault would pass because
     the fault never happened.
     """
     try:
--- a/papayapier/standin/timers.py
+++ b/papayapier/standin/timers.py
@@ -1,4 +1,4 @@
-"""Keep the pending calls of a stand-in, so that closing it leaves none behind."""
+"""Track the pending timers of a stand-in, so that closing it leaves none running."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 
 
 class Timers:
-    """Run calls later, and forget all that are pending on request."""
+    """Run calls later, and cancel all pending ones on request."""
 
     __slots__ = ("_clock", "_pending")
 
@@ -15,7 +15,7 @@
         self._pending: set[Timer] = set()
 
     def call_later(self, delay_ms: float, call: Callable[[], object]) -> None:
-        """Run a call after a delay, or at once when there is none."""
+        """Run a call after a delay, or at once when the delay is not positive."""
         if delay_ms <= 0:
             call()
             return
@@ -28,7 +28,7 @@
         self._pending.add(timer)
 
     def cancel_all(self) -> None:
-        """Forget the pending calls."""
+        """Cancel the pending calls."""
         pending, self._pending = self._pending, set()
         for timer in pending:
             timer.cancel()
--- a/papayapier/standin/web.py
+++ b/papayapier/standin/web.py
@@ -1,4 +1,4 @@
-"""Read requests and write answers, for the handlers of the stand-ins."""
+"""Read requests and write responses, for the handlers of the stand-ins."""
 
 from collections.abc import Callable
 from typing import Any, Final, NamedTuple, cast
@@ -13,14 +13,14 @@
 
 
 class Json(NamedTuple):
-    """Pair a status with a value to be sent as JSON."""
+    """Hold a status and a value to be sent as JSON."""
 
     status: int
     value: object
 
 
 def connection_of(request: Request) -> Connection:
-    """Return the connection that a request came in on."""
+    """Return the connection on which a request arrived."""
     return cast(Connection, cast(Any, request).channel.transport)
 
 
@@ -30,7 +30,7 @@
 
 
 def body_of(request: Request) -> bytes:
-    """Return the whole body of a request."""
+    """Return the complete body of a request."""
     return cast(bytes, cast(Any, request).content.read())
 
 
@@ -46,22 +46,22 @@
 
 
 def set_header(request: Request, name: str, value: str) -> None:
-    """Set a header of the answer."""
+    """Set a header of the response."""
     cast(Any, request).setHeader(name.encode(), value.encode())
 
 
 def write(request: Request, data: bytes) -> None:
-    """Write a part of the answer's body."""
+    """Write a part of the response body."""
     cast(Any, request).write(data)
 
 
 def finish(request: Request) -> None:
-    """End the answer's body."""
+    """End the response body."""
     cast(Any, request).finish()
 
 
 def send_json(request: Request, answer: Json) -> None:
-    """Finish a request with a JSON answer."""
+    """Finish a request with a JSON response."""
     send(request, answer.status, msgspec.json.encode(answer.value), JSON_TYPE)
 
 
@@ -77,7 +77,7 @@
 
 
 def send_truncated(request: Request, body: bytes, content_type: str) -> None:
-    """Send the first half of a body under its full length, and close."""
+    """Send half of a body with the content length of all of it, and close the connection."""
     set_header(request, "content-type", content_type)
     set_header(request, "content-length", str(len(body)))
     write(request, body[: len(body) // 2])
@@ -85,7 +85,7 @@
 
 
 def is_gone(request: Request) -> bool:
-    """Tell whether the connection of a request has closed before its answer."""
+    """Return whether the connection of a request closed before the response was complete."""
     return cast(Any, request).channel is None
 
 
--- a/papayapier/standin/weights.py
+++ b/papayapier/standin/weights.py
@@ -1,7 +1,7 @@
-"""Stand in for the weight store, which limits its rate, and read from it as an engine does.
+"""Simulate the weight store, which limits its rate, and read from it as an engine does.
 
-The store gives every name the same number of bytes. It is a service beside the object API:
-an outage of that leaves it alone.
+The store returns the same number of bytes for every name. It is a service separate from the
+object API and is not affected by an outage of that API.
 """
 
 from typing import Any, Final, NamedTuple, cast
@@ -27,7 +27,7 @@
 
 
 class WeightStore:
-    """Hold the rate limit and count what is read."""
+    """Hold the rate limit and count the reads."""
 
     __slots__ = ("_bucket", "_size_bytes", "limited", "reads")
 
@@ -38,7 +38,7 @@
         self.limited = 0
 
     def read(self, bytes_per_s: int) -> bytes | None:
-        """Return the weights of any name, or None over the rate limit."""
+        """Return the weights of any name, or None when over the rate limit."""
         if not self._bucket.take(bytes_per_s, self._size_bytes):
             self.limited += 1
             return None
@@ -47,7 +47,7 @@
 
 
 def make_fetch(reactor: Any, address: str) -> Fetch:
-    """Make an engine's way to read weights."""
+    """Make the function with which an engine reads weights."""
     agent = cast(Any, Agent(reactor, pool=HTTPConnectionPool(reactor, persistent=False)))
 
     async def fetch(name: str) -> bool:
