--- a/papayapier/standin/answers.py
+++ b/papayapier/standin/answers.py
@@ -34,17 +34,17 @@
 
 def expected_text(prompt: str, max_tokens: int) -> str:
     """Return the complete answer to a prompt."""
-    return " ".join(islice(words(prompt), max_tokens))
+    return " ".join(islice(answer_words(prompt), max_tokens))
 
 
-def words(prompt: str, start: int = 0) -> Iterable[str]:
+def answer_words(prompt: str, start: int = 0) -> Iterable[str]:
     """Yield the words of the unbounded answer to a prompt, starting at an index."""
     seed = xxhash.xxh32_intdigest(prompt.encode())
     for index in count(start):
         yield xxhash.xxh32_hexdigest(str(index).encode(), seed)
 
 
-def prompt_of(body: GenerateBody) -> str:
+def prompt_text(body: GenerateBody) -> str:
     """Return the prompt text of a request: its prompt, or its messages joined by newlines."""
     if "messages" in body:
         return "\n".join(message["content"] for message in body["messages"])
--- a/papayapier/standin/command.py
+++ b/papayapier/standin/command.py
@@ -44,21 +44,21 @@
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
-    codes = [EXIT_OK]
+    exit_codes = [EXIT_OK]
 
-    def failed(failure: Any) -> None:
+    def on_failed(failure: Any) -> None:
         print(f"papayapier: {failure.getErrorMessage()}", file=sys.stderr)
-        codes[0] = EXIT_FAILED
+        exit_codes[0] = EXIT_FAILED
         reactor.stop()
 
-    def begin() -> None:
-        Deferred.fromCoroutine(_start(reactor, fleet, options.no_platform)).addErrback(failed)
+    def on_running() -> None:
+        Deferred.fromCoroutine(_start(reactor, fleet, options.no_platform)).addErrback(on_failed)
 
     signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(reactor.stop))
     signal.signal(signal.SIGINT, lambda *_: reactor.callFromThread(reactor.stop))
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(on_running)
     reactor.run(installSignalHandlers=False)
-    return codes[0]
+    return exit_codes[0]
 
 
 def _read_params(path: Path | None) -> Result[StandinParams, str]:
@@ -89,12 +89,12 @@
 async def _start(reactor: Any, params: FleetParams, no_platform: bool) -> Fleet | None:
     if no_platform:
         replicas = await run_replicas(reactor, real_clock(), params)
-        _print(Addresses(0, replicas.members))
+        _print_addresses(Addresses(0, replicas.members))
         return None
     fleet = await run_fleet(reactor, real_clock(), params)
-    _print(Addresses(fleet.platform.port, fleet.members))
+    _print_addresses(Addresses(fleet.platform.port, fleet.members))
     return fleet
 
 
-def _print(addresses: Addresses) -> None:
+def _print_addresses(addresses: Addresses) -> None:
     print(codec.to_json(addresses).decode(), flush=True)
--- a/papayapier/standin/engine.py
+++ b/papayapier/standin/engine.py
@@ -9,22 +9,22 @@
 from twisted.web.server import Request
 
 from papayapier.clock import Clock
-from papayapier.standin import jobs, web
-from papayapier.standin.crashes import Crashes, answer_control
+from papayapier.standin import generations, web
 from papayapier.standin.engine_core import EngineCore
 from papayapier.standin.engine_steps import EngineParams
-from papayapier.standin.jobs import Job
+from papayapier.standin.generations import Generation
 from papayapier.standin.link import Link
 from papayapier.standin.listener import Connection, Listener
 from papayapier.standin.orders import Order
 from papayapier.standin.outputs import make_output
+from papayapier.standin.process_faults import ProcessFaults, handle_control
 from papayapier.standin.switches import Control, Mode
-from papayapier.standin.web import Json
-from papayapier.standin.weights import make_fetch
+from papayapier.standin.web import JsonResponse
+from papayapier.standin.weights import make_fetch_weights
 
-GENERATE_PATHS: Final = (jobs.CHAT_PATH, jobs.COMPLETIONS_PATH)
-OTHER_ID: Final = "another-request"
-OTHER_PROMPT: Final = "another prompt"
+GENERATE_PATHS: Final = (generations.CHAT_PATH, generations.COMPLETIONS_PATH)
+FOREIGN_REQUEST_ID: Final = "another-request"
+FOREIGN_PROMPT: Final = "another prompt"
 
 
 class EngineCounts(NamedTuple):
@@ -38,25 +38,25 @@
     orders: dict[str, int]
 
 
-class _Cancel(TypedDict):
+class _CancelBody(TypedDict):
     request_id: str
 
 
 class EngineServer:
     """Serve the engine protocol; switches and counters can also be used in the process."""
 
-    __slots__ = ("_crashes", "_last_job", "_listener", "core")
+    __slots__ = ("_faults", "_last_generation", "_listener", "core")
 
     def __init__(
         self, reactor: Any, clock: Clock, params: EngineParams, host: str, port: int
     ) -> None:
         source = params.weights.address
-        fetch = make_fetch(reactor, source) if source else None
+        fetch = make_fetch_weights(reactor, source) if source else None
         self.core = EngineCore(clock, params, fetch)
         link = Link(clock, params.link_delay_ms)
         self._listener = Listener(reactor, self._handle, host, port, link)
-        self._crashes = Crashes(clock, self._listener, self.core.crash)
-        self._last_job: Job | None = None
+        self._faults = ProcessFaults(clock, self._listener, self.core.crash)
+        self._last_generation: Generation | None = None
         self._listener.open()
 
     @property
@@ -64,14 +64,14 @@
         """Return the port that the server listens on."""
         return self._listener.port
 
-    def listening(self) -> bool:
+    def is_listening(self) -> bool:
         """Return whether the port accepts connections."""
         return self._listener.is_open()
 
     def control(self, control: Control, conn: Connection | None = None) -> None:
         """Change switches, as POST /control does; conn is the connection that set them."""
         self.core.switches.merge(control)
-        self._crashes.apply(self.core.switches, control, conn)
+        self._faults.apply(self.core.switches, control, conn)
 
     def counts(self) -> EngineCounts:
         """Return the current counters."""
@@ -86,94 +86,100 @@
 
     def restart(self) -> Deferred[None]:
         """Restart a crashed engine on the same port, with an empty cache and no orders."""
-        return self._crashes.restart()
+        return self._faults.restart()
 
     def close(self) -> Deferred[None]:
         """Stop serving; requests in progress are lost."""
         self.core.crash()
-        return self._crashes.close()
+        return self._faults.close()
 
     def _handle(self, request: Request) -> None:
         path = web.path_of(request)
         if path == "/control":
-            answer_control(request, self.core.switches, self.control)
+            handle_control(request, self.core.switches, self.control)
         elif path == "/counts":
-            web.send_json(request, Json(200, self.counts()._asdict()))
+            web.send_json(request, JsonResponse(200, self.counts()._asdict()))
         elif path in GENERATE_PATHS:
             self._generate(request)
-        elif not self.core.switches.hangs_always():
-            web.send_json(request, self._answer(request, path))
+        elif not self.core.switches.hangs_all_calls():
+            web.send_json(request, self._json_response(request, path))
 
-    def _answer(self, request: Request, path: str) -> Json:
+    def _json_response(self, request: Request, path: str) -> JsonResponse:
         if path == "/load":
-            return Json(200, self.core.load()._asdict())
+            return JsonResponse(200, self.core.load()._asdict())
         if path == "/state":
-            return Json(200, self.core.orders.state._asdict())
+            return JsonResponse(200, self.core.orders.state._asdict())
         if path == "/v1/models":
             return self._models()
         if path == "/cache_events":
             return self._cache_events(request)
         if path == "/cancel":
-            return self._cancel(request)
+            return self._handle_cancel(request)
         if path == "/orders":
-            return self._order(request)
-        return Json(404, {"error": "no such path"})
+            return self._handle_order(request)
+        return JsonResponse(404, {"error": "no such path"})
 
     def _generate(self, request: Request) -> None:
-        read = jobs.read_job(request)
+        read = generations.parse_generation(request)
         if isinstance(read, Err):
-            web.send_json(request, Json(400, {"error": read.err_value}))
+            web.send_json(request, JsonResponse(400, {"error": read.err_value}))
             return
-        job = read.ok_value
-        if not self.core.has_loaded(job.model):
-            web.send_json(request, Json(404, {"error": f"model {job.model!r} is not loaded"}))
+        generation = read.ok_value
+        if not self.core.has_loaded(generation.model):
+            web.send_json(
+                request, JsonResponse(404, {"error": f"model {generation.model!r} is not loaded"})
+            )
             return
-        mode = self.core.switches.take()
+        mode = self.core.switches.next_mode()
         if mode is Mode.CRASH:
-            self._crashes.crash()
+            self._faults.crash()
             return
-        shown = self._another(job) if mode is Mode.CROSSED else job
-        self._last_job = job
-        output = make_output(request, shown, mode, self.core.load_mark)
-        cancel = self.core.accept(job, output, mode)
-        web.watch_closed(request, cancel)
+        served = self._foreign_generation(generation) if mode is Mode.CROSSED else generation
+        self._last_generation = generation
+        output = make_output(request, served, mode, self.core.load_header)
+        cancel = self.core.accept(generation, output, mode)
+        web.on_closed(request, cancel)
         if mode is Mode.SILENT:
             web.connection_of(request).silence()
 
-    def _another(self, job: Job) -> Job:
+    def _foreign_generation(self, generation: Generation) -> Generation:
         """Return the request whose answer is sent in place of the correct one."""
-        last = self._last_job
-        if last is not None and last.request_id != job.request_id and last.prompt != job.prompt:
-            return job._replace(request_id=last.request_id, prompt=last.prompt)
-        return job._replace(request_id=OTHER_ID, prompt=OTHER_PROMPT)
-
-    def _models(self) -> Json:
+        previous = self._last_generation
+        if (
+            previous is not None
+            and previous.request_id != generation.request_id
+            and previous.prompt != generation.prompt
+        ):
+            return generation._replace(request_id=previous.request_id, prompt=previous.prompt)
+        return generation._replace(request_id=FOREIGN_REQUEST_ID, prompt=FOREIGN_PROMPT)
+
+    def _models(self) -> JsonResponse:
         data = [{"id": name, "object": "model"} for name in self.core.orders.state.models]
-        return Json(200, {"object": "list", "data": data})
+        return JsonResponse(200, {"object": "list", "data": data})
 
-    def _cache_events(self, request: Request) -> Json:
+    def _cache_events(self, request: Request) -> JsonResponse:
         since = web.query(request, "since", "0")
         if not since.isdigit():
-            return Json(400, {"error": "since must be a number"})
-        found, following = self.core.cache.events_since(int(since))
+            return JsonResponse(400, {"error": "since must be a number"})
+        found, next_seq = self.core.cache.events_since(int(since))
         events = [{"seq": e.seq, "kind": e.kind, "prefix": e.prefix} for e in found]
-        return Json(200, {"events": events, "next": following})
+        return JsonResponse(200, {"events": events, "next": next_seq})
 
-    def _cancel(self, request: Request) -> Json:
+    def _handle_cancel(self, request: Request) -> JsonResponse:
         try:
-            body = msgspec.json.decode(web.body_of(request), type=_Cancel)
+            body = msgspec.json.decode(web.body_of(request), type=_CancelBody)
         except msgspec.MsgspecError as exc:
-            return Json(400, {"error": str(exc)})
-        return Json(200, {"cancelled": self.core.cancel(body["request_id"])})
+            return JsonResponse(400, {"error": str(exc)})
+        return JsonResponse(200, {"cancelled": self.core.cancel(body["request_id"])})
 
-    def _order(self, request: Request) -> Json:
+    def _handle_order(self, request: Request) -> JsonResponse:
         try:
             order = msgspec.json.decode(web.body_of(request), type=Order)
         except msgspec.MsgspecError as exc:
-            return Json(400, {"error": str(exc)})
-        if self.core.order(order):
-            return Json(200, {"accepted": True})
-        return Json(409, {"accepted": False, "fence": self.core.orders.state.fence})
+            return JsonResponse(400, {"error": str(exc)})
+        if self.core.accept_order(order):
+            return JsonResponse(200, {"accepted": True})
+        return JsonResponse(409, {"accepted": False, "fence": self.core.orders.state.fence})
 
 
 def start_engine(
--- a/papayapier/standin/engine_steps.py
+++ b/papayapier/standin/engine_steps.py
@@ -56,8 +56,8 @@
 
     __slots__ = (
         "blocks",
-        "kv_need",
-        "left",
+        "kv_tokens",
+        "new_tokens_left",
         "on_start",
         "on_token",
         "prefill_left",
@@ -70,18 +70,18 @@
         self,
         blocks: list[str],
         prompt_tokens: int,
-        left: int,
+        new_tokens_left: int,
         on_start: Callable[[], None],
         on_token: Callable[[bool], None],
         stride: int = NORMAL_STRIDE,
     ) -> None:
         self.blocks = blocks
         self.prompt_tokens = prompt_tokens
-        self.left = left
+        self.new_tokens_left = new_tokens_left
         self.on_start = on_start
         self.on_token = on_token
         self.stride = stride
-        self.kv_need = prompt_tokens + left
+        self.kv_tokens = prompt_tokens + new_tokens_left
         self.prefill_left = prompt_tokens
         self.steps = 0
 
@@ -142,7 +142,7 @@
 
     def end_step(self) -> int:
         """Generate the tokens of the step and return their number."""
-        made = 0
+        generated = 0
         for seq in list(self._running):
             # A token's callback may have removed another sequence.
             if seq not in self._running or seq.prefill_left > 0:
@@ -150,13 +150,13 @@
             seq.steps += 1
             if seq.steps % seq.stride:
                 continue
-            made += 1
-            self._make_token(seq)
-        return made
+            generated += 1
+            self._generate_token(seq)
+        return generated
 
-    def _make_token(self, seq: Sequence) -> None:
-        seq.left -= 1
-        last = seq.left == 0
+    def _generate_token(self, seq: Sequence) -> None:
+        seq.new_tokens_left -= 1
+        last = seq.new_tokens_left == 0
         if last:
             self._release(seq)
         seq.on_token(last)
@@ -164,14 +164,14 @@
     def _admit(self) -> None:
         while self._waiting and len(self._running) < self._params.slots:
             seq = next(iter(self._waiting))
-            if self._running and self.kv_used + seq.kv_need > self._params.kv_total:
+            if self._running and self.kv_used + seq.kv_tokens > self._params.kv_total:
                 return
             del self._waiting[seq]
             self._start(seq)
 
     def _start(self, seq: Sequence) -> None:
         self._running[seq] = None
-        self.kv_used += seq.kv_need
+        self.kv_used += seq.kv_tokens
         # The last prompt token is always computed, because the first new token depends on it.
         seq.prefill_left -= min(self._cache.match(seq.blocks), seq.prompt_tokens - 1)
         seq.on_start()
@@ -182,9 +182,9 @@
         for seq in self._running:
             if seq.prefill_left == 0:
                 continue
-            piece = min(budget, seq.prefill_left)
-            seq.prefill_left -= piece
-            budget -= piece
+            chunk_tokens = min(budget, seq.prefill_left)
+            seq.prefill_left -= chunk_tokens
+            budget -= chunk_tokens
             if seq.prefill_left == 0:
                 self._cache.store(seq.blocks)
             if budget == 0:
@@ -193,4 +193,4 @@
 
     def _release(self, seq: Sequence) -> None:
         del self._running[seq]
-        self.kv_used -= seq.kv_need
+        self.kv_used -= seq.kv_tokens
--- a/papayapier/standin/jobs.py
+++ b/papayapier/standin/generations.py
@@ -11,18 +11,18 @@
 from twisted.web.server import Request
 
 from papayapier.standin import web
-from papayapier.standin.answers import DEFAULT_MAX_TOKENS, GenerateBody, prompt_of
+from papayapier.standin.answers import DEFAULT_MAX_TOKENS, GenerateBody, prompt_text
 
 MAX_TOKENS: Final = 100_000
 SSE_TYPE: Final = "text/event-stream"
-END_MARK: Final = b"data: [DONE]\n\n"
+END_MARKER: Final = b"data: [DONE]\n\n"
 CHAT_PATH: Final = "/v1/chat/completions"
 COMPLETIONS_PATH: Final = "/v1/completions"
-LENGTH: Final = "length"
-PLACE: Final = "@"
+LENGTH_REASON: Final = "length"
+PLACEHOLDER: Final = "@"
 
 
-class Job(NamedTuple):
+class Generation(NamedTuple):
     """Hold one generate request; done_words is the number of words in its resume text."""
 
     request_id: str
@@ -35,7 +35,7 @@
     done_words: int
 
     @property
-    def left(self) -> int:
+    def new_tokens_left(self) -> int:
         """Return how many tokens remain to be generated."""
         return max(0, self.max_tokens - self.done_words)
 
@@ -47,7 +47,7 @@
     after: bytes
 
 
-def read_job(request: Request) -> Result[Job, str]:
+def parse_generation(request: Request) -> Result[Generation, str]:
     """Parse a generate request, or return what is wrong with it."""
     try:
         body = msgspec.json.decode(web.body_of(request), type=GenerateBody)
@@ -58,64 +58,69 @@
         return Err(f"max_tokens must be from 1 to {MAX_TOKENS}")
     request_id = web.header(request, "x-request-id")
     return Ok(
-        Job(
+        Generation(
             request_id=request_id,
             call_id=web.header(request, "x-papayapier-call") or request_id,
             chat=web.path_of(request) == CHAT_PATH,
             stream=body.get("stream", False),
             model=body.get("model", ""),
-            prompt=prompt_of(body),
+            prompt=prompt_text(body),
             max_tokens=max_tokens,
             done_words=len(body.get("resume_text", "").split()),
         )
     )
 
 
-def chunk_frame(job: Job) -> ChunkFrame:
+def chunk_frame(generation: Generation) -> ChunkFrame:
     """Encode the parts of a chunk that are the same for every token."""
-    before, after = _event(_chunk(job, PLACE, None)).rsplit(PLACE.encode(), 1)
+    before, after = _sse_event(_chunk(generation, PLACEHOLDER, None)).rsplit(
+        PLACEHOLDER.encode(), 1
+    )
     return ChunkFrame(before, after)
 
 
-def last_chunks(job: Job) -> bytes:
+def final_chunks(generation: Generation) -> bytes:
     """Encode the final chunk of a stream, and the end marker."""
-    chunk = _chunk(job, "", LENGTH)
-    chunk["usage"] = _usage(job)
-    return _event(chunk) + END_MARK
+    chunk = _chunk(generation, "", LENGTH_REASON)
+    chunk["usage"] = _usage(generation)
+    return _sse_event(chunk) + END_MARKER
 
 
-def whole_answer(job: Job, text: str) -> bytes:
+def json_body(generation: Generation, text: str) -> bytes:
     """Encode a response that is not streamed."""
-    choice: dict[str, Any] = {"index": 0, "finish_reason": LENGTH}
-    if job.chat:
+    choice: dict[str, Any] = {"index": 0, "finish_reason": LENGTH_REASON}
+    if generation.chat:
         choice["message"] = {"role": "assistant", "content": text}
     else:
         choice["text"] = text
     return msgspec.json.encode(
         {
-            "id": job.request_id,
-            "object": "chat.completion" if job.chat else "text_completion",
-            "model": job.model,
+            "id": generation.request_id,
+            "object": "chat.completion" if generation.chat else "text_completion",
+            "model": generation.model,
             "choices": [choice],
-            "usage": _usage(job),
+            "usage": _usage(generation),
         }
     )
 
 
-def _chunk(job: Job, text: str, finish_reason: str | None) -> dict[str, Any]:
+def _chunk(generation: Generation, text: str, finish_reason: str | None) -> dict[str, Any]:
     choice: dict[str, Any] = {"index": 0}
-    if job.chat:
+    if generation.chat:
         choice["delta"] = {"content": text}
     else:
         choice["text"] = text
     choice["finish_reason"] = finish_reason
-    kind = "chat.completion.chunk" if job.chat else "text_completion"
-    return {"id": job.request_id, "object": kind, "choices": [choice]}
+    kind = "chat.completion.chunk" if generation.chat else "text_completion"
+    return {"id": generation.request_id, "object": kind, "choices": [choice]}
 
 
-def _event(value: object) -> bytes:
+def _sse_event(value: object) -> bytes:
     return b"data: " + msgspec.json.encode(value) + b"\n\n"
 
 
-def _usage(job: Job) -> dict[str, int]:
-    return {"prompt_tokens": len(job.prompt.split()), "completion_tokens": job.left}
+def _usage(generation: Generation) -> dict[str, int]:
+    return {
+        "prompt_tokens": len(generation.prompt.split()),
+        "completion_tokens": generation.new_tokens_left,
+    }
--- a/papayapier/standin/instances.py
+++ b/papayapier/standin/instance_list.py
@@ -11,7 +11,7 @@
 EXPIRY_MS: Final = 10_000
 
 
-class Instances:
+class InstanceList:
     """Hold the members as reported, and the list as callers see it."""
 
     __slots__ = (
@@ -19,11 +19,11 @@
         "_expiries",
         "_lag_ms",
         "_leaving",
+        "_listed",
         "_on_change",
         "_pending",
         "_removed",
-        "_shown",
-        "_true",
+        "_reported",
         "revision",
     )
 
@@ -34,48 +34,48 @@
         self._clock = clock
         self._lag_ms = lag_ms
         self._on_change = on_change
-        self._true: dict[str, Member] = {}
-        self._shown: dict[str, Member] = {}
+        self._reported: dict[str, Member] = {}
+        self._listed: dict[str, Member] = {}
         self._expiries: dict[str, Timer] = {}
         self._pending = Timers(clock)
         self._leaving: frozenset[str] = frozenset()
         self._removed: frozenset[str] = frozenset()
 
-    def knows(self, instance: str) -> bool:
+    def is_member(self, instance: str) -> bool:
         """Return whether an instance is a member, whether or not the list shows it yet."""
-        return instance in self._true
+        return instance in self._reported
 
-    def mark(self, leaving: Iterable[str], removed: Iterable[str]) -> None:
+    def set_overrides(self, leaving: Iterable[str], removed: Iterable[str]) -> None:
         """List these members as leaving or not at all, overriding their own reports."""
-        was = {instance: self._marked(instance) for instance in self._true}
+        before = {instance: self._effective(instance) for instance in self._reported}
         self._leaving, self._removed = frozenset(leaving), frozenset(removed)
-        for instance, member in was.items():
-            if self._marked(instance) != member:
-                self._show_later(instance)
+        for instance, member in before.items():
+            if self._effective(instance) != member:
+                self._publish_later(instance)
 
-    def shown(self) -> list[Member]:
+    def listed(self) -> list[Member]:
         """Return the list as callers see it."""
-        return list(self._shown.values())
+        return list(self._listed.values())
 
     def report(self, member: Member) -> None:
         """Record a report; the list changes only when the record is new or different."""
-        self._expire_later(member)
-        if self._true.get(member.id) == member:
+        self._start_expiry(member)
+        if self._reported.get(member.id) == member:
             return
-        self._true[member.id] = member
-        self._show_later(member.id)
+        self._reported[member.id] = member
+        self._publish_later(member.id)
 
     def withdraw(self, instance: str) -> None:
         """Remove an instance."""
         self._stop_expiry(instance)
-        if self._true.pop(instance, None) is not None:
-            self._show_later(instance)
+        if self._reported.pop(instance, None) is not None:
+            self._publish_later(instance)
 
-    def show_now(self) -> None:
+    def publish_now(self) -> None:
         """Publish all members without lag, for the start of a fleet."""
         self._pending.cancel_all()
-        marked = {instance: self._marked(instance) for instance in self._true}
-        self._shown = {instance: member for instance, member in marked.items() if member}
+        effective = {instance: self._effective(instance) for instance in self._reported}
+        self._listed = {instance: member for instance, member in effective.items() if member}
         self._changed()
 
     def pause_expiry(self) -> None:
@@ -85,15 +85,15 @@
 
     def resume_expiry(self) -> None:
         """Resume expiry, giving every member a full expiry period."""
-        for member in self._true.values():
-            self._expire_later(member)
+        for member in self._reported.values():
+            self._start_expiry(member)
 
     def close(self) -> None:
         """Stop all timers."""
         self._pending.cancel_all()
         self.pause_expiry()
 
-    def _expire_later(self, member: Member) -> None:
+    def _start_expiry(self, member: Member) -> None:
         self._stop_expiry(member.id)
         if not member.static:
             call = partial(self.withdraw, member.id)
@@ -104,21 +104,21 @@
         if timer is not None and timer.active():
             timer.cancel()
 
-    def _show_later(self, instance: str) -> None:
-        call = partial(self._show, instance, self._marked(instance))
+    def _publish_later(self, instance: str) -> None:
+        call = partial(self._publish, instance, self._effective(instance))
         self._pending.call_later(self._lag_ms(), call)
 
-    def _marked(self, instance: str) -> Member | None:
-        member = self._true.get(instance)
+    def _effective(self, instance: str) -> Member | None:
+        member = self._reported.get(instance)
         if member is None or instance in self._removed:
             return None
         return member._replace(state=LEAVING) if instance in self._leaving else member
 
-    def _show(self, instance: str, member: Member | None) -> None:
+    def _publish(self, instance: str, member: Member | None) -> None:
         if member is None:
-            self._shown.pop(instance, None)
+            self._listed.pop(instance, None)
         else:
-            self._shown[instance] = member
+            self._listed[instance] = member
         self._changed()
 
     def _changed(self) -> None:
--- a/papayapier/standin/link.py
+++ b/papayapier/standin/link.py
@@ -19,29 +19,29 @@
 class Link:
     """Run calls after a fixed delay, in order; with a delay of 0, run them at once."""
 
-    __slots__ = ("_batches", "_clock", "_tick", "delay_ms")
+    __slots__ = ("_batches", "_clock", "_tick_batch", "delay_ms")
 
     def __init__(self, clock: Clock, delay_ms: float) -> None:
         self.delay_ms = delay_ms
         self._clock = clock
-        self._tick: list[tuple[Callable[[Any], None], Any]] = []
+        self._tick_batch: list[tuple[Callable[[Any], None], Any]] = []
         self._batches: deque[list[tuple[Callable[[Any], None], Any]]] = deque()
 
-    def carry(self, call: Callable[[T], None], value: T) -> None:
+    def deliver(self, call: Callable[[T], None], value: T) -> None:
         """Run a call on a value after the delay."""
         if self.delay_ms == 0:
             call(value)
             return
-        if not self._tick:
+        if not self._tick_batch:
             self._clock.call_later(0, self._end_tick)
-        self._tick.append((call, value))
+        self._tick_batch.append((call, value))
 
     def _end_tick(self) -> None:
-        self._batches.append(self._tick)
-        self._tick = []
-        self._clock.call_later(self.delay_ms, self._arrive)
+        self._batches.append(self._tick_batch)
+        self._tick_batch = []
+        self._clock.call_later(self.delay_ms, self._deliver_batch)
 
-    def _arrive(self) -> None:
+    def _deliver_batch(self) -> None:
         for call, value in self._batches.popleft():
             # Otherwise one failing connection would lose the other connections' data of the batch.
             try:
--- a/papayapier/standin/listener.py
+++ b/papayapier/standin/listener.py
@@ -39,22 +39,22 @@
 
     silent = False
     _aborted = False
-    _ends: tuple[Any, Any]
+    _host_and_peer: tuple[Any, Any]
 
     def connectionMade(self) -> None:  # noqa: N802
         # The link can deliver a request after its client has disconnected. twisted.web asks
         # for the addresses then, and a closed socket no longer has them.
         transport = cast(Any, self.transport)
-        self._ends = (transport.getHost(), transport.getPeer())
+        self._host_and_peer = (transport.getHost(), transport.getPeer())
         # Without this, Nagle's algorithm delays a token until the client's delayed
         # acknowledgement, which adds 40 ms steps to the time between tokens.
         transport.setTcpNoDelay(True)
 
     def getHost(self) -> Any:  # noqa: N802
-        return self._ends[0]
+        return self._host_and_peer[0]
 
     def getPeer(self) -> Any:  # noqa: N802
-        return self._ends[1]
+        return self._host_and_peer[1]
 
     def silence(self) -> None:
         """Stop reading and writing permanently, without closing the connection."""
@@ -67,40 +67,40 @@
         cast(Any, self.transport).abortConnection()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        self._table().link.carry(self._take_in, data)
+        self._connection_table().link.deliver(self._receive_bytes, data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
         # Passed over the link too, so that it is handled after the data received before it.
-        self._table().link.carry(cast(Any, super()).connectionLost, reason)
+        self._connection_table().link.deliver(cast(Any, super()).connectionLost, reason)
 
     def write(self, data: bytes) -> None:
-        self._table().link.carry(self._give_out, data)
+        self._connection_table().link.deliver(self._send_bytes, data)
 
     def writeSequence(self, data: Any) -> None:  # noqa: N802
         self.write(b"".join(data))
 
     def loseConnection(self) -> None:  # noqa: N802
-        self._table().link.carry(self._hang_up, None)
+        self._connection_table().link.deliver(self._close_connection, None)
 
     def resumeProducing(self) -> None:  # noqa: N802
         if not self.silent:
             cast(Any, self.transport).resumeProducing()
 
-    def _take_in(self, data: bytes) -> None:
-        self._table().traffic.bytes_in += len(data)
+    def _receive_bytes(self, data: bytes) -> None:
+        self._connection_table().traffic.bytes_in += len(data)
         if not (self.silent or self._aborted):
             cast(Any, super()).dataReceived(data)
 
-    def _give_out(self, data: bytes) -> None:
+    def _send_bytes(self, data: bytes) -> None:
         if not (self.silent or self._aborted):
-            self._table().traffic.bytes_out += len(data)
+            self._connection_table().traffic.bytes_out += len(data)
             cast(Any, self.transport).write(data)
 
-    def _hang_up(self, _: None) -> None:
+    def _close_connection(self, _: None) -> None:
         if not self.silent:
             cast(Any, super()).loseConnection()
 
-    def _table(self) -> "ConnectionTable":
+    def _connection_table(self) -> "ConnectionTable":
         return cast(ConnectionTable, self.factory)
 
 
@@ -114,7 +114,7 @@
         cast(Any, super()).__init__(site)
         self.link = link
         self.traffic = Traffic()
-        self._empty: list[Deferred[None]] = []
+        self._empty_waiters: list[Deferred[None]] = []
 
     def connections(self) -> list[Connection]:
         """Return the open connections."""
@@ -125,14 +125,14 @@
         if not self.protocols:
             return succeed(None)
         done: Deferred[None] = Deferred()
-        self._empty.append(done)
+        self._empty_waiters.append(done)
         return done
 
     def unregisterProtocol(self, p: Connection) -> None:  # noqa: N802
         cast(Any, super()).unregisterProtocol(p)
         if self.protocols:
             return
-        waiting, self._empty = self._empty, []
+        waiting, self._empty_waiters = self._empty_waiters, []
         for done in waiting:
             done.callback(None)
 
@@ -196,10 +196,10 @@
         """Return whether the port accepts connections."""
         return self._listening is not None
 
-    def silence_all(self, but: Connection | None = None) -> None:
+    def silence_all(self, except_for: Connection | None = None) -> None:
         """Silence every open connection except one."""
         for conn in self.table.connections():
-            if conn is not but:
+            if conn is not except_for:
                 conn.silence()
 
     def abort_all(self) -> None:
@@ -228,9 +228,9 @@
             return
         freed: Deferred[None] = Deferred()
 
-        def tell(result: Any) -> Any:
+        def notify(result: Any) -> Any:
             freed.callback(result)
             return result
 
-        self._stopped.addBoth(tell)
+        self._stopped.addBoth(notify)
         await freed
--- a/papayapier/standin/long_polls.py
+++ b/papayapier/standin/long_polls.py
@@ -5,74 +5,76 @@
 from itertools import count
 
 from papayapier.clock import Clock, Timer
-from papayapier.standin.platform_calls import Answer, Look
+from papayapier.standin.platform_calls import PollCheck, Response
 
-Reply = Callable[[Answer], None]
+Respond = Callable[[Response], None]
 
 
-class Poll:
+class LongPoll:
     """Hold one waiting long poll."""
 
-    __slots__ = ("look", "prefix", "reply", "timer")
+    __slots__ = ("check", "prefix", "respond", "timer")
 
-    def __init__(self, prefix: str, look: Look, reply: Reply, timer: Timer) -> None:
+    def __init__(self, prefix: str, check: PollCheck, respond: Respond, timer: Timer) -> None:
         self.prefix = prefix
-        self.look = look
-        self.reply = reply
+        self.check = check
+        self.respond = respond
         self.timer = timer
 
 
 class LongPolls:
     """Track the waiting calls, and answer each on a change or at its timeout."""
 
-    __slots__ = ("_clock", "_idents", "_polls")
+    __slots__ = ("_clock", "_ids", "_polls")
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._idents = count()
-        self._polls: dict[int, Poll] = {}
+        self._ids = count()
+        self._polls: dict[int, LongPoll] = {}
 
-    def add(self, prefix: str, wait_ms: int, look: Look, reply: Reply) -> Callable[[], None]:
+    def add(
+        self, prefix: str, wait_ms: int, check: PollCheck, respond: Respond
+    ) -> Callable[[], None]:
         """Answer at once if there is a change, otherwise wait; return a function that cancels."""
-        answer = look(wait_ms == 0)
-        if answer is not None:
-            reply(answer)
+        response = check(wait_ms == 0)
+        if response is not None:
+            respond(response)
             return _do_nothing
-        ident = next(self._idents)
-        timer = self._clock.call_later(wait_ms, partial(self._end, ident))
-        self._polls[ident] = Poll(prefix, look, reply, timer)
-        return partial(self._forget, ident)
+        poll_id = next(self._ids)
+        timer = self._clock.call_later(wait_ms, partial(self._time_out, poll_id))
+        self._polls[poll_id] = LongPoll(prefix, check, respond, timer)
+        return partial(self._remove, poll_id)
 
-    def wake(self, key: str) -> None:
+    def recheck(self, key: str) -> None:
         """Recheck the calls whose prefix matches a changed key."""
-        for ident, poll in list(self._polls.items()):
+        for poll_id, poll in list(self._polls.items()):
             if not key.startswith(poll.prefix):
                 continue
-            answer = poll.look(False)
-            if answer is not None:
-                self._forget(ident)
-                poll.reply(answer)
+            response = poll.check(False)
+            if response is not None:
+                self._remove(poll_id)
+                poll.respond(response)
 
-    def end_all(self, answer: Answer) -> None:
+    def answer_all(self, response: Response) -> None:
         """Send the same response to every waiting call."""
         polls = list(self._polls.values())
-        self.forget_all()
+        self.drop_all()
         for poll in polls:
-            poll.reply(answer)
+            poll.respond(response)
 
-    def forget_all(self) -> None:
+    def drop_all(self) -> None:
         """Drop the waiting calls without a response."""
-        for ident in list(self._polls):
-            self._forget(ident)
+        for poll_id in list(self._polls):
+            self._remove(poll_id)
 
-    def _end(self, ident: int) -> None:
-        poll = self._polls.pop(ident)
-        answer = poll.look(True)
-        if answer is not None:
-            poll.reply(answer)
+    def _time_out(self, poll_id: int) -> None:
+        poll = self._polls.pop(poll_id)
+        response = poll.check(True)
+        if response is not None:
+            poll.respond(response)
 
-    def _forget(self, ident: int) -> None:
-        poll = self._polls.pop(ident, None)
+    def _remove(self, poll_id: int) -> None:
+        poll = self._polls.pop(poll_id, None)
         if poll is not None and poll.timer.active():
             poll.timer.cancel()
 
--- a/papayapier/standin/objects.py
+++ b/papayapier/standin/object_store.py
@@ -16,21 +16,21 @@
 LIST_LIMIT: Final = 1_000
 
 
-class _Object(NamedTuple):
+class _StoredObject(NamedTuple):
     version: int
     value: bytes
 
 
-class Objects:
+class ObjectStore:
     """Hold all objects in memory."""
 
-    __slots__ = ("_history", "_keys", "_objects", "forgotten", "revision")
+    __slots__ = ("_history", "_keys", "_objects", "discarded_revision", "revision")
 
     def __init__(self, history: int) -> None:
         self.revision = 0
         # Changes up to this revision are no longer in the history.
-        self.forgotten = 0
-        self._objects: dict[str, _Object] = {}
+        self.discarded_revision = 0
+        self._objects: dict[str, _StoredObject] = {}
         self._keys: list[str] = []
         self._history: deque[Change] = deque(maxlen=history)
 
@@ -73,7 +73,7 @@
 
     def changes(self, prefix: str, since: int) -> Result[Changes, StoreError]:
         """Return the last change after a revision of each key with a prefix."""
-        if since < self.forgotten or since > self.revision:
+        if since < self.discarded_revision or since > self.revision:
             return Err(StoreError.TOO_OLD)
         latest: dict[str, Change] = {}
         for change in reversed(self._history):
@@ -89,12 +89,12 @@
 
     def _put(self, key: str, value: bytes) -> int:
         version = self._record(key, deleted=False)
-        self._objects[key] = _Object(version, value)
+        self._objects[key] = _StoredObject(version, value)
         return version
 
     def _record(self, key: str, deleted: bool) -> int:
         self.revision += 1
         if len(self._history) == self._history.maxlen:
-            self.forgotten = self._history[0].version
+            self.discarded_revision = self._history[0].version
         self._history.append(Change(key, self.revision, deleted))
         return self.revision
--- a/papayapier/standin/orders.py
+++ b/papayapier/standin/orders.py
@@ -11,10 +11,10 @@
 from papayapier.standin.engine_steps import EngineParams
 from papayapier.standin.timers import Timers
 
-KEPT_ORDERS: Final = 1_000
+MAX_LISTED_ORDERS: Final = 1_000
 
 # Read the weights of a model; return whether they were received completely.
-Fetch = Callable[[str], Coroutine[Any, Any, bool]]
+FetchWeights = Callable[[str], Coroutine[Any, Any, bool]]
 OrderKind = Literal["load_model", "load_adapter", "load_version", "change_role"]
 
 
@@ -62,7 +62,7 @@
         params: EngineParams,
         timers: Timers,
         on_loaded: Callable[[], None],
-        fetch: Fetch | None = None,
+        fetch: FetchWeights | None = None,
     ) -> None:
         self._fetch = fetch
         self._fetching: set[Deferred[bool]] = set()
@@ -71,7 +71,7 @@
         self._on_loaded = on_loaded
         self.times: dict[str, int] = {}
         self.loading = 0
-        self.state = _initial(params, 0)
+        self.state = _initial_state(params, 0)
 
     def restart(self) -> None:
         """Drop what was loaded; the highest fencing number is kept, as if on disk."""
@@ -79,85 +79,85 @@
         for task in fetching:
             task.cancel()
         self.loading = 0
-        self.state = _initial(self._params, self.state.fence)
+        self.state = _initial_state(self._params, self.state.fence)
 
-    def take(self, order: Order) -> bool:
+    def accept(self, order: Order) -> bool:
         """Accept an order, or refuse it if a higher fencing number was seen before."""
         if self._params.checks_fence:
             if order["fence"] < self.state.fence:
                 return False
             self.state = self.state._replace(fence=order["fence"])
-        ident = order["order_id"]
-        self.times[ident] = self.times.get(ident, 0) + 1
-        self.state = self.state._replace(orders=[*self.state.orders, ident][-KEPT_ORDERS:])
+        order_id = order["order_id"]
+        self.times[order_id] = self.times.get(order_id, 0) + 1
+        self.state = self.state._replace(orders=[*self.state.orders, order_id][-MAX_LISTED_ORDERS:])
         self._load(order)
         return True
 
     def _load(self, order: Order) -> None:
-        self.loading += _blocks(order)
+        self.loading += _pauses_admission(order)
         if self._fetch is None or order["kind"] == "change_role":
             self._begin_load(order)
         else:
             self._fetch_weights(order, self._fetch, self._params.weights.tries)
 
-    def _fetch_weights(self, order: Order, fetch: Fetch, tries: int) -> None:
+    def _fetch_weights(self, order: Order, fetch: FetchWeights, tries: int) -> None:
         task = Deferred.fromCoroutine(fetch(order["name"]))
         self._fetching.add(task)
 
-        def ended(got: bool) -> None:
+        def on_fetch_ended(fetched: bool) -> None:
             if task not in self._fetching:
                 # Cancelled by a crash: continuing would load into the restarted engine.
                 return
             self._fetching.remove(task)
-            if got:
+            if fetched:
                 self._begin_load(order)
                 return
             if tries <= 1:
-                self._give_up(order)
+                self._fail(order)
                 return
-            again = partial(self._fetch_weights, order, fetch, tries - 1)
-            self._timers.call_later(self._params.weights.retry_ms, again)
+            retry = partial(self._fetch_weights, order, fetch, tries - 1)
+            self._timers.call_later(self._params.weights.retry_ms, retry)
 
-        task.addErrback(_not_got).addCallback(ended)
+        task.addErrback(_on_fetch_failed).addCallback(on_fetch_ended)
 
     def _begin_load(self, order: Order) -> None:
-        self._timers.call_later(self._params.order_ms, partial(self._loaded, order))
+        self._timers.call_later(self._params.order_ms, partial(self._finish_load, order))
 
-    def _loaded(self, order: Order) -> None:
-        self.loading -= _blocks(order)
-        self.state = _with(self.state, order["kind"], order["name"])
+    def _finish_load(self, order: Order) -> None:
+        self.loading -= _pauses_admission(order)
+        self.state = _state_after_load(self.state, order["kind"], order["name"])
         self._on_loaded()
 
-    def _give_up(self, order: Order) -> None:
-        self.loading -= _blocks(order)
-        left = [ident for ident in self.state.orders if ident != order["order_id"]]
-        self.state = self.state._replace(orders=left)
+    def _fail(self, order: Order) -> None:
+        self.loading -= _pauses_admission(order)
+        remaining = [order_id for order_id in self.state.orders if order_id != order["order_id"]]
+        self.state = self.state._replace(orders=remaining)
         self._on_loaded()
 
 
-def _blocks(order: Order) -> bool:
+def _pauses_admission(order: Order) -> bool:
     return order["kind"] != "load_adapter"
 
 
-def _not_got(failure: Failure) -> bool:
+def _on_fetch_failed(failure: Failure) -> bool:
     if failure.check(CancelledError) is None:
         events.emit(events.STANDIN_FAILED, reason=repr(failure.value))
     return False
 
 
-def _initial(params: EngineParams, fence: int) -> EngineState:
+def _initial_state(params: EngineParams, fence: int) -> EngineState:
     return EngineState(list(params.models), [], "mixed", params.version, fence, [])
 
 
-def _with(state: EngineState, kind: OrderKind, name: str) -> EngineState:
+def _state_after_load(state: EngineState, kind: OrderKind, name: str) -> EngineState:
     if kind == "load_model":
-        return state._replace(models=_added(state.models, name))
+        return state._replace(models=_append_unique(state.models, name))
     if kind == "load_adapter":
-        return state._replace(adapters=_added(state.adapters, name))
+        return state._replace(adapters=_append_unique(state.adapters, name))
     if kind == "load_version":
         return state._replace(version=name)
     return state._replace(role=name)
 
 
-def _added(names: list[str], name: str) -> list[str]:
+def _append_unique(names: list[str], name: str) -> list[str]:
     return names if name in names else [*names, name]
--- a/papayapier/standin/platform.py
+++ b/papayapier/standin/platform.py
@@ -15,21 +15,21 @@
 from papayapier.clock import Clock
 from papayapier.standin import platform_calls as calls
 from papayapier.standin import web
-from papayapier.standin.crashes import Crashes
-from papayapier.standin.instances import Instances
-from papayapier.standin.limits import Bucket
+from papayapier.standin.instance_list import InstanceList
+from papayapier.standin.limits import TokenBucket
 from papayapier.standin.link import Link
 from papayapier.standin.listener import Connection, Listener
 from papayapier.standin.long_polls import LongPolls
-from papayapier.standin.objects import Objects
-from papayapier.standin.platform_calls import INSTANCE_PATH, OBJECT_PATH, Answer, Look
-from papayapier.standin.switches import read_switches
+from papayapier.standin.object_store import ObjectStore
+from papayapier.standin.platform_calls import INSTANCE_PATH, OBJECT_PATH, PollCheck, Response
+from papayapier.standin.process_faults import ProcessFaults
+from papayapier.standin.switches import parse_switches
 from papayapier.standin.timers import Timers
 from papayapier.standin.weights import WEIGHT_PATH, WeightParams, WeightStore
 from papayapier.store.api import Member
 
 RETRY_AFTER: Final = "1"
-BAD_WAIT: Final = "since and wait_ms must be numbers"
+BAD_POLL_ARGS: Final = "since and wait_ms must be numbers"
 
 
 class PlatformParams(NamedTuple):
@@ -87,7 +87,7 @@
     """Serve the platform's protocol; switches and counters can also be used in the process."""
 
     __slots__ = (
-        "_crashes",
+        "_faults",
         "_limited",
         "_listener",
         "_params",
@@ -108,16 +108,18 @@
         self, reactor: Any, clock: Clock, params: PlatformParams, host: str, port: int
     ) -> None:
         self.switches = _normal_switches(params)
-        self.objects = Objects(params.history)
-        self.instances = Instances(clock, lambda: self.switches["list_lag_ms"], self._wake_lists)
+        self.objects = ObjectStore(params.history)
+        self.instances = InstanceList(
+            clock, lambda: self.switches["list_lag_ms"], self._recheck_instance_lists
+        )
         self._params = params
         self._timers = Timers(clock)
         self._polls = LongPolls(clock)
         link = Link(clock, params.link_delay_ms)
         self._listener = Listener(reactor, self._handle, host, port, link)
-        self._crashes = Crashes(clock, self._listener, self._polls.forget_all)
-        self._reads_bucket = Bucket(clock)
-        self._writes_bucket = Bucket(clock)
+        self._faults = ProcessFaults(clock, self._listener, self._polls.drop_all)
+        self._reads_bucket = TokenBucket(clock)
+        self._writes_bucket = TokenBucket(clock)
         self._weights = WeightStore(clock, params.weights)
         self._reads = self._writes = self._watches = self._limited = 0
         self._listener.open()
@@ -130,29 +132,29 @@
     def register(self, member: Member) -> None:
         """Add a member to the list without lag."""
         self.instances.report(member)
-        self.instances.show_now()
+        self.instances.publish_now()
 
-    def listening(self) -> bool:
+    def is_listening(self) -> bool:
         """Return whether the port accepts connections."""
         return self._listener.is_open()
 
     def control(self, control: PlatformControl, conn: Connection | None = None) -> None:
         """Change switches, as POST /control does; conn is the connection that set them."""
         before = self.switches
-        now = self.switches = _merged(before, control)
-        self.instances.mark(now["leaving"], now["removed"])
-        if now["outage"] and not before["outage"]:
-            self._polls.end_all(calls.failed(503, "outage"))
-        if now["refuse_connections"] and not before["refuse_connections"]:
-            self._crashes.after_answer(conn, self._refuse_connections)
-        if before["refuse_connections"] and not now["refuse_connections"]:
-            self._crashes.restart_or_tell()
+        after = self.switches = _merged(before, control)
+        self.instances.set_overrides(after["leaving"], after["removed"])
+        if after["outage"] and not before["outage"]:
+            self._polls.answer_all(calls.error_response(503, "outage"))
+        if after["refuse_connections"] and not before["refuse_connections"]:
+            self._faults.call_after_response(conn, self._refuse_connections)
+        if before["refuse_connections"] and not after["refuse_connections"]:
+            self._faults.restart_or_log()
         if control.get("restart_ms"):
-            open_again = partial(self.control, PlatformControl(refuse_connections=False))
-            self._timers.call_later(control["restart_ms"], open_again)
+            reopen = partial(self.control, PlatformControl(refuse_connections=False))
+            self._timers.call_later(control["restart_ms"], reopen)
         if control.get("drop_watches"):
-            self._polls.forget_all()
-        self._guard_expiry(before)
+            self._polls.drop_all()
+        self._update_expiry(before)
 
     def counts(self) -> PlatformCounts:
         """Return the current counters."""
@@ -171,19 +173,19 @@
     def close(self) -> Deferred[None]:
         """Stop serving; stored objects are lost."""
         self._timers.cancel_all()
-        self._polls.forget_all()
+        self._polls.drop_all()
         self.instances.close()
-        return self._crashes.close()
+        return self._faults.close()
 
     def _refuse_connections(self) -> None:
         if self.switches["refuse_connections"]:
-            self._crashes.crash()
+            self._faults.crash()
 
-    def _guard_expiry(self, before: PlatformControl) -> None:
+    def _update_expiry(self, before: PlatformControl) -> None:
         """Suspend the expiry of members while their reports cannot arrive."""
-        if _is_away(self.switches) and not _is_away(before):
+        if _is_unreachable(self.switches) and not _is_unreachable(before):
             self.instances.pause_expiry()
-        if _is_away(before) and not _is_away(self.switches):
+        if _is_unreachable(before) and not _is_unreachable(self.switches):
             self.instances.resume_expiry()
 
     def _handle(self, request: Request) -> None:
@@ -191,11 +193,11 @@
         if path == "/control":
             self._handle_control(request)
         elif path == "/counts":
-            web.send_json(request, web.Json(200, self.counts()._asdict()))
+            web.send_json(request, web.JsonResponse(200, self.counts()._asdict()))
         elif path.startswith(WEIGHT_PATH):
             self._handle_weights(request)
         elif self.switches["outage"]:
-            self._answer(request, calls.failed(503, "outage"))
+            self._respond(request, calls.error_response(503, "outage"))
         elif request.method == b"GET":
             self._handle_read(request, path)
         else:
@@ -203,20 +205,20 @@
 
     def _handle_control(self, request: Request) -> None:
         if request.method == b"POST":
-            control = self._read_control(web.body_of(request))
+            control = self._parse_control(web.body_of(request))
             if isinstance(control, Err):
-                web.send_json(request, web.Json(400, {"error": control.err_value}))
+                web.send_json(request, web.JsonResponse(400, {"error": control.err_value}))
                 return
             self.control(control.ok_value, web.connection_of(request))
-        web.send_json(request, web.Json(200, self.switches))
+        web.send_json(request, web.JsonResponse(200, self.switches))
 
-    def _read_control(self, body: bytes) -> Result[PlatformControl, str]:
-        read = read_switches(body, PlatformControl)
+    def _parse_control(self, body: bytes) -> Result[PlatformControl, str]:
+        read = parse_switches(body, PlatformControl)
         if isinstance(read, Err):
             return read
-        named = [*read.ok_value.get("leaving", ()), *read.ok_value.get("removed", ())]
-        for instance in named:
-            if not self.instances.knows(instance):
+        member_ids = [*read.ok_value.get("leaving", ()), *read.ok_value.get("removed", ())]
+        for instance in member_ids:
+            if not self.instances.is_member(instance):
                 return Err(f"no such member: {instance}")
         negative = [key for key, value in read.ok_value.items() if _is_negative(value)]
         if negative:
@@ -227,13 +229,15 @@
         body = self._weights.read(self.switches["weight_bytes_per_s"])
         if body is None:
             web.set_header(request, "retry-after", RETRY_AFTER)
-            self._answer(request, calls.failed(429, "over the rate limit of the weight store"))
+            self._respond(
+                request, calls.error_response(429, "over the rate limit of the weight store")
+            )
             return
-        self._answer(request, Answer(200, body, calls.VALUE_TYPE))
+        self._respond(request, Response(200, body, calls.VALUE_TYPE))
 
     def _handle_read(self, request: Request, path: str) -> None:
-        if not self._reads_bucket.take(self.switches["reads_per_s"]):
-            self._refuse_rate(request)
+        if not self._reads_bucket.try_take(self.switches["reads_per_s"]):
+            self._refuse_over_rate(request)
             return
         if path == "/watch":
             self._watches += 1
@@ -243,15 +247,15 @@
         if path == "/instances":
             self._list_instances(request)
         elif path == "/list":
-            self._answer(request, calls.list_objects(self.objects, request))
+            self._respond(request, calls.list_objects(self.objects, request))
         elif path.startswith(OBJECT_PATH):
-            self._answer(request, calls.read_object(self.objects, request))
+            self._respond(request, calls.read_object(self.objects, request))
         else:
-            self._answer(request, calls.failed(404, "no such path"))
+            self._respond(request, calls.error_response(404, "no such path"))
 
     def _handle_write(self, request: Request, path: str) -> None:
-        if not self._writes_bucket.take(self.switches["writes_per_s"]):
-            self._refuse_rate(request)
+        if not self._writes_bucket.try_take(self.switches["writes_per_s"]):
+            self._refuse_over_rate(request)
             return
         self._writes += 1
         if self.switches["cut_before_effect"] > 0:
@@ -260,61 +264,61 @@
             return
         revision = self.objects.revision
         if path.startswith(OBJECT_PATH):
-            answer = calls.write_object(self.objects, request)
+            response = calls.write_object(self.objects, request)
         elif path.startswith(INSTANCE_PATH):
-            answer = self._write_instance(request)
+            response = self._write_instance(request)
         else:
-            answer = calls.failed(404, "no such path")
+            response = calls.error_response(404, "no such path")
         if self.objects.revision != revision:
-            self._polls.wake(path[len(OBJECT_PATH) :])
+            self._polls.recheck(path[len(OBJECT_PATH) :])
         if self.switches["lose_answers"] > 0:
             self.switches["lose_answers"] -= 1
             web.connection_of(request).abort()
             return
-        self._answer(request, answer)
+        self._respond(request, response)
 
-    def _write_instance(self, request: Request) -> Answer:
+    def _write_instance(self, request: Request) -> Response:
         if request.method == b"DELETE":
-            self.instances.withdraw(calls.instance_of(request))
-            return Answer(200)
-        member = calls.read_member(request)
+            self.instances.withdraw(calls.instance_id_of(request))
+            return Response(200)
+        member = calls.parse_member(request)
         if isinstance(member, Err):
-            return calls.failed(400, member.err_value)
+            return calls.error_response(400, member.err_value)
         self.instances.report(member.ok_value)
-        return Answer(200)
+        return Response(200)
 
     def _watch(self, request: Request) -> None:
-        wait = calls.wait_of(request)
-        if wait is None:
-            self._answer(request, calls.failed(400, BAD_WAIT))
+        args = calls.poll_args_of(request)
+        if args is None:
+            self._respond(request, calls.error_response(400, BAD_POLL_ARGS))
             return
-        self._poll(request, wait, calls.look_at_changes(self.objects, wait))
+        self._poll(request, args, calls.make_changes_check(self.objects, args))
 
     def _list_instances(self, request: Request) -> None:
-        wait = calls.wait_of(request)
-        if wait is None:
-            self._answer(request, calls.failed(400, BAD_WAIT))
+        args = calls.poll_args_of(request)
+        if args is None:
+            self._respond(request, calls.error_response(400, BAD_POLL_ARGS))
             return
-        look = calls.look_at_members(self.instances, wait)
-        self._poll(request, wait._replace(prefix=INSTANCE_PATH), look)
+        check = calls.make_members_check(self.instances, args)
+        self._poll(request, args._replace(prefix=INSTANCE_PATH), check)
 
-    def _poll(self, request: Request, wait: calls.Wait, look: Look) -> None:
+    def _poll(self, request: Request, args: calls.PollArgs, check: PollCheck) -> None:
         if self.switches["drop_watches"]:
             return
-        cancel = self._polls.add(wait.prefix, wait.wait_ms, look, partial(self._answer, request))
-        web.watch_closed(request, cancel)
+        cancel = self._polls.add(args.prefix, args.wait_ms, check, partial(self._respond, request))
+        web.on_closed(request, cancel)
 
-    def _wake_lists(self) -> None:
-        self._polls.wake(INSTANCE_PATH)
+    def _recheck_instance_lists(self) -> None:
+        self._polls.recheck(INSTANCE_PATH)
 
-    def _refuse_rate(self, request: Request) -> None:
+    def _refuse_over_rate(self, request: Request) -> None:
         self._limited += 1
         web.set_header(request, "retry-after", RETRY_AFTER)
-        self._answer(request, calls.failed(429, "over the rate limit"))
+        self._respond(request, calls.error_response(429, "over the rate limit"))
 
-    def _answer(self, request: Request, answer: Answer) -> None:
+    def _respond(self, request: Request, response: Response) -> None:
         delay = self._params.latency_ms + self.switches["slow_ms"]
-        self._timers.call_later(delay, partial(_send, request, answer))
+        self._timers.call_later(delay, partial(_send, request, response))
 
 
 def start_platform(
@@ -324,12 +328,12 @@
     return execute(PlatformServer, reactor, clock, params, host, port)
 
 
-def _send(request: Request, answer: Answer) -> None:
-    if web.is_gone(request):
+def _send(request: Request, response: Response) -> None:
+    if web.is_closed(request):
         return
-    if answer.version:
-        web.set_header(request, "etag", f'"{answer.version}"')
-    web.send(request, answer.status, answer.body, answer.content_type)
+    if response.version:
+        web.set_header(request, "etag", f'"{response.version}"')
+    web.send(request, response.status, response.body, response.content_type)
 
 
 def _normal_switches(params: PlatformParams) -> PlatformControl:
@@ -356,7 +360,7 @@
     return merged
 
 
-def _is_away(switches: PlatformControl) -> bool:
+def _is_unreachable(switches: PlatformControl) -> bool:
     return switches["outage"] or switches["refuse_connections"]
 
 
--- a/papayapier/standin/platform_calls.py
+++ b/papayapier/standin/platform_calls.py
@@ -10,8 +10,8 @@
 
 from papayapier import codec
 from papayapier.standin import web
-from papayapier.standin.instances import Instances
-from papayapier.standin.objects import LIST_LIMIT, Objects
+from papayapier.standin.instance_list import InstanceList
+from papayapier.standin.object_store import LIST_LIMIT, ObjectStore
 from papayapier.store.api import MAX_VALUE_BYTES, Member, StoreError
 
 OBJECT_PATH: Final = "/objects/"
@@ -22,7 +22,7 @@
 VERSION: Final = re.compile(r'"(\d+)"')
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """Hold a response of the platform; version 0 means no ETag."""
 
     status: int
@@ -32,10 +32,10 @@
 
 
 # Return the response, or None to continue waiting; the argument is True at the timeout.
-Look = Callable[[bool], Answer | None]
+PollCheck = Callable[[bool], Response | None]
 
 
-class Wait(NamedTuple):
+class PollArgs(NamedTuple):
     """Hold the arguments of a long poll."""
 
     prefix: str
@@ -43,116 +43,118 @@
     wait_ms: int
 
 
-def failed(status: int, reason: str) -> Answer:
+def error_response(status: int, reason: str) -> Response:
     """Make an error response with a reason."""
-    return Answer(status, msgspec.json.encode({"error": reason}))
+    return Response(status, msgspec.json.encode({"error": reason}))
 
 
-def read_object(objects: Objects, request: Request) -> Answer:
+def read_object(objects: ObjectStore, request: Request) -> Response:
     """Handle GET /objects/KEY."""
     found = objects.get(_key_of(request))
     if isinstance(found, Err):
-        return failed(404, "no such object")
-    return Answer(200, found.ok_value.value, VALUE_TYPE, found.ok_value.version)
+        return error_response(404, "no such object")
+    return Response(200, found.ok_value.value, VALUE_TYPE, found.ok_value.version)
 
 
-def list_objects(objects: Objects, request: Request) -> Answer:
+def list_objects(objects: ObjectStore, request: Request) -> Response:
     """Handle GET /list."""
     limit = web.query(request, "limit", str(LIST_LIMIT))
     if not limit.isdigit():
-        return failed(400, "limit must be a number")
+        return error_response(400, "limit must be a number")
     page = objects.list(web.query(request, "prefix"), web.query(request, "after"), int(limit))
-    listed = [{"key": one.key, "version": one.version} for one in page.objects]
+    listed = [{"key": entry.key, "version": entry.version} for entry in page.objects]
     body = {"objects": listed, "more": page.more, "revision": page.revision}
-    return Answer(200, codec.to_json(body))
+    return Response(200, codec.to_json(body))
 
 
-def write_object(objects: Objects, request: Request) -> Answer:
+def write_object(objects: ObjectStore, request: Request) -> Response:
     """Handle PUT and DELETE /objects/KEY."""
     key = _key_of(request)
     if KEY.fullmatch(key) is None:
-        return failed(400, "not a valid key")
+        return error_response(400, "not a valid key")
     if request.method == b"DELETE":
         return _delete(objects, request, key)
     value = web.body_of(request)
     if len(value) > MAX_VALUE_BYTES:
-        return failed(413, f"the value is larger than {MAX_VALUE_BYTES} bytes")
+        return error_response(413, f"the value is larger than {MAX_VALUE_BYTES} bytes")
     if web.header(request, "if-none-match") == "*":
-        return _changed(201, objects.create(key, value))
+        return _write_response(201, objects.create(key, value))
     version = VERSION.fullmatch(web.header(request, "if-match"))
     if version is None:
-        return failed(428, "neither If-None-Match: * nor If-Match is given")
-    return _changed(200, objects.update(key, value, int(version.group(1))))
+        return error_response(428, "neither If-None-Match: * nor If-Match is given")
+    return _write_response(200, objects.update(key, value, int(version.group(1))))
 
 
-def read_member(request: Request) -> Result[Member, str]:
+def parse_member(request: Request) -> Result[Member, str]:
     """Parse the record that an instance reports about itself."""
     read = codec.from_json(web.body_of(request), Member)
-    if isinstance(read, Ok) and read.ok_value.id != instance_of(request):
+    if isinstance(read, Ok) and read.ok_value.id != instance_id_of(request):
         return Err("the id does not match the path")
     return read
 
 
-def instance_of(request: Request) -> str:
+def instance_id_of(request: Request) -> str:
     """Return the instance id in the path of a call on /instances/ID."""
     return web.path_of(request)[len(INSTANCE_PATH) :]
 
 
-def wait_of(request: Request) -> Wait | None:
+def poll_args_of(request: Request) -> PollArgs | None:
     """Parse the arguments of a long poll; return None when they are malformed."""
     since, wait_ms = web.query(request, "since", "0"), web.query(request, "wait_ms", "0")
     if not (since.isdigit() and wait_ms.isdigit()):
         return None
-    return Wait(web.query(request, "prefix"), int(since), min(int(wait_ms), MAX_WAIT_MS))
+    return PollArgs(web.query(request, "prefix"), int(since), min(int(wait_ms), MAX_WAIT_MS))
 
 
-def look_at_changes(objects: Objects, wait: Wait) -> Look:
+def make_changes_check(objects: ObjectStore, args: PollArgs) -> PollCheck:
     """Make the function that checks a watch for changes."""
 
-    def look(last: bool) -> Answer | None:
-        found = objects.changes(wait.prefix, wait.since)
+    def check(timed_out: bool) -> Response | None:
+        found = objects.changes(args.prefix, args.since)
         if isinstance(found, Err):
-            return failed(410, "the history no longer has these changes: list again")
-        if not found.ok_value.changes and not last:
+            return error_response(410, "the history no longer has these changes: list again")
+        if not found.ok_value.changes and not timed_out:
             return None
         changes = [
-            {"key": one.key, "version": one.version, "deleted": one.deleted}
-            for one in found.ok_value.changes
+            {"key": change.key, "version": change.version, "deleted": change.deleted}
+            for change in found.ok_value.changes
         ]
-        return Answer(200, codec.to_json({"changes": changes, "revision": found.ok_value.revision}))
+        return Response(
+            200, codec.to_json({"changes": changes, "revision": found.ok_value.revision})
+        )
 
-    return look
+    return check
 
 
-def look_at_members(instances: Instances, wait: Wait) -> Look:
+def make_members_check(instances: InstanceList, args: PollArgs) -> PollCheck:
     """Make the function that checks whether the instance list has changed."""
 
-    def look(last: bool) -> Answer | None:
-        if instances.revision == wait.since and not last:
+    def check(timed_out: bool) -> Response | None:
+        if instances.revision == args.since and not timed_out:
             return None
-        return _members_answer(instances.shown(), instances.revision)
+        return _members_response(instances.listed(), instances.revision)
 
-    return look
+    return check
 
 
-def _members_answer(members: list[Member], revision: int) -> Answer:
+def _members_response(members: list[Member], revision: int) -> Response:
     records = [member._asdict() for member in members]
     for record in records:
         del record["static"]
-    return Answer(200, msgspec.json.encode({"instances": records, "revision": revision}))
+    return Response(200, msgspec.json.encode({"instances": records, "revision": revision}))
 
 
-def _delete(objects: Objects, request: Request, key: str) -> Answer:
+def _delete(objects: ObjectStore, request: Request, key: str) -> Response:
     version = VERSION.fullmatch(web.header(request, "if-match"))
     if version is None:
-        return failed(428, "If-Match is not given")
-    return _changed(200, objects.delete(key, int(version.group(1))))
+        return error_response(428, "If-Match is not given")
+    return _write_response(200, objects.delete(key, int(version.group(1))))
 
 
-def _changed(status: int, result: Result[int, StoreError]) -> Answer:
+def _write_response(status: int, result: Result[int, StoreError]) -> Response:
     if isinstance(result, Err):
-        return failed(412, "the condition does not hold")
-    return Answer(status, version=result.ok_value)
+        return error_response(412, "the condition does not hold")
+    return Response(status, version=result.ok_value)
 
 
 def _key_of(request: Request) -> str:
--- a/papayapier/standin/prefix_cache.py
+++ b/papayapier/standin/prefix_cache.py
@@ -38,7 +38,7 @@
 class PrefixCache:
     """Hold the names of the cached blocks and the events about them."""
 
-    __slots__ = ("_blocks", "_events", "_next", "_now", "_params", "_rng")
+    __slots__ = ("_blocks", "_events", "_next_seq", "_now", "_params", "_rng")
 
     def __init__(self, params: CacheParams, now: Callable[[], int], rng: random.Random) -> None:
         self._params = params
@@ -46,7 +46,7 @@
         self._rng = rng
         self._blocks: OrderedDict[str, None] = OrderedDict()
         self._events: deque[CacheEvent] = deque(maxlen=EVENT_HISTORY)
-        self._next = 1
+        self._next_seq = 1
 
     def match(self, names: list[str]) -> int:
         """Return how many tokens of a prompt are cached, and mark their blocks as recently used."""
@@ -81,18 +81,18 @@
         return found, found[-1].seq + 1 if found else since
 
     def _record(self, kind: EventKind, name: str) -> None:
-        seq = self._next
-        self._next += 1
+        seq = self._next_seq
+        self._next_seq += 1
         if self._rng.random() >= self._params.event_loss:
             self._events.append(CacheEvent(seq, kind, name, self._now()))
 
 
 def block_names(words: list[str]) -> list[str]:
     """Return the names of the complete blocks of a prompt, in order."""
-    running = xxhash.xxh64()
+    hasher = xxhash.xxh64()
     names: list[str] = []
     for start in range(0, len(words) - BLOCK_TOKENS + 1, BLOCK_TOKENS):
         text = " ".join(words[start : start + BLOCK_TOKENS])
-        running.update((text if start == 0 else " " + text).encode())
-        names.append(running.hexdigest())
+        hasher.update((text if start == 0 else " " + text).encode())
+        names.append(hasher.hexdigest())
     return names
--- a/papayapier/standin/service.py
+++ b/papayapier/standin/service.py
@@ -15,14 +15,14 @@
 
 from papayapier.clock import Clock
 from papayapier.standin import web
-from papayapier.standin.crashes import Crashes, answer_control
 from papayapier.standin.link import Link
 from papayapier.standin.listener import Connection, Listener
+from papayapier.standin.process_faults import ProcessFaults, handle_control
 from papayapier.standin.switches import LATE_FACTOR, Control, Mode, Switches
 from papayapier.standin.timers import Timers
-from papayapier.standin.web import Json
+from papayapier.standin.web import JsonResponse
 
-OTHER_ANSWER: Final = {
+FOREIGN_ANSWER: Final = {
     "request_id": "another-request",
     "path": "/calls/another",
     "echo": hashlib.sha256(b"another").hexdigest(),
@@ -55,7 +55,7 @@
     """Serve plain calls; switches and counters can also be used in the process."""
 
     __slots__ = (
-        "_crashes",
+        "_faults",
         "_listener",
         "_params",
         "_running",
@@ -76,7 +76,7 @@
         self._running = 0
         link = Link(clock, params.link_delay_ms)
         self._listener = Listener(reactor, self._handle, host, port, link)
-        self._crashes = Crashes(clock, self._listener, self._lose_work)
+        self._faults = ProcessFaults(clock, self._listener, self._drop_work)
         self._listener.open()
 
     @property
@@ -91,7 +91,7 @@
     def control(self, control: Control, conn: Connection | None = None) -> None:
         """Change switches, as POST /control does; conn is the connection that set them."""
         self.switches.merge(control)
-        self._crashes.apply(self.switches, control, conn)
+        self._faults.apply(self.switches, control, conn)
 
     def counts(self) -> ServiceCounts:
         """Return the current counters."""
@@ -99,34 +99,34 @@
 
     def restart(self) -> Deferred[None]:
         """Restart a crashed service on the same port."""
-        return self._crashes.restart()
+        return self._faults.restart()
 
     def close(self) -> Deferred[None]:
         """Stop serving; calls in progress are lost."""
-        self._lose_work()
-        return self._crashes.close()
+        self._drop_work()
+        return self._faults.close()
 
     def _handle(self, request: Request) -> None:
         path = web.path_of(request)
         if path == "/control":
-            answer_control(request, self.switches, self.control)
+            handle_control(request, self.switches, self.control)
         elif path == "/counts":
-            web.send_json(request, Json(200, self.counts()._asdict()))
+            web.send_json(request, JsonResponse(200, self.counts()._asdict()))
         elif path == "/load":
             self._handle_load(request)
         else:
             self._handle_call(request, path)
 
     def _handle_load(self, request: Request) -> None:
-        if self.switches.hangs_always():
+        if self.switches.hangs_all_calls():
             return
         load = {"running": self._running, "waiting": len(self._waiting)}
-        web.send_json(request, Json(200, {**load, "slots": self._params.slots}))
+        web.send_json(request, JsonResponse(200, {**load, "slots": self._params.slots}))
 
     def _handle_call(self, request: Request, path: str) -> None:
-        mode = self.switches.take()
+        mode = self.switches.next_mode()
         if mode is Mode.CRASH:
-            self._crashes.crash()
+            self._faults.crash()
             return
         request_id = web.header(request, "x-request-id")
         call_id = web.header(request, "x-papayapier-call") or request_id
@@ -152,12 +152,12 @@
 
     def _finish(self, call: _Call) -> None:
         self._running -= 1
-        mark = f"{self._running}/{len(self._waiting)}/{self._params.slots}"
-        web.set_header(call.request, "x-load", mark)
-        _answer(call)
+        load_header = f"{self._running}/{len(self._waiting)}/{self._params.slots}"
+        web.set_header(call.request, "x-load", load_header)
+        _respond(call)
         self._start_calls()
 
-    def _lose_work(self) -> None:
+    def _drop_work(self) -> None:
         self._timers.cancel_all()
         self._waiting.clear()
         self._running = 0
@@ -171,15 +171,15 @@
     return execute(partial(ServiceServer, reactor, clock, params, host, port))
 
 
-def _answer(call: _Call) -> None:
-    if web.is_gone(call.request):
+def _respond(call: _Call) -> None:
+    if web.is_closed(call.request):
         return
     if call.mode is Mode.RESET:
         web.connection_of(call.request).abort()
         return
     answer = call.answer
     if call.mode is Mode.CROSSED:
-        answer = OTHER_ANSWER
+        answer = FOREIGN_ANSWER
     web.set_header(call.request, "x-request-id", answer["request_id"])
     body = msgspec.json.encode(answer)
     if call.mode is Mode.TRUNCATE:
--- a/papayapier/standin/switches.py
+++ b/papayapier/standin/switches.py
@@ -51,7 +51,7 @@
         self.slow_factor = control.get("slow_factor", self.slow_factor)
         self.times = control.get("times", self.times)
 
-    def take(self) -> Mode:
+    def next_mode(self) -> Mode:
         """Return the mode for one request, and decrement the number of times it still applies."""
         mode = self.mode
         if self.times > 0:
@@ -60,7 +60,7 @@
                 self.mode = Mode.OK
         return mode
 
-    def hangs_always(self) -> bool:
+    def hangs_all_calls(self) -> bool:
         """Return whether all calls except /control and /counts hang."""
         return self.mode is Mode.HANG and self.times == 0
 
@@ -69,14 +69,14 @@
         self.mode = Mode.OK
         self.times = 0
 
-    def show(self) -> dict[str, object]:
+    def as_dict(self) -> dict[str, object]:
         """Return the switches as sent by GET /control."""
         return {"mode": self.mode.value, "slow_factor": self.slow_factor, "times": self.times}
 
 
-def read_control(body: bytes) -> Result[Control, str]:
+def parse_control(body: bytes) -> Result[Control, str]:
     """Decode and validate the body of POST /control of an engine or service."""
-    read = read_switches(body, Control)
+    read = parse_switches(body, Control)
     if isinstance(read, Err):
         return read
     control = read.ok_value
@@ -87,7 +87,7 @@
     return Ok(control)
 
 
-def read_switches(body: bytes, kind: type[T]) -> Result[T, str]:
+def parse_switches(body: bytes, kind: type[T]) -> Result[T, str]:
     """Decode switches, and refuse unknown keys.
 
     Otherwise a misspelt switch would have no effect, and a test of a fault would pass because
--- a/papayapier/standin/web.py
+++ b/papayapier/standin/web.py
@@ -12,7 +12,7 @@
 JSON_TYPE: Final = "application/json"
 
 
-class Json(NamedTuple):
+class JsonResponse(NamedTuple):
     """Hold a status and a value to be sent as JSON."""
 
     status: int
@@ -60,14 +60,14 @@
     cast(Any, request).finish()
 
 
-def send_json(request: Request, answer: Json) -> None:
+def send_json(request: Request, response: JsonResponse) -> None:
     """Finish a request with a JSON response."""
-    send(request, answer.status, msgspec.json.encode(answer.value), JSON_TYPE)
+    send(request, response.status, msgspec.json.encode(response.value), JSON_TYPE)
 
 
 def send(request: Request, status: int, body: bytes, content_type: str) -> None:
     """Finish a request with a body, unless its connection has closed."""
-    if is_gone(request):
+    if is_closed(request):
         return
     request.setResponseCode(status)
     set_header(request, "content-type", content_type)
@@ -84,11 +84,11 @@
     connection_of(request).loseConnection()
 
 
-def is_gone(request: Request) -> bool:
+def is_closed(request: Request) -> bool:
     """Return whether the connection of a request closed before the response was complete."""
     return cast(Any, request).channel is None
 
 
-def watch_closed(request: Request, call: Callable[[], None]) -> None:
+def on_closed(request: Request, call: Callable[[], None]) -> None:
     """Run a call when the connection closes before the request is finished."""
     request.notifyFinish().addErrback(lambda _: call())
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -181,7 +181,7 @@
         self.server.control(Control(mode=Mode.CRASH, times=1))
         await self.cut(self.ask("a"))
         self.server.control(Control(restart_ms=1))
-        await self.until(lambda: self.server.listening())
+        await self.until(lambda: self.server.is_listening())
         assert (await self.ask("b")).status == 200
 
     async def test_silence_hits_open_connections_only(self) -> None:
--- a/tests/test_standin_link.py
+++ b/tests/test_standin_link.py
@@ -23,12 +23,12 @@
     link = Link(fake.clock, DELAY_MS)
     arrived: list[int] = []
     for number in range(100):
-        link.carry(arrived.append, number)
+        link.deliver(arrived.append, number)
     assert len(fake.source.getDelayedCalls()) == 1
     fake.advance(0)
     assert len(fake.source.getDelayedCalls()) == 1
     fake.advance(DELAY_MS - 1)
-    link.carry(arrived.append, 100)
+    link.deliver(arrived.append, 100)
     assert arrived == []
     fake.advance(1)
     assert arrived == list(range(100))
@@ -40,7 +40,7 @@
 def test_link_without_delay_runs_at_once() -> None:
     fake = fake_clock()
     arrived: list[int] = []
-    Link(fake.clock, 0).carry(arrived.append, 1)
+    Link(fake.clock, 0).deliver(arrived.append, 1)
     assert arrived == [1]
     assert fake.source.getDelayedCalls() == []
 
@@ -52,8 +52,8 @@
     fake = fake_clock()
     link = Link(fake.clock, DELAY_MS)
     arrived: list[int] = []
-    link.carry(arrived.remove, 1)
-    link.carry(arrived.append, 2)
+    link.deliver(arrived.remove, 1)
+    link.deliver(arrived.append, 2)
     fake.advance(0)
     fake.advance(DELAY_MS)
     assert arrived == [2]
--- a/tests/test_standin_models.py
+++ b/tests/test_standin_models.py
@@ -7,14 +7,14 @@
 from result import Err, Ok
 
 from papayapier.clock import fake_clock
-from papayapier.standin.answers import expected_text, words
+from papayapier.standin.answers import answer_words, expected_text
 from papayapier.standin.engine_core import EngineCore
 from papayapier.standin.engine_steps import Batch, EngineParams, Sequence
-from papayapier.standin.instances import EXPIRY_MS, Instances
-from papayapier.standin.jobs import Job
-from papayapier.standin.limits import BURST_MS, Bucket
+from papayapier.standin.generations import Generation
+from papayapier.standin.instance_list import EXPIRY_MS, InstanceList
+from papayapier.standin.limits import BURST_MS, TokenBucket
 from papayapier.standin.load_report import LaggedReports, LoadReport
-from papayapier.standin.objects import Objects
+from papayapier.standin.object_store import ObjectStore
 from papayapier.standin.orders import Order, Orders
 from papayapier.standin.outputs import Output
 from papayapier.standin.prefix_cache import (
@@ -23,7 +23,7 @@
     PrefixCache,
     block_names,
 )
-from papayapier.standin.switches import Control, Mode, Switches, read_control
+from papayapier.standin.switches import Control, Mode, Switches, parse_control
 from papayapier.standin.timers import Timers
 from papayapier.store.api import Change, Changes, Member, StoreError
 
@@ -34,7 +34,7 @@
 @settings(derandomize=True, deadline=None, database=None, max_examples=80)
 @given(STEPS)
 def test_objects_agree_with_a_plain_model(steps: list[tuple[str, str]]) -> None:
-    objects = Objects(history=1_000)
+    objects = ObjectStore(history=1_000)
     model: dict[str, int] = {}
     changes: list[Change] = []
     for number, (step, key) in enumerate(steps):
@@ -56,14 +56,14 @@
         if step == "delete":
             del model[key]
     assert objects.revision == len(changes)
-    assert {one.key: one.version for one in objects.list("", "", 1_000).objects} == model
+    assert {entry.key: entry.version for entry in objects.list("", "", 1_000).objects} == model
     latest = {change.key: change for change in changes if change.key.startswith("a")}
     expected = sorted(latest.values(), key=lambda change: change.version)
     assert objects.changes("a", 0) == Ok(Changes(expected, len(changes)))
 
 
 def test_listing_is_paged_in_key_order() -> None:
-    objects = Objects(history=10)
+    objects = ObjectStore(history=10)
     for key in ("p/3", "q", "p/1", "p/2", "o"):
         objects.create(key, b"")
     first = objects.list("p/", "", 2)
@@ -75,7 +75,7 @@
 
 
 def test_watch_older_than_the_history_must_list_again() -> None:
-    objects = Objects(history=2)
+    objects = ObjectStore(history=2)
     for key in ("a", "b", "c"):
         objects.create(key, b"")
     assert objects.changes("", 0) == Err(StoreError.TOO_OLD)
@@ -89,23 +89,23 @@
 
 def test_instance_list_lags_and_drops_the_silent() -> None:
     fake = fake_clock()
-    told: list[int] = []
-    instances = Instances(fake.clock, lambda: 500, lambda: told.append(instances.revision))
+    revisions: list[int] = []
+    instances = InstanceList(fake.clock, lambda: 500, lambda: revisions.append(instances.revision))
     instances.report(make_member("one"))
     instances.report(make_member("two", static=True))
     fake.advance(499)
-    assert instances.shown() == []
+    assert instances.listed() == []
     fake.advance(1)
-    assert [member.id for member in instances.shown()] == ["one", "two"]
+    assert [member.id for member in instances.listed()] == ["one", "two"]
     instances.report(make_member("one"))
-    assert len(told) == 2
+    assert len(revisions) == 2
     fake.advance(EXPIRY_MS)
-    assert [member.id for member in instances.shown()] == ["one", "two"]
+    assert [member.id for member in instances.listed()] == ["one", "two"]
     fake.advance(500)
-    assert [member.id for member in instances.shown()] == ["two"]
+    assert [member.id for member in instances.listed()] == ["two"]
     instances.withdraw("two")
     fake.advance(500)
-    assert instances.shown() == []
+    assert instances.listed() == []
 
 
 def test_outage_drops_no_instance() -> None:
@@ -113,44 +113,49 @@
     # Sequence: the reports of all instances failed for longer than their expiry.
     # Cause: the platform blamed the instances for its own outage.
     fake = fake_clock()
-    instances = Instances(fake.clock, lambda: 0, lambda: None)
+    instances = InstanceList(fake.clock, lambda: 0, lambda: None)
     instances.report(make_member("one"))
     instances.pause_expiry()
     fake.advance(3 * EXPIRY_MS)
     instances.resume_expiry()
-    assert [member.id for member in instances.shown()] == ["one"]
+    assert [member.id for member in instances.listed()] == ["one"]
     fake.advance(EXPIRY_MS)
-    assert instances.shown() == []
+    assert instances.listed() == []
 
 
 def test_bucket_counts_amounts() -> None:
     fake = fake_clock()
-    bucket = Bucket(fake.clock)
+    bucket = TokenBucket(fake.clock)
     rate = 100
-    assert [bucket.take(rate, amount) for amount in (30, 30, 20, 1)] == [True, False, True, False]
+    assert [bucket.try_take(rate, amount) for amount in (30, 30, 20, 1)] == [
+        True,
+        False,
+        True,
+        False,
+    ]
     fake.advance(100)
-    assert [bucket.take(rate, amount) for amount in (11, 10)] == [False, True]
+    assert [bucket.try_take(rate, amount) for amount in (11, 10)] == [False, True]
 
 
 def test_amount_above_the_burst_passes_once_the_rate_has_paid_for_it() -> None:
     fake = fake_clock()
-    bucket = Bucket(fake.clock)
-    assert [bucket.take(100, 1_000), bucket.take(100, 1)] == [True, False]
+    bucket = TokenBucket(fake.clock)
+    assert [bucket.try_take(100, 1_000), bucket.try_take(100, 1)] == [True, False]
     fake.advance(9_990)
-    assert not bucket.take(100, 1_000)
+    assert not bucket.try_take(100, 1_000)
     fake.advance(10)
-    assert bucket.take(100, 1_000)
+    assert bucket.try_take(100, 1_000)
 
 
 def test_bucket_allows_a_burst_and_then_the_rate() -> None:
     fake = fake_clock()
-    bucket = Bucket(fake.clock)
+    bucket = TokenBucket(fake.clock)
     rate = 100
     burst = rate * BURST_MS // 1_000
-    assert sum(bucket.take(rate) for _ in range(rate)) == burst
+    assert sum(bucket.try_take(rate) for _ in range(rate)) == burst
     fake.advance(100)
-    assert sum(bucket.take(rate) for _ in range(rate)) == rate // 10
-    assert all(bucket.take(0) for _ in range(rate))
+    assert sum(bucket.try_take(rate) for _ in range(rate)) == rate // 10
+    assert all(bucket.try_take(0) for _ in range(rate))
 
 
 class Engine:
@@ -167,7 +172,7 @@
         seq = Sequence(
             blocks=block_names(split),
             prompt_tokens=len(split),
-            left=tokens,
+            new_tokens_left=tokens,
             on_start=lambda: self.started.append(name),
             on_token=lambda last: self.made.append(name.upper() if last else name),
             stride=stride,
@@ -250,12 +255,12 @@
     assert [cache.match([name]) for name in names[-3:]] == [0, BLOCK_TOKENS, BLOCK_TOKENS]
     assert cache.events_since(0) == ([], 0)
     now[0] = 100
-    events, following = cache.events_since(0)
+    events, next_seq = cache.events_since(0)
     numbers = [event.seq for event in events]
     assert numbers == sorted(set(numbers))
     assert 0 < len(numbers) < 38
-    assert following == numbers[-1] + 1
-    assert cache.events_since(following) == ([], following)
+    assert next_seq == numbers[-1] + 1
+    assert cache.events_since(next_seq) == ([], next_seq)
 
 
 def test_load_report_shows_the_past() -> None:
@@ -278,7 +283,7 @@
     for checks, accepted in ((True, [True, False]), (False, [True, True])):
         params = EngineParams(checks_fence=checks, order_ms=300)
         orders = Orders(params, Timers(fake.clock), lambda: loaded.append(True))
-        assert [orders.take(make_order("x", 5)), orders.take(make_order("y", 4))] == accepted
+        assert [orders.accept(make_order("x", 5)), orders.accept(make_order("y", 4))] == accepted
     assert orders.times == {"x": 1, "y": 1}
     assert orders.loading == 2
     assert orders.state.models == ["base"]
@@ -292,7 +297,7 @@
     fake = fake_clock()
     orders = Orders(EngineParams(), Timers(fake.clock), lambda: None)
     for number, kind in enumerate(("load_adapter", "load_version", "change_role")):
-        orders.take(make_order(str(number), number, kind, kind))
+        orders.accept(make_order(str(number), number, kind, kind))
     assert orders.loading == 2
     fake.advance(EngineParams().order_ms)
     state = orders.state
@@ -309,23 +314,23 @@
 def test_switches_count_down() -> None:
     switches = Switches()
     switches.merge(Control(mode=Mode.HANG, times=2))
-    modes = [switches.take() for _ in range(3)]
+    modes = [switches.next_mode() for _ in range(3)]
     assert modes == [Mode.HANG, Mode.HANG, Mode.OK]
     switches.merge(Control(mode=Mode.LATE))
-    assert [switches.take() for _ in range(3)] == [Mode.LATE] * 3
+    assert [switches.next_mode() for _ in range(3)] == [Mode.LATE] * 3
 
 
 def test_bad_switches_are_refused() -> None:
     bad = (b"{", b'{"mode":"odd"}', b'{"mod":"ok"}', b'{"slow_factor":0}', b'{"times":-1}')
-    assert all(isinstance(read_control(body), Err) for body in bad)
-    assert read_control(b'{"mode":"late","times":1}') == Ok({"mode": Mode.LATE, "times": 1})
+    assert all(isinstance(parse_control(body), Err) for body in bad)
+    assert parse_control(b'{"mode":"late","times":1}') == Ok({"mode": Mode.LATE, "times": 1})
 
 
 def test_answers_differ_by_prompt_and_can_be_resumed() -> None:
     whole = expected_text("one", 9).split()
     assert len(set(whole)) == 9
     assert set(whole).isdisjoint(expected_text("two", 9).split())
-    rest = iter(words("one", 4))
+    rest = iter(answer_words("one", 4))
     assert [next(rest) for _ in range(5)] == whole[4:]
 
 
@@ -338,8 +343,10 @@
     core.switches.merge(Control(slow_factor=slow_factor))
     made: list[int] = []
     output = Output(lambda: made.append(1), lambda: None, lambda: None)
-    job = Job("r", "r", chat=True, stream=True, model="m", prompt="p", max_tokens=99, done_words=0)
-    core.accept(job, output, mode)
+    generation = Generation(
+        "r", "r", chat=True, stream=True, model="m", prompt="p", max_tokens=99, done_words=0
+    )
+    core.accept(generation, output, mode)
     for _ in range(steps):
         fake.advance(params.base_ms)
     core.crash()
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -5,7 +5,7 @@
 from twisted.internet.error import ConnectionRefusedError
 
 from papayapier.clock import fake_clock
-from papayapier.standin.instances import EXPIRY_MS
+from papayapier.standin.instance_list import EXPIRY_MS
 from papayapier.standin.platform import (
     PlatformControl,
     PlatformParams,
@@ -149,7 +149,7 @@
         answer = await self.call(self.server.port, "POST", "/control", body)
         assert answer.value["refuse_connections"] is True
         await self.cut(waiting)
-        await self.until(lambda: not self.server.listening())
+        await self.until(lambda: not self.server.is_listening())
         try:
             await self.get("/objects/a")
         except ConnectionRefusedError:
@@ -157,7 +157,7 @@
         else:
             raise AssertionError("the port is open")
         self.server.control(PlatformControl(restart_ms=1))
-        await self.until(self.server.listening)
+        await self.until(self.server.is_listening)
         assert (await self.create("a")).status == 201
         shown = (await self.call(self.server.port, "GET", "/control")).value
         assert shown["refuse_connections"] is False
@@ -173,7 +173,7 @@
         self.server.register(Member("i-1", "entry", "", HOST, 1, 2, "dc-a", "r", "live"))
         self.server.control({"refuse_connections": True, "restart_ms": 2 * EXPIRY_MS})
         fake.advance(2 * EXPIRY_MS)
-        await self.until(self.server.listening)
+        await self.until(self.server.is_listening)
         assert [one["id"] for one in (await self.get("/instances")).value["instances"]] == ["i-1"]
         fake.advance(EXPIRY_MS)
         assert (await self.get("/instances")).value["instances"] == []
--- a/tests/test_standin_weights.py
+++ b/tests/test_standin_weights.py
@@ -41,7 +41,7 @@
 def test_limited_weights_make_an_order_slower() -> None:
     fake = fake_clock()
     engine = Engine(fake)
-    engine.orders.take(load("m"))
+    engine.orders.accept(load("m"))
     engine.asked[0].callback(False)
     fake.advance(RETRY_MS)
     engine.asked[1].callback(True)
@@ -56,7 +56,7 @@
     # Cause: an engine gives up, and tells nobody but by its state.
     fake = fake_clock()
     engine = Engine(fake)
-    engine.orders.take(load("m"))
+    engine.orders.accept(load("m"))
     assert engine.orders.state.orders == ["1-m"]
     for number in range(TRIES):
         engine.asked[number].callback(False)
@@ -73,7 +73,7 @@
     # Cause: the read outlived the process that had asked for it.
     fake = fake_clock()
     engine = Engine(fake)
-    engine.orders.take(load("m"))
+    engine.orders.accept(load("m"))
     engine.crash()
     assert engine.asked[0].called
     fake.advance(RETRY_MS + ORDER_MS)
@@ -128,7 +128,7 @@
     async def test_unreachable_store_fails_the_order(self) -> None:
         await self.start(WeightParams())
         self.fleet.platform.control({"refuse_connections": True})
-        await self.until(lambda: not self.fleet.platform.listening())
+        await self.until(lambda: not self.fleet.platform.is_listening())
         await self.order("first")
         orders = self.fleet.engines[0].core.orders
         await self.until(lambda: orders.loading == 0)
