--- a/papayapier/load/__init__.py
+++ b/papayapier/load/__init__.py
@@ -1,1 +1,1 @@
-"""Generate load, run experiments and report them."""
+"""Generate load, run experiments and report the results."""
--- a/papayapier/load/answer.py
+++ b/papayapier/load/answer.py
@@ -1,6 +1,6 @@
-"""Decide what a response is: a whole and own answer, a refusal, or something broken.
+"""Classify a response: a complete and correct answer, a refusal, or a faulty response.
 
-No I/O here: the client feeds status and bytes, and asks for the verdict at the end.
+This module does no I/O: the client feeds status and bytes, and gets a verdict at the end.
 """
 
 from collections.abc import Callable
@@ -18,11 +18,11 @@
 
 
 class End(Enum):
-    """Name each way in which a request ends, as its caller sees it.
+    """List the outcomes of a request as its caller sees them.
 
-    WRONG is an answer that is not the request's own or not whole, and yet passed as good.
-    CUT is a connection that ended early, which a caller can tell. LEFT is the caller's own
-    going away.
+    WRONG is an answer that belongs to another request or is incomplete, and yet looks
+    successful. CUT is a connection that closed early, which a caller can detect. LEFT means
+    that the caller itself disconnected.
     """
 
     WHOLE = "whole"
@@ -34,9 +34,9 @@
 
 
 class Verdict(NamedTuple):
-    """Hold what became of a request; kind and outcome are those of a refusal.
+    """Hold the outcome of a request; kind and outcome are those of a refusal.
 
-    flaw names what a whole answer lacks of the protocol's form.
+    flaw describes how a complete answer deviates from the protocol's format.
     """
 
     end: End
@@ -49,7 +49,7 @@
 
 
 class RefusalBody(TypedDict, total=False):
-    """Name the fields of a refusal that callers read."""
+    """Describe the fields of a refusal that callers read."""
 
     kind: str
     outcome: str
@@ -58,13 +58,13 @@
 
 
 class Message(TypedDict, total=False):
-    """Name the text of a choice."""
+    """Describe the text of a choice."""
 
     content: str
 
 
 class Choice(TypedDict, total=False):
-    """Name the fields of one choice, whole or streamed."""
+    """Describe the fields of one choice, in a JSON response or a stream."""
 
     message: Message
     delta: Message
@@ -72,7 +72,7 @@
 
 
 class Document(TypedDict, total=False):
-    """Name the fields read of any JSON answer."""
+    """Describe the fields that are read from any JSON response."""
 
     choices: list[Choice]
     error: RefusalBody
@@ -85,7 +85,7 @@
 
 
 class StreamReader:
-    """Read server-sent events as they arrive."""
+    """Parse server-sent events as they arrive."""
 
     __slots__ = ("_rest", "document", "finished", "parts", "whole")
 
@@ -97,7 +97,7 @@
         self.document: Document | None = None
 
     def feed(self, data: bytes) -> int:
-        """Take bytes in and return how many tokens they completed."""
+        """Parse received bytes and return how many tokens they completed."""
         lines = (self._rest + data).split(b"\n")
         self._rest = lines.pop()
         before = len(self.parts)
@@ -122,7 +122,7 @@
 
 
 def decode(payload: bytes) -> Document | None:
-    """Return the JSON document of an answer, or None when it is not one."""
+    """Return the JSON document of a response, or None when it is malformed."""
     try:
         return _DECODER.decode(payload)
     except msgspec.MsgspecError:
@@ -130,10 +130,10 @@
 
 
 def judge(req: Request, status: int, body: bytes, expected: ExpectedText) -> Verdict:
-    """Judge an answer that came in one piece."""
+    """Classify a response that was not streamed."""
     document = decode(body)
     if document is None:
-        return Verdict(End.WRONG, reason=f"status {status}, body is not json")
+        return Verdict(End.WRONG, reason=f"status {status}, body is not JSON")
     if "error" in document:
         return _refusal(document["error"], status)
     if status != OK_STATUS:
@@ -146,25 +146,27 @@
 
 
 def judge_stream(req: Request, reader: StreamReader, expected: ExpectedText) -> Verdict:
-    """Judge a stream whose response ended cleanly."""
+    """Classify a stream whose response ended without a connection error."""
     if reader.document is not None and "error" in reader.document:
         return _refusal(reader.document["error"], OK_STATUS)
     if not reader.whole:
-        return Verdict(End.CUT, reason="the stream has no end mark", tokens=len(reader.parts))
+        return Verdict(End.CUT, reason="the stream has no end marker", tokens=len(reader.parts))
     verdict = _judge_text(req, "".join(reader.parts), expected)
     return verdict if reader.finished else verdict._replace(flaw=NO_FINISH_REASON)
 
 
 def _judge_echo(req: Request, document: Document) -> Verdict:
     if document.get("echo") != req.body_sha256():
-        return Verdict(End.WRONG, reason="the service's echo is of another body")
+        return Verdict(End.WRONG, reason="the service's echo does not match the request body")
     return Verdict(End.WHOLE)
 
 
 def _judge_text(req: Request, text: str, expected: ExpectedText) -> Verdict:
     wanted = expected(req.prompt, req.max_tokens)
     if text.split() != wanted.split():
-        return Verdict(End.WRONG, reason=f"the text differs: {text[:60]!r}, not {wanted[:60]!r}")
+        return Verdict(
+            End.WRONG, reason=f"unexpected text: {text[:60]!r}, expected {wanted[:60]!r}"
+        )
     return Verdict(End.WHOLE, tokens=req.max_tokens)
 
 
--- a/papayapier/load/arrivals.py
+++ b/papayapier/load/arrivals.py
@@ -1,8 +1,8 @@
-"""Draw arrival times of an open loop: a Poisson process whose rate follows the phase.
+"""Draw the arrival times of an open loop: a Poisson process whose rate follows the phase.
 
-The rate is constant between a few known edges (steps, burst edges). Within such a segment
-gaps are exponential; a gap that crosses an edge is cut there and drawn anew at the next
-segment's rate, which is exact because the exponential distribution has no memory.
+The rate is constant between known edges (steps, starts and ends of bursts). Within such a
+segment gaps are exponential. A gap that crosses an edge is discarded there and redrawn at the
+next segment's rate, which is exact because the exponential distribution is memoryless.
 """
 
 import random
--- a/papayapier/load/batch_meter.py
+++ b/papayapier/load/batch_meter.py
@@ -1,9 +1,9 @@
-"""Measure the batch work and the control traffic of each phase.
+"""Measure the batch throughput and the control traffic of each phase.
 
-Two figures are taken, because each alone can deceive. Tokens that the engines generated for
-batch (all tokens less those of online answers) show how far idle capacity was used, but
-also count what was generated in vain. Tokens of completed items, as the instances count
-them, show what was of use; an item counts as a whole when it ends.
+Two figures are measured, because each alone is misleading. Tokens that the engines generated
+for batch (all tokens minus those of online answers) show how much idle capacity was used, but
+include tokens of discarded attempts. Tokens of completed items, as counted by the instances,
+show the useful work; all of an item's tokens are counted when it completes.
 """
 
 from typing import Final, NamedTuple
@@ -14,7 +14,7 @@
 
 
 class Reading(NamedTuple):
-    """Hold one reading of the counters; all of them only rise."""
+    """Hold one reading of the counters, all of which are monotonic."""
 
     engine_tokens: float
     online_tokens: float
@@ -29,7 +29,7 @@
 
 
 class BatchResult(NamedTuple):
-    """Hold the batch work of one phase, per second of counted time."""
+    """Hold the batch throughput of one phase, per second of measured time."""
 
     phase: str
     counted_ms: int
@@ -41,7 +41,7 @@
 
 
 class ControlResult(NamedTuple):
-    """Hold the control traffic of all instances in one phase, per second of counted time."""
+    """Hold the control traffic of all instances in one phase, per second of measured time."""
 
     phase: str
     peer_bytes_per_s: float
@@ -50,7 +50,7 @@
 
 
 class BatchMeter:
-    """Add up the differences of readings, by phase."""
+    """Sum the differences between readings, by phase."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -58,11 +58,11 @@
         self._sums: dict[str, tuple[int, Reading]] = {}
 
     def begin(self, reading: Reading | None) -> None:
-        """Take the reading at which counting starts."""
+        """Record the reading at the start of a measurement."""
         self._begun = None if reading is None else (self._clock.now(), reading)
 
     def end(self, phase: str, reading: Reading | None) -> None:
-        """Take the reading at which counting ends; without both there is no figure."""
+        """Record the reading at the end of a measurement; without both readings it is skipped."""
         if self._begun is None or reading is None:
             return
         begun_ms, before = self._begun
@@ -73,7 +73,7 @@
         self._begun = None
 
     def results(self) -> list[BatchResult]:
-        """Return the batch work of every phase."""
+        """Return the batch throughput of every phase."""
         return [_result(phase, ms, total) for phase, (ms, total) in self._sums.items()]
 
     def control(self) -> list[ControlResult]:
--- a/papayapier/load/calls.py
+++ b/papayapier/load/calls.py
@@ -1,4 +1,4 @@
-"""Make the few control calls of a run: to operators' addresses, stand-ins and the platform."""
+"""Make the control calls of a run: to operator addresses, stand-ins and the platform."""
 
 from typing import Any, Final
 
@@ -24,7 +24,7 @@
 async def call(
     method: str, url: str, body: bytes = b"", headers: dict[str, str] | None = None
 ) -> Result[bytes, str]:
-    """Make a call and return the body of its answer, or say what went wrong."""
+    """Make a call and return the response body, or an error text."""
     try:
         fields = Headers({name: [value] for name, value in (headers or {}).items()})
         answer = await treq.request(
@@ -43,7 +43,7 @@
 async def call_json(
     method: str, url: str, document: object = None, headers: dict[str, str] | None = None
 ) -> Result[Any, str]:
-    """Make a call with a JSON body and return the answer's document."""
+    """Make a call with a JSON body and return the decoded response."""
     body = b"" if document is None else msgspec.json.encode(document)
     fields = {"Content-Type": "application/json", **(headers or {})}
     answered = await call(method, url, body, fields)
@@ -54,4 +54,4 @@
     try:
         return Ok(msgspec.json.decode(content))
     except msgspec.MsgspecError as exc:
-        return Err(f"{url}: the answer is not JSON: {exc}")
+        return Err(f"{url}: the response is not JSON: {exc}")
--- a/papayapier/load/chaos.py
+++ b/papayapier/load/chaos.py
@@ -1,10 +1,10 @@
-"""Run the system under random faults for minutes, and check every promise.
+"""Run the system under random faults for minutes, and check every guarantee.
 
-One process holds the stand-ins and several instances on one reactor, over real sockets, with
-the checks inside the program raising. Online requests, batch jobs and operators go on all
-the while. At the end everything is healed and must come to rest: all accepted jobs end, all
-instances have the newest configuration, and what callers were told must agree with what the
-stand-ins say ran.
+One process runs the stand-ins and several instances on one reactor, over real sockets, with
+internal invariant checks raising exceptions. Online requests, batch jobs and configuration
+changes run throughout. At the end all faults are removed and the system must settle: all
+accepted jobs finish, all instances have the newest configuration, and the answers that callers
+received must agree with the stand-ins' counts of what ran.
 """
 
 import random
@@ -34,7 +34,7 @@
 
 
 class ChaosReport(NamedTuple):
-    """Hold what a chaos run did and found; an empty broken means that all promises held."""
+    """Hold the result of a chaos run; broken is empty when no guarantee was violated."""
 
     seed: int
     events: list[str]
@@ -43,7 +43,7 @@
 
 
 async def run_chaos(reactor: Any, clock: Clock, seed: int, length_ms: int) -> ChaosReport:
-    """Run for a time under the faults that the seed draws."""
+    """Run for a time under the faults that are drawn from the seed."""
     return await _Chaos(reactor, clock, seed, length_ms).run()
 
 
@@ -105,7 +105,7 @@
         return random.Random(f"{name} {self._seed}")
 
     async def _apply_plan(self) -> None:
-        """Apply each event at its time; a broken check inside the program ends the run early."""
+        """Apply each event at its time; a failed internal check ends the run early."""
         for event in self._plan:
             await self._sleep_until(event.at_ms)
             if invariants.broken_count():
@@ -120,10 +120,10 @@
             await self._clock.sleep(wait_ms)
 
     def _watch_leaving(self, engine: int) -> None:
-        """See to it that a leaving engine gets no new work after a few seconds.
+        """Check that a leaving engine gets no new requests after LEAVE_GRACE_MS.
 
-        Without the instance list nobody can know that it leaves, so a window during which
-        the platform was disturbed or an instance paused proves nothing.
+        The instances learn from the instance list that an engine leaves, so the check is void
+        if the platform was disturbed or an instance was paused during its time.
         """
         told_ms = self._clock.now()
 
@@ -134,7 +134,7 @@
         def end(before: int) -> None:
             more = self._started_at(engine) - before
             if more and self._world.disturbed_ms < told_ms:
-                self._broken.append(f"engine {engine} got {more} new calls while leaving")
+                self._broken.append(f"engine {engine} received {more} new calls while leaving")
 
         self._clock.call_later(LEAVE_GRACE_MS, begin)
 
@@ -142,7 +142,7 @@
         return sum(self._world.fleet.engines[engine].counts().started.values())
 
     def _compare(self, traffic: Traffic, batch: ChaosJobs) -> None:
-        """Compare what callers were told with what ran."""
+        """Compare the answers that callers received with what ran."""
         fleet = self._world.fleet
         once: dict[str, int] = {}
         started: dict[str, int] = {}
@@ -154,7 +154,7 @@
         self._broken += batch.broken_once(started)
         self._broken += traffic.ledger.broken({**started, **once})
         self._broken += [
-            f"check inside the program: {promise.value}, {number} times"
+            f"internal check failed: {promise.value}, {number} times"
             for promise, number in invariants.BROKEN.items()
         ]
 
@@ -165,7 +165,7 @@
             self._broken.append(text)
 
     def _see_failure(self, event: LogEvent) -> None:
-        """Count failures that nobody handled: they end in the log and nowhere else."""
+        """Record unhandled failures, which are reported in the log only."""
         failure = event.get("log_failure")
         if failure is not None:
             self._broken.append(f"unhandled failure: {failure.getTraceback()}")
--- a/papayapier/load/chaos_jobs.py
+++ b/papayapier/load/chaos_jobs.py
@@ -1,4 +1,4 @@
-"""Submit, resend and cancel batch jobs during a chaos run, and check all their results."""
+"""Submit, resubmit and cancel batch jobs during a chaos run, and check all their results."""
 
 import random
 from collections import Counter
@@ -34,7 +34,7 @@
 
 
 class ChaosJobs:
-    """Own the jobs of a chaos run; accepted jobs must all come to their end."""
+    """Own the jobs of a chaos run; all accepted jobs must finish."""
 
     def __init__(self, clock: Clock, world: World, run_id: str, rand: random.Random) -> None:
         self._clock = clock
@@ -49,7 +49,7 @@
         self.broken: list[str] = []
 
     async def run(self) -> None:
-        """Submit jobs until stop() is called, then wait until each is accepted or given up."""
+        """Submit jobs until stop() is called, then wait until each is accepted or abandoned."""
         number = 0
         while not self._stopping:
             number += 1
@@ -59,11 +59,11 @@
             await gatherResults(list(self._open))
 
     def stop(self) -> None:
-        """Submit nothing new."""
+        """Stop submitting jobs."""
         self._stopping = True
 
     async def until_ended(self, limit_ms: int) -> None:
-        """Wait for the end of every accepted job, then check its results."""
+        """Wait until every accepted job has finished, then check its results."""
         until = self._clock.now() + limit_ms
         waits = [self._until_ended(submitted, until) for submitted in self.accepted]
         await gatherResults([Deferred.fromCoroutine(wait) for wait in waits])
@@ -71,13 +71,13 @@
     def broken_once(self, started: dict[str, int]) -> list[str]:
         """Return each item of a non-idempotent job that ran more than once.
 
-        Items are found by their job's id at the start of the call id. If none is found, that
-        is said too, since otherwise a changed form of call id would make this check empty.
+        Items are found by their job's id at the start of the call id. Finding none is an error
+        as well, because a changed format of call ids would otherwise disable this check.
         """
         once = tuple(f"{one.id}-" for one in self.accepted if one.job.profile == ONCE)
         ran = {call_id: times for call_id, times in started.items() if call_id.startswith(once)}
         if once and not ran:
-            return ["no engine knows an item of a non-idempotent job by its call id"]
+            return ["no engine has counted a call id of a non-idempotent job"]
         return [
             f"item {call_id} is not idempotent, and ran {times} times"
             for call_id, times in ran.items()
@@ -108,15 +108,17 @@
         if resent:
             again = await self._submit(drawn, key)
             if again is not None and again.id != submitted.id:
-                self.broken.append(f"job {submitted.id} sent again became job {again.id}")
+                self.broken.append(
+                    f"job {submitted.id} was submitted again and became job {again.id}"
+                )
         if cancel_after >= 0:
             await self._clock.sleep(cancel_after)
             await self._cancel(submitted)
 
     async def _submit(self, drawn: jobs.Drawn, key: str) -> Submitted | None:
-        """Submit as a caller does that repeats until the job is accepted."""
+        """Submit a job, retrying until it is accepted or the limit expires."""
         until = self._clock.now() + SUBMIT_LIMIT_MS
-        why = "no instance was there"
+        why = "no instance was available"
         while self._clock.now() < until:
             spot = self._world.pick()
             if spot is not None:
@@ -150,10 +152,10 @@
                     await self._check(submitted, read.ok_value)
                     return
             await self._clock.sleep(POLL_MS)
-        self.broken.append(f"job {submitted.id} did not come to its end: {last}")
+        self.broken.append(f"job {submitted.id} did not finish: {last}")
 
     async def _check(self, submitted: Submitted, ended: jobs.Progress) -> None:
-        """Read the results twice: they must be right, and must not change any more."""
+        """Check the results; those of a cancelled job are read twice and must not change."""
         if ended.status != jobs.COMPLETED and submitted.id not in self.cancelled:
             self.broken.append(f"job {submitted.id} ended as {ended.status}")
         first = await self._results(submitted)
--- a/papayapier/load/chaos_operators.py
+++ b/papayapier/load/chaos_operators.py
@@ -1,4 +1,4 @@
-"""Change profiles during a chaos run, sometimes two operators at once, and follow versions."""
+"""Change profiles during a chaos run, sometimes concurrently, and check their versions."""
 
 import random
 from collections import Counter
@@ -23,7 +23,7 @@
 
 
 class Operators:
-    """Own the profile changes of a chaos run."""
+    """Make the profile changes of a chaos run."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self.broken: list[str] = []
 
     async def create(self) -> None:
-        """Create the profiles, and wait until each instance has them."""
+        """Create the profiles, and wait until each instance has applied them."""
         for profile in self._profiles:
             while not await self._put(profile):
                 await self._clock.sleep(AGAIN_MS)
@@ -62,14 +62,14 @@
             await gatherResults(changes)
 
     async def watch(self) -> None:
-        """See to it that no instance ever shows a lower version than before."""
+        """Check that no instance reports a lower version than it did before."""
         while not self._stopping:
             await self._clock.sleep(WATCH_MS)
             for spot in self._world.spots():
                 await self._look(spot)
 
     def stop(self) -> None:
-        """Change nothing more."""
+        """Stop making changes."""
         self._stopping = True
 
     async def until_in_force(self, limit_ms: int) -> None:
@@ -88,13 +88,17 @@
                 read = await _read(spot, name)
                 if read is None or read[0] < version:
                     has = "none" if read is None else str(read[0])
-                    found.append(f"instance {spot.place} has {name} at {has}, not {version}")
+                    found.append(
+                        f"instance {spot.place} has {name} at version {has}, expected {version}"
+                    )
                 elif read[0] == version and read[1] != codec.to_document(profile):
-                    found.append(f"instance {spot.place} has another {name} at {version}")
+                    found.append(
+                        f"instance {spot.place} has a different {name} at version {version}"
+                    )
         return found
 
     def _varied(self, base: Profile) -> Profile:
-        """Return a profile that differs in what does not change the promises."""
+        """Return a profile that differs only in fields that affect no checked guarantee."""
         attempts = self._rand.randrange(2, MOST_ATTEMPTS)
         self._changes += 1
         return base._replace(retry=RetryRule(attempts), description=f"change {self._changes}")
@@ -113,7 +117,7 @@
         version = made.ok_value
         known = self._newest.get(profile.name)
         if known is not None and known[0] == version and known[1] != profile:
-            self.broken.append(f"two changes of {profile.name} were both told version {version}")
+            self.broken.append(f"two changes of {profile.name} both got version {version}")
         if known is None or version > known[0]:
             self._newest[profile.name] = (version, profile)
         return True
--- a/papayapier/load/chaos_plan.py
+++ b/papayapier/load/chaos_plan.py
@@ -1,8 +1,8 @@
 """Draw the faults of a chaos run from its seed.
 
-Faults come one by one at random times, but some come together, and some come twice, because
-that is where recoveries meet each other. The plan depends on the seed and the length alone,
-so a failed run can be repeated as far as its timing allows.
+Faults occur at random times; some occur simultaneously and some are repeated at once, so that
+recoveries overlap. The plan depends only on the seed and the length, so a failed run can be
+repeated as far as its timing allows.
 """
 
 import random
@@ -18,7 +18,7 @@
 
 
 class Kind(Enum):
-    """Name each kind of event."""
+    """List the kinds of events."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -30,7 +30,7 @@
 
 
 class Planned(NamedTuple):
-    """Hold one event: what happens to which of its kind, from when and for how long."""
+    """Hold one event: its kind, its target's index, its start and its duration."""
 
     at_ms: int
     kind: Kind
@@ -45,7 +45,7 @@
 
 
 class Sizes(NamedTuple):
-    """Tell how many targets of each kind there are."""
+    """Hold the number of targets of each kind."""
 
     instances: int
     engines: int
@@ -99,7 +99,7 @@
 
 
 def _replica(rng: random.Random, at_ms: int, kind: Kind, number: int) -> Planned:
-    """Draw a fault of one engine or service: a mode, for some requests or for a time."""
+    """Draw a fault of one engine or service: a slowdown, or a mode for some requests or a time."""
     target = rng.randrange(number)
     ms = rng.randrange(500, 10_000)
     if rng.random() < 0.2:
--- a/papayapier/load/chaos_traffic.py
+++ b/papayapier/load/chaos_traffic.py
@@ -1,4 +1,4 @@
-"""Send online requests during a chaos run, and judge what no fault can excuse."""
+"""Send online requests during a chaos run, and detect outcomes that no fault justifies."""
 
 import random
 from collections import Counter
@@ -70,7 +70,7 @@
 
 
 class Traffic:
-    """Own the online requests of a chaos run."""
+    """Send the online requests of a chaos run and check their outcomes."""
 
     def __init__(
         self, clock: Clock, client: Client, world: World, run_id: str, rand: random.Random
@@ -88,7 +88,7 @@
         self.broken: list[str] = []
 
     async def run(self) -> None:
-        """Send requests until stop() is called, then wait for their ends."""
+        """Send requests until stop() is called, then wait until they have finished."""
         while not self._stopping:
             await self._clock.sleep(self._rand.expovariate(1 / MEAN_GAP_MS))
             self._start(self._mix.draw())
@@ -96,7 +96,7 @@
             await gatherResults(list(self._open))
 
     def stop(self) -> None:
-        """Send nothing new."""
+        """Stop sending requests."""
         self._stopping = True
 
     def _start(self, req: Request) -> None:
@@ -122,16 +122,19 @@
             self.broken[-1] += f" ({verdict.reason}, {got.timing.total_us // US_PER_MS} ms)"
 
     def _inexcusable(self, spot: Spot, end: End) -> str:
-        """Name what must not happen whatever fails; a lost instance excuses a cut only."""
+        """Return what an outcome violates, or an empty string.
+
+        Only the loss of the instance justifies a cut connection.
+        """
         if end is End.WRONG:
-            return "a wrong or partial answer was passed as good"
+            return "a wrong or incomplete answer looked successful"
         if end is End.HUNG:
             return "a request was never answered"
         if end is End.CUT and not self._world.was_lost(spot):
-            return "an instance that was not lost cut a request off"
+            return "an instance that was not lost closed the connection of a request"
         return ""
 
     def all_broken(self) -> list[str]:
-        """Return what was found, flaws of one kind in one line."""
+        """Return all violations, with flaws of one kind on one line."""
         flaws = [f"{number} answers: {flaw}" for flaw, number in self.flaws.items() if flaw]
         return self.broken + flaws
--- a/papayapier/load/chaos_world.py
+++ b/papayapier/load/chaos_world.py
@@ -1,4 +1,4 @@
-"""Hold the fleet of a chaos run: stand-ins and instances on one reactor, over real sockets."""
+"""Run the fleet of a chaos run: stand-ins and instances on one reactor, over real sockets."""
 
 import random
 from collections.abc import Callable
@@ -39,13 +39,13 @@
 FEWEST_RUNNING: Final = 2
 START_AGAIN_MS: Final = 500
 
-# Small and slow engines: all of a chaos run shares one processor core, and a fleet that
-# keeps it busy would show timeouts that no fault has caused.
+# Small and slow engines: the whole chaos run shares one processor core, and saturating it
+# would cause timeouts that no injected fault explains.
 ENGINE: Final = EngineParams(slots=4, base_ms=25.0, per_sequence_ms=0.5)
 
 
 class _Place:
-    """Hold one instance's place; it keeps its id when it is started again."""
+    """Hold the state of one instance, which keeps its id when it is restarted."""
 
     def __init__(self, cfg: Settings, timers: Timers) -> None:
         self.cfg = cfg
@@ -57,7 +57,7 @@
 
 
 class Spot(NamedTuple):
-    """Name one running instance at one time: its place and its boot."""
+    """Identify one run of an instance by its number and boot, with its addresses."""
 
     place: int
     boot: int
@@ -66,7 +66,7 @@
 
 
 class World:
-    """Own the stand-ins and the instances, and apply planned events to them."""
+    """Own the stand-ins and the instances, and apply planned faults to them."""
 
     def __init__(
         self,
@@ -112,7 +112,7 @@
             await self._start_instance(number)
 
     def spots(self) -> list[Spot]:
-        """Return the instances that run now, whatever the balancer knows."""
+        """Return the running instances, including those that the balancer does not know yet."""
         return [
             self._spot(number, place)
             for number, place in enumerate(self._places)
@@ -120,16 +120,16 @@
         ]
 
     def pick(self) -> Spot | None:
-        """Choose an instance as the balancer does, which learns of changes after a lag."""
+        """Choose an instance as the load balancer does, which learns of changes after a lag."""
         return self._rand.choice(self._balanced) if self._balanced else None
 
     def was_lost(self, spot: Spot) -> bool:
-        """Tell whether an instance has been lost since it was seen."""
+        """Return whether an instance has been lost since the reference was taken."""
         place = self._places[spot.place]
         return place.boots != spot.boot or place.lost_ms >= 0
 
     def apply(self, event: Planned) -> None:
-        """Begin an event; its end is scheduled."""
+        """Start a fault and schedule its end."""
         match event.kind:
             case Kind.ENGINE:
                 self._replica_fault(self.fleet.engines[event.target], event)
@@ -145,10 +145,10 @@
                 self._take_down(event)
 
     def heal(self) -> None:
-        """End every fault at once.
+        """End all faults at once.
 
-        Engines that were leaving are listed as live again, so a watch on their new work that
-        is still open would take ordinary calls for broken promises.
+        Leaving engines are listed as live again. Updating disturbed_ms voids the open checks
+        for new requests at leaving engines, which would otherwise report ordinary calls.
         """
         self.disturbed_ms = max(self.disturbed_ms, self._clock.now())
         self._heal_platform()
@@ -195,7 +195,7 @@
         self._leaving_until[event.target] = until_ms
 
         def end() -> None:
-            # The same engine may have been told to leave once more meanwhile.
+            # Another event may have made the same engine leave again in the meantime.
             if self._leaving_until[event.target] == until_ms:
                 self.fleet.platform.register(member)
 
@@ -208,7 +208,7 @@
         self._clock.call_later(event.ms, timers.resume)
 
     def _take_down(self, event: Planned) -> None:
-        """Stop or lose an instance, unless too few would be left; start it again later."""
+        """Stop or kill an instance, unless too few would be left; restart it later."""
         place = self._places[event.target]
         running = sum(1 for one in self._places if one.instance is not None and not one.changing)
         if place.changing or place.instance is None or running <= FEWEST_RUNNING:
@@ -224,7 +224,7 @@
             place.lost_ms = self._clock.now()
             self._clock.call_later(BALANCER_LAG_MS, self._rebalance)
             await instance.kill()
-            # Work of the lost instance that still sleeps must not go on: it is gone.
+            # Pending timers of the killed instance must not run any more.
             place.timers.end()
             place.timers = PausableTimers(self._clock.timers)
         else:
@@ -236,7 +236,7 @@
         await self._start_instance(event.target)
 
     async def _start_instance(self, number: int) -> None:
-        """Start an instance; a platform that is out keeps it down, so it is tried again."""
+        """Start an instance, retrying while an outage of the platform prevents it."""
         place = self._places[number]
         while True:
             rand = random.Random(self._rand.getrandbits(64))
@@ -244,7 +244,7 @@
             started = await start_instance(self._reactor, clock, place.cfg, rand)
             if not isinstance(started, Err):
                 break
-            self._note(f"instance {number} does not start: {started.err_value}")
+            self._note(f"instance {number} failed to start: {started.err_value}")
             await self._clock.sleep(START_AGAIN_MS)
         place.instance = started.ok_value
         place.boots += 1
@@ -253,7 +253,7 @@
         self._clock.call_later(BALANCER_LAG_MS, self._rebalance)
 
     def _rebalance(self) -> None:
-        """Let the balancer see which instances take requests."""
+        """Update the balancer's list of instances that accept requests."""
         self._balanced = [
             self._spot(number, place)
             for number, place in enumerate(self._places)
@@ -286,7 +286,7 @@
 
 
 def _settings(number: int, platform_port: int) -> Settings:
-    """Return settings with short times, so that recoveries fit into a run of minutes."""
+    """Return settings with short timeouts, so that recoveries complete within a short run."""
     data_centre = DATA_CENTRES[number % len(DATA_CENTRES)]
     return Settings(
         instance=InstanceSettings(f"entry-{number + 1}", data_centre, "local", HOST),
--- a/papayapier/load/client.py
+++ b/papayapier/load/client.py
@@ -1,11 +1,10 @@
-"""Send one request to an instance and time its answer.
+"""Send one request to an instance and measure its latency.
 
-Latency counts from the intended send time. An open loop whose own sending falls behind
-(a busy client, a stalled connection) would otherwise start the clock late and hide the
-wait ("coordinated omission"). How far sending fell behind is reported beside it, since a
-slow client makes the whole measurement void.
+Latency is measured from the intended send time. If sending falls behind (a busy client, a
+stalled connection), measuring from the actual send time would hide the delay ("coordinated
+omission"). The send lag is reported as well, since a slow client invalidates the measurement.
 
-The pool never makes a request wait: it opens a connection when none is idle.
+The pool never delays a request: it opens a connection when none is idle.
 """
 
 from typing import Any, Final, NamedTuple, cast
@@ -47,9 +46,9 @@
 
 
 class Timing(NamedTuple):
-    """Hold the times of a request in microseconds, all from its intended send time.
+    """Hold the times of a request in microseconds, measured from its intended send time.
 
-    first_us is -1 without a token. gaps_us are the times between tokens.
+    first_us is -1 without a token. gaps_us are the intervals between tokens.
     """
 
     lag_us: int
@@ -59,9 +58,9 @@
 
 
 class Answered(NamedTuple):
-    """Hold what became of one request, and when; call_id is the instance's name for the work.
+    """Hold the outcome and timing of one request; call_id is the id given by the instance.
 
-    A request whose connection broke before the answer's head has no call_id.
+    A request whose connection broke before the response headers has no call_id.
     """
 
     verdict: Verdict
@@ -99,12 +98,12 @@
 
 
 def now_us(clock: Clock) -> int:
-    """Return the monotonic reading in microseconds: gaps between tokens are a few ms."""
+    """Return the monotonic time in microseconds, since gaps between tokens are only a few ms."""
     return int(clock.timers.seconds() * US_PER_S)
 
 
 async def send(client: Client, target: str, req: Request, intended_us: int) -> Answered:
-    """Send a request to "HOST:PORT" and return what became of it; never fails."""
+    """Send a request to "HOST:PORT" and return its outcome; never raises."""
     started_us = now_us(client.clock)
     receiver = _Receiver(req, client, intended_us)
     work = Deferred.fromCoroutine(_exchange(client, target, req, receiver))
@@ -128,7 +127,7 @@
 
 
 class _Stop:
-    """Remember why a request was cancelled; until then its failure is a cut connection."""
+    """Record why a request was cancelled; otherwise its failure counts as a cut connection."""
 
     def __init__(self) -> None:
         self.end = End.CUT
@@ -150,7 +149,7 @@
     await receiver.done
     own_id = _header(response, "x-request-id")
     if own_id and own_id != req.request_id:
-        return Verdict(End.WRONG, reason=f"the answer names request {own_id}")
+        return Verdict(End.WRONG, reason=f"the response has the id of request {own_id}")
     return receiver.verdict()
 
 
@@ -175,7 +174,7 @@
 
 
 class _Receiver(Protocol):
-    """Collect one response body and note when its tokens came."""
+    """Collect one response body and record when its tokens arrived."""
 
     def __init__(self, req: Request, client: Client, intended_us: int) -> None:
         self._req = req
@@ -203,7 +202,7 @@
             self.gaps_us.append(at_us - self._last_us)
         else:
             self.first_us = at_us - self._intended_us
-        # Tokens that came in one read came without a gap between them.
+        # Tokens that arrive in one read have no gap between them.
         self.gaps_us.extend([0] * (tokens - 1))
         self._last_us = at_us
 
@@ -216,13 +215,13 @@
             self.done.errback(reason)
 
     def verdict(self) -> Verdict:
-        """Judge the whole body."""
+        """Classify the complete response."""
         if self.streams:
             return judge_stream(self._req, self._reader, self._client.expected)
         return judge(self._req, self.status, b"".join(self._body), self._client.expected)
 
     def _abort(self, _cancelled: "Deferred[None]") -> None:
-        """Close the connection: a caller that goes away does not read the rest."""
+        """Abort the connection, as a caller does that disconnects without reading the rest."""
         abort = getattr(self.transport, "abortConnection", None)
         if abort is not None:
             abort()
--- a/papayapier/load/command.py
+++ b/papayapier/load/command.py
@@ -1,4 +1,4 @@
-"""Offer the load tool on the command line."""
+"""Implement the load command."""
 
 import argparse
 import gc
@@ -27,9 +27,9 @@
 KEY_VARIABLE: Final = "PAPAYAPIER_OPERATOR_KEY"
 ADDRESS: Final = re.compile(r"[^\s:/]+:\d{1,5}")
 
-# A collection of the oldest generation stops this process for up to 90 ms once a run has some
-# ten thousand answers on its books, and would be measured as the instances' latency (seen as
-# a large lag p99). Cycles that grow old are few here, so they are left until the run's end.
+# A garbage collection of the oldest generation pauses this process for up to 90 ms once it
+# holds some ten thousand answers; the pause would be measured as latency of the instances (and
+# shows as a large lag p99). Few old objects form cycles, so they are not collected during a run.
 COLLECT_THRESHOLDS: Final = (700, 10, 1_000_000)
 
 DEFAULT_SEED: Final = 1
@@ -37,10 +37,10 @@
 MS_PER_MINUTE: Final = 60_000
 
 DESCRIPTION: Final = """\
-Run an experiment file against running instances: an open loop of online requests, batch jobs
-beside it, faults posted to stand-ins, and at the end a comparison of every refusal and answer
-with what the stand-ins say ran. With --chaos, run instances and stand-ins in this process under
-random faults instead. Exits with 1 when a promise was broken."""
+Run an experiment file against running instances: an open loop of online requests, concurrent
+batch jobs, faults injected into stand-ins, and at the end a comparison of every refusal and
+answer with the stand-ins' counts of what ran. With --chaos, run instances and stand-ins in this
+process under random faults instead. Exits with status 1 when a guarantee was violated."""
 
 
 def add_load_command(subparsers: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
@@ -52,15 +52,17 @@
         "--operator",
         type=_address,
         metavar="HOST:PORT",
-        help=f"operators' address, for profile changes; its key is taken from {KEY_VARIABLE}",
+        help=f"operator address, for profile changes; its key is read from {KEY_VARIABLE}",
     )
     parser.add_argument(
         "--platform",
         type=_address,
         metavar="HOST:PORT",
-        help="the stand-in platform, for faults and for the comparison with what ran",
+        help="address of the stand-in platform, for faults and for the comparison with what ran",
+    )
+    parser.add_argument(
+        "--seed", type=int, help="seed of all random choices; overrides the seed in the file"
     )
-    parser.add_argument("--seed", type=int, help="seed of all random choices, for the file's own")
     parser.add_argument("--json", type=Path, metavar="FILE", help="write the results as JSON")
     parser.add_argument("--html", type=Path, metavar="FILE", help="write a report with plots")
     parser.add_argument("--chaos", action="store_true", help="run under random faults")
@@ -72,12 +74,12 @@
     if options.chaos:
         return run_on_reactor(_chaos(options))
     if options.experiment is None:
-        return _usage("either an experiment file or --chaos is needed")
+        return _usage("either an experiment file or --chaos is required")
     loaded = scenario.load(options.experiment)
     if isinstance(loaded, Err):
         return _usage(loaded.err_value)
     if not options.targets:
-        return _usage("--targets: at least one address is needed")
+        return _usage("--targets: at least one address is required")
     from papayapier.load.plots import can_draw
 
     drawable = can_draw() if options.html else Ok(None)
@@ -127,15 +129,15 @@
     for name, number in sorted(report.counts.items()):
         print(f"{number:>8}  {name}")
     if not report.broken:
-        print(f"seed {report.seed}: {len(report.events)} events, no promise was broken")
+        print(f"seed {report.seed}: {len(report.events)} events, no guarantee was violated")
         return EXIT_OK
     print("\n".join([f"seed {report.seed}, events:", *report.events]), file=sys.stderr)
-    print("\n".join(["broken:", *report.broken]), file=sys.stderr)
+    print("\n".join(["violations:", *report.broken]), file=sys.stderr)
     return EXIT_FAILED
 
 
 def run_on_reactor(work: Coroutine[Deferred[Any], Any, int]) -> int:
-    """Run a coroutine on the reactor and return the exit code that it ends with."""
+    """Run a coroutine on the reactor and return its exit code."""
     from twisted.internet import reactor as installed
 
     reactor = cast(Any, installed)
--- a/papayapier/load/compare.py
+++ b/papayapier/load/compare.py
@@ -1,4 +1,4 @@
-"""Set each phase against the phase without batch and the one with the most batch."""
+"""Compare each phase with the phase without batch and the phase with the most batch."""
 
 from typing import Final, NamedTuple
 
@@ -9,7 +9,7 @@
 
 
 class Comparison(NamedTuple):
-    """Hold one class of one phase beside the references; a ratio of 0 means no reference.
+    """Compare one class of one phase with the references; a ratio of 0 means no reference.
 
     first_p99 and total_p99 are ratios to the phase without batch, batch_share the ratio of
     batch tokens per second to the phase with the most batch.
@@ -27,7 +27,7 @@
 
 
 def comparisons(report: Report) -> list[Comparison]:
-    """Return the comparison of every class and phase, when the experiment names references."""
+    """Return the comparisons of all classes and phases, if the experiment names references."""
     compare = report.compare
     if not compare.online:
         return []
--- a/papayapier/load/experiment.py
+++ b/papayapier/load/experiment.py
@@ -1,9 +1,9 @@
-"""Run one experiment from start to end and put its report together.
+"""Run one experiment and assemble its report.
 
-Around the open loop of runner.py stand profile changes, batch jobs, faults, readings of
-the engines' counters, and at the end the comparison of what callers were told with what
-ran. A control call that fails is kept as a warning in the report: the figures of its phase
-may then not be what the experiment file asks for.
+This module adds profile changes, batch jobs, faults, readings of the engines' counters, and a
+final comparison of answers with what ran to the open loop of runner.py. A failed control call
+becomes a warning in the report, because the figures of its phase may then not reflect what the
+experiment file specifies.
 """
 
 import random
@@ -34,7 +34,7 @@
 
 
 class Options(NamedTuple):
-    """Say where to run an experiment; operator and platform may be empty.
+    """Set where to run an experiment; operator and platform may be empty.
 
     Without an operator address no profiles are changed. Without the platform's address
     there are no faults, no counters and no comparison with what ran.
@@ -50,7 +50,7 @@
 
 
 class Window(NamedTuple):
-    """Tell when the counted part of a phase began and ended, on the wall clock."""
+    """Hold the wall clock times at which the measured part of a phase started and ended."""
 
     phase: str
     start_wall_ms: int
@@ -58,10 +58,10 @@
 
 
 class Report(NamedTuple):
-    """Hold everything that a run found; broken and failures make the run a failed one.
+    """Hold the results of a run; the run has failed if broken or failures has entries.
 
-    compared is the number of pieces of work that were compared with what ran, unnamed those
-    that could not be, for want of an answer's head.
+    compared is the number of calls that were compared with what ran, unnamed the number of
+    requests that could not be, because no response headers were received.
     """
 
     experiment: str
@@ -89,7 +89,7 @@
 
 
 class _Session:
-    """Own everything that lives as long as one run."""
+    """Own the state of one run."""
 
     def __init__(self, exp: Experiment, clock: Clock, options: Options) -> None:
         self._exp = exp
@@ -137,7 +137,7 @@
         return await self._report(run, classes)
 
     def _pick(self) -> str:
-        """Choose an instance as the platform's balancer does."""
+        """Choose an instance as the platform's load balancer does."""
         return self._rand.choice(self._options.targets)
 
     def _observe(self, req: Request, got: Answered) -> None:
@@ -187,7 +187,7 @@
                 self._jobs[name] = submitted
 
     async def _end_jobs(self, staying: tuple[str, ...]) -> None:
-        """Cancel the jobs that are not to run on, so that the next phase starts without them."""
+        """Cancel the jobs that are not listed, so that the next phase starts without them."""
         for name, submitted in list(self._jobs.items()):
             if name in staying:
                 continue
@@ -207,7 +207,7 @@
         def post() -> None:
             address = self._standins.address(target) if self._standins else None
             if address is None:
-                self._warnings.append(f"fault: no stand-in is known as {target}")
+                self._warnings.append(f"fault: unknown stand-in {target}")
                 return
             self._options.say(f"fault: {target} {control}")
             done = Deferred.fromCoroutine(set_switches(address, control))
@@ -217,7 +217,7 @@
         return post
 
     async def _reading(self) -> Reading | None:
-        """Read all counters; None when a stand-in cannot tell, as while it is crashed."""
+        """Read all counters; None when a stand-in does not respond, for example after a crash."""
         engine_tokens = 0
         if self._standins is not None:
             ran = self._kept("counts", await read_ran(self._standins))
@@ -241,14 +241,14 @@
         return [one for one in (self._kept("metrics", got) for got in read) if one]
 
     async def _see_ended_jobs(self) -> None:
-        """Warn when a phase ran out of batch work."""
+        """Warn about jobs that ended before the phase did."""
         for name, submitted in self._jobs.items():
             now = self._kept("progress", await jobs.progress(self._pick(), submitted))
             if now is not None and now.status in jobs.ENDED:
                 self._warnings.append(f"job {name} ended ({now.status}) before its phases did")
 
     def _kept(self, what: str, result: Result[Any, str]) -> Any:
-        """Return a value, or keep why there is none."""
+        """Return the value of a result, or add its error to the warnings."""
         if isinstance(result, Err):
             self._warnings.append(f"{what}: {result.err_value}")
             return None
@@ -293,14 +293,14 @@
             return []
         ran = self._kept("counts", await read_ran(self._standins))
         if ran is None:
-            return ["nothing could be compared with what ran: a stand-in does not answer"]
+            return ["nothing could be compared with what ran: a stand-in does not respond"]
         services = once_only_services(self._exp)
         once = [found for name in services for found in only_once(ran.by_upstream.get(name, {}))]
         return self._ledger.broken(ran.started) + once
 
 
 def once_only_services(exp: Experiment) -> set[str]:
-    """Return the services whose every class is not idempotent."""
+    """Return the services that get requests of non-idempotent classes only."""
     classes = [cls for cls in exp.classes if cls.path.startswith(SERVICES)]
     once = {_service(cls) for cls in classes if not cls.idempotent}
     return once - {_service(cls) for cls in classes if cls.idempotent}
--- a/papayapier/load/idle.py
+++ b/papayapier/load/idle.py
@@ -1,4 +1,4 @@
-"""Hold connections without a request, as callers' libraries do between two requests."""
+"""Open idle connections, as the connection pools of callers' libraries keep them."""
 
 from typing import Any, NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class IdleConnections(NamedTuple):
-    """Hold the open connections."""
+    """Hold the open idle connections."""
 
     protocols: list[Protocol]
 
@@ -21,7 +21,7 @@
 
 
 async def open_idle(targets: list[str], number: int) -> IdleConnections:
-    """Open a number of connections to the targets ("HOST:PORT") in turn."""
+    """Open connections to the targets ("HOST:PORT"), round robin."""
     from twisted.internet import reactor
 
     opening = []
--- a/papayapier/load/instances.py
+++ b/papayapier/load/instances.py
@@ -1,4 +1,4 @@
-"""Read the few metrics of each instance that a report shows."""
+"""Read the metrics of each instance that a report includes."""
 
 from typing import Final, NamedTuple
 
@@ -26,13 +26,13 @@
 
 
 class InstanceResult(NamedTuple):
-    """Hold the summed metrics of one instance."""
+    """Hold the metrics of one instance, summed over their labels."""
 
     target: str
     metrics: dict[str, float]
 
     def broken(self) -> float:
-        """Return how many of its internal checks have failed."""
+        """Return the number of failed internal checks."""
         return self.metrics.get(BROKEN, 0.0)
 
 
--- a/papayapier/load/jobs.py
+++ b/papayapier/load/jobs.py
@@ -1,4 +1,4 @@
-"""Submit, follow, cancel and check batch jobs through the callers' interface."""
+"""Submit, poll, cancel and check batch jobs through the callers' API."""
 
 import random
 from collections.abc import Coroutine
@@ -22,7 +22,7 @@
 
 
 class Item(NamedTuple):
-    """Hold what an item asks for."""
+    """Hold the prompt and the token limit of an item."""
 
     prompt: str
     max_tokens: int
@@ -37,7 +37,7 @@
 
 
 class Submitted(NamedTuple):
-    """Hold a job as accepted, and what its items ask for by custom id."""
+    """Hold an accepted job, and its items by custom id."""
 
     job: Job
     id: str
@@ -45,7 +45,7 @@
 
 
 class Progress(NamedTuple):
-    """Hold a job's status as read."""
+    """Hold a job's status and counts."""
 
     status: str
     completed: int
@@ -53,14 +53,14 @@
 
 
 def draw(job: Job, seed: int) -> Drawn:
-    """Draw a job's items; this takes long enough to delay other work of the process."""
+    """Draw a job's items; this is slow enough to delay other work of the process."""
     items = _items(job, seed)
     file = b"".join(_line(job, custom_id, item) + b"\n" for custom_id, item in items.items())
     return Drawn(job, items, file)
 
 
 async def submit(target: str, drawn: Drawn, key: str) -> Result[Submitted, str]:
-    """Upload a job's items and create the job; with the same key it is the same job."""
+    """Upload a job's items and create the job; the idempotency key makes this repeatable."""
     headers = {"Content-Type": "application/jsonl"}
     uploaded = await call("POST", f"http://{target}/v1/files", drawn.file, headers)
     if isinstance(uploaded, Err):
@@ -76,7 +76,7 @@
 
 
 async def progress(target: str, submitted: Submitted) -> Result[Progress, str]:
-    """Read how far a job is."""
+    """Read the progress of a job."""
     got = await call_json("GET", f"http://{target}/v1/batches/{submitted.id}")
     return got.map(_progress)
 
@@ -89,13 +89,13 @@
 async def check_results(
     target: str, submitted: Submitted, expected: ExpectedText
 ) -> Result[list[str], str]:
-    """Read the results of a completed job and return each that is wrong, doubled or missing."""
+    """Read the results of a completed job and return wrong, duplicate or missing results."""
     read = await results(target, submitted)
     return read.map(lambda lines: wrong_lines(submitted, lines, expected, complete=True)[:SHOWN])
 
 
 async def results(target: str, submitted: Submitted) -> Result[list[Line], str]:
-    """Read all results of a job, those of failed items included."""
+    """Read all results of a job, including those of failed items."""
     got = await call_json("GET", f"http://{target}/v1/batches/{submitted.id}")
     if isinstance(got, Err):
         return got
@@ -113,7 +113,7 @@
 def wrong_lines(
     submitted: Submitted, lines: list[Line], expected: ExpectedText, *, complete: bool
 ) -> list[str]:
-    """Return what is wrong with a job's results; a complete job has one for each item."""
+    """Return the errors in a job's results; a complete job has one result for each item."""
     found = []
     seen: set[str] = set()
     for line in lines:
@@ -123,7 +123,7 @@
         seen.add(custom_id)
         item = submitted.items.get(custom_id)
         if item is None:
-            found.append(f"item {custom_id} is not one of the job")
+            found.append(f"item {custom_id} is not part of the job")
         elif not line.get("error") and _text(line) != expected(item.prompt, item.max_tokens):
             found.append(f"item {custom_id} has a wrong result")
     missing = len(submitted.items) - len(seen)
--- a/papayapier/load/ledger.py
+++ b/papayapier/load/ledger.py
@@ -1,7 +1,7 @@
-"""Keep what callers were told about each piece of work, and compare it with what ran.
+"""Record the outcomes that callers received for each call, and compare them with what ran.
 
-Work is named by the call id that an instance gives with each answer; a request sent again
-under the same key has the same one. The stand-ins count the same ids.
+A call is identified by the call id that an instance sends with each response; a request that
+is resent with the same idempotency key gets the same id. The stand-ins count the same ids.
 """
 
 from typing import Final, NamedTuple
@@ -15,7 +15,7 @@
 
 
 class _Told(NamedTuple):
-    """Hold what callers were told of one piece of work."""
+    """Count the outcomes that callers received for one call."""
 
     request_ids: list[str]
     idempotent: bool
@@ -25,14 +25,14 @@
 
 
 class Ledger:
-    """Collect answers during a run."""
+    """Collect the outcomes of requests during a run."""
 
     def __init__(self) -> None:
         self._told: dict[str, _Told] = {}
         self.unnamed = 0
 
     def observe(self, req: Request, got: Answered) -> None:
-        """Note one ended request."""
+        """Record one finished request."""
         if not got.call_id:
             self.unnamed += 1
             return
@@ -48,7 +48,7 @@
         )
 
     def broken(self, started: dict[str, int]) -> list[str]:
-        """Return each contradiction between what was told and what ran."""
+        """Return each contradiction between the received outcomes and what ran."""
         found = []
         for call_id, told in self._told.items():
             runs = started.get(call_id, 0)
@@ -61,14 +61,14 @@
         return found
 
     def named(self) -> int:
-        """Return how many pieces of work can be compared."""
+        """Return the number of calls that can be compared."""
         return len(self._told)
 
 
 def only_once(started: dict[str, int]) -> list[str]:
-    """Return each call that ran twice at replicas which only take non-idempotent calls.
+    """Return each call that ran more than once at replicas with non-idempotent calls only.
 
-    This covers what Ledger cannot: calls whose caller never got an answer's head.
+    This includes calls whose caller received no response headers, which Ledger cannot check.
     """
     return [f"call {call_id} ran {times} times" for call_id, times in started.items() if times > 1]
 
--- a/papayapier/load/mix.py
+++ b/papayapier/load/mix.py
@@ -1,9 +1,9 @@
 """Draw online requests from the classes of an experiment.
 
-Two generators are used. shape decides class, caller, lengths and misuse; it is seeded alike
-for every phase of a round, so that phases are compared under the same load. words fills the
-prompts and differs between phases: the same prompts again would find the engines' prefix
-caches warm and flatter the later phase.
+Two random generators are used. shape draws class, caller, lengths and misuse; it has the same
+seed in every phase of a round, so that phases are compared under the same load. words draws
+the prompts and differs between phases: repeated prompts would hit the engines' prefix caches
+and favour the later phase.
 """
 
 import hashlib
@@ -24,8 +24,8 @@
 class Request(NamedTuple):
     """Describe one request to send.
 
-    key is empty without idempotency key. resend_after_ms and leave_after_ms are -1 when the
-    caller neither sends again nor goes away.
+    key is empty without an idempotency key. resend_after_ms and leave_after_ms are -1 when the
+    caller does not resend the request or disconnect early.
     """
 
     cls: RequestClass
@@ -41,7 +41,7 @@
     is_resend: bool = False
 
     def again(self) -> "Request":
-        """Return the same work as a caller sends it a second time."""
+        """Return the request as a caller resends it: with a new id and the same key."""
         return self._replace(
             request_id=f"{self.request_id}-again", resend_after_ms=-1, is_resend=True
         )
@@ -52,7 +52,7 @@
 
 
 class Mix:
-    """Draw requests one by one; run_id keeps ids apart between runs and phases."""
+    """Draw requests; run_id makes their ids unique between runs and phases."""
 
     def __init__(
         self,
@@ -103,7 +103,7 @@
         return f"{cls.name}-{self._shape.randrange(first_light, callers.number)}"
 
     def _prompt(self, cls: RequestClass, caller: str, count: int) -> str:
-        """Return a prompt that starts with the words which all of a caller's prompts share."""
+        """Return a prompt that starts with the prefix shared by all prompts of a caller."""
         prefix = random.Random(caller).choices(VOCABULARY, k=min(cls.prefix_words, count))
         return " ".join(prefix + draw_words(count - len(prefix), self._words))
 
@@ -126,11 +126,11 @@
 
 
 def draw_length(lengths: Lengths, rng: random.Random) -> int:
-    """Draw a whole length from a distribution."""
+    """Draw an integer length from a distribution."""
     drawn = round(rng.lognormvariate(math.log(lengths.median), lengths.sigma))
     return max(lengths.min, min(lengths.max, drawn))
 
 
 def draw_words(count: int, rng: random.Random) -> list[str]:
-    """Draw words of a prompt."""
+    """Draw the words of a prompt."""
     return rng.choices(VOCABULARY, k=max(0, count))
--- a/papayapier/load/operators.py
+++ b/papayapier/load/operators.py
@@ -1,4 +1,4 @@
-"""Change profiles as an operator does, through one instance's operator address."""
+"""Change profiles as an operator does, through the operator address of one instance."""
 
 from typing import NamedTuple
 
@@ -10,7 +10,7 @@
 
 
 class Operator(NamedTuple):
-    """Hold an operator address ("HOST:PORT") and key; run_id keeps change ids apart."""
+    """Hold an operator address ("HOST:PORT") and key; run_id makes change ids unique."""
 
     address: str
     key: str
@@ -18,7 +18,7 @@
 
 
 async def put_profile(operator: Operator, profile: Profile, step: str) -> Result[int, str]:
-    """Put a profile into the configuration and return its version."""
+    """Write a profile to the configuration and return its version."""
     url = f"http://{operator.address}/v1/profiles/{profile.name}"
     headers = {"Authorization": f"Bearer {operator.key}"} if operator.key else {}
     based_on = await _version(url, headers)
@@ -35,7 +35,7 @@
 
 
 async def _version(url: str, headers: dict[str, str]) -> Result[int, str]:
-    """Return the version in force, 0 when there is no such profile yet."""
+    """Return the current version, or 0 when the profile does not exist yet."""
     got = await call_json("GET", url, headers=headers)
     if isinstance(got, Err):
         return Ok(0) if ": status 404" in got.err_value else got
--- a/papayapier/load/pausing.py
+++ b/papayapier/load/pausing.py
@@ -1,9 +1,9 @@
 """Pause an instance that shares its process with others.
 
-A real pause (a stopped virtual machine, a long collection of garbage) holds up everything;
-here only the instance's timers are held, so that its leases lapse and its heartbeats stop
-while it is unaware. Its connections go on being read. On resuming, all that was due runs at
-once, as after a real pause.
+A real pause (a suspended virtual machine, a long garbage collection) stops everything. Here
+only the instance's timers are suspended, so that its leases lapse and its heartbeats stop
+without its knowledge; its connections are still read. On resuming, all timers that became due
+run at once, as after a real pause.
 """
 
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 class HeldTimer:
-    """Own one call, which may be due while its instance is paused."""
+    """Own one scheduled call, which may become due while its instance is paused."""
 
     __slots__ = ("_call", "_source", "inner")
 
@@ -23,17 +23,17 @@
         self.inner: Timer | None = None
 
     def cancel(self) -> None:
-        """Forget the call."""
+        """Cancel the call."""
         self._call = None
         if self.inner is not None and self.inner.active():
             self.inner.cancel()
 
     def active(self) -> bool:
-        """Tell whether the call is still to come."""
+        """Return whether the call is still pending."""
         return self._call is not None
 
     def due(self) -> None:
-        """Run the call now, or as soon as the pause is over."""
+        """Run the call now, or at the end of the pause."""
         if self._source.paused:
             self._source.hold(self)
             return
@@ -44,7 +44,7 @@
 
 
 class PausableTimers:
-    """Pass timers through, except while paused; time itself goes on."""
+    """Schedule calls on other timers, and defer them while paused; the clock is not paused."""
 
     def __init__(self, inner: Timers) -> None:
         self._inner = inner
@@ -53,7 +53,7 @@
         self.paused = False
 
     def seconds(self) -> float:
-        """Return the reading in seconds."""
+        """Return the time in seconds."""
         return self._inner.seconds()
 
     def callLater(self, delay: float, callable: Callable[..., Any]) -> Any:  # noqa: N802
@@ -63,20 +63,20 @@
         return timer
 
     def hold(self, timer: HeldTimer) -> None:
-        """Keep a call that is due until the pause is over."""
+        """Defer a due call until the end of the pause."""
         self._held.append(timer)
 
     def pause(self) -> None:
-        """Hold every call from now on."""
+        """Defer every call from now on."""
         self.paused = True
 
     def end(self) -> None:
-        """Hold every call for good: the instance is lost, and no resume() wakes it up."""
+        """Defer every call permanently: the instance is lost, and resume() has no effect."""
         self._ended = True
         self.pause()
 
     def resume(self) -> None:
-        """Run what has become due meanwhile, in its order."""
+        """Run the calls that became due during the pause, in order."""
         if self._ended:
             return
         self.paused = False
--- a/papayapier/load/report.py
+++ b/papayapier/load/report.py
@@ -1,4 +1,4 @@
-"""Write a report as JSON and as one HTML page without outside parts."""
+"""Write a report as JSON and as one self-contained HTML page."""
 
 from html import escape
 from typing import Final
@@ -29,11 +29,11 @@
 def report_html(report: Report) -> str:
     """Return a report as an HTML page."""
     title = escape(f"papayapier load: {report.experiment}")
-    verdict = "failed" if report.broken or report.failures else "no promise was broken"
+    verdict = "failed" if report.broken or report.failures else "no guarantee was violated"
     lines = [
         f"<p>{escape(report.description)}</p>",
         f"<p>Seed {report.seed}, run {escape(report.run_id)}, {len(report.targets)} instances; "
-        f"{report.compared} pieces of work compared with what ran: {verdict}.</p>",
+        f"{report.compared} calls compared with what ran: {verdict}.</p>",
         *(f'<p class="bad">{escape(line)}</p>' for line in _bad_lines(report)),
         *(_html_table(table) for table in report_tables(report)),
         *draw(report),
--- a/papayapier/load/results.py
+++ b/papayapier/load/results.py
@@ -1,8 +1,7 @@
-"""Count and time what became of the requests, by phase and class.
+"""Collect outcomes and latencies of the requests, by phase and class.
 
-Times are kept in HdrHistograms in microseconds, three significant digits. A request without
-an answer (hung, cut) has no latency that could be recorded; it is counted, never left out of
-the totals.
+Times are recorded in HdrHistograms in microseconds with three significant digits. A request
+without an answer (hung, cut) has no latency to record; it is still counted in the totals.
 """
 
 from collections import Counter
@@ -23,7 +22,7 @@
 
 
 class Times(NamedTuple):
-    """Summarise one distribution in milliseconds; all are 0 without values."""
+    """Summarise one distribution in milliseconds; all fields are 0 without values."""
 
     number: int
     mean: float
@@ -36,11 +35,11 @@
 
 
 class ClassResult(NamedTuple):
-    """Hold the figures of one class in one phase; rates are per second of counted time.
+    """Hold the figures of one class in one phase; rates are per second of measured time.
 
-    late counts whole answers after the class's due time. fairness is Jain's index of the
-    callers' answered shares (1 is even), worst_caller the lowest answered share of one, and
-    worst_other that of one who did not send the most: nobody should pay for another's flood.
+    late counts complete answers after the class's due time. fairness is Jain's index of the
+    callers' answered shares (1 is even), worst_caller the lowest answered share of a caller.
+    worst_other leaves out the caller that sent the most, whose load should not harm others.
     """
 
     phase: str
@@ -64,7 +63,7 @@
 
 
 class Tally:
-    """Collect one class in one phase."""
+    """Collect the figures of one class in one phase."""
 
     def __init__(self, phase: str, name: str) -> None:
         self.phase = phase
@@ -84,7 +83,7 @@
         self.lag = _histogram()
 
     def add(self, req: Request, got: Answered) -> None:
-        """Count one ended request."""
+        """Count one finished request."""
         verdict, timing, _ = got
         self.sent += 1
         self.sent_by[req.caller] += 1
@@ -111,7 +110,7 @@
             self.late += 1
 
     def result(self, counted_ms: int) -> ClassResult:
-        """Summarise what was counted in a time."""
+        """Summarise what was counted during a measured time."""
         whole = self.ends[End.WHOLE.value]
         shares = [self.whole_by[caller] / sent for caller, sent in self.sent_by.items()]
         return ClassResult(
@@ -143,7 +142,7 @@
 
 
 def jain(shares: list[float]) -> float:
-    """Return Jain's fairness index: 1 when all are equal, 1/n when one has everything."""
+    """Return Jain's fairness index: 1 when all shares are equal, 1/n when only one is above 0."""
     squares = sum(share * share for share in shares)
     return sum(shares) ** 2 / (len(shares) * squares) if squares else 0.0
 
--- a/papayapier/load/runner.py
+++ b/papayapier/load/runner.py
@@ -1,8 +1,7 @@
 """Run the phases of an experiment in one open loop.
 
-Arrivals never wait for answers. A request belongs to the phase in which it was meant to be
-sent, also when its answer comes during the next one, so figures are summarised only after
-the last answer.
+Arrivals never wait for answers. A request belongs to the phase of its intended send time, even
+if its answer arrives during the next phase, so figures are summarised after the last answer.
 """
 
 import random
@@ -30,22 +29,22 @@
 
 
 class Slot(NamedTuple):
-    """Place a request in the run: its phase, and its time from the phase's start."""
+    """Hold the phase of a request and its intended send time from the start of the phase."""
 
     phase: Phase
     start_us: int
     at_us: int
 
     def counted_under(self) -> str:
-        """Return the name under which the request is counted."""
+        """Return the phase name under which the request is counted."""
         settled = self.at_us >= self.phase.settle_ms * US_PER_MS
         return self.phase.name if settled else SETTLING
 
 
 class Around(NamedTuple):
-    """Group what happens around a phase: before its arrivals, when counting starts, and after.
+    """Group the callbacks before a phase's arrivals, at the start of counting, and after the phase.
 
-    Each gets the phase; the composition adds jobs, faults and profile changes here.
+    Each gets the phase; the experiment adds jobs, faults and profile changes here.
     """
 
     before: Callable[[Phase], Deferred[None]]
@@ -54,7 +53,7 @@
 
 
 class Run:
-    """Hold the state of one run."""
+    """Run all phases and hold the state of the run."""
 
     def __init__(
         self,
@@ -110,7 +109,7 @@
         await around.after(phase)
 
     async def _arrive(self, phase: Phase, times: Iterator[int], start_us: int, mix: Mix) -> None:
-        """Send each request at its time, or at once when its time has passed."""
+        """Send each request at its intended time, or at once when that has passed."""
         for at_us in times:
             wait_us = start_us + at_us - now_us(self._clock)
             if wait_us > 0:
@@ -123,7 +122,7 @@
             self._keep(self._resend(slot, req))
 
     def _keep(self, work: Coroutine[Deferred[Any], Any, None]) -> None:
-        """Start a piece of work that the run's end waits for."""
+        """Start a coroutine that the end of the run waits for."""
         done = Deferred.fromCoroutine(work)
         done.addErrback(self._note_failure)
         self._open.add(done)
@@ -142,21 +141,21 @@
         self._observe(req, got)
 
     async def _resend(self, slot: Slot, req: Request) -> None:
-        """Send a request again as a caller does that believes it failed: new id, same key."""
+        """Resend a request as a caller does that assumes it failed: new id, same key."""
         await self._clock.sleep(req.resend_after_ms)
         again = req.again()
         at_us = slot.at_us + req.resend_after_ms * US_PER_MS
         self._start(slot._replace(at_us=at_us), again)
 
     def series(self) -> list[Series]:
-        """Return what happened second by second."""
+        """Return the figures per second."""
         return self._series.all_series()
 
     def _tally(self, phase: str, name: str) -> Tally:
         return self._tallies.setdefault((phase, name), Tally(phase, name))
 
     def _note_failure(self, failure: object) -> None:
-        """Keep a failure of the load tool itself: its figures are then not to be trusted."""
+        """Record a failure of the load tool itself, which invalidates its figures."""
         self.failures.append(str(failure))
 
     def _results(self) -> list[ClassResult]:
--- a/papayapier/load/scenario.py
+++ b/papayapier/load/scenario.py
@@ -1,8 +1,8 @@
-"""Read an experiment file: what is sent, when, beside which jobs, under which faults.
+"""Parse an experiment file, which defines requests, rates, batch jobs and faults.
 
 An experiment is JSON with comments. Its phases run one after the other in one run, so that
-a comparison between them is made on the same processes; rounds repeats the whole sequence,
-so that a slow change of the machine falls on every phase alike.
+phases are compared on the same processes; rounds repeats the whole sequence, so that gradual
+changes of the machine affect all phases equally.
 """
 
 from pathlib import Path
@@ -25,7 +25,7 @@
 
 
 class Lengths(NamedTuple):
-    """Describe a length distribution: log-normal around a median, cut at both ends."""
+    """Describe a length distribution: log-normal around a median, clamped to min and max."""
 
     median: Positive
     sigma: Annotated[float, Meta(ge=0.0, le=3.0)] = 0.0
@@ -34,14 +34,14 @@
 
 
 class Callers(NamedTuple):
-    """Describe who sends; the first caller sends heavy_share, the others share the rest."""
+    """Describe the callers; the first sends heavy_share of the requests, the others the rest."""
 
     number: Positive = 1
     heavy_share: Share = 0.0
 
 
 class Misuse(NamedTuple):
-    """Describe what real callers also do: send again with the same key, or go away."""
+    """Describe how often callers resend a request with the same key, or disconnect early."""
 
     resend_share: Share = 0.0
     resend_after_ms: Ms = 0
@@ -50,7 +50,7 @@
 
 
 class RequestClass(NamedTuple):
-    """Describe one class of online requests; weight is its part of the arrivals.
+    """Describe one class of online requests; weight is its relative share of arrivals.
 
     A "chat" class posts to /v1/chat/completions, a "service" class posts body_bytes to
     path. keyed gives each request an idempotency key of its own.
@@ -75,14 +75,14 @@
 
 
 class Step(NamedTuple):
-    """Set the arrival rate from a time of the phase on."""
+    """Set the arrival rate from a time in the phase on."""
 
     at_ms: Ms
     rate_per_s: Rate
 
 
 class Burst(NamedTuple):
-    """Multiply the arrival rate for a short time."""
+    """Multiply the arrival rate for some time."""
 
     at_ms: Ms
     ms: PositiveMs
@@ -102,7 +102,7 @@
 
 
 class Fault(NamedTuple):
-    """Post switches to a stand-in (a replica's id, or "platform") at a time of the phase."""
+    """Set switches of a stand-in (a replica's id, or "platform") at a time in the phase."""
 
     at_ms: Ms
     target: str
@@ -110,7 +110,7 @@
 
 
 class Phase(NamedTuple):
-    """Describe one part of the run; its first settle_ms are sent but not counted."""
+    """Describe one phase of the run; requests of its first settle_ms are not counted."""
 
     name: str
     ms: PositiveMs
@@ -124,10 +124,10 @@
 
 
 class Compare(NamedTuple):
-    """Name the phases against which the others are set; empty leaves a comparison out.
+    """Name the reference phases of the comparison; without a name there is no comparison.
 
     online has the online load without batch. batch has the same online load and the most
-    batch work that the engines can do beside it.
+    batch work that the engines can process with it.
     """
 
     online: str = ""
@@ -137,7 +137,7 @@
 class Experiment(NamedTuple):
     """Hold one experiment; a request without an answer after give_up_ms counts as hung.
 
-    idle_connections are opened to the instances in turn and held without a request.
+    idle_connections are opened to the instances round robin and kept open without requests.
     """
 
     name: Name
@@ -155,7 +155,7 @@
 
 
 def load(path: Path) -> Result[Experiment, str]:
-    """Read and check an experiment file; the error names file, field and reason."""
+    """Read and validate an experiment file; the error names file, field and reason."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
@@ -164,12 +164,12 @@
 
 
 def parse(text: str) -> Result[Experiment, str]:
-    """Decode and check an experiment; the error starts with the field at fault."""
+    """Decode and validate an experiment; the error starts with the invalid field."""
     return codec.from_commented_json(text, Experiment).and_then(_check)
 
 
 def _check(exp: Experiment) -> Result[Experiment, str]:
-    """Check what spans several fields."""
+    """Check constraints that involve several fields."""
     for found in (_class_error(exp), _phase_error(exp)):
         if found:
             return Err(found)
@@ -178,18 +178,18 @@
 
 def _class_error(exp: Experiment) -> str:
     if not exp.classes:
-        return "classes: at least one is needed"
+        return "classes: at least one class is required"
     for at, cls in enumerate(exp.classes):
         if cls.kind == "service" and not cls.path.startswith("/"):
             return f"classes[{at}].path: a service class needs a path that starts with a slash"
         if cls.misuse.resend_share and not cls.keyed:
-            return f"classes[{at}].misuse.resend_share: only keyed requests can be sent again"
+            return f"classes[{at}].misuse.resend_share: only keyed requests can be resent"
     return _repeated("classes", [cls.name for cls in exp.classes])
 
 
 def _phase_error(exp: Experiment) -> str:
     if not exp.phases:
-        return "phases: at least one is needed"
+        return "phases: at least one phase is required"
     known = {job.name for job in exp.jobs}
     for at, phase in enumerate(exp.phases):
         if phase.settle_ms >= phase.ms:
@@ -205,4 +205,4 @@
 
 def _repeated(field: str, names: list[str]) -> str:
     twice = sorted({name for name in names if names.count(name) > 1})
-    return f"{field}: the name {twice[0]!r} stands twice" if twice else ""
+    return f"{field}: the name {twice[0]!r} is used twice" if twice else ""
--- a/papayapier/load/series.py
+++ b/papayapier/load/series.py
@@ -1,4 +1,4 @@
-"""Keep what happened second by second, so that the effect of a burst or fault can be seen."""
+"""Collect figures per second, so that the effect of a burst or fault is visible."""
 
 from collections import defaultdict
 from typing import Final, NamedTuple
@@ -11,7 +11,7 @@
 
 
 class Second(NamedTuple):
-    """Hold one second of a class in a phase; times are of whole answers, in ms."""
+    """Hold one second of a class in a phase; times are of complete answers, in ms."""
 
     at_s: int
     sent: int
@@ -31,7 +31,7 @@
 
 
 class _Bin:
-    """Collect one second."""
+    """Collect the figures of one second."""
 
     __slots__ = ("other", "refused", "sent", "totals_us")
 
@@ -43,13 +43,13 @@
 
 
 class SeriesBook:
-    """Collect the seconds of all classes and phases; rounds of a phase fall together."""
+    """Collect the seconds of all classes and phases; the rounds of a phase are combined."""
 
     def __init__(self) -> None:
         self._bins: dict[tuple[str, str], dict[int, _Bin]] = defaultdict(dict)
 
     def add(self, phase: str, name: str, at_us: int, got: Answered) -> None:
-        """Count one request that was meant to be sent at a time of its phase."""
+        """Count one request by its intended send time in its phase."""
         second = self._bins[phase, name].setdefault(at_us // US_PER_S, _Bin())
         second.sent += 1
         if got.verdict.end is End.WHOLE:
@@ -60,7 +60,7 @@
             second.other += 1
 
     def all_series(self) -> list[Series]:
-        """Return everything collected."""
+        """Return the series of all classes and phases."""
         return [
             Series(phase, name, [_second(at, bins[at]) for at in sorted(bins)])
             for (phase, name), bins in self._bins.items()
--- a/papayapier/load/standins.py
+++ b/papayapier/load/standins.py
@@ -1,4 +1,4 @@
-"""Reach the stand-ins: list them, set their switches, read what they count."""
+"""Access the stand-ins: list them, set their switches, read their counters."""
 
 from collections import Counter
 from typing import Any, NamedTuple
@@ -24,7 +24,7 @@
     replicas: dict[str, StandInReplica]
 
     def address(self, target: str) -> str | None:
-        """Return where a fault's target listens."""
+        """Return the address of a fault's target."""
         if target == PLATFORM:
             return self.platform
         replica = self.replicas.get(target)
@@ -32,14 +32,14 @@
 
 
 class Ran(NamedTuple):
-    """Hold how often each call was started, by upstream, and the tokens generated."""
+    """Hold the number of starts of each call, by upstream, and the tokens generated."""
 
     by_upstream: dict[str, dict[str, int]]
     tokens: int
 
     @property
     def started(self) -> dict[str, int]:
-        """Return how often each call was started anywhere."""
+        """Return the number of starts of each call at all upstreams."""
         total: Counter[str] = Counter()
         for calls in self.by_upstream.values():
             total.update(calls)
@@ -66,7 +66,7 @@
 
 
 async def read_ran(standins: StandIns) -> Result[Ran, str]:
-    """Add up the counts of every replica, engines and services alike."""
+    """Sum the counters of all replicas, engines and services."""
     by_upstream: dict[str, Counter[str]] = {}
     tokens = 0
     for upstream, address in standins.replicas.values():
