--- a/papayapier/load/answer.py
+++ b/papayapier/load/answer.py
@@ -87,28 +87,28 @@
 class StreamReader:
     """Parse server-sent events as they arrive."""
 
-    __slots__ = ("_rest", "document", "finished", "parts", "whole")
+    __slots__ = ("_buffer", "document", "finished", "parts", "terminated")
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
         self.parts: list[str] = []
         self.finished = False
-        self.whole = False
+        self.terminated = False
         self.document: Document | None = None
 
     def feed(self, data: bytes) -> int:
         """Parse received bytes and return how many tokens they completed."""
-        lines = (self._rest + data).split(b"\n")
-        self._rest = lines.pop()
+        lines = (self._buffer + data).split(b"\n")
+        self._buffer = lines.pop()
         before = len(self.parts)
         for line in lines:
             if line.startswith(DATA):
-                self._event(line[len(DATA) :].strip())
+                self._on_event(line[len(DATA) :].strip())
         return len(self.parts) - before
 
-    def _event(self, payload: bytes) -> None:
+    def _on_event(self, payload: bytes) -> None:
         if payload == DONE:
-            self.whole = True
+            self.terminated = True
             return
         document = decode(payload)
         if document is None or "error" in document:
@@ -129,7 +129,7 @@
         return None
 
 
-def judge(req: Request, status: int, body: bytes, expected: ExpectedText) -> Verdict:
+def classify_response(req: Request, status: int, body: bytes, expected: ExpectedText) -> Verdict:
     """Classify a response that was not streamed."""
     document = decode(body)
     if document is None:
@@ -139,33 +139,33 @@
     if status != OK_STATUS:
         return Verdict(End.WRONG, reason=f"status {status} without an error")
     if req.cls.kind == "service":
-        return _judge_echo(req, document)
+        return _classify_echo(req, document)
     choices = document.get("choices", [])
     text = choices[0].get("message", {}).get("content", "") if choices else ""
-    return _judge_text(req, text, expected)
+    return _classify_text(req, text, expected)
 
 
-def judge_stream(req: Request, reader: StreamReader, expected: ExpectedText) -> Verdict:
+def classify_stream(req: Request, reader: StreamReader, expected: ExpectedText) -> Verdict:
     """Classify a stream whose response ended without a connection error."""
     if reader.document is not None and "error" in reader.document:
         return _refusal(reader.document["error"], OK_STATUS)
-    if not reader.whole:
+    if not reader.terminated:
         return Verdict(End.CUT, reason="the stream has no end marker", tokens=len(reader.parts))
-    verdict = _judge_text(req, "".join(reader.parts), expected)
+    verdict = _classify_text(req, "".join(reader.parts), expected)
     return verdict if reader.finished else verdict._replace(flaw=NO_FINISH_REASON)
 
 
-def _judge_echo(req: Request, document: Document) -> Verdict:
+def _classify_echo(req: Request, document: Document) -> Verdict:
     if document.get("echo") != req.body_sha256():
         return Verdict(End.WRONG, reason="the service's echo does not match the request body")
     return Verdict(End.WHOLE)
 
 
-def _judge_text(req: Request, text: str, expected: ExpectedText) -> Verdict:
-    wanted = expected(req.prompt, req.max_tokens)
-    if text.split() != wanted.split():
+def _classify_text(req: Request, text: str, expected: ExpectedText) -> Verdict:
+    expected_answer = expected(req.prompt, req.max_tokens)
+    if text.split() != expected_answer.split():
         return Verdict(
-            End.WRONG, reason=f"unexpected text: {text[:60]!r}, expected {wanted[:60]!r}"
+            End.WRONG, reason=f"unexpected text: {text[:60]!r}, expected {expected_answer[:60]!r}"
         )
     return Verdict(End.WHOLE, tokens=req.max_tokens)
 
--- a/papayapier/load/arrivals.py
+++ b/papayapier/load/arrivals.py
@@ -29,8 +29,8 @@
 
 def rate_at(phase: Phase, at_ms: int) -> float:
     """Return the arrival rate per second at a time of the phase."""
-    begun = [step for step in phase.steps if step.at_ms <= at_ms]
-    rate = max(begun, key=lambda step: step.at_ms).rate_per_s if begun else phase.rate_per_s
+    started = [step for step in phase.steps if step.at_ms <= at_ms]
+    rate = max(started, key=lambda step: step.at_ms).rate_per_s if started else phase.rate_per_s
     for burst in phase.bursts:
         if burst.at_ms <= at_ms < burst.at_ms + burst.ms:
             rate *= burst.factor
@@ -42,6 +42,6 @@
     edges.update(step.at_ms for step in phase.steps)
     for burst in phase.bursts:
         edges.update((burst.at_ms, burst.at_ms + burst.ms))
-    inside = sorted(edge for edge in edges if edge <= phase.ms)
-    for start, end in pairwise(inside):
+    inner_edges = sorted(edge for edge in edges if edge <= phase.ms)
+    for start, end in pairwise(inner_edges):
         yield start * US_PER_MS, end * US_PER_MS, rate_at(phase, start)
--- a/papayapier/load/batch_meter.py
+++ b/papayapier/load/batch_meter.py
@@ -25,7 +25,7 @@
     store_calls: float = 0.0
 
 
-NOTHING: Final = Reading(0, 0, 0.0, 0.0)
+ZERO_READING: Final = Reading(0, 0, 0.0, 0.0)
 
 
 class BatchResult(NamedTuple):
@@ -54,29 +54,29 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._begun: tuple[int, Reading] | None = None
+        self._start: tuple[int, Reading] | None = None
         self._sums: dict[str, tuple[int, Reading]] = {}
 
     def begin(self, reading: Reading | None) -> None:
         """Record the reading at the start of a measurement."""
-        self._begun = None if reading is None else (self._clock.now(), reading)
+        self._start = None if reading is None else (self._clock.now(), reading)
 
     def end(self, phase: str, reading: Reading | None) -> None:
         """Record the reading at the end of a measurement; without both readings it is skipped."""
-        if self._begun is None or reading is None:
+        if self._start is None or reading is None:
             return
-        begun_ms, before = self._begun
-        sum_ms, total = self._sums.get(phase, (0, NOTHING))
+        start_ms, before = self._start
+        sum_ms, total = self._sums.get(phase, (0, ZERO_READING))
         parts = zip(total, reading, before, strict=True)
-        grown = Reading(*(part + new - old for part, new, old in parts))
-        self._sums[phase] = (sum_ms + self._clock.now() - begun_ms, grown)
-        self._begun = None
+        new_total = Reading(*(part + new - old for part, new, old in parts))
+        self._sums[phase] = (sum_ms + self._clock.now() - start_ms, new_total)
+        self._start = None
 
     def results(self) -> list[BatchResult]:
         """Return the batch throughput of every phase."""
         return [_result(phase, ms, total) for phase, (ms, total) in self._sums.items()]
 
-    def control(self) -> list[ControlResult]:
+    def control_results(self) -> list[ControlResult]:
         """Return the control traffic of every phase."""
         return [_control(phase, ms, total) for phase, (ms, total) in self._sums.items()]
 
--- a/papayapier/load/calls.py
+++ b/papayapier/load/calls.py
@@ -12,7 +12,7 @@
 TIMEOUT_S: Final = 20
 OK_STATUSES: Final = (200, 201, 202)
 
-FAILED_CALL: Final = (
+CALL_ERRORS: Final = (
     ConnectError,
     ConnectionClosed,
     TimeoutError,
@@ -27,15 +27,15 @@
     """Make a call and return the response body, or an error text."""
     try:
         fields = Headers({name: [value] for name, value in (headers or {}).items()})
-        answer = await treq.request(
+        response = await treq.request(
             method, url, data=body, headers=fields, persistent=False, timeout=TIMEOUT_S
         )
-        content: bytes = await answer.content()
-    except FAILED_CALL as exc:
+        content: bytes = await response.content()
+    except CALL_ERRORS as exc:
         return Err(f"{method} {url}: {type(exc).__name__}: {exc}")
-    if answer.code not in OK_STATUSES:
+    if response.code not in OK_STATUSES:
         return Err(
-            f"{method} {url}: status {answer.code}: {content[:300].decode(errors='replace')}"
+            f"{method} {url}: status {response.code}: {content[:300].decode(errors='replace')}"
         )
     return Ok(content)
 
@@ -46,8 +46,8 @@
     """Make a call with a JSON body and return the decoded response."""
     body = b"" if document is None else msgspec.json.encode(document)
     fields = {"Content-Type": "application/json", **(headers or {})}
-    answered = await call(method, url, body, fields)
-    return answered.and_then(lambda content: _decode(url, content))
+    decoded = await call(method, url, body, fields)
+    return decoded.and_then(lambda content: _decode(url, content))
 
 
 def _decode(url: str, content: bytes) -> Result[Any, str]:
--- a/papayapier/load/chaos.py
+++ b/papayapier/load/chaos.py
@@ -16,21 +16,21 @@
 from papayapier import invariants
 from papayapier.clock import Clock
 from papayapier.load import chaos_jobs, chaos_traffic
+from papayapier.load.chaos_fleet import ChaosFleet
 from papayapier.load.chaos_jobs import ChaosJobs
-from papayapier.load.chaos_operators import Operators
-from papayapier.load.chaos_plan import Sizes, draw_plan
-from papayapier.load.chaos_traffic import Traffic
-from papayapier.load.chaos_world import World
+from papayapier.load.chaos_operators import ChaosOperators
+from papayapier.load.chaos_plan import FleetSizes, draw_plan
+from papayapier.load.chaos_traffic import OnlineTraffic
 from papayapier.load.client import make_client
-from papayapier.load.ledger import only_once
+from papayapier.load.outcomes import repeated_calls
 from papayapier.standin.answers import expected_text
 
-SIZES: Final = Sizes(instances=4, engines=4, services=2)
+SIZES: Final = FleetSizes(instances=4, engines=4, services=2)
 GIVE_UP_MS: Final = 45_000
-REST_MS: Final = 60_000
-IN_FORCE_MS: Final = 10_000
+JOBS_LIMIT_MS: Final = 60_000
+CONFIG_LIMIT_MS: Final = 10_000
 LEAVE_GRACE_MS: Final = 4_000
-LEAVE_LOOK_MS: Final = 3_000
+LEAVE_CHECK_MS: Final = 3_000
 
 
 class ChaosReport(NamedTuple):
@@ -55,51 +55,57 @@
         self._seed = seed
         self._length_ms = length_ms
         self._events: list[str] = []
-        self._broken: list[str] = []
+        self._violations: list[str] = []
         self._plan = draw_plan(random.Random(f"plan {seed}"), length_ms, SIZES)
-        self._world = World(reactor, clock, random.Random(f"world {seed}"), SIZES, self._note)
-        self._began = clock.now()
+        self._chaos_fleet = ChaosFleet(
+            reactor, clock, random.Random(f"world {seed}"), SIZES, self._add_event
+        )
+        self._start_ms = clock.now()
 
     async def run(self) -> ChaosReport:
         invariants.raise_on_failure(True)
         publisher: Any = globalLogPublisher
-        publisher.addObserver(self._see_failure)
+        publisher.addObserver(self._on_log_event)
         client = make_client(self._clock, expected_text, GIVE_UP_MS, fresh_connections=False)
         run_id = f"chaos-{self._seed}"
-        traffic = Traffic(self._clock, client, self._world, run_id, self._rand("traffic"))
-        batch = ChaosJobs(self._clock, self._world, run_id, self._rand("jobs"))
+        traffic = OnlineTraffic(
+            self._clock, client, self._chaos_fleet, run_id, self._rand("traffic")
+        )
+        batch = ChaosJobs(self._clock, self._chaos_fleet, run_id, self._rand("jobs"))
         profiles = chaos_traffic.PROFILES + chaos_jobs.PROFILES
-        operators = Operators(self._clock, self._world, profiles, run_id, self._rand("operators"))
-        await self._world.start()
+        operators = ChaosOperators(
+            self._clock, self._chaos_fleet, profiles, run_id, self._rand("operators")
+        )
+        await self._chaos_fleet.start()
         await operators.create()
-        self._world.leaving_watch = self._watch_leaving
-        self._began = self._clock.now()
-        working = gatherResults(
+        self._chaos_fleet.on_engine_leaving = self._watch_leaving
+        self._start_ms = self._clock.now()
+        load_done = gatherResults(
             [
-                Deferred.fromCoroutine(work)
-                for work in (traffic.run(), batch.run(), operators.run(), operators.watch())
+                Deferred.fromCoroutine(coroutine)
+                for coroutine in (traffic.run(), batch.run(), operators.run(), operators.watch())
             ],
             consumeErrors=True,
         )
         await self._apply_plan()
-        for one in (traffic, batch, operators):
-            one.stop()
-        self._world.heal()
-        self._note("healed")
-        await working
-        await batch.until_ended(REST_MS)
-        await operators.until_in_force(IN_FORCE_MS)
+        for source in (traffic, batch, operators):
+            source.stop()
+        self._chaos_fleet.clear_faults()
+        self._add_event("healed")
+        await load_done
+        await batch.wait_until_ended(JOBS_LIMIT_MS)
+        await operators.wait_until_applied(CONFIG_LIMIT_MS)
         self._compare(traffic, batch)
         await client.close()
-        await self._world.close()
-        publisher.removeObserver(self._see_failure)
-        self._broken += traffic.all_broken() + batch.broken + operators.broken
+        await self._chaos_fleet.close()
+        publisher.removeObserver(self._on_log_event)
+        self._violations += traffic.all_violations() + batch.violations + operators.violations
         counts = {
-            **{f"online {name}": number for name, number in traffic.ends.items()},
+            **{f"online {name}": number for name, number in traffic.outcome_counts.items()},
             **{f"jobs {name}": number for name, number in batch.counts.items()},
             **{f"changes {name}": number for name, number in operators.counts.items()},
         }
-        return ChaosReport(self._seed, self._events, counts, self._broken)
+        return ChaosReport(self._seed, self._events, counts, self._violations)
 
     def _rand(self, name: str) -> random.Random:
         return random.Random(f"{name} {self._seed}")
@@ -110,12 +116,12 @@
             await self._sleep_until(event.at_ms)
             if invariants.broken_count():
                 return
-            self._note(event.text())
-            self._world.apply(event)
+            self._add_event(event.text())
+            self._chaos_fleet.apply(event)
         await self._sleep_until(self._length_ms)
 
     async def _sleep_until(self, at_ms: int) -> None:
-        wait_ms = self._began + at_ms - self._clock.now()
+        wait_ms = self._start_ms + at_ms - self._clock.now()
         if wait_ms > 0:
             await self._clock.sleep(wait_ms)
 
@@ -125,52 +131,54 @@
         The instances learn from the instance list that an engine leaves, so the check is void
         if the platform was disturbed or an instance was paused during its time.
         """
-        told_ms = self._clock.now()
+        leaving_ms = self._clock.now()
 
-        def begin() -> None:
+        def start_check() -> None:
             before = self._started_at(engine)
-            self._clock.call_later(LEAVE_LOOK_MS, lambda: end(before))
+            self._clock.call_later(LEAVE_CHECK_MS, lambda: finish_check(before))
 
-        def end(before: int) -> None:
-            more = self._started_at(engine) - before
-            if more and self._world.disturbed_ms < told_ms:
-                self._broken.append(f"engine {engine} received {more} new calls while leaving")
+        def finish_check(before: int) -> None:
+            new_calls = self._started_at(engine) - before
+            if new_calls and self._chaos_fleet.disturbed_until_ms < leaving_ms:
+                self._violations.append(
+                    f"engine {engine} received {new_calls} new calls while leaving"
+                )
 
-        self._clock.call_later(LEAVE_GRACE_MS, begin)
+        self._clock.call_later(LEAVE_GRACE_MS, start_check)
 
     def _started_at(self, engine: int) -> int:
-        return sum(self._world.fleet.engines[engine].counts().started.values())
+        return sum(self._chaos_fleet.standins.engines[engine].counts().started.values())
 
-    def _compare(self, traffic: Traffic, batch: ChaosJobs) -> None:
+    def _compare(self, traffic: OnlineTraffic, batch: ChaosJobs) -> None:
         """Compare the answers that callers received with what ran."""
-        fleet = self._world.fleet
-        once: dict[str, int] = {}
+        standins = self._chaos_fleet.standins
+        non_idempotent: dict[str, int] = {}
         started: dict[str, int] = {}
-        for service in fleet.services:
-            _add(once, service.counts().calls)
-        for engine in fleet.engines:
-            _add(started, engine.counts().started)
-        self._broken += only_once(once)
-        self._broken += batch.broken_once(started)
-        self._broken += traffic.ledger.broken({**started, **once})
-        self._broken += [
+        for service in standins.services:
+            _add_counts(non_idempotent, service.counts().calls)
+        for engine in standins.engines:
+            _add_counts(started, engine.counts().started)
+        self._violations += repeated_calls(non_idempotent)
+        self._violations += batch.repeated_items(started)
+        self._violations += traffic.outcomes.contradictions({**started, **non_idempotent})
+        self._violations += [
             f"internal check failed: {promise.value}, {number} times"
             for promise, number in invariants.BROKEN.items()
         ]
 
-    def _note(self, text: str) -> None:
-        at_ms = self._clock.now() - self._began
+    def _add_event(self, text: str) -> None:
+        at_ms = self._clock.now() - self._start_ms
         self._events.append(f"{at_ms:>8} ms  {text}")
         if text.startswith("FAILED"):
-            self._broken.append(text)
+            self._violations.append(text)
 
-    def _see_failure(self, event: LogEvent) -> None:
+    def _on_log_event(self, event: LogEvent) -> None:
         """Record unhandled failures, which are reported in the log only."""
         failure = event.get("log_failure")
         if failure is not None:
-            self._broken.append(f"unhandled failure: {failure.getTraceback()}")
+            self._violations.append(f"unhandled failure: {failure.getTraceback()}")
 
 
-def _add(total: dict[str, int], counts: dict[str, int]) -> None:
+def _add_counts(total: dict[str, int], counts: dict[str, int]) -> None:
     for call_id, times in counts.items():
         total[call_id] = total.get(call_id, 0) + times
--- a/papayapier/load/chaos_jobs.py
+++ b/papayapier/load/chaos_jobs.py
@@ -10,50 +10,56 @@
 from papayapier.clock import Clock
 from papayapier.config.profiles import BatchRule, Profile
 from papayapier.load import jobs
-from papayapier.load.chaos_world import ENGINES_NAME, World
-from papayapier.load.jobs import Submitted
+from papayapier.load.chaos_fleet import ENGINE_UPSTREAM, ChaosFleet
+from papayapier.load.jobs import SubmittedJob
 from papayapier.load.scenario import Job, Lengths
 from papayapier.standin.answers import expected_text
 
 MEAN_GAP_MS: Final = 12_000
-AGAIN_MS: Final = 400
+RETRY_MS: Final = 400
 SUBMIT_LIMIT_MS: Final = 60_000
-RESENT: Final = 0.4
-CANCELLED: Final = 0.25
+RESUBMIT_SHARE: Final = 0.4
+CANCEL_SHARE: Final = 0.25
 CANCEL_AFTER_MS: Final = 8_000
-MOST_ITEMS: Final = 160
+MAX_ITEMS: Final = 160
 POLL_MS: Final = 500
-STILL_MS: Final = 2_500
+CANCELLED_RECHECK_MS: Final = 2_500
 
 PROFILES: Final = (
-    Profile("summaries", ENGINES_NAME, "batch", 600_000, True, batch=BatchRule(1.0, "throughput")),
-    Profile("letters", ENGINES_NAME, "batch", 600_000, False, batch=BatchRule(1.0, "throughput")),
+    Profile(
+        "summaries", ENGINE_UPSTREAM, "batch", 600_000, True, batch=BatchRule(1.0, "throughput")
+    ),
+    Profile(
+        "letters", ENGINE_UPSTREAM, "batch", 600_000, False, batch=BatchRule(1.0, "throughput")
+    ),
 )
 
-ONCE: Final = "letters"
+NON_IDEMPOTENT_PROFILE: Final = "letters"
 
 
 class ChaosJobs:
     """Own the jobs of a chaos run; all accepted jobs must finish."""
 
-    def __init__(self, clock: Clock, world: World, run_id: str, rand: random.Random) -> None:
+    def __init__(
+        self, clock: Clock, chaos_fleet: ChaosFleet, run_id: str, rand: random.Random
+    ) -> None:
         self._clock = clock
-        self._world = world
+        self._chaos_fleet = chaos_fleet
         self._run_id = run_id
         self._rand = rand
         self._open: set[Deferred[None]] = set()
         self._stopping = False
-        self.accepted: list[Submitted] = []
+        self.accepted: list[SubmittedJob] = []
         self.cancelled: set[str] = set()
         self.counts: Counter[str] = Counter()
-        self.broken: list[str] = []
+        self.violations: list[str] = []
 
     async def run(self) -> None:
         """Submit jobs until stop() is called, then wait until each is accepted or abandoned."""
         number = 0
         while not self._stopping:
             number += 1
-            self._keep(self._one(number))
+            self._track(self._run_job(number))
             await self._clock.sleep(self._rand.expovariate(1 / MEAN_GAP_MS))
         while self._open:
             await gatherResults(list(self._open))
@@ -62,21 +68,27 @@
         """Stop submitting jobs."""
         self._stopping = True
 
-    async def until_ended(self, limit_ms: int) -> None:
+    async def wait_until_ended(self, limit_ms: int) -> None:
         """Wait until every accepted job has finished, then check its results."""
-        until = self._clock.now() + limit_ms
-        waits = [self._until_ended(submitted, until) for submitted in self.accepted]
+        deadline_ms = self._clock.now() + limit_ms
+        waits = [self._check_when_ended(submitted, deadline_ms) for submitted in self.accepted]
         await gatherResults([Deferred.fromCoroutine(wait) for wait in waits])
 
-    def broken_once(self, started: dict[str, int]) -> list[str]:
+    def repeated_items(self, started: dict[str, int]) -> list[str]:
         """Return each item of a non-idempotent job that ran more than once.
 
         Items are found by their job's id at the start of the call id. Finding none is an error
         as well, because a changed format of call ids would otherwise disable this check.
         """
-        once = tuple(f"{one.id}-" for one in self.accepted if one.job.profile == ONCE)
-        ran = {call_id: times for call_id, times in started.items() if call_id.startswith(once)}
-        if once and not ran:
+        id_prefixes = tuple(
+            f"{submitted.id}-"
+            for submitted in self.accepted
+            if submitted.job.profile == NON_IDEMPOTENT_PROFILE
+        )
+        ran = {
+            call_id: times for call_id, times in started.items() if call_id.startswith(id_prefixes)
+        }
+        if id_prefixes and not ran:
             return ["no engine has counted a call id of a non-idempotent job"]
         return [
             f"item {call_id} is not idempotent, and ran {times} times"
@@ -84,96 +96,100 @@
             if times > 1
         ]
 
-    def _keep(self, work: "jobs.Work") -> None:
-        done = Deferred.fromCoroutine(work)
-        done.addErrback(lambda failure: self.broken.append(f"load tool: {failure.getTraceback()}"))
+    def _track(self, task: "jobs.BackgroundTask") -> None:
+        done = Deferred.fromCoroutine(task)
+        done.addErrback(
+            lambda failure: self.violations.append(f"load tool: {failure.getTraceback()}")
+        )
         self._open.add(done)
         done.addBoth(lambda _: self._open.discard(done))
 
-    async def _one(self, number: int) -> None:
+    async def _run_job(self, number: int) -> None:
         rand = self._rand
         profile = rand.choice(PROFILES).name
-        items = rand.randrange(1, MOST_ITEMS)
+        items = rand.randrange(1, MAX_ITEMS)
         tokens = Lengths(median=8, sigma=0.5, max=30)
         job = Job(f"job-{number}", profile, items, "", Lengths(median=15), tokens)
-        drawn = jobs.draw(job, rand.getrandbits(32))
+        prepared = jobs.prepare(job, rand.getrandbits(32))
         key = f"{self._run_id}-{number}"
-        resent = rand.random() < RESENT
-        cancel_after = rand.randrange(CANCEL_AFTER_MS) if rand.random() < CANCELLED else -1
-        submitted = await self._submit(drawn, key)
+        resubmit = rand.random() < RESUBMIT_SHARE
+        cancel_after = rand.randrange(CANCEL_AFTER_MS) if rand.random() < CANCEL_SHARE else -1
+        submitted = await self._submit(prepared, key)
         if submitted is None:
             return
         self.accepted.append(submitted)
         self.counts["accepted"] += 1
-        if resent:
-            again = await self._submit(drawn, key)
-            if again is not None and again.id != submitted.id:
-                self.broken.append(
-                    f"job {submitted.id} was submitted again and became job {again.id}"
+        if resubmit:
+            resubmitted = await self._submit(prepared, key)
+            if resubmitted is not None and resubmitted.id != submitted.id:
+                self.violations.append(
+                    f"job {submitted.id} was submitted again and became job {resubmitted.id}"
                 )
         if cancel_after >= 0:
             await self._clock.sleep(cancel_after)
             await self._cancel(submitted)
 
-    async def _submit(self, drawn: jobs.Drawn, key: str) -> Submitted | None:
+    async def _submit(self, prepared: jobs.PreparedJob, key: str) -> SubmittedJob | None:
         """Submit a job, retrying until it is accepted or the limit expires."""
-        until = self._clock.now() + SUBMIT_LIMIT_MS
-        why = "no instance was available"
-        while self._clock.now() < until:
-            spot = self._world.pick()
-            if spot is not None:
-                made = await jobs.submit(spot.entry, drawn, key)
-                if isinstance(made, Ok):
-                    return made.ok_value
-                why = made.err_value
+        deadline_ms = self._clock.now() + SUBMIT_LIMIT_MS
+        error = "no instance was available"
+        while self._clock.now() < deadline_ms:
+            ref = self._chaos_fleet.pick_instance()
+            if ref is not None:
+                result = await jobs.submit(ref.entry, prepared, key)
+                if isinstance(result, Ok):
+                    return result.ok_value
+                error = result.err_value
                 self.counts["submits repeated"] += 1
-            await self._clock.sleep(AGAIN_MS)
-        self.broken.append(f"{drawn.job.name} was not accepted in {SUBMIT_LIMIT_MS} ms: {why}")
+            await self._clock.sleep(RETRY_MS)
+        self.violations.append(
+            f"{prepared.job.name} was not accepted in {SUBMIT_LIMIT_MS} ms: {error}"
+        )
         return None
 
-    async def _cancel(self, submitted: Submitted) -> None:
+    async def _cancel(self, submitted: SubmittedJob) -> None:
         while True:
-            spot = self._world.pick()
-            if spot is not None and isinstance(await jobs.cancel(spot.entry, submitted), Ok):
+            ref = self._chaos_fleet.pick_instance()
+            if ref is not None and isinstance(await jobs.cancel(ref.entry, submitted), Ok):
                 self.cancelled.add(submitted.id)
                 self.counts["cancelled"] += 1
                 return
-            await self._clock.sleep(AGAIN_MS)
-
-    async def _until_ended(self, submitted: Submitted, until: int) -> None:
-        last = "its status was never read"
-        while self._clock.now() < until:
-            spot = self._world.pick()
-            if spot is not None:
-                read = await jobs.progress(spot.entry, submitted)
-                last = str(read)
-                if isinstance(read, Ok) and read.ok_value.status in jobs.ENDED:
+            await self._clock.sleep(RETRY_MS)
+
+    async def _check_when_ended(self, submitted: SubmittedJob, deadline_ms: int) -> None:
+        last_progress = "its status was never read"
+        while self._clock.now() < deadline_ms:
+            ref = self._chaos_fleet.pick_instance()
+            if ref is not None:
+                read = await jobs.progress(ref.entry, submitted)
+                last_progress = str(read)
+                if isinstance(read, Ok) and read.ok_value.status in jobs.FINAL_STATUSES:
                     self.counts[read.ok_value.status] += 1
                     await self._check(submitted, read.ok_value)
                     return
             await self._clock.sleep(POLL_MS)
-        self.broken.append(f"job {submitted.id} did not finish: {last}")
+        self.violations.append(f"job {submitted.id} did not finish: {last_progress}")
 
-    async def _check(self, submitted: Submitted, ended: jobs.Progress) -> None:
+    async def _check(self, submitted: SubmittedJob, final: jobs.Progress) -> None:
         """Check the results; those of a cancelled job are read twice and must not change."""
-        if ended.status != jobs.COMPLETED and submitted.id not in self.cancelled:
-            self.broken.append(f"job {submitted.id} ended as {ended.status}")
+        if final.status != jobs.COMPLETED and submitted.id not in self.cancelled:
+            self.violations.append(f"job {submitted.id} ended as {final.status}")
         first = await self._results(submitted)
         if submitted.id in self.cancelled:
-            await self._clock.sleep(STILL_MS)
+            await self._clock.sleep(CANCELLED_RECHECK_MS)
             if await self._results(submitted) != first:
-                self.broken.append(f"job {submitted.id} got results after it was cancelled")
-        wrong = jobs.wrong_lines(
-            submitted, first, expected_text, complete=ended.status == jobs.COMPLETED
+                self.violations.append(f"job {submitted.id} got results after it was cancelled")
+        wrong = jobs.find_result_errors(
+            submitted, first, expected_text, complete=final.status == jobs.COMPLETED
         )
-        self.broken += [f"job {submitted.id}: {line}" for line in wrong]
+        self.violations += [f"job {submitted.id}: {line}" for line in wrong]
         self.counts["results"] += len(first)
 
-    async def _results(self, submitted: Submitted) -> list[jobs.Line]:
+    async def _results(self, submitted: SubmittedJob) -> list[jobs.ResultLine]:
         while True:
-            spot = self._world.pick()
-            if spot is not None:
-                read = await jobs.results(spot.entry, submitted)
+            ref = self._chaos_fleet.pick_instance()
+            if ref is not None:
+                read = await jobs.results(ref.entry, submitted)
                 if not isinstance(read, Err):
                     return read.ok_value
-            await self._clock.sleep(AGAIN_MS)
+            await self._clock.sleep(RETRY_MS)
--- a/papayapier/load/chaos_traffic.py
+++ b/papayapier/load/chaos_traffic.py
@@ -9,10 +9,10 @@
 from papayapier.clock import Clock
 from papayapier.config.profiles import Profile
 from papayapier.load.answer import End
-from papayapier.load.chaos_world import ENGINES_NAME, SERVICES_NAME, Spot, World
+from papayapier.load.chaos_fleet import ENGINE_UPSTREAM, SERVICE_UPSTREAM, ChaosFleet, InstanceRef
 from papayapier.load.client import Client, now_us, send
-from papayapier.load.ledger import Ledger
 from papayapier.load.mix import Mix, Request
+from papayapier.load.outcomes import OutcomeTracker
 from papayapier.load.scenario import Callers, Lengths, Misuse, RequestClass
 
 MEAN_GAP_MS: Final = 120
@@ -20,16 +20,18 @@
 US_PER_MS: Final = 1_000
 
 PROFILES: Final = (
-    Profile("chat", ENGINES_NAME, "normal", 8_000, True),
-    Profile("check", ENGINES_NAME, "urgent", 3_000, True),
-    Profile("note", ENGINES_NAME, "normal", 8_000, False),
-    Profile("pass", SERVICES_NAME, "urgent", 3_000, False),
+    Profile("chat", ENGINE_UPSTREAM, "normal", 8_000, True),
+    Profile("check", ENGINE_UPSTREAM, "urgent", 3_000, True),
+    Profile("note", ENGINE_UPSTREAM, "normal", 8_000, False),
+    Profile("pass", SERVICE_UPSTREAM, "urgent", 3_000, False),
 )
 
 _WORDS: Final = Lengths(median=12, sigma=0.4, max=40)
 _TOKENS: Final = Lengths(median=6, sigma=0.6, max=25)
 _LEAVE: Final = Misuse(leave_share=0.08, leave_after_ms=120)
-_AGAIN: Final = Misuse(resend_share=0.3, resend_after_ms=60, leave_share=0.08, leave_after_ms=15)
+_RESEND_AND_LEAVE: Final = Misuse(
+    resend_share=0.3, resend_after_ms=60, leave_share=0.08, leave_after_ms=15
+)
 
 CLASSES: Final = (
     RequestClass(
@@ -45,47 +47,52 @@
         max_tokens=_TOKENS,
         idempotent=False,
         keyed=True,
-        misuse=_AGAIN,
+        misuse=_RESEND_AND_LEAVE,
     ),
     RequestClass(
         "pass",
         "service",
         "pass",
         3,
-        path=f"/services/{SERVICES_NAME}/calls/passes",
+        path=f"/services/{SERVICE_UPSTREAM}/calls/passes",
         idempotent=False,
         keyed=True,
         callers=Callers(5),
-        misuse=_AGAIN,
+        misuse=_RESEND_AND_LEAVE,
     ),
     RequestClass(
         "weigh",
         "service",
         "pass",
         1,
-        path=f"/services/{SERVICES_NAME}/calls/weighings",
+        path=f"/services/{SERVICE_UPSTREAM}/calls/weighings",
         idempotent=False,
     ),
 )
 
 
-class Traffic:
+class OnlineTraffic:
     """Send the online requests of a chaos run and check their outcomes."""
 
     def __init__(
-        self, clock: Clock, client: Client, world: World, run_id: str, rand: random.Random
+        self,
+        clock: Clock,
+        client: Client,
+        chaos_fleet: ChaosFleet,
+        run_id: str,
+        rand: random.Random,
     ) -> None:
         self._clock = clock
         self._client = client
-        self._world = world
+        self._chaos_fleet = chaos_fleet
         self._rand = rand
         self._mix = Mix(CLASSES, run_id, rand, rand)
         self._open: set[Deferred[None]] = set()
         self._stopping = False
-        self.ledger = Ledger()
-        self.ends: Counter[str] = Counter()
+        self.outcomes = OutcomeTracker()
+        self.outcome_counts: Counter[str] = Counter()
         self.flaws: Counter[str] = Counter()
-        self.broken: list[str] = []
+        self.violations: list[str] = []
 
     async def run(self) -> None:
         """Send requests until stop() is called, then wait until they have finished."""
@@ -100,28 +107,30 @@
         self._stopping = True
 
     def _start(self, req: Request) -> None:
-        done = Deferred.fromCoroutine(self._one(req))
-        done.addErrback(lambda failure: self.broken.append(f"load tool: {failure.getTraceback()}"))
+        done = Deferred.fromCoroutine(self._send(req))
+        done.addErrback(
+            lambda failure: self.violations.append(f"load tool: {failure.getTraceback()}")
+        )
         self._open.add(done)
         done.addBoth(lambda _: self._open.discard(done))
 
-    async def _one(self, req: Request) -> None:
-        spot = self._world.pick()
-        if spot is None:
+    async def _send(self, req: Request) -> None:
+        ref = self._chaos_fleet.pick_instance()
+        if ref is None:
             await self._clock.sleep(NO_INSTANCE_MS)
             return
         if req.resend_after_ms >= 0:
-            self._clock.call_later(req.resend_after_ms, lambda: self._start(req.again()))
-        got = await send(self._client, spot.entry, req, now_us(self._clock))
+            self._clock.call_later(req.resend_after_ms, lambda: self._start(req.make_resend()))
+        got = await send(self._client, ref.entry, req, now_us(self._clock))
         verdict = got.verdict
-        self.ends[f"{verdict.end.value} {verdict.kind} {verdict.outcome}".strip()] += 1
-        self.ledger.observe(req, got)
+        self.outcome_counts[f"{verdict.end.value} {verdict.kind} {verdict.outcome}".strip()] += 1
+        self.outcomes.observe(req, got)
         self.flaws[verdict.flaw] += 1
-        if found := self._inexcusable(spot, verdict.end):
-            self.broken.append(f"{req.request_id} at instance {spot.place}: {found}")
-            self.broken[-1] += f" ({verdict.reason}, {got.timing.total_us // US_PER_MS} ms)"
+        if violation := self._violation(ref, verdict.end):
+            self.violations.append(f"{req.request_id} at instance {ref.number}: {violation}")
+            self.violations[-1] += f" ({verdict.reason}, {got.timing.total_us // US_PER_MS} ms)"
 
-    def _inexcusable(self, spot: Spot, end: End) -> str:
+    def _violation(self, ref: InstanceRef, end: End) -> str:
         """Return what an outcome violates, or an empty string.
 
         Only the loss of the instance justifies a cut connection.
@@ -130,11 +139,11 @@
             return "a wrong or incomplete answer looked successful"
         if end is End.HUNG:
             return "a request was never answered"
-        if end is End.CUT and not self._world.was_lost(spot):
+        if end is End.CUT and not self._chaos_fleet.was_lost(ref):
             return "an instance that was not lost closed the connection of a request"
         return ""
 
-    def all_broken(self) -> list[str]:
+    def all_violations(self) -> list[str]:
         """Return all violations, with flaws of one kind on one line."""
         flaws = [f"{number} answers: {flaw}" for flaw, number in self.flaws.items() if flaw]
-        return self.broken + flaws
+        return self.violations + flaws
--- a/papayapier/load/client.py
+++ b/papayapier/load/client.py
@@ -26,7 +26,14 @@
 from twisted.web.iweb import IBodyProducer
 
 from papayapier.clock import Clock
-from papayapier.load.answer import End, ExpectedText, StreamReader, Verdict, judge, judge_stream
+from papayapier.load.answer import (
+    End,
+    ExpectedText,
+    StreamReader,
+    Verdict,
+    classify_response,
+    classify_stream,
+)
 from papayapier.load.mix import Request
 
 US_PER_S: Final = 1_000_000
@@ -34,7 +41,7 @@
 IDLE_PER_HOST: Final = 256
 IDLE_TIMEOUT_S: Final = 20
 
-BROKEN_CONNECTION: Final = (
+CONNECTION_ERRORS: Final = (
     ConnectError,
     ConnectionClosed,
     ConnectionLost,
@@ -106,17 +113,25 @@
     """Send a request to "HOST:PORT" and return its outcome; never raises."""
     started_us = now_us(client.clock)
     receiver = _Receiver(req, client, intended_us)
-    work = Deferred.fromCoroutine(_exchange(client, target, req, receiver))
-    ended = _Stop()
-    timers = [client.clock.call_later(client.give_up_ms, lambda: ended.by(End.HUNG, work))]
+    exchange = Deferred.fromCoroutine(_exchange(client, target, req, receiver))
+    cancellation = _Cancellation()
+    timers = [
+        client.clock.call_later(
+            client.give_up_ms, lambda: cancellation.cancel_as(End.HUNG, exchange)
+        )
+    ]
     if req.leave_after_ms >= 0:
-        timers.append(client.clock.call_later(req.leave_after_ms, lambda: ended.by(End.LEFT, work)))
+        timers.append(
+            client.clock.call_later(
+                req.leave_after_ms, lambda: cancellation.cancel_as(End.LEFT, exchange)
+            )
+        )
     try:
-        verdict = await work
+        verdict = await exchange
     except CancelledError:
-        verdict = Verdict(ended.end, reason="no answer in time")
-    except BROKEN_CONNECTION as exc:
-        verdict = Verdict(ended.end, reason=f"{type(exc).__name__}: {exc}")
+        verdict = Verdict(cancellation.end, reason="no answer in time")
+    except CONNECTION_ERRORS as exc:
+        verdict = Verdict(cancellation.end, reason=f"{type(exc).__name__}: {exc}")
     for timer in timers:
         if timer.active():
             timer.cancel()
@@ -126,15 +141,15 @@
     return Answered(verdict, timing, receiver.call_id)
 
 
-class _Stop:
+class _Cancellation:
     """Record why a request was cancelled; otherwise its failure counts as a cut connection."""
 
     def __init__(self) -> None:
         self.end = End.CUT
 
-    def by(self, end: End, work: "Deferred[Verdict]") -> None:
+    def cancel_as(self, end: End, exchange: "Deferred[Verdict]") -> None:
         self.end = end
-        work.cancel()
+        exchange.cancel()
 
 
 async def _exchange(client: Client, target: str, req: Request, receiver: "_Receiver") -> Verdict:
@@ -147,9 +162,9 @@
     receiver.call_id = _header(response, "x-papayapier-call")
     response.deliverBody(receiver)
     await receiver.done
-    own_id = _header(response, "x-request-id")
-    if own_id and own_id != req.request_id:
-        return Verdict(End.WRONG, reason=f"the response has the id of request {own_id}")
+    response_id = _header(response, "x-request-id")
+    if response_id and response_id != req.request_id:
+        return Verdict(End.WRONG, reason=f"the response has the id of request {response_id}")
     return receiver.verdict()
 
 
@@ -217,8 +232,10 @@
     def verdict(self) -> Verdict:
         """Classify the complete response."""
         if self.streams:
-            return judge_stream(self._req, self._reader, self._client.expected)
-        return judge(self._req, self.status, b"".join(self._body), self._client.expected)
+            return classify_stream(self._req, self._reader, self._client.expected)
+        return classify_response(
+            self._req, self.status, b"".join(self._body), self._client.expected
+        )
 
     def _abort(self, _cancelled: "Deferred[None]") -> None:
         """Abort the connection, as a caller does that disconnects without reading the rest."""
--- a/papayapier/load/command.py
+++ b/papayapier/load/command.py
@@ -94,16 +94,16 @@
 
     gc.set_threshold(*COLLECT_THRESHOLDS)
     seed = exp.seed if options.seed is None else options.seed
-    run = Options(
+    run_options = Options(
         targets=options.targets,
         operator=options.operator or "",
         operator_key=os.environ.get(KEY_VARIABLE, ""),
         platform=options.platform or "",
         seed=seed,
         run_id=f"{seed:x}-{int(time.time()):x}",
-        say=lambda line: print(line, file=sys.stderr, flush=True),
+        log=lambda line: print(line, file=sys.stderr, flush=True),
     )
-    report = await run_experiment(exp, real_clock(), run)
+    report = await run_experiment(exp, real_clock(), run_options)
     print(report_text(report))
     if options.json:
         from papayapier.load.report import report_json
@@ -132,31 +132,31 @@
         print(f"seed {report.seed}: {len(report.events)} events, no guarantee was violated")
         return EXIT_OK
     print("\n".join([f"seed {report.seed}, events:", *report.events]), file=sys.stderr)
-    print("\n".join(["violations:", *report.broken]), file=sys.stderr)
+    print("\n".join(["broken:", *report.broken]), file=sys.stderr)
     return EXIT_FAILED
 
 
-def run_on_reactor(work: Coroutine[Deferred[Any], Any, int]) -> int:
+def run_on_reactor(coroutine: Coroutine[Deferred[Any], Any, int]) -> int:
     """Run a coroutine on the reactor and return its exit code."""
     from twisted.internet import reactor as installed
 
     reactor = cast(Any, installed)
-    codes: list[int] = []
+    exit_codes: list[int] = []
 
-    def ended(code: int) -> None:
-        codes.append(code)
+    def on_done(code: int) -> None:
+        exit_codes.append(code)
         reactor.stop()
 
-    def failed(failure: "Failure") -> None:
+    def on_failed(failure: "Failure") -> None:
         print(f"papayapier: internal error: {failure.getTraceback()}", file=sys.stderr)
-        ended(EXIT_FAILED)
+        on_done(EXIT_FAILED)
 
-    def begin() -> None:
-        Deferred.fromCoroutine(work).addCallbacks(ended, failed)
+    def on_running() -> None:
+        Deferred.fromCoroutine(coroutine).addCallbacks(on_done, on_failed)
 
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(on_running)
     reactor.run()
-    return codes[0] if codes else EXIT_FAILED
+    return exit_codes[0] if exit_codes else EXIT_FAILED
 
 
 def _address(text: str) -> str:
--- a/papayapier/load/compare.py
+++ b/papayapier/load/compare.py
@@ -5,7 +5,7 @@
 from papayapier.load.experiment import Report
 from papayapier.load.results import ClassResult
 
-MISSING: Final = 0.0
+NO_VALUE: Final = 0.0
 
 
 class Comparison(NamedTuple):
@@ -31,29 +31,33 @@
     compare = report.compare
     if not compare.online:
         return []
-    base = {one.name: one for one in report.classes if one.phase == compare.online}
-    tokens = {one.phase: one.batch_tokens_per_s for one in report.batch}
-    most = tokens.get(compare.batch, MISSING)
+    baseline = {result.name: result for result in report.classes if result.phase == compare.online}
+    tokens = {result.phase: result.batch_tokens_per_s for result in report.batch}
+    max_batch_tokens = tokens.get(compare.batch, NO_VALUE)
     return [
-        _compare(one, base[one.name], tokens.get(one.phase, MISSING), most)
-        for one in report.classes
-        if one.name in base
+        _compare(
+            result, baseline[result.name], tokens.get(result.phase, NO_VALUE), max_batch_tokens
+        )
+        for result in report.classes
+        if result.name in baseline
     ]
 
 
-def _compare(one: ClassResult, base: ClassResult, tokens: float, most: float) -> Comparison:
+def _compare(
+    result: ClassResult, baseline: ClassResult, tokens: float, max_batch_tokens: float
+) -> Comparison:
     return Comparison(
-        one.phase,
-        one.name,
-        _ratio(one.first.p50, base.first.p50),
-        _ratio(one.first.p99, base.first.p99),
-        _ratio(one.total.p50, base.total.p50),
-        _ratio(one.total.p99, base.total.p99),
-        _ratio(one.gap.p99, base.gap.p99),
+        result.phase,
+        result.name,
+        _ratio(result.first.p50, baseline.first.p50),
+        _ratio(result.first.p99, baseline.first.p99),
+        _ratio(result.total.p50, baseline.total.p50),
+        _ratio(result.total.p99, baseline.total.p99),
+        _ratio(result.gap.p99, baseline.gap.p99),
         tokens,
-        _ratio(tokens, most),
+        _ratio(tokens, max_batch_tokens),
     )
 
 
 def _ratio(value: float, reference: float) -> float:
-    return round(value / reference, 3) if reference else MISSING
+    return round(value / reference, 3) if reference else NO_VALUE
--- a/papayapier/load/experiment.py
+++ b/papayapier/load/experiment.py
@@ -19,18 +19,18 @@
 from papayapier.load.client import Answered, make_client
 from papayapier.load.idle import open_idle
 from papayapier.load.instances import InstanceResult, read_instance
-from papayapier.load.ledger import Ledger, only_once
 from papayapier.load.mix import Request
 from papayapier.load.operators import Operator, put_profile
+from papayapier.load.outcomes import OutcomeTracker, repeated_calls
 from papayapier.load.results import ClassResult
-from papayapier.load.runner import Around, Run
+from papayapier.load.runner import PhaseHooks, Run
 from papayapier.load.scenario import Compare, Experiment, Phase, RequestClass
 from papayapier.load.series import Series
-from papayapier.load.standins import StandIns, find_standins, read_ran, set_switches
+from papayapier.load.standins import StandIns, find_standins, read_run_counts, set_switches
 from papayapier.standin.answers import expected_text
 
 SERVICES: Final = "/services/"
-LATE_MS: Final = 25.0
+MAX_SEND_LAG_MS: Final = 25.0
 
 
 class Options(NamedTuple):
@@ -46,7 +46,7 @@
     platform: str
     seed: int
     run_id: str
-    say: Callable[[str], None]
+    log: Callable[[str], None]
 
 
 class Window(NamedTuple):
@@ -96,23 +96,23 @@
         self._clock = clock
         self._options = options
         self._rand = random.Random(f"balancer {options.seed}")
-        self._ledger = Ledger()
+        self._outcomes = OutcomeTracker()
         self._meter = BatchMeter(clock)
         self._standins: StandIns | None = None
-        self._drawn = [jobs.draw(job, options.seed) for job in exp.jobs]
-        self._jobs: dict[str, jobs.Submitted] = {}
+        self._prepared_jobs = [jobs.prepare(job, options.seed) for job in exp.jobs]
+        self._jobs: dict[str, jobs.SubmittedJob] = {}
         self._submits = 0
         self._online_tokens = 0
-        self._began_wall_ms = 0
+        self._start_wall_ms = 0
         self._windows: list[Window] = []
         self._warnings: list[str] = []
-        self._broken: list[str] = []
+        self._violations: list[str] = []
 
     async def run(self) -> Report:
         options = self._options
         if options.platform:
             found = await find_standins(options.platform)
-            self._standins = self._kept("stand-ins", found)
+            self._standins = self._value_or_warn("stand-ins", found)
         await self._put_profiles(self._exp)
         idle = await open_idle(options.targets, self._exp.idle_connections)
         client = make_client(
@@ -125,47 +125,47 @@
             self._exp,
             self._clock,
             client,
-            self._pick,
+            self._pick_instance,
             options.run_id,
             options.seed,
             self._observe,
         )
-        classes = await run.all_phases(self._around())
+        classes = await run.all_phases(self._make_hooks())
         await self._end_jobs(())
         await client.close()
         idle.close()
         return await self._report(run, classes)
 
-    def _pick(self) -> str:
+    def _pick_instance(self) -> str:
         """Choose an instance as the platform's load balancer does."""
         return self._rand.choice(self._options.targets)
 
     def _observe(self, req: Request, got: Answered) -> None:
         self._online_tokens += got.verdict.tokens
-        self._ledger.observe(req, got)
+        self._outcomes.observe(req, got)
 
-    def _around(self) -> Around:
-        return Around(
+    def _make_hooks(self) -> PhaseHooks:
+        return PhaseHooks(
             before=lambda phase: Deferred.fromCoroutine(self._before(phase)),
-            counting=lambda phase: Deferred.fromCoroutine(self._counting(phase)),
+            counting=lambda phase: Deferred.fromCoroutine(self._on_counting(phase)),
             after=lambda phase: Deferred.fromCoroutine(self._after(phase)),
         )
 
     async def _before(self, phase: Phase) -> None:
-        self._options.say(f"phase {phase.name}: {phase.ms / 1000:g} s")
+        self._options.log(f"phase {phase.name}: {phase.ms / 1000:g} s")
         await self._put_profiles(phase)
         await self._end_jobs(phase.jobs)
         await self._start_jobs(phase)
         for fault in phase.faults:
-            self._clock.call_later(fault.at_ms, self._fault(fault.target, fault.control))
+            self._clock.call_later(fault.at_ms, self._make_fault(fault.target, fault.control))
 
-    async def _counting(self, phase: Phase) -> None:
-        self._meter.begin(await self._reading())
-        self._began_wall_ms = self._clock.wall()
+    async def _on_counting(self, phase: Phase) -> None:
+        self._meter.begin(await self._read_counters())
+        self._start_wall_ms = self._clock.wall()
 
     async def _after(self, phase: Phase) -> None:
-        self._meter.end(phase.name, await self._reading())
-        self._windows.append(Window(phase.name, self._began_wall_ms, self._clock.wall()))
+        self._meter.end(phase.name, await self._read_counters())
+        self._windows.append(Window(phase.name, self._start_wall_ms, self._clock.wall()))
 
     async def _put_profiles(self, source: Experiment | Phase) -> None:
         options = self._options
@@ -173,81 +173,89 @@
             return
         operator = Operator(options.operator, options.operator_key, options.run_id)
         for profile in source.profiles:
-            self._kept("profile", await put_profile(operator, profile, source.name))
+            self._value_or_warn("profile", await put_profile(operator, profile, source.name))
 
     async def _start_jobs(self, phase: Phase) -> None:
-        for drawn in self._drawn:
-            name = drawn.job.name
+        for prepared in self._prepared_jobs:
+            name = prepared.job.name
             if name not in phase.jobs or name in self._jobs:
                 continue
             self._submits += 1
             key = f"job-{self._options.run_id}-{name}-{self._submits}"
-            submitted = self._kept("job", await jobs.submit(self._pick(), drawn, key))
+            submitted = self._value_or_warn(
+                "job", await jobs.submit(self._pick_instance(), prepared, key)
+            )
             if submitted is not None:
                 self._jobs[name] = submitted
 
-    async def _end_jobs(self, staying: tuple[str, ...]) -> None:
+    async def _end_jobs(self, kept_names: tuple[str, ...]) -> None:
         """Cancel the jobs that are not listed, so that the next phase starts without them."""
         for name, submitted in list(self._jobs.items()):
-            if name in staying:
+            if name in kept_names:
                 continue
             del self._jobs[name]
-            now = self._kept("progress", await jobs.progress(self._pick(), submitted))
-            if now is not None and now.status == jobs.COMPLETED:
+            current = self._value_or_warn(
+                "progress", await jobs.progress(self._pick_instance(), submitted)
+            )
+            if current is not None and current.status == jobs.COMPLETED:
                 await self._check_job(submitted)
             else:
-                self._kept("cancel", await jobs.cancel(self._pick(), submitted))
+                self._value_or_warn("cancel", await jobs.cancel(self._pick_instance(), submitted))
 
-    async def _check_job(self, submitted: jobs.Submitted) -> None:
+    async def _check_job(self, submitted: jobs.SubmittedJob) -> None:
         """Read all results of a completed job."""
-        checked = await jobs.check_results(self._pick(), submitted, expected_text)
-        self._broken += self._kept("results", checked) or []
+        checked = await jobs.check_results(self._pick_instance(), submitted, expected_text)
+        self._violations += self._value_or_warn("results", checked) or []
 
-    def _fault(self, target: str, control: dict[str, Any]) -> Callable[[], None]:
+    def _make_fault(self, target: str, control: dict[str, Any]) -> Callable[[], None]:
         def post() -> None:
             address = self._standins.address(target) if self._standins else None
             if address is None:
                 self._warnings.append(f"fault: unknown stand-in {target}")
                 return
-            self._options.say(f"fault: {target} {control}")
+            self._options.log(f"fault: {target} {control}")
             done = Deferred.fromCoroutine(set_switches(address, control))
-            done.addCallback(lambda made: self._kept("fault", made))
+            done.addCallback(lambda made: self._value_or_warn("fault", made))
             done.addErrback(lambda failure: self._warnings.append(f"fault: {failure}"))
 
         return post
 
-    async def _reading(self) -> Reading | None:
+    async def _read_counters(self) -> Reading | None:
         """Read all counters; None when a stand-in does not respond, for example after a crash."""
         engine_tokens = 0
         if self._standins is not None:
-            ran = self._kept("counts", await read_ran(self._standins))
-            if ran is None:
+            counts = self._value_or_warn("counts", await read_run_counts(self._standins))
+            if counts is None:
                 return None
-            engine_tokens = ran.tokens
-        seen = await self._instances()
-        await self._see_ended_jobs()
+            engine_tokens = counts.tokens
+        instance_results = await self._read_instances()
+        await self._warn_ended_jobs()
         return Reading(
             engine_tokens,
             self._online_tokens,
-            instances.total(seen, instances.BATCH_ITEMS),
-            instances.total(seen, instances.BATCH_TOKENS),
-            instances.total(seen, instances.PEER_BYTES),
-            instances.total(seen, instances.STORE_BYTES),
-            instances.total(seen, instances.STORE_CALLS),
+            instances.total(instance_results, instances.BATCH_ITEMS),
+            instances.total(instance_results, instances.BATCH_TOKENS),
+            instances.total(instance_results, instances.PEER_BYTES),
+            instances.total(instance_results, instances.STORE_BYTES),
+            instances.total(instance_results, instances.STORE_CALLS),
         )
 
-    async def _instances(self) -> list[InstanceResult]:
+    async def _read_instances(self) -> list[InstanceResult]:
         read = [await read_instance(target) for target in self._options.targets]
-        return [one for one in (self._kept("metrics", got) for got in read) if one]
+        return [
+            result for result in (self._value_or_warn("metrics", got) for got in read) if result
+        ]
 
-    async def _see_ended_jobs(self) -> None:
+    async def _warn_ended_jobs(self) -> None:
         """Warn about jobs that ended before the phase did."""
         for name, submitted in self._jobs.items():
-            now = self._kept("progress", await jobs.progress(self._pick(), submitted))
-            if now is not None and now.status in jobs.ENDED:
-                self._warnings.append(f"job {name} ended ({now.status}) before its phases did")
+            current = self._value_or_warn(
+                "progress", await jobs.progress(self._pick_instance(), submitted)
+            )
+            if current is not None and current.status in jobs.FINAL_STATUSES:
+                self._warnings.append(f"job {name} ended ({current.status}) before its phases did")
 
-    def _kept(self, what: str, result: Result[Any, str]) -> Any:
+    def _value_or_warn(self, what: str, result: Result[Any, str]) -> Any:
         """Return the value of a result, or add its error to the warnings."""
         if isinstance(result, Err):
             self._warnings.append(f"{what}: {result.err_value}")
@@ -256,16 +264,23 @@
 
     async def _report(self, run: Run, classes: list[ClassResult]) -> Report:
         options = self._options
-        seen = await self._instances()
-        broken = [f"{one.target}: {one.broken():g} internal checks failed" for one in seen]
-        broken = [line for one, line in zip(seen, broken, strict=True) if one.broken()]
-        broken += run.wrong + self._broken
+        instance_results = await self._read_instances()
+        broken = [
+            f"{result.target}: {result.failed_checks():g} internal checks failed"
+            for result in instance_results
+        ]
+        broken = [
+            line
+            for result, line in zip(instance_results, broken, strict=True)
+            if result.failed_checks()
+        ]
+        broken += run.wrong_answers + self._violations
         broken += [f"{number} answers: {flaw}" for flaw, number in run.flaws.items() if flaw]
         broken += await self._compare()
         self._warnings += [
-            f"void, the load tool sent late: {one.phase!r}, {one.name}: lag p99 {one.lag.p99:g} ms"
-            for one in classes
-            if one.lag.p99 > LATE_MS
+            f"void, the load tool sent late: {row.phase!r}, {row.name}: lag p99 {row.lag.p99:g} ms"
+            for row in classes
+            if row.lag.p99 > MAX_SEND_LAG_MS
         ]
         return Report(
             self._exp.name,
@@ -277,11 +292,11 @@
             self._windows,
             classes,
             self._meter.results(),
-            self._meter.control(),
+            self._meter.control_results(),
             run.series(),
-            seen,
-            self._ledger.named(),
-            self._ledger.unnamed,
+            instance_results,
+            self._outcomes.compared_count(),
+            self._outcomes.without_call_id,
             broken,
             run.failures,
             self._warnings,
@@ -291,19 +306,23 @@
         if self._standins is None:
             self._warnings.append("nothing was compared with what ran: no platform address")
             return []
-        ran = self._kept("counts", await read_ran(self._standins))
-        if ran is None:
+        counts = self._value_or_warn("counts", await read_run_counts(self._standins))
+        if counts is None:
             return ["nothing could be compared with what ran: a stand-in does not respond"]
-        services = once_only_services(self._exp)
-        once = [found for name in services for found in only_once(ran.by_upstream.get(name, {}))]
-        return self._ledger.broken(ran.started) + once
+        services = non_idempotent_services(self._exp)
+        repeats = [
+            repeated
+            for name in services
+            for repeated in repeated_calls(counts.by_upstream.get(name, {}))
+        ]
+        return self._outcomes.contradictions(counts.started) + repeats
 
 
-def once_only_services(exp: Experiment) -> set[str]:
+def non_idempotent_services(exp: Experiment) -> set[str]:
     """Return the services that get requests of non-idempotent classes only."""
     classes = [cls for cls in exp.classes if cls.path.startswith(SERVICES)]
-    once = {_service(cls) for cls in classes if not cls.idempotent}
-    return once - {_service(cls) for cls in classes if cls.idempotent}
+    found = {_service(cls) for cls in classes if not cls.idempotent}
+    return found - {_service(cls) for cls in classes if cls.idempotent}
 
 
 def _service(cls: RequestClass) -> str:
--- a/papayapier/load/idle.py
+++ b/papayapier/load/idle.py
@@ -25,8 +25,8 @@
     from twisted.internet import reactor
 
     opening = []
-    for at in range(number):
-        host, _, port = targets[at % len(targets)].rpartition(":")
+    for index in range(number):
+        host, _, port = targets[index % len(targets)].rpartition(":")
         endpoint = TCP4ClientEndpoint(reactor, host, int(port))
         opening.append(connectProtocol(endpoint, Protocol()))
     return IdleConnections(await gatherResults(opening))
--- a/papayapier/load/jobs.py
+++ b/papayapier/load/jobs.py
@@ -14,11 +14,11 @@
 from papayapier.load.scenario import Job
 
 COMPLETED: Final = "completed"
-ENDED: Final = (COMPLETED, "failed", "cancelled", "expired")
-SHOWN: Final = 10
+FINAL_STATUSES: Final = (COMPLETED, "failed", "cancelled", "expired")
+MAX_REPORTED: Final = 10
 
-Line = dict[str, Any]
-Work = Coroutine[Deferred[Any], Any, None]
+ResultLine = dict[str, Any]
+BackgroundTask = Coroutine[Deferred[Any], Any, None]
 
 
 class Item(NamedTuple):
@@ -28,7 +28,7 @@
     max_tokens: int
 
 
-class Drawn(NamedTuple):
+class PreparedJob(NamedTuple):
     """Hold a job with its items and their file, ready to be submitted."""
 
     job: Job
@@ -36,7 +36,7 @@
     file: bytes
 
 
-class Submitted(NamedTuple):
+class SubmittedJob(NamedTuple):
     """Hold an accepted job, and its items by custom id."""
 
     job: Job
@@ -52,54 +52,56 @@
     failed: int
 
 
-def draw(job: Job, seed: int) -> Drawn:
+def prepare(job: Job, seed: int) -> PreparedJob:
     """Draw a job's items; this is slow enough to delay other work of the process."""
     items = _items(job, seed)
     file = b"".join(_line(job, custom_id, item) + b"\n" for custom_id, item in items.items())
-    return Drawn(job, items, file)
+    return PreparedJob(job, items, file)
 
 
-async def submit(target: str, drawn: Drawn, key: str) -> Result[Submitted, str]:
+async def submit(target: str, prepared: PreparedJob, key: str) -> Result[SubmittedJob, str]:
     """Upload a job's items and create the job; the idempotency key makes this repeatable."""
     headers = {"Content-Type": "application/jsonl"}
-    uploaded = await call("POST", f"http://{target}/v1/files", drawn.file, headers)
+    uploaded = await call("POST", f"http://{target}/v1/files", prepared.file, headers)
     if isinstance(uploaded, Err):
         return uploaded
-    wanted = {
+    body = {
         "input_file_id": msgspec.json.decode(uploaded.ok_value)["id"],
         "endpoint": CHAT_PATH,
         "completion_window": "24h",
     }
     url = f"http://{target}/v1/batches"
-    created = await call_json("POST", url, wanted, _job_headers(drawn.job, key))
-    return created.map(lambda answer: Submitted(drawn.job, str(answer["id"]), drawn.items))
+    created = await call_json("POST", url, body, _job_headers(prepared.job, key))
+    return created.map(lambda answer: SubmittedJob(prepared.job, str(answer["id"]), prepared.items))
 
 
-async def progress(target: str, submitted: Submitted) -> Result[Progress, str]:
+async def progress(target: str, submitted: SubmittedJob) -> Result[Progress, str]:
     """Read the progress of a job."""
     got = await call_json("GET", f"http://{target}/v1/batches/{submitted.id}")
     return got.map(_progress)
 
 
-async def cancel(target: str, submitted: Submitted) -> Result[Any, str]:
+async def cancel(target: str, submitted: SubmittedJob) -> Result[Any, str]:
     """Cancel a job."""
     return await call_json("POST", f"http://{target}/v1/batches/{submitted.id}/cancel")
 
 
 async def check_results(
-    target: str, submitted: Submitted, expected: ExpectedText
+    target: str, submitted: SubmittedJob, expected: ExpectedText
 ) -> Result[list[str], str]:
     """Read the results of a completed job and return wrong, duplicate or missing results."""
     read = await results(target, submitted)
-    return read.map(lambda lines: wrong_lines(submitted, lines, expected, complete=True)[:SHOWN])
+    return read.map(
+        lambda lines: find_result_errors(submitted, lines, expected, complete=True)[:MAX_REPORTED]
+    )
 
 
-async def results(target: str, submitted: Submitted) -> Result[list[Line], str]:
+async def results(target: str, submitted: SubmittedJob) -> Result[list[ResultLine], str]:
     """Read all results of a job, including those of failed items."""
     got = await call_json("GET", f"http://{target}/v1/batches/{submitted.id}")
     if isinstance(got, Err):
         return got
-    lines: list[Line] = []
+    lines: list[ResultLine] = []
     for field in ("output_file_id", "error_file_id"):
         if not (file_id := got.ok_value.get(field)):
             continue
@@ -110,29 +112,29 @@
     return Ok(lines)
 
 
-def wrong_lines(
-    submitted: Submitted, lines: list[Line], expected: ExpectedText, *, complete: bool
+def find_result_errors(
+    submitted: SubmittedJob, lines: list[ResultLine], expected: ExpectedText, *, complete: bool
 ) -> list[str]:
     """Return the errors in a job's results; a complete job has one result for each item."""
-    found = []
-    seen: set[str] = set()
+    errors = []
+    seen_ids: set[str] = set()
     for line in lines:
         custom_id = line["custom_id"]
-        if custom_id in seen:
-            found.append(f"item {custom_id} has two results")
-        seen.add(custom_id)
+        if custom_id in seen_ids:
+            errors.append(f"item {custom_id} has two results")
+        seen_ids.add(custom_id)
         item = submitted.items.get(custom_id)
         if item is None:
-            found.append(f"item {custom_id} is not part of the job")
+            errors.append(f"item {custom_id} is not part of the job")
         elif not line.get("error") and _text(line) != expected(item.prompt, item.max_tokens):
-            found.append(f"item {custom_id} has a wrong result")
-    missing = len(submitted.items) - len(seen)
+            errors.append(f"item {custom_id} has a wrong result")
+    missing = len(submitted.items) - len(seen_ids)
     if complete and missing:
-        found.append(f"{missing} items of job {submitted.id} have no result")
-    return found
+        errors.append(f"{missing} items of job {submitted.id} have no result")
+    return errors
 
 
-def _text(line: Line) -> str:
+def _text(line: ResultLine) -> str:
     return str(line["response"]["body"]["choices"][0]["message"]["content"])
 
 
--- a/papayapier/load/mix.py
+++ b/papayapier/load/mix.py
@@ -40,7 +40,7 @@
     leave_after_ms: int = -1
     is_resend: bool = False
 
-    def again(self) -> "Request":
+    def make_resend(self) -> "Request":
         """Return the request as a caller resends it: with a new id and the same key."""
         return self._replace(
             request_id=f"{self.request_id}-again", resend_after_ms=-1, is_resend=True
@@ -71,11 +71,11 @@
     def draw(self) -> Request:
         """Return the next request."""
         self._drawn += 1
-        at = bisect(self._edges, self._shape.random() * self._edges[-1])
-        cls = self._classes[min(at, len(self._classes) - 1)]
-        return self._of_class(cls, f"{self._run_id}-{self._drawn}")
+        index = bisect(self._edges, self._shape.random() * self._edges[-1])
+        cls = self._classes[min(index, len(self._classes) - 1)]
+        return self._make_request(cls, f"{self._run_id}-{self._drawn}")
 
-    def _of_class(self, cls: RequestClass, request_id: str) -> Request:
+    def _make_request(self, cls: RequestClass, request_id: str) -> Request:
         prompt_words = draw_length(cls.prompt_words, self._shape)
         max_tokens = draw_length(cls.max_tokens, self._shape)
         caller = self._draw_caller(cls)
--- a/papayapier/load/pausing.py
+++ b/papayapier/load/pausing.py
@@ -32,10 +32,10 @@
         """Return whether the call is still pending."""
         return self._call is not None
 
-    def due(self) -> None:
+    def run_or_defer(self) -> None:
         """Run the call now, or at the end of the pause."""
         if self._source.paused:
-            self._source.hold(self)
+            self._source.defer(self)
             return
         call = self._call
         self._call = None
@@ -48,7 +48,7 @@
 
     def __init__(self, inner: Timers) -> None:
         self._inner = inner
-        self._held: list[HeldTimer] = []
+        self._deferred: list[HeldTimer] = []
         self._ended = False
         self.paused = False
 
@@ -59,12 +59,12 @@
     def callLater(self, delay: float, callable: Callable[..., Any]) -> Any:  # noqa: N802
         """Run a call after a delay in seconds, or at the end of the pause."""
         timer = HeldTimer(self, callable)
-        timer.inner = self._inner.callLater(delay, timer.due)
+        timer.inner = self._inner.callLater(delay, timer.run_or_defer)
         return timer
 
-    def hold(self, timer: HeldTimer) -> None:
+    def defer(self, timer: HeldTimer) -> None:
         """Defer a due call until the end of the pause."""
-        self._held.append(timer)
+        self._deferred.append(timer)
 
     def pause(self) -> None:
         """Defer every call from now on."""
@@ -80,6 +80,6 @@
         if self._ended:
             return
         self.paused = False
-        held, self._held = self._held, []
-        for timer in held:
-            timer.due()
+        deferred, self._deferred = self._deferred, []
+        for timer in deferred:
+            timer.run_or_defer()
--- a/papayapier/load/results.py
+++ b/papayapier/load/results.py
@@ -21,7 +21,7 @@
 MAX_REASONS: Final = 20
 
 
-class Times(NamedTuple):
+class LatencySummary(NamedTuple):
     """Summarise one distribution in milliseconds; all fields are 0 without values."""
 
     number: int
@@ -51,18 +51,18 @@
     ends: dict[str, int]
     refusals: dict[str, int]
     reasons: list[str]
-    first: Times
-    gap: Times
-    total: Times
-    refused_after: Times
-    lag: Times
+    first: LatencySummary
+    gap: LatencySummary
+    total: LatencySummary
+    refused_after: LatencySummary
+    lag: LatencySummary
     tokens: int
     fairness: float
     worst_caller: float
     worst_other: float
 
 
-class Tally:
+class ClassStats:
     """Collect the figures of one class in one phase."""
 
     def __init__(self, phase: str, name: str) -> None:
@@ -75,7 +75,7 @@
         self.refusals: Counter[str] = Counter()
         self.reasons: list[str] = []
         self.sent_by: Counter[str] = Counter()
-        self.whole_by: Counter[str] = Counter()
+        self.complete_by: Counter[str] = Counter()
         self.first = _histogram()
         self.gap = _histogram()
         self.total = _histogram()
@@ -91,16 +91,16 @@
         self.tokens += verdict.tokens
         _record(self.lag, timing.lag_us)
         if verdict.end is End.WHOLE:
-            self._add_whole(req, got)
+            self._add_complete(req, got)
         elif verdict.end is End.REFUSED:
             self.refusals[f"{verdict.kind}/{verdict.outcome}"] += 1
             _record(self.refused_after, timing.total_us)
         elif len(self.reasons) < MAX_REASONS:
             self.reasons.append(f"{req.request_id}: {verdict.end.value}: {verdict.reason}")
 
-    def _add_whole(self, req: Request, got: Answered) -> None:
+    def _add_complete(self, req: Request, got: Answered) -> None:
         timing = got.timing
-        self.whole_by[req.caller] += 1
+        self.complete_by[req.caller] += 1
         _record(self.total, timing.total_us)
         if timing.first_us >= 0:
             _record(self.first, timing.first_us)
@@ -112,7 +112,7 @@
     def result(self, counted_ms: int) -> ClassResult:
         """Summarise what was counted during a measured time."""
         whole = self.ends[End.WHOLE.value]
-        shares = [self.whole_by[caller] / sent for caller, sent in self.sent_by.items()]
+        shares = [self.complete_by[caller] / sent for caller, sent in self.sent_by.items()]
         return ClassResult(
             phase=self.phase,
             name=self.name,
@@ -129,32 +129,34 @@
             refused_after=summarise(self.refused_after),
             lag=summarise(self.lag),
             tokens=self.tokens,
-            fairness=jain(shares),
+            fairness=jain_index(shares),
             worst_caller=min(shares, default=0.0),
             worst_other=self._worst_other(),
         )
 
     def _worst_other(self) -> float:
-        most = max(self.sent_by, key=lambda caller: self.sent_by[caller], default="")
-        others = [caller for caller in self.sent_by if caller != most] or list(self.sent_by)
-        shares = [self.whole_by[caller] / self.sent_by[caller] for caller in others]
+        largest = max(self.sent_by, key=lambda caller: self.sent_by[caller], default="")
+        others = [caller for caller in self.sent_by if caller != largest] or list(self.sent_by)
+        shares = [self.complete_by[caller] / self.sent_by[caller] for caller in others]
         return min(shares, default=0.0)
 
 
-def jain(shares: list[float]) -> float:
+def jain_index(shares: list[float]) -> float:
     """Return Jain's fairness index: 1 when all shares are equal, 1/n when only one is above 0."""
     squares = sum(share * share for share in shares)
     return sum(shares) ** 2 / (len(shares) * squares) if squares else 0.0
 
 
-def summarise(hist: Any) -> Times:
+def summarise(hist: Any) -> LatencySummary:
     """Return the summary of a histogram in milliseconds."""
     number = int(hist.get_total_count())
     if not number:
-        return Times(0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
-    p50, p90, p95, p99, p999 = (_ms(hist.get_value_at_percentile(part)) for part in PERCENTILES)
+        return LatencySummary(0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
+    p50, p90, p95, p99, p999 = (
+        _ms(hist.get_value_at_percentile(percentile)) for percentile in PERCENTILES
+    )
     highest = _ms(hist.get_max_value())
-    return Times(number, _ms(hist.get_mean_value()), p50, p90, p95, p99, p999, highest)
+    return LatencySummary(number, _ms(hist.get_mean_value()), p50, p90, p95, p99, p999, highest)
 
 
 def _histogram() -> Any:
--- a/papayapier/load/scenario.py
+++ b/papayapier/load/scenario.py
@@ -170,39 +170,39 @@
 
 def _check(exp: Experiment) -> Result[Experiment, str]:
     """Check constraints that involve several fields."""
-    for found in (_class_error(exp), _phase_error(exp)):
-        if found:
-            return Err(found)
+    for error in (_class_error(exp), _phase_error(exp)):
+        if error:
+            return Err(error)
     return Ok(exp)
 
 
 def _class_error(exp: Experiment) -> str:
     if not exp.classes:
         return "classes: at least one class is required"
-    for at, cls in enumerate(exp.classes):
+    for index, cls in enumerate(exp.classes):
         if cls.kind == "service" and not cls.path.startswith("/"):
-            return f"classes[{at}].path: a service class needs a path that starts with a slash"
+            return f"classes[{index}].path: a service class needs a path that starts with a slash"
         if cls.misuse.resend_share and not cls.keyed:
-            return f"classes[{at}].misuse.resend_share: only keyed requests can be resent"
-    return _repeated("classes", [cls.name for cls in exp.classes])
+            return f"classes[{index}].misuse.resend_share: only keyed requests can be resent"
+    return _duplicate_name_error("classes", [cls.name for cls in exp.classes])
 
 
 def _phase_error(exp: Experiment) -> str:
     if not exp.phases:
         return "phases: at least one phase is required"
     known = {job.name for job in exp.jobs}
-    for at, phase in enumerate(exp.phases):
+    for index, phase in enumerate(exp.phases):
         if phase.settle_ms >= phase.ms:
-            return f"phases[{at}].settle_ms: must be shorter than the phase"
+            return f"phases[{index}].settle_ms: must be shorter than the phase"
         if missing := sorted(set(phase.jobs) - known):
-            return f"phases[{at}].jobs: no job has the name {missing[0]!r}"
+            return f"phases[{index}].jobs: no job has the name {missing[0]!r}"
     names = [phase.name for phase in exp.phases]
     for field, name in exp.compare._asdict().items():
         if name and name not in names:
             return f"compare.{field}: no phase has the name {name!r}"
-    return _repeated("phases", names)
+    return _duplicate_name_error("phases", names)
 
 
-def _repeated(field: str, names: list[str]) -> str:
-    twice = sorted({name for name in names if names.count(name) > 1})
-    return f"{field}: the name {twice[0]!r} is used twice" if twice else ""
+def _duplicate_name_error(field: str, names: list[str]) -> str:
+    duplicates = sorted({name for name in names if names.count(name) > 1})
+    return f"{field}: the name {duplicates[0]!r} is used twice" if duplicates else ""
--- a/papayapier/load/series.py
+++ b/papayapier/load/series.py
@@ -42,7 +42,7 @@
         self.totals_us: list[int] = []
 
 
-class SeriesBook:
+class SeriesCollector:
     """Collect the seconds of all classes and phases; the rounds of a phase are combined."""
 
     def __init__(self) -> None:
@@ -80,7 +80,7 @@
     )
 
 
-def _rank_ms(ordered_us: list[int], part: float) -> float:
+def _rank_ms(ordered_us: list[int], fraction: float) -> float:
     if not ordered_us:
         return 0.0
-    return ordered_us[min(len(ordered_us) - 1, int(part * len(ordered_us)))] / US_PER_MS
+    return ordered_us[min(len(ordered_us) - 1, int(fraction * len(ordered_us)))] / US_PER_MS
--- a/papayapier/load/standins.py
+++ b/papayapier/load/standins.py
@@ -31,7 +31,7 @@
         return replica.address if replica is not None else None
 
 
-class Ran(NamedTuple):
+class RunCounts(NamedTuple):
     """Hold the number of starts of each call, by upstream, and the tokens generated."""
 
     by_upstream: dict[str, dict[str, int]]
@@ -65,7 +65,7 @@
     return await call_json("POST", f"http://{address}/control", control)
 
 
-async def read_ran(standins: StandIns) -> Result[Ran, str]:
+async def read_run_counts(standins: StandIns) -> Result[RunCounts, str]:
     """Sum the counters of all replicas, engines and services."""
     by_upstream: dict[str, Counter[str]] = {}
     tokens = 0
@@ -77,4 +77,4 @@
         calls = counts.get("started", counts.get("calls", {}))
         by_upstream.setdefault(upstream, Counter()).update(calls)
         tokens += counts.get("tokens", 0)
-    return Ok(Ran(dict(by_upstream), tokens))
+    return Ok(RunCounts(dict(by_upstream), tokens))
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -15,15 +15,22 @@
 
 from papayapier.clock import fake_clock, real_clock
 from papayapier.load import arrivals, runner, scenario
-from papayapier.load.answer import NO_FINISH_REASON, End, StreamReader, Verdict, judge, judge_stream
-from papayapier.load.chaos_plan import Kind, Sizes, draw_plan
+from papayapier.load.answer import (
+    NO_FINISH_REASON,
+    End,
+    StreamReader,
+    Verdict,
+    classify_response,
+    classify_stream,
+)
+from papayapier.load.chaos_plan import FaultKind, FleetSizes, draw_plan
 from papayapier.load.client import Answered, Client, Timing, make_client
 from papayapier.load.experiment import Options, run_experiment
-from papayapier.load.ledger import Ledger
 from papayapier.load.mix import Mix
+from papayapier.load.outcomes import OutcomeTracker
 from papayapier.load.pausing import PausableTimers
 from papayapier.load.report import report_html, report_json
-from papayapier.load.results import jain
+from papayapier.load.results import jain_index
 from papayapier.load.table import report_text
 from papayapier.standin.answers import expected_text
 
@@ -89,7 +96,7 @@
     own = expected_text(req.prompt, req.max_tokens)
 
     def end(status: int, document: object) -> End:
-        return judge(req, status, json.dumps(document).encode(), expected_text).end
+        return classify_response(req, status, json.dumps(document).encode(), expected_text).end
 
     def answer(text: str) -> object:
         return {"choices": [{"message": {"content": text}, "finish_reason": "length"}]}
@@ -105,13 +112,13 @@
     req = Mix(experiment().classes, "r", random.Random(1), random.Random(2)).draw()
     reader = StreamReader()
     tokens = feed_answer(reader, expected_text(req.prompt, req.max_tokens))
-    assert judge_stream(req, reader, expected_text).end is End.CUT
+    assert classify_stream(req, reader, expected_text).end is End.CUT
     reader.feed(b"data: [DONE]\n\n")
     assert tokens == req.max_tokens
-    assert judge_stream(req, reader, expected_text).end is End.WHOLE
-    assert judge_stream(req, reader, expected_text).flaw == ""
+    assert classify_stream(req, reader, expected_text).end is End.WHOLE
+    assert classify_stream(req, reader, expected_text).flaw == ""
     reader.finished = False
-    assert judge_stream(req, reader, expected_text).flaw == NO_FINISH_REASON
+    assert classify_stream(req, reader, expected_text).flaw == NO_FINISH_REASON
 
 
 def feed_answer(reader: StreamReader, text: str) -> int:
@@ -128,8 +135,8 @@
 
 
 def test_jain_tells_even_from_starved() -> None:
-    assert jain([0.5, 0.5, 0.5]) == pytest.approx(1.0)
-    assert jain([1.0, 0.0]) == pytest.approx(0.5)
+    assert jain_index([0.5, 0.5, 0.5]) == pytest.approx(1.0)
+    assert jain_index([1.0, 0.0]) == pytest.approx(0.5)
 
 
 def test_the_ledger_finds_each_contradiction() -> None:
@@ -142,7 +149,7 @@
     document = {**CHAT, "kind": "service", "path": "/services/gate/x", "idempotent": False}
     req = Mix(experiment(classes=[document]).classes, "r", *[random.Random(1)] * 2).draw()
     refused = Verdict(End.REFUSED, "overloaded", "not_run")
-    ledger = Ledger()
+    outcomes = OutcomeTracker()
     for call_id, verdict in (
         ("refused", refused),
         ("refused-then-answered", refused),
@@ -151,23 +158,23 @@
         ("never", Verdict(End.WHOLE)),
         ("", Verdict(End.CUT)),
     ):
-        ledger.observe(req, Answered(verdict, Timing(0, -1, 1, []), call_id))
-    found = ledger.broken({"refused": 1, "refused-then-answered": 1, "twice": 2})
+        outcomes.observe(req, Answered(verdict, Timing(0, -1, 1, []), call_id))
+    found = outcomes.contradictions({"refused": 1, "refused-then-answered": 1, "twice": 2})
     assert [line.split(" ", 1)[1] for line in found] == [
         "was refused as not run, and ran 1 times",
         "is not idempotent, and ran 2 times",
         "was answered, and never ran",
     ]
-    assert ledger.broken({"refused-then-answered": 1, "twice": 1, "never": 1}) == []
-    assert (ledger.named(), ledger.unnamed) == (4, 1)
+    assert outcomes.contradictions({"refused-then-answered": 1, "twice": 1, "never": 1}) == []
+    assert (outcomes.compared_count(), outcomes.without_call_id) == (4, 1)
 
 
 def test_a_chaos_plan_follows_from_its_seed() -> None:
-    sizes = Sizes(instances=4, engines=4, services=2)
+    sizes = FleetSizes(instances=4, engines=4, services=2)
     plan = draw_plan(random.Random(7), 600_000, sizes)
     assert plan == draw_plan(random.Random(7), 600_000, sizes)
     assert plan != draw_plan(random.Random(8), 600_000, sizes)
-    assert {event.kind for event in plan} == set(Kind)
+    assert {event.kind for event in plan} == set(FaultKind)
     gaps = [later.at_ms - one.at_ms for one, later in pairwise(plan)]
     assert min(gaps) < 500 < max(gaps)
 
@@ -271,7 +278,7 @@
         run = runner.Run(
             experiment(), self.clock, self.client, lambda: target, "r", 1, lambda *_: None
         )
-        nothing = runner.Around(*[lambda _: succeed(None)] * 3)
+        nothing = runner.PhaseHooks(*[lambda _: succeed(None)] * 3)
         (result,) = await run.all_phases(nothing)
         sent = len(self.chat.seen)
         ends = result.ends
@@ -280,5 +287,5 @@
         assert ends["whole"] == (sent + 3) // 4
         assert result.refusals == {"overloaded/not_run": (sent + 2) // 4}
         assert ends["hung"] == (sent + 1) // 4
-        assert ends["wrong"] == len(run.wrong) == sent // 4
+        assert ends["wrong"] == len(run.wrong_answers) == sent // 4
         assert result.total.number == ends["whole"]
