--- a/tests/standin_case.py
+++ b/tests/standin_case.py
@@ -1,4 +1,4 @@
-"""Give the tests of the stand-ins a way to call them over real sockets."""
+"""Provide a test case that calls stand-ins over real sockets."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -19,8 +19,8 @@
 T = TypeVar("T")
 
 
-class Got(NamedTuple):
-    """Hold a whole answer."""
+class HttpResponse(NamedTuple):
+    """Hold a complete response."""
 
     status: int
     headers: dict[str, str]
@@ -32,7 +32,7 @@
 
 
 class StandInCase(TestCase):
-    """Give tests a way to call stand-ins and to wait for what they count."""
+    """Call stand-ins and wait for conditions such as their counters."""
 
     timeout = 20
 
@@ -40,18 +40,20 @@
         self.clock = real_clock()
         self.pool = HTTPConnectionPool(REACTOR, persistent=False)
 
-    async def call(self, port: int, method: str, path: str, body: Any = b"", **kw: Any) -> Got:
+    async def call(
+        self, port: int, method: str, path: str, body: Any = b"", **kw: Any
+    ) -> HttpResponse:
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
         kw.setdefault("pool", self.pool)
         url = f"http://{HOST}:{port}{path}"
         response = await treq.request(method, url, data=data, **kw)
         text = await response.text()
         headers = response.headers.getAllRawHeaders()
-        named = {key.decode().lower(): values[0].decode() for key, values in headers}
-        return Got(response.code, named, text)
+        lower_headers = {key.decode().lower(): values[0].decode() for key, values in headers}
+        return HttpResponse(response.code, lower_headers, text)
 
-    def begin(self, call: Awaitable[T]) -> Deferred[T]:
-        """Start a call that the test may have to abandon."""
+    def start_call(self, call: Awaitable[T]) -> Deferred[T]:
+        """Start a call, which is cancelled at the end of the test."""
         done = Deferred.fromCoroutine(cast(Any, call))
         self.addCleanup(self.abandon, done)
         return done
@@ -61,14 +63,14 @@
         done.cancel()
         await done
 
-    async def cut(self, call: Awaitable[Any]) -> None:
-        """Check that a call ends by its connection."""
+    async def expect_cut(self, call: Awaitable[Any]) -> None:
+        """Check that a call fails because its connection is closed."""
         try:
             await call
         except CUT_ERRORS:
             return
-        raise AssertionError("the call got an answer")
+        raise AssertionError("the call got a response")
 
-    async def until(self, holds: Callable[[], object]) -> None:
-        while not holds():
+    async def wait_until(self, condition: Callable[[], object]) -> None:
+        while not condition():
             await self.clock.sleep(1)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Test the load tool: experiment files, arrivals, verdicts, and the open-loop client."""
+"""Test the load tool: experiment files, arrivals, verdicts and the open-loop client."""
 
 import json
 import random
@@ -83,7 +83,7 @@
     assert 900 < counts[2] < 1_100
 
 
-def test_phases_of_a_round_get_the_same_shapes_and_other_words() -> None:
+def test_phases_of_a_round_share_shapes_but_not_words() -> None:
     classes = experiment(classes=[{**CHAT, "prompt_words": {"median": 20, "sigma": 0.5}}]).classes
     one, two = (Mix(classes, "r", random.Random(1), random.Random(words)) for words in (2, 3))
     pairs = [(one.draw(), two.draw()) for _ in range(20)]
@@ -91,7 +91,7 @@
     assert all(a.prompt != b.prompt for a, b in pairs)
 
 
-def test_verdicts_tell_whole_foreign_short_and_refused_answers_apart() -> None:
+def test_verdicts_distinguish_complete_foreign_truncated_and_refused_answers() -> None:
     req = Mix(experiment().classes, "r", random.Random(1), random.Random(2)).draw()
     own = expected_text(req.prompt, req.max_tokens)
 
@@ -108,7 +108,7 @@
     assert end(500, {"error": {"kind": "internal"}}) is End.WRONG
 
 
-def test_a_stream_without_its_end_mark_is_cut() -> None:
+def test_a_stream_without_its_end_marker_is_cut() -> None:
     req = Mix(experiment().classes, "r", random.Random(1), random.Random(2)).draw()
     reader = StreamReader()
     tokens = feed_answer(reader, expected_text(req.prompt, req.max_tokens))
@@ -122,7 +122,7 @@
 
 
 def feed_answer(reader: StreamReader, text: str) -> int:
-    """Feed a stream in pieces that cut across its lines; return how many tokens it gave."""
+    """Feed a stream in chunks that split its lines; return how many tokens it completed."""
     words = text.split()
     chunks = [
         {"choices": [{"delta": {"content": f" {word}"}, "finish_reason": at == len(words) - 1}]}
@@ -134,17 +134,16 @@
     return sum(reader.feed(data[at : at + 7]) for at in range(0, len(data), 7))
 
 
-def test_jain_tells_even_from_starved() -> None:
+def test_jain_index_distinguishes_even_from_unequal_shares() -> None:
     assert jain_index([0.5, 0.5, 0.5]) == pytest.approx(1.0)
     assert jain_index([1.0, 0.0]) == pytest.approx(0.5)
 
 
-def test_the_ledger_finds_each_contradiction() -> None:
-    """Compare what callers were told with the stand-ins' counts.
+def test_outcome_tracker_finds_each_contradiction() -> None:
+    """Check that contradictions between outcomes and the stand-ins' counts are found.
 
-    Symptom: a hauler's pass was refused as "not run" and yet issued, or was issued twice.
-    Sequence: the refusal and the run are seen by different parties, so neither of them can
-    notice. Cause: whatever made an instance say what it could not know.
+    A call may be refused as "not run" and still run, or run twice. Caller and replica each see
+    only one side of this.
     """
     document = {**CHAT, "kind": "service", "path": "/services/gate/x", "idempotent": False}
     req = Mix(experiment(classes=[document]).classes, "r", *[random.Random(1)] * 2).draw()
@@ -169,7 +168,7 @@
     assert (outcomes.compared_count(), outcomes.without_call_id) == (4, 1)
 
 
-def test_a_chaos_plan_follows_from_its_seed() -> None:
+def test_a_chaos_plan_is_determined_by_its_seed() -> None:
     sizes = FleetSizes(instances=4, engines=4, services=2)
     plan = draw_plan(random.Random(7), 600_000, sizes)
     assert plan == draw_plan(random.Random(7), 600_000, sizes)
@@ -180,11 +179,10 @@
 
 
 def test_a_paused_instance_runs_its_timers_late_and_in_order() -> None:
-    """Hold an instance's timers, as a paused virtual machine does.
+    """Check that timers are deferred as in a paused virtual machine.
 
-    Symptom: two holders of one lease. Sequence: the holder is paused, its renewal does not
-    run, the lease lapses, another takes it, and the first one wakes up unaware. Cause: a
-    timer that is late by the whole pause. The chaos run needs this to happen.
+    The chaos run uses this to make a lease lapse while its holder is paused: another instance
+    acquires the lease, and the first one resumes without knowing that it has lost it.
     """
     fake = fake_clock()
     timers = PausableTimers(fake.clock.timers)
@@ -203,7 +201,7 @@
 
 
 class Chat(Resource):
-    """Answer each chat request by what its number says."""
+    """Answer each chat request with a result that depends on its number."""
 
     isLeaf = True  # noqa: N815
 
@@ -251,7 +249,7 @@
         await self.client.close()
         await self.port.stopListening()
 
-    def test_an_experiment_ends_in_a_report(self) -> Deferred[None]:
+    def test_an_experiment_produces_a_report(self) -> Deferred[None]:
         return Deferred.fromCoroutine(self._report())
 
     async def _report(self) -> None:
@@ -270,7 +268,7 @@
         assert page.count("<svg") == 3
         assert "nothing was compared with what ran" in page
 
-    def test_every_request_is_counted_once_by_its_end(self) -> Deferred[None]:
+    def test_every_request_is_counted_once_by_its_outcome(self) -> Deferred[None]:
         return Deferred.fromCoroutine(self._count())
 
     async def _count(self) -> None:
--- a/tests/test_standin_link.py
+++ b/tests/test_standin_link.py
@@ -13,7 +13,7 @@
 from papayapier.standin.platform import PlatformParams, start_platform
 from papayapier.standin.service import ServiceParams, ServiceServer, start_service
 from papayapier.standin.switches import Control, Mode
-from tests.standin_case import HOST, REACTOR, Got, StandInCase
+from tests.standin_case import HOST, REACTOR, HttpResponse, StandInCase
 
 DELAY_MS = 5
 
@@ -37,7 +37,7 @@
     assert fake.source.getDelayedCalls() == []
 
 
-def test_link_without_delay_runs_at_once() -> None:
+def test_link_without_delay_runs_calls_at_once() -> None:
     fake = fake_clock()
     arrived: list[int] = []
     Link(fake.clock, 0).deliver(arrived.append, 1)
@@ -45,10 +45,8 @@
     assert fake.source.getDelayedCalls() == []
 
 
-def test_failing_call_loses_no_other() -> None:
-    # Symptom: streams of several callers lost a token at the same moment.
-    # Sequence: one connection's handler failed while a batch was handed over.
-    # Cause: the failure ended the loop over all that was sent in that tick.
+def test_failing_call_does_not_affect_others() -> None:
+    """Check that the failure of one connection's handler does not drop the rest of a batch."""
     fake = fake_clock()
     link = Link(fake.clock, DELAY_MS)
     arrived: list[int] = []
@@ -60,7 +58,7 @@
 
 
 class LinkTest(StandInCase):
-    """Test the delay over sockets, with a clock that only the test moves."""
+    """Test the delay over sockets, with a clock that only the test advances."""
 
     server: ServiceServer
 
@@ -71,74 +69,70 @@
     async def start(self) -> None:
         params = ServiceParams(work_ms=1, link_delay_ms=DELAY_MS)
         self.server = await start_service(REACTOR, self.fake.clock, params, HOST, 0)
-        self.addCleanup(self.end, self.server)
+        self.addCleanup(self.close, self.server)
 
-    async def end(self, server: Any) -> None:
-        await self.drive(server.close())
+    async def close(self, server: Any) -> None:
+        await self.advance_until_done(server.close())
 
-    async def drive(self, call: Awaitable[Any]) -> Any:
-        """Move the clock until a call has ended."""
-        done = call if isinstance(call, Deferred) else self.begin(call)
+    async def advance_until_done(self, call: Awaitable[Any]) -> Any:
+        """Advance the clock until a call has finished."""
+        done = call if isinstance(call, Deferred) else self.start_call(call)
         while not done.called:
             self.fake.advance(1)
             await self.clock.sleep(1)
         return await done
 
-    async def ask(self) -> Got:
+    async def send_request(self) -> HttpResponse:
         headers = {"X-Request-Id": "r"}
         return await self.call(self.server.port, "GET", "/calls/a", headers=headers)
 
     def in_flight(self) -> bool:
         return bool(self.fake.source.getDelayedCalls())
 
-    async def test_answers_come_after_both_ways(self) -> None:
+    async def test_answers_take_the_delay_in_both_directions(self) -> None:
         await self.start()
         began = self.fake.clock.now()
-        assert (await self.drive(self.ask())).status == 200
+        assert (await self.advance_until_done(self.send_request())).status == 200
         assert self.fake.clock.now() - began >= DELAY_MS + 1 + DELAY_MS
 
-    async def test_platform_is_delayed_too(self) -> None:
+    async def test_platform_link_is_delayed(self) -> None:
         params = PlatformParams(latency_ms=2, link_delay_ms=DELAY_MS)
         server = await start_platform(REACTOR, self.fake.clock, params, HOST, 0)
-        self.addCleanup(self.end, server)
+        self.addCleanup(self.close, server)
         began = self.fake.clock.now()
-        got = await self.drive(self.call(server.port, "GET", "/objects/a"))
+        got = await self.advance_until_done(self.call(server.port, "GET", "/objects/a"))
         assert got.status == 404
         assert self.fake.clock.now() - began >= DELAY_MS + 2 + DELAY_MS
 
     async def test_streamed_tokens_keep_their_order(self) -> None:
         params = EngineParams(base_ms=1.0, link_delay_ms=DELAY_MS)
         server = await start_engine(REACTOR, self.fake.clock, params, HOST, 0)
-        self.addCleanup(self.end, server)
+        self.addCleanup(self.close, server)
         body = {"prompt": "a", "max_tokens": 9, "stream": True}
         began = self.fake.clock.now()
-        got = await self.drive(self.call(server.port, "POST", "/v1/completions", body))
+        got = await self.advance_until_done(self.call(server.port, "POST", "/v1/completions", body))
         assert self.fake.clock.now() - began >= DELAY_MS + 9 + DELAY_MS
         places = [got.text.index(word) for word in expected_text("a", 9).split()]
         assert places == sorted(places)
         assert got.text.endswith("data: [DONE]\n\n")
 
-    async def test_crash_loses_what_is_on_its_way(self) -> None:
-        # Symptom: a service counted a call that came in after its crash.
-        # Sequence: the call's bytes were on the link when the process died.
-        # Cause: the link handed over bytes of a connection that was reset.
+    async def test_crash_drops_data_in_transit(self) -> None:
+        """Check that data in transit is not delivered on a connection that a crash has reset."""
         await self.start()
-        lost = self.begin(self.ask())
-        await self.until(self.in_flight)
+        lost = self.start_call(self.send_request())
+        await self.wait_until(self.in_flight)
         self.server.control(Control(mode=Mode.CRASH))
-        await self.drive(self.cut(lost))
-        await self.drive(self.server.restart())
-        assert (await self.drive(self.ask())).status == 200
+        await self.advance_until_done(self.expect_cut(lost))
+        await self.advance_until_done(self.server.restart())
+        assert (await self.advance_until_done(self.send_request())).status == 200
         assert self.server.counts().calls == {"r": 1}
 
-    async def test_call_outlives_a_caller_that_hangs_up(self) -> None:
-        # Symptom: a call whose caller hung up at once failed inside the service.
-        # Sequence: the connection closed while the request was on the link.
-        # Cause: the request was handed over after its connection's end.
+    async def test_call_runs_after_its_caller_disconnects(self) -> None:
+        """Check that a call runs whose connection closes while its request is in transit."""
         await self.start()
-        gone = self.begin(self.ask())
-        await self.until(self.in_flight)
-        await self.abandon(gone)
+        abandoned = self.start_call(self.send_request())
+        await self.wait_until(self.in_flight)
+        await self.abandon(abandoned)
         while not self.server.counts().calls:
             self.fake.advance(1)
             await self.clock.sleep(1)
--- a/tests/test_standin_models.py
+++ b/tests/test_standin_models.py
@@ -1,4 +1,4 @@
-"""Test the parts of the stand-ins that need no sockets."""
+"""Test the components of the stand-ins that need no sockets."""
 
 import random
 
@@ -87,7 +87,7 @@
     return Member(name, "entry", "", "127.0.0.1", 1, 2, "dc-a", "r", state, static)
 
 
-def test_instance_list_lags_and_drops_the_silent() -> None:
+def test_instance_list_lags_and_expires_silent_members() -> None:
     fake = fake_clock()
     revisions: list[int] = []
     instances = InstanceList(fake.clock, lambda: 500, lambda: revisions.append(instances.revision))
@@ -108,10 +108,11 @@
     assert instances.listed() == []
 
 
-def test_outage_drops_no_instance() -> None:
-    # Symptom: after an outage of the platform the instance list was empty.
-    # Sequence: the reports of all instances failed for longer than their expiry.
-    # Cause: the platform blamed the instances for its own outage.
+def test_outage_does_not_expire_members() -> None:
+    """Check that the list is not empty after an outage that is longer than the expiry.
+
+    The reports of all instances fail during an outage of the platform.
+    """
     fake = fake_clock()
     instances = InstanceList(fake.clock, lambda: 0, lambda: None)
     instances.report(make_member("one"))
@@ -137,7 +138,7 @@
     assert [bucket.try_take(rate, amount) for amount in (11, 10)] == [False, True]
 
 
-def test_amount_above_the_burst_passes_once_the_rate_has_paid_for_it() -> None:
+def test_amount_above_the_burst_passes_after_enough_time() -> None:
     fake = fake_clock()
     bucket = TokenBucket(fake.clock)
     assert [bucket.try_take(100, 1_000), bucket.try_take(100, 1)] == [True, False]
@@ -159,40 +160,43 @@
 
 
 class Engine:
-    """Hold a batch and note which sequences made a token, by name."""
+    """Drive a batch and record which sequences generated a token, by name."""
 
     def __init__(self, params: EngineParams) -> None:
         self.cache = PrefixCache(params.cache, lambda: 0, random.Random(1))
         self.batch = Batch(params, self.cache)
         self.started: list[str] = []
-        self.made: list[str] = []
+        self.generated: list[str] = []
 
     def submit(self, name: str, tokens: int, prompt: str = "p", stride: int = 1) -> Sequence:
-        split = prompt.split()
+        prompt_words = prompt.split()
         seq = Sequence(
-            blocks=block_names(split),
-            prompt_tokens=len(split),
+            blocks=block_names(prompt_words),
+            prompt_tokens=len(prompt_words),
             new_tokens_left=tokens,
             on_start=lambda: self.started.append(name),
-            on_token=lambda last: self.made.append(name.upper() if last else name),
+            on_token=lambda last: self.generated.append(name.upper() if last else name),
             stride=stride,
         )
         self.batch.submit(seq)
         return seq
 
     def step(self) -> tuple[float | None, str]:
-        """Run one step; return its length, and who made tokens (upper case: their last)."""
-        self.made.clear()
-        length = self.batch.begin_step()
+        """Run one step; return its duration, and the sequences that generated a token.
+
+        A name in upper case marks the sequence's last token.
+        """
+        self.generated.clear()
+        duration_ms = self.batch.begin_step()
         self.batch.end_step()
-        return length, "".join(self.made)
+        return duration_ms, "".join(self.generated)
 
 
-PLAIN = EngineParams(slots=2, base_ms=5.0, per_sequence_ms=1.0, prefill_ms=0.0)
+PARAMS = EngineParams(slots=2, base_ms=5.0, per_sequence_ms=1.0, prefill_ms=0.0)
 
 
-def test_step_grows_with_running_sequences_and_others_wait_in_order() -> None:
-    engine = Engine(PLAIN)
+def test_step_time_grows_with_running_sequences_and_others_wait_in_order() -> None:
+    engine = Engine(PARAMS)
     engine.submit("a", 2)
     assert engine.step() == (6.0, "a")
     for name in "bcd":
@@ -208,7 +212,7 @@
 
 
 def test_removed_sequence_frees_its_slot() -> None:
-    engine = Engine(PLAIN)
+    engine = Engine(PARAMS)
     running = engine.submit("a", 9)
     engine.step()
     waiting = engine.submit("b", 9)
@@ -219,23 +223,23 @@
     assert engine.started == ["a"]
 
 
-def test_full_kv_cache_makes_the_next_wait() -> None:
-    engine = Engine(PLAIN._replace(kv_total=10))
+def test_full_kv_cache_makes_the_next_sequence_wait() -> None:
+    engine = Engine(PARAMS._replace(kv_total=10))
     engine.submit("a", 4, prompt="1 2 3")
     engine.submit("b", 4, prompt="1 2 3")
     assert engine.step() == (6.0, "a")
     assert engine.batch.waiting == 1
 
 
-def test_late_sequence_makes_a_token_every_third_step() -> None:
-    engine = Engine(PLAIN)
+def test_late_sequence_generates_a_token_every_third_step() -> None:
+    engine = Engine(PARAMS)
     engine.submit("a", 2, stride=3)
     assert [engine.step()[1] for _ in range(6)] == ["", "", "a", "", "", "A"]
 
 
-def test_cached_prefix_saves_prefill_and_long_prompts_are_cut() -> None:
+def test_cached_prefix_saves_prefill_and_long_prompts_are_split() -> None:
     prompt = " ".join(str(i) for i in range(3 * BLOCK_TOKENS))
-    engine = Engine(PLAIN._replace(prefill_ms=1.0, prefill_per_step=32))
+    engine = Engine(PARAMS._replace(prefill_ms=1.0, prefill_per_step=32))
     engine.submit("a", 1, prompt)
     assert engine.step() == (6.0 + 32, "")
     assert engine.step() == (6.0 + 16, "A")
@@ -245,7 +249,7 @@
     assert engine.step() == (6.0 + 16, "C")
 
 
-def test_cache_is_limited_and_its_events_are_late_with_gaps() -> None:
+def test_cache_is_limited_and_its_events_are_delayed_and_incomplete() -> None:
     now = [0]
     params = CacheParams(blocks=2, event_lag_ms=100, event_loss=0.5)
     cache = PrefixCache(params, lambda: now[0], random.Random(3))
@@ -263,7 +267,7 @@
     assert cache.events_since(next_seq) == ([], next_seq)
 
 
-def test_load_report_shows_the_past() -> None:
+def test_load_report_lags() -> None:
     empty = LoadReport(0, 0, 4, 0, 0, 5.0, 0)
     reports = LaggedReports(200, empty)
     reports.add(empty._replace(running=1, at_ms=100))
@@ -277,7 +281,7 @@
     return Order(order_id=ident, fence=fence, kind=kind, name=name)  # type: ignore[typeddict-item]
 
 
-def test_orders_are_fenced_where_the_engine_checks() -> None:
+def test_orders_are_fenced_if_the_engine_checks_fences() -> None:
     fake = fake_clock()
     loaded: list[bool] = []
     for checks, accepted in ((True, [True, False]), (False, [True, True])):
@@ -293,7 +297,7 @@
     assert len(loaded) == 3
 
 
-def test_each_order_kind_changes_its_part() -> None:
+def test_each_order_kind_changes_its_part_of_the_state() -> None:
     fake = fake_clock()
     orders = Orders(EngineParams(), Timers(fake.clock), lambda: None)
     for number, kind in enumerate(("load_adapter", "load_version", "change_role")):
@@ -311,7 +315,7 @@
     assert orders.state.orders == []
 
 
-def test_switches_count_down() -> None:
+def test_mode_applies_to_a_number_of_requests() -> None:
     switches = Switches()
     switches.merge(Control(mode=Mode.HANG, times=2))
     modes = [switches.next_mode() for _ in range(3)]
@@ -320,29 +324,29 @@
     assert [switches.next_mode() for _ in range(3)] == [Mode.LATE] * 3
 
 
-def test_bad_switches_are_refused() -> None:
+def test_invalid_switches_are_refused() -> None:
     bad = (b"{", b'{"mode":"odd"}', b'{"mod":"ok"}', b'{"slow_factor":0}', b'{"times":-1}')
     assert all(isinstance(parse_control(body), Err) for body in bad)
     assert parse_control(b'{"mode":"late","times":1}') == Ok({"mode": Mode.LATE, "times": 1})
 
 
 def test_answers_differ_by_prompt_and_can_be_resumed() -> None:
-    whole = expected_text("one", 9).split()
-    assert len(set(whole)) == 9
-    assert set(whole).isdisjoint(expected_text("two", 9).split())
+    complete = expected_text("one", 9).split()
+    assert len(set(complete)) == 9
+    assert set(complete).isdisjoint(expected_text("two", 9).split())
     rest = iter(answer_words("one", 4))
-    assert [next(rest) for _ in range(5)] == whole[4:]
+    assert [next(rest) for _ in range(5)] == complete[4:]
 
 
 def tokens_after(steps: int, mode: Mode = Mode.OK, slow_factor: float = 1.0) -> int:
-    """Return how many tokens one sequence has after some normal step times."""
+    """Return how many tokens one sequence has after a number of normal step times."""
     fake = fake_clock()
-    # 1/128 s, which sums without rounding, so that each step ends exactly when it is due.
-    params = PLAIN._replace(base_ms=7.8125, per_sequence_ms=0.0)
+    # 1/128 s adds up without rounding errors, so that each step ends exactly when it is due.
+    params = PARAMS._replace(base_ms=7.8125, per_sequence_ms=0.0)
     core = EngineCore(fake.clock, params)
     core.switches.merge(Control(slow_factor=slow_factor))
-    made: list[int] = []
-    output = Output(lambda: made.append(1), lambda: None, lambda: None)
+    generated: list[int] = []
+    output = Output(lambda: generated.append(1), lambda: None, lambda: None)
     generation = Generation(
         "r", "r", chat=True, stream=True, model="m", prompt="p", max_tokens=99, done_words=0
     )
@@ -351,10 +355,10 @@
         fake.advance(params.base_ms)
     core.crash()
     assert fake.source.getDelayedCalls() == []
-    return len(made)
+    return len(generated)
 
 
-def test_late_and_slow_engines_take_their_factor_longer() -> None:
+def test_late_and_slow_engines_are_slower_by_their_factor() -> None:
     assert tokens_after(12) == 12
     assert tokens_after(12, mode=Mode.LATE) == 4
     assert tokens_after(12, slow_factor=2.0) == 6
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -1,4 +1,4 @@
-"""Test the platform stand-in over real sockets: its protocol and each fault switch."""
+"""Test the platform stand-in over real sockets: its protocol and its fault switches."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
     start_platform,
 )
 from papayapier.store.api import Member
-from tests.standin_case import HOST, REACTOR, Got, StandInCase
+from tests.standin_case import HOST, REACTOR, HttpResponse, StandInCase
 
 
 class PlatformTest(StandInCase):
@@ -22,22 +22,22 @@
     server: PlatformServer
 
     async def start(self, **params: Any) -> None:
-        chosen = PlatformParams(**{"latency_ms": 0, "list_lag_ms": 0, **params})
-        self.server = await start_platform(REACTOR, self.clock, chosen, HOST, 0)
+        platform_params = PlatformParams(**{"latency_ms": 0, "list_lag_ms": 0, **params})
+        self.server = await start_platform(REACTOR, self.clock, platform_params, HOST, 0)
         self.addCleanup(self.server.close)
 
-    async def get(self, path: str) -> Got:
+    async def get(self, path: str) -> HttpResponse:
         return await self.call(self.server.port, "GET", path)
 
-    async def put(self, key: str, value: bytes, **conditions: str) -> Got:
+    async def put(self, key: str, value: bytes, **conditions: str) -> HttpResponse:
         headers = {name.replace("_", "-"): text for name, text in conditions.items()}
         path = f"/objects/{key}"
         return await self.call(self.server.port, "PUT", path, value, headers=headers)
 
-    async def create(self, key: str, value: bytes = b"v") -> Got:
+    async def create(self, key: str, value: bytes = b"v") -> HttpResponse:
         return await self.put(key, value, if_none_match="*")
 
-    async def delete(self, key: str, version: int) -> Got:
+    async def delete(self, key: str, version: int) -> HttpResponse:
         headers = {"If-Match": f'"{version}"'}
         return await self.call(self.server.port, "DELETE", f"/objects/{key}", headers=headers)
 
@@ -71,8 +71,8 @@
         page = await self.get("/list?prefix=a/&after=&limit=1")
         listed = [{"key": "a/1", "version": 1}]
         assert page.value == {"objects": listed, "more": True, "revision": 3}
-        waiting = self.begin(self.get("/watch?prefix=a/&since=3&wait_ms=10000"))
-        await self.until(lambda: self.server.counts().watches == 1)
+        waiting = self.start_call(self.get("/watch?prefix=a/&since=3&wait_ms=10000"))
+        await self.wait_until(lambda: self.server.counts().watches == 1)
         await self.create("c")
         await self.delete("a/2", 2)
         change = {"key": "a/2", "version": 5, "deleted": True}
@@ -83,8 +83,8 @@
 
     async def test_outage_refuses_and_changes_nothing(self) -> None:
         await self.start()
-        waiting = self.begin(self.get("/watch?prefix=&since=0&wait_ms=10000"))
-        await self.until(lambda: self.server.counts().watches == 1)
+        waiting = self.start_call(self.get("/watch?prefix=&since=0&wait_ms=10000"))
+        await self.wait_until(lambda: self.server.counts().watches == 1)
         control = await self.call(self.server.port, "POST", "/control", {"outage": True})
         assert control.value["outage"] is True
         assert (await waiting).status == 503
@@ -92,29 +92,30 @@
         self.server.control({"outage": False})
         assert (await self.get("/objects/a")).status == 404
 
-    async def test_lost_answer_is_a_change_made(self) -> None:
-        # Symptom: a write seemed to fail, and its repetition met a conflict.
-        # Sequence: the platform made the change, then the connection broke.
-        # Cause: no answer says nothing about whether the change was made.
+    async def test_lost_answer_follows_an_applied_change(self) -> None:
+        """Check that the change was made although its response was lost.
+
+        A retry of the write then gets a conflict.
+        """
         await self.start()
         self.server.control({"lose_answers": 1})
-        await self.cut(self.create("a"))
+        await self.expect_cut(self.create("a"))
         assert (await self.create("a")).status == 412
 
-    async def test_dropped_watch_stays_silent(self) -> None:
+    async def test_dropped_watch_is_never_answered(self) -> None:
         await self.start()
         watch = "/watch?prefix=a&since=0&wait_ms=10000"
-        early = self.begin(self.get(watch))
-        await self.until(lambda: self.server.counts().watches == 1)
+        early = self.start_call(self.get(watch))
+        await self.wait_until(lambda: self.server.counts().watches == 1)
         self.server.control({"drop_watches": True})
-        late = self.begin(self.get(watch))
-        await self.until(lambda: self.server.counts().watches == 2)
+        late = self.start_call(self.get(watch))
+        await self.wait_until(lambda: self.server.counts().watches == 2)
         await self.create("a")
         self.server.control({"drop_watches": False})
         assert (await self.get(watch)).value["revision"] == 1
         assert not (early.called or late.called)
 
-    async def test_rate_limit_tells_when_to_come_again(self) -> None:
+    async def test_rate_limit_sends_retry_after(self) -> None:
         await self.start(writes_per_s=1)
         assert (await self.create("a")).status == 201
         refused = await self.create("b")
@@ -127,8 +128,8 @@
         first = (await self.get("/instances?since=0&wait_ms=0")).value
         member = Member("i-1", "entry", "", HOST, 1, 2, "dc-a", "r", "live")
         body = member._asdict()
-        waiting = self.begin(self.get(f"/instances?since={first['revision']}&wait_ms=10000"))
-        await self.until(lambda: self.server.counts().reads == 2)
+        waiting = self.start_call(self.get(f"/instances?since={first['revision']}&wait_ms=10000"))
+        await self.wait_until(lambda: self.server.counts().reads == 2)
         put = await self.call(self.server.port, "PUT", "/instances/i-1", body)
         assert put.status == 200
         del body["static"]
@@ -138,18 +139,19 @@
         await self.call(self.server.port, "DELETE", "/instances/i-1")
         assert (await self.get("/instances")).value["instances"] == []
 
-    async def test_refused_connections_come_back(self) -> None:
-        # Symptom: new calls are refused, and waiting ones break.
-        # Sequence: the platform's process ends, and starts again on the same port.
-        # Cause: nothing listens in between.
+    async def test_port_reopens_after_refusing_connections(self) -> None:
+        """Simulate a restart of the platform's process on the same port.
+
+        While nothing listens, waiting calls fail and new connections are refused.
+        """
         await self.start()
-        waiting = self.begin(self.get("/watch?prefix=&since=0&wait_ms=10000"))
-        await self.until(lambda: self.server.counts().watches == 1)
+        waiting = self.start_call(self.get("/watch?prefix=&since=0&wait_ms=10000"))
+        await self.wait_until(lambda: self.server.counts().watches == 1)
         body = {"refuse_connections": True}
         answer = await self.call(self.server.port, "POST", "/control", body)
         assert answer.value["refuse_connections"] is True
-        await self.cut(waiting)
-        await self.until(lambda: not self.server.is_listening())
+        await self.expect_cut(waiting)
+        await self.wait_until(lambda: not self.server.is_listening())
         try:
             await self.get("/objects/a")
         except ConnectionRefusedError:
@@ -157,15 +159,13 @@
         else:
             raise AssertionError("the port is open")
         self.server.control(PlatformControl(restart_ms=1))
-        await self.until(self.server.is_listening)
+        await self.wait_until(self.server.is_listening)
         assert (await self.create("a")).status == 201
         shown = (await self.call(self.server.port, "GET", "/control")).value
         assert shown["refuse_connections"] is False
 
-    async def test_refusing_drops_no_member(self) -> None:
-        # Symptom: an instance lost its membership though only the platform was unreachable.
-        # Sequence: the platform's port closed for longer than the expiry, and opened again.
-        # Cause: reports could not come in, and expiry went on.
+    async def test_refused_connections_do_not_expire_members(self) -> None:
+        """Check that expiry is suspended while the port is closed and no reports can arrive."""
         fake = fake_clock()
         self.clock, real = fake.clock, self.clock
         await self.start()
@@ -173,23 +173,26 @@
         self.server.register(Member("i-1", "entry", "", HOST, 1, 2, "dc-a", "r", "live"))
         self.server.control({"refuse_connections": True, "restart_ms": 2 * EXPIRY_MS})
         fake.advance(2 * EXPIRY_MS)
-        await self.until(self.server.is_listening)
-        assert [one["id"] for one in (await self.get("/instances")).value["instances"]] == ["i-1"]
+        await self.wait_until(self.server.is_listening)
+        assert [member["id"] for member in (await self.get("/instances")).value["instances"]] == [
+            "i-1"
+        ]
         fake.advance(EXPIRY_MS)
         assert (await self.get("/instances")).value["instances"] == []
 
-    async def test_write_cut_before_its_effect_changed_nothing(self) -> None:
-        # Symptom: a write was taken as done, and its object was missing.
-        # Sequence: the connection broke before the platform read the write.
-        # Cause: a cut connection was taken for a change made; it says neither.
+    async def test_write_cut_before_its_effect_changes_nothing(self) -> None:
+        """Check that a connection cut before a write takes effect leaves the object unchanged.
+
+        A caller must not take a cut connection for a change that was made.
+        """
         await self.start()
         self.server.control({"cut_before_effect": 1, "lose_answers": 1})
-        await self.cut(self.create("a"))
+        await self.expect_cut(self.create("a"))
         assert (await self.get("/objects/a")).status == 404
-        await self.cut(self.create("a"))
+        await self.expect_cut(self.create("a"))
         assert (await self.get("/objects/a")).status == 200
 
-    async def test_members_are_marked_over_http(self) -> None:
+    async def test_member_states_are_overridden_over_http(self) -> None:
         await self.start()
         for name in ("one", "two"):
             member = Member(name, "replica", "lm", HOST, 1, 0, "dc-a", "r", "live", static=True)
@@ -199,13 +202,13 @@
             done = await self.call(self.server.port, "POST", "/control", control)
             assert done.status == 200
             shown = (await self.get("/instances")).value["instances"]
-            return {one["id"]: one["state"] for one in shown}
+            return {member["id"]: member["state"] for member in shown}
 
         assert await states(leaving=["one"]) == {"one": "leaving", "two": "live"}
         assert await states(removed=["two"]) == {"one": "leaving"}
         assert await states(leaving=[], removed=[]) == {"one": "live", "two": "live"}
 
-    async def test_wrong_switches_change_nothing(self) -> None:
+    async def test_invalid_switches_change_nothing(self) -> None:
         await self.start()
         before = self.server.switches.copy()
         for wrong in ({"outtage": True}, {"leaving": ["nobody"]}, {"slow_ms": -1}, {"outage": 1}):
--- a/tests/test_standin_weights.py
+++ b/tests/test_standin_weights.py
@@ -1,4 +1,4 @@
-"""Test the weight store, and engines whose orders read from it."""
+"""Test the weight store, and engines that read weights from it for their orders."""
 
 from twisted.internet.defer import Deferred
 
@@ -9,7 +9,7 @@
 from papayapier.standin.run import Fleet, FleetParams, run_fleet
 from papayapier.standin.timers import Timers
 from papayapier.standin.weights import WeightParams
-from tests.standin_case import REACTOR, Got, StandInCase
+from tests.standin_case import REACTOR, HttpResponse, StandInCase
 
 ORDER_MS = 300
 RETRY_MS = 50
@@ -18,16 +18,16 @@
 
 
 class Engine:
-    """Hold the orders of an engine whose weights come when the test says so."""
+    """Hold the orders of an engine whose weight reads are completed by the test."""
 
     def __init__(self, fake: FakeClock) -> None:
-        self.asked: list[Deferred[bool]] = []
+        self.reads: list[Deferred[bool]] = []
         self.timers = Timers(fake.clock)
         self.orders = Orders(PARAMS, self.timers, lambda: None, self.fetch)
 
     async def fetch(self, name: str) -> bool:
-        self.asked.append(Deferred())
-        return await self.asked[-1]
+        self.reads.append(Deferred())
+        return await self.reads[-1]
 
     def crash(self) -> None:
         self.timers.cancel_all()
@@ -38,51 +38,53 @@
     return Order(order_id=f"1-{name}", fence=1, kind="load_model", name=name)
 
 
-def test_limited_weights_make_an_order_slower() -> None:
+def test_rate_limited_weights_delay_an_order() -> None:
     fake = fake_clock()
     engine = Engine(fake)
     engine.orders.accept(load("m"))
-    engine.asked[0].callback(False)
+    engine.reads[0].callback(False)
     fake.advance(RETRY_MS)
-    engine.asked[1].callback(True)
+    engine.reads[1].callback(True)
     assert (engine.orders.loading, engine.orders.state.models) == (1, ["base"])
     fake.advance(ORDER_MS)
     assert (engine.orders.loading, engine.orders.state.models) == (0, ["base", "m"])
 
 
-def test_order_fails_when_its_weights_never_come() -> None:
-    # Symptom: an order that an engine had accepted never took effect.
-    # Sequence: the weight store refused every read of the engine's tries.
-    # Cause: an engine gives up, and tells nobody but by its state.
+def test_order_fails_when_its_weights_cannot_be_read() -> None:
+    """Check that an accepted order fails after the last try to read its weights.
+
+    The engine reports this only by no longer listing the order in its state.
+    """
     fake = fake_clock()
     engine = Engine(fake)
     engine.orders.accept(load("m"))
     assert engine.orders.state.orders == ["1-m"]
     for number in range(TRIES):
-        engine.asked[number].callback(False)
+        engine.reads[number].callback(False)
         fake.advance(RETRY_MS)
-    assert len(engine.asked) == TRIES
+    assert len(engine.reads) == TRIES
     state = engine.orders.state
     assert (engine.orders.loading, state.models, state.orders) == (0, ["base"], [])
     assert engine.orders.times == {"1-m": 1}
 
 
-def test_crash_ends_a_load() -> None:
-    # Symptom: an engine that had just restarted had a model that nobody had ordered since.
-    # Sequence: it crashed while it read weights; they came after the restart.
-    # Cause: the read outlived the process that had asked for it.
+def test_crash_cancels_a_load() -> None:
+    """Check that a read of weights does not outlive a crash of the engine.
+
+    Otherwise the restarted engine would have a model that was not ordered since.
+    """
     fake = fake_clock()
     engine = Engine(fake)
     engine.orders.accept(load("m"))
     engine.crash()
-    assert engine.asked[0].called
+    assert engine.reads[0].called
     fake.advance(RETRY_MS + ORDER_MS)
-    assert len(engine.asked) == 1
+    assert len(engine.reads) == 1
     assert (engine.orders.loading, engine.orders.state.models) == (0, ["base"])
 
 
 class WeightStoreTest(StandInCase):
-    """Test the store and the engines over sockets."""
+    """Test the store and the engines over real sockets."""
 
     fleet: Fleet
 
@@ -97,7 +99,7 @@
         self.fleet = await run_fleet(REACTOR, self.clock, params)
         self.addCleanup(lambda: Deferred.fromCoroutine(self.fleet.close()))
 
-    async def read(self) -> Got:
+    async def read(self) -> HttpResponse:
         return await self.call(self.fleet.platform.port, "GET", "/weights/a/b")
 
     async def order(self, name: str) -> None:
@@ -114,13 +116,13 @@
         counts = self.fleet.platform.counts()
         assert (counts.weight_reads, counts.weights_limited, counts.limited) == (2, 1, 0)
 
-    async def test_orders_read_from_the_platforms_process(self) -> None:
+    async def test_orders_read_weights_from_the_platform(self) -> None:
         await self.start(WeightParams(size_bytes=1_000, bytes_per_s=1))
         orders = self.fleet.engines[0].core.orders
         await self.order("first")
-        await self.until(lambda: orders.loading == 0)
+        await self.wait_until(lambda: orders.loading == 0)
         await self.order("second")
-        await self.until(lambda: orders.loading == 0)
+        await self.wait_until(lambda: orders.loading == 0)
         assert (orders.state.models, orders.state.orders) == (["base", "first"], ["1-first"])
         counts = self.fleet.platform.counts()
         assert (counts.weight_reads, counts.weights_limited) == (1, TRIES)
@@ -128,15 +130,15 @@
     async def test_unreachable_store_fails_the_order(self) -> None:
         await self.start(WeightParams())
         self.fleet.platform.control({"refuse_connections": True})
-        await self.until(lambda: not self.fleet.platform.is_listening())
+        await self.wait_until(lambda: not self.fleet.platform.is_listening())
         await self.order("first")
         orders = self.fleet.engines[0].core.orders
-        await self.until(lambda: orders.loading == 0)
+        await self.wait_until(lambda: orders.loading == 0)
         assert orders.state.models == ["base"]
 
-    async def test_closing_ends_a_read(self) -> None:
+    async def test_closing_cancels_a_read(self) -> None:
         await self.start(WeightParams(size_bytes=8_000_000))
         self.fleet.platform.control({"slow_ms": 10_000})
         await self.order("first")
-        await self.until(lambda: self.fleet.platform.counts().weight_reads == 1)
+        await self.wait_until(lambda: self.fleet.platform.counts().weight_reads == 1)
         assert self.fleet.engines[0].core.orders.loading == 1
