--- a/papayapier/load/chaos_operators.py
+++ b/papayapier/load/chaos_operators.py
@@ -139,8 +139,8 @@
 
 async def _read(ref: InstanceRef, name: str) -> tuple[int, object] | None:
     """Return the version and the document of a profile at one instance."""
-    got = await call_json("GET", f"http://{ref.operator}/v1/profiles/{name}")
-    if not isinstance(got, Ok):
+    response = await call_json("GET", f"http://{ref.operator}/v1/profiles/{name}")
+    if not isinstance(response, Ok):
         return None
-    answer = got.ok_value
+    answer = response.ok_value
     return int(answer["version"]), answer["document"]
--- a/papayapier/load/chaos_traffic.py
+++ b/papayapier/load/chaos_traffic.py
@@ -121,14 +121,14 @@
             return
         if req.resend_after_ms >= 0:
             self._clock.call_later(req.resend_after_ms, lambda: self._start(req.make_resend()))
-        got = await send(self._client, ref.entry, req, now_us(self._clock))
-        verdict = got.verdict
+        record = await send(self._client, ref.entry, req, now_us(self._clock))
+        verdict = record.verdict
         self.outcome_counts[f"{verdict.end.value} {verdict.kind} {verdict.outcome}".strip()] += 1
-        self.outcomes.observe(req, got)
+        self.outcomes.observe(req, record)
         self.flaws[verdict.flaw] += 1
         if violation := self._violation(ref, verdict.end):
             self.violations.append(f"{req.request_id} at instance {ref.number}: {violation}")
-            self.violations[-1] += f" ({verdict.reason}, {got.timing.total_us // US_PER_MS} ms)"
+            self.violations[-1] += f" ({verdict.reason}, {record.timing.total_us // US_PER_MS} ms)"
 
     def _violation(self, ref: InstanceRef, end: End) -> str:
         """Return what an outcome violates, or an empty string.
--- a/papayapier/load/experiment.py
+++ b/papayapier/load/experiment.py
@@ -140,9 +140,9 @@
         """Choose an instance as the platform's load balancer does."""
         return self._rand.choice(self._options.targets)
 
-    def _observe(self, req: Request, got: Answered) -> None:
-        self._online_tokens += got.verdict.tokens
-        self._outcomes.observe(req, got)
+    def _observe(self, req: Request, record: Answered) -> None:
+        self._online_tokens += record.verdict.tokens
+        self._outcomes.observe(req, record)
 
     def _make_hooks(self) -> PhaseHooks:
         return PhaseHooks(
@@ -188,10 +188,10 @@
             if submitted is not None:
                 self._jobs[name] = submitted
 
-    async def _end_jobs(self, kept_names: tuple[str, ...]) -> None:
+    async def _end_jobs(self, continuing_names: tuple[str, ...]) -> None:
         """Cancel the jobs that are not listed, so that the next phase starts without them."""
         for name, submitted in list(self._jobs.items()):
-            if name in kept_names:
+            if name in continuing_names:
                 continue
             del self._jobs[name]
             current = self._value_or_warn(
@@ -203,7 +203,7 @@
                 self._value_or_warn("cancel", await jobs.cancel(self._pick_instance(), submitted))
 
     async def _check_job(self, submitted: jobs.SubmittedJob) -> None:
-        """Read all results of a completed job."""
+        """Check all results of a completed job."""
         checked = await jobs.check_results(self._pick_instance(), submitted, expected_text)
         self._violations += self._value_or_warn("results", checked) or []
 
@@ -215,7 +215,7 @@
                 return
             self._options.log(f"fault: {target} {control}")
             done = Deferred.fromCoroutine(set_switches(address, control))
-            done.addCallback(lambda made: self._value_or_warn("fault", made))
+            done.addCallback(lambda result: self._value_or_warn("fault", result))
             done.addErrback(lambda failure: self._warnings.append(f"fault: {failure}"))
 
         return post
@@ -243,7 +243,9 @@
     async def _read_instances(self) -> list[InstanceResult]:
         read = [await read_instance(target) for target in self._options.targets]
         return [
-            result for result in (self._value_or_warn("metrics", got) for got in read) if result
+            result
+            for result in (self._value_or_warn("metrics", response) for response in read)
+            if result
         ]
 
     async def _warn_ended_jobs(self) -> None:
--- a/papayapier/load/instances.py
+++ b/papayapier/load/instances.py
@@ -43,8 +43,8 @@
 
 async def read_instance(target: str) -> Result[InstanceResult, str]:
     """Read one instance's metrics."""
-    got = await call("GET", f"http://{target}/metrics")
-    return got.map(lambda content: InstanceResult(target, _sums(content.decode())))
+    response = await call("GET", f"http://{target}/metrics")
+    return response.map(lambda content: InstanceResult(target, _sums(content.decode())))
 
 
 def _sums(text: str) -> dict[str, float]:
--- a/papayapier/load/jobs.py
+++ b/papayapier/load/jobs.py
@@ -60,7 +60,7 @@
 
 
 async def submit(target: str, prepared: PreparedJob, key: str) -> Result[SubmittedJob, str]:
-    """Upload a job's items and create the job; the idempotency key makes this repeatable."""
+    """Upload a job's items and create the job; the same key yields the same job."""
     headers = {"Content-Type": "application/jsonl"}
     uploaded = await call("POST", f"http://{target}/v1/files", prepared.file, headers)
     if isinstance(uploaded, Err):
@@ -77,8 +77,8 @@
 
 async def progress(target: str, submitted: SubmittedJob) -> Result[Progress, str]:
     """Read the progress of a job."""
-    got = await call_json("GET", f"http://{target}/v1/batches/{submitted.id}")
-    return got.map(_progress)
+    response = await call_json("GET", f"http://{target}/v1/batches/{submitted.id}")
+    return response.map(_progress)
 
 
 async def cancel(target: str, submitted: SubmittedJob) -> Result[Any, str]:
@@ -98,12 +98,12 @@
 
 async def results(target: str, submitted: SubmittedJob) -> Result[list[ResultLine], str]:
     """Read all results of a job, including those of failed items."""
-    got = await call_json("GET", f"http://{target}/v1/batches/{submitted.id}")
-    if isinstance(got, Err):
-        return got
+    response = await call_json("GET", f"http://{target}/v1/batches/{submitted.id}")
+    if isinstance(response, Err):
+        return response
     lines: list[ResultLine] = []
     for field in ("output_file_id", "error_file_id"):
-        if not (file_id := got.ok_value.get(field)):
+        if not (file_id := response.ok_value.get(field)):
             continue
         content = await call("GET", f"http://{target}/v1/files/{file_id}/content")
         if isinstance(content, Err):
--- a/papayapier/load/operators.py
+++ b/papayapier/load/operators.py
@@ -30,13 +30,13 @@
         "reason": f"load experiment, {step}",
         "change_id": f"{operator.run_id}:{profile.name}:{based_on.ok_value}",
     }
-    got = await call_json("PUT", url, change, headers)
-    return got.map(lambda answer: int(answer["version"]))
+    response = await call_json("PUT", url, change, headers)
+    return response.map(lambda answer: int(answer["version"]))
 
 
 async def _version(url: str, headers: dict[str, str]) -> Result[int, str]:
     """Return the current version, or 0 when the profile does not exist yet."""
-    got = await call_json("GET", url, headers=headers)
-    if isinstance(got, Err):
-        return Ok(0) if ": status 404" in got.err_value else got
-    return Ok(int(got.ok_value["version"]))
+    response = await call_json("GET", url, headers=headers)
+    if isinstance(response, Err):
+        return Ok(0) if ": status 404" in response.err_value else response
+    return Ok(int(response.ok_value["version"]))
--- a/papayapier/load/outcomes.py
+++ b/papayapier/load/outcomes.py
@@ -31,16 +31,16 @@
         self._received: dict[str, _ReceivedOutcomes] = {}
         self.without_call_id = 0
 
-    def observe(self, req: Request, got: Answered) -> None:
+    def observe(self, req: Request, record: Answered) -> None:
         """Record one finished request."""
-        if not got.call_id:
+        if not record.call_id:
             self.without_call_id += 1
             return
         empty = _ReceivedOutcomes([], req.cls.idempotent, 0, 0, 0)
-        received = self._received.get(got.call_id, empty)
-        complete = got.verdict.end is End.WHOLE
-        refused = got.verdict.end is End.REFUSED and got.verdict.outcome == NOT_RUN
-        self._received[got.call_id] = received._replace(
+        received = self._received.get(record.call_id, empty)
+        complete = record.verdict.end is End.WHOLE
+        refused = record.verdict.end is End.REFUSED and record.verdict.outcome == NOT_RUN
+        self._received[record.call_id] = received._replace(
             request_ids=[*received.request_ids, req.request_id],
             complete=received.complete + complete,
             not_run=received.not_run + refused,
--- a/papayapier/load/results.py
+++ b/papayapier/load/results.py
@@ -82,24 +82,24 @@
         self.refused_after = _histogram()
         self.lag = _histogram()
 
-    def add(self, req: Request, got: Answered) -> None:
+    def add(self, req: Request, record: Answered) -> None:
         """Count one finished request."""
-        verdict, timing, _ = got
+        verdict, timing, _ = record
         self.sent += 1
         self.sent_by[req.caller] += 1
         self.ends[verdict.end.value] += 1
         self.tokens += verdict.tokens
         _record(self.lag, timing.lag_us)
         if verdict.end is End.WHOLE:
-            self._add_complete(req, got)
+            self._add_complete(req, record)
         elif verdict.end is End.REFUSED:
             self.refusals[f"{verdict.kind}/{verdict.outcome}"] += 1
             _record(self.refused_after, timing.total_us)
         elif len(self.reasons) < MAX_REASONS:
             self.reasons.append(f"{req.request_id}: {verdict.end.value}: {verdict.reason}")
 
-    def _add_complete(self, req: Request, got: Answered) -> None:
-        timing = got.timing
+    def _add_complete(self, req: Request, record: Answered) -> None:
+        timing = record.timing
         self.complete_by[req.caller] += 1
         _record(self.total, timing.total_us)
         if timing.first_us >= 0:
--- a/papayapier/load/runner.py
+++ b/papayapier/load/runner.py
@@ -129,16 +129,18 @@
         done.addBoth(lambda _: self._open.discard(done))
 
     async def _send(self, arrival: Arrival, req: Request) -> None:
-        got = await send(self._client, self._pick_instance(), req, arrival.start_us + arrival.at_us)
+        record = await send(
+            self._client, self._pick_instance(), req, arrival.start_us + arrival.at_us
+        )
         if req.is_resend:
-            self._stats(RESENT, req.cls.name).add(req, got)
+            self._stats(RESENT, req.cls.name).add(req, record)
         else:
-            self._stats(arrival.counted_phase(), req.cls.name).add(req, got)
-            self._series.add(arrival.phase.name, req.cls.name, arrival.at_us, got)
-        self.flaws[got.verdict.flaw] += 1
-        if got.verdict.end is End.WRONG and len(self.wrong_answers) < MAX_WRONG_ANSWERS:
-            self.wrong_answers.append(f"{req.request_id}: {got.verdict.reason}")
-        self._observe(req, got)
+            self._stats(arrival.counted_phase(), req.cls.name).add(req, record)
+            self._series.add(arrival.phase.name, req.cls.name, arrival.at_us, record)
+        self.flaws[record.verdict.flaw] += 1
+        if record.verdict.end is End.WRONG and len(self.wrong_answers) < MAX_WRONG_ANSWERS:
+            self.wrong_answers.append(f"{req.request_id}: {record.verdict.reason}")
+        self._observe(req, record)
 
     async def _resend(self, arrival: Arrival, req: Request) -> None:
         """Resend a request as a caller does that assumes it failed: new id, same key."""
--- a/papayapier/load/scenario.py
+++ b/papayapier/load/scenario.py
@@ -160,7 +160,7 @@
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
         return Err(f"{path}: cannot be read: {exc}")
-    return parse(text).map_err(lambda why: f"{path}: {why}")
+    return parse(text).map_err(lambda error: f"{path}: {error}")
 
 
 def parse(text: str) -> Result[Experiment, str]:
--- a/papayapier/load/series.py
+++ b/papayapier/load/series.py
@@ -48,13 +48,13 @@
     def __init__(self) -> None:
         self._bins: dict[tuple[str, str], dict[int, _Bin]] = defaultdict(dict)
 
-    def add(self, phase: str, name: str, at_us: int, got: Answered) -> None:
+    def add(self, phase: str, name: str, at_us: int, record: Answered) -> None:
         """Count one request by its intended send time in its phase."""
         second = self._bins[phase, name].setdefault(at_us // US_PER_S, _Bin())
         second.sent += 1
-        if got.verdict.end is End.WHOLE:
-            second.totals_us.append(got.timing.total_us)
-        elif got.verdict.end is End.REFUSED:
+        if record.verdict.end is End.WHOLE:
+            second.totals_us.append(record.timing.total_us)
+        elif record.verdict.end is End.REFUSED:
             second.refused += 1
         else:
             second.other += 1
--- a/papayapier/load/standins.py
+++ b/papayapier/load/standins.py
@@ -48,10 +48,10 @@
 
 async def find_standins(platform: str) -> Result[StandIns, str]:
     """Read the replicas' addresses from the platform's instance list."""
-    got = await call_json("GET", f"http://{platform}/instances?wait_ms=0&since=0")
-    if isinstance(got, Err):
-        return got
-    listed: list[dict[str, Any]] = got.ok_value["instances"]
+    response = await call_json("GET", f"http://{platform}/instances?wait_ms=0&since=0")
+    if isinstance(response, Err):
+        return response
+    listed: list[dict[str, Any]] = response.ok_value["instances"]
     replicas = {
         str(member["id"]): StandInReplica(member["upstream"], f"{member['host']}:{member['port']}")
         for member in listed
@@ -70,10 +70,10 @@
     by_upstream: dict[str, Counter[str]] = {}
     tokens = 0
     for upstream, address in standins.replicas.values():
-        got = await call_json("GET", f"http://{address}/counts")
-        if isinstance(got, Err):
-            return got
-        counts: dict[str, Any] = got.ok_value
+        response = await call_json("GET", f"http://{address}/counts")
+        if isinstance(response, Err):
+            return response
+        counts: dict[str, Any] = response.ok_value
         calls = counts.get("started", counts.get("calls", {}))
         by_upstream.setdefault(upstream, Counter()).update(calls)
         tokens += counts.get("tokens", 0)
--- a/papayapier/standin/command.py
+++ b/papayapier/standin/command.py
@@ -68,7 +68,7 @@
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
         return Err(f"{path}: cannot be read: {exc}")
-    return codec.from_commented_json(text, StandinParams).map_err(lambda why: f"{path}: {why}")
+    return codec.from_commented_json(text, StandinParams).map_err(lambda error: f"{path}: {error}")
 
 
 def _fleet_params(options: argparse.Namespace, params: StandinParams) -> FleetParams:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -174,7 +174,7 @@
     assert plan == draw_plan(random.Random(7), 600_000, sizes)
     assert plan != draw_plan(random.Random(8), 600_000, sizes)
     assert {event.kind for event in plan} == set(FaultKind)
-    gaps = [later.at_ms - one.at_ms for one, later in pairwise(plan)]
+    gaps = [later.at_ms - earlier.at_ms for earlier, later in pairwise(plan)]
     assert min(gaps) < 500 < max(gaps)
 
 
@@ -207,14 +207,14 @@
 
     def __init__(self) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
-        self.seen: list[str] = []
+        self.request_ids: list[str] = []
 
     def render_GET(self, _request: Request) -> bytes:  # noqa: N802
         return b"papayapier_invariant_failures 2.0\n"
 
     def render_POST(self, request: Request) -> object:  # noqa: N802
-        number = len(self.seen)
-        self.seen.append(str(request.getHeader("x-request-id")))
+        number = len(self.request_ids)
+        self.request_ids.append(str(request.getHeader("x-request-id")))
         body = json.loads(cast(Any, request.content).read())
         text = expected_text(body["messages"][0]["content"], body["max_tokens"])
         if number % 4 == 1:
@@ -260,7 +260,7 @@
         document = json.loads(report_json(found))
         assert found.failures == []
         assert found.broken[0] == f"{target}: 2 internal checks failed"
-        assert len(found.broken) == 1 + len(self.chat.seen) // 4
+        assert len(found.broken) == 1 + len(self.chat.request_ids) // 4
         assert document["comparison"][0]["total_p99"] == 1.0
         assert document["windows"][0]["phase"] == "one"
         assert "one    chat" in report_text(found)
@@ -278,7 +278,7 @@
         )
         nothing = runner.PhaseHooks(*[lambda _: succeed(None)] * 3)
         (result,) = await run.all_phases(nothing)
-        sent = len(self.chat.seen)
+        sent = len(self.chat.request_ids)
         ends = result.ends
         assert run.failures == []
         assert result.sent == sent == sum(ends.values())
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -66,10 +66,10 @@
     async def test_streamed_answers(self) -> None:
         await self.start()
         for path in (CHAT, "/v1/completions"):
-            got = await self.send_request("where to", path=path, stream=True)
-            assert got.headers["content-type"] == "text/event-stream"
-            assert streamed_text(got) == expected_text("where to", 4)
-            *chunks, last, end = got.text.strip().split("\n\n")
+            response = await self.send_request("where to", path=path, stream=True)
+            assert response.headers["content-type"] == "text/event-stream"
+            assert streamed_text(response) == expected_text("where to", 4)
+            *chunks, last, end = response.text.strip().split("\n\n")
             assert end == DONE
             assert len(chunks) == 4
             final_chunk = json.loads(last.removeprefix("data: "))
@@ -215,10 +215,10 @@
         for stream in (True, False):
             await self.send_request("first", request_id="one")
             self.server.control(Control(mode=Mode.CROSSED, times=1))
-            got = await self.send_request("second", request_id="two", stream=stream)
-            assert got.headers["x-request-id"] == "one"
-            assert expected_text("first", 1) in got.text
-            assert '"two"' not in got.text
+            response = await self.send_request("second", request_id="two", stream=stream)
+            assert response.headers["x-request-id"] == "one"
+            assert expected_text("first", 1) in response.text
+            assert '"two"' not in response.text
         assert self.server.counts().finished["two"] == 2
 
     async def test_truncated_answers_have_no_end_marker(self) -> None:
@@ -251,9 +251,9 @@
 STORED_EVENTS = [(1, "stored"), (2, "stored")]
 
 
-def streamed_text(got: HttpResponse) -> str:
+def streamed_text(response: HttpResponse) -> str:
     texts = []
-    for event in got.text.strip().split("\n\n"):
+    for event in response.text.strip().split("\n\n"):
         if event != DONE:
             choice = json.loads(event.removeprefix("data: "))["choices"][0]
             texts.append(choice["delta"]["content"] if "delta" in choice else choice["text"])
@@ -279,10 +279,10 @@
 
     async def test_answer_and_counts(self) -> None:
         await self.start()
-        got = await self.send_request()
+        response = await self.send_request()
         echo = hashlib.sha256(b"pass").hexdigest()
-        assert got.value == {"request_id": "r", "path": "/calls/a", "echo": echo}
-        assert (got.headers["x-request-id"], got.headers["x-load"]) == ("r", "0/0/16")
+        assert response.value == {"request_id": "r", "path": "/calls/a", "echo": echo}
+        assert (response.headers["x-request-id"], response.headers["x-load"]) == ("r", "0/0/16")
         for request_id in ("r2", "r3"):
             await self.send_request(request_id, **{"X-Papayapier-Call": "c"})
         counts = await self.call(self.server.port, "GET", "/counts")
--- a/tests/test_standin_link.py
+++ b/tests/test_standin_link.py
@@ -69,9 +69,9 @@
     async def start(self) -> None:
         params = ServiceParams(work_ms=1, link_delay_ms=DELAY_MS)
         self.server = await start_service(REACTOR, self.fake.clock, params, HOST, 0)
-        self.addCleanup(self.close, self.server)
+        self.addCleanup(self.close_server, self.server)
 
-    async def close(self, server: Any) -> None:
+    async def close_server(self, server: Any) -> None:
         await self.advance_until_done(server.close())
 
     async def advance_until_done(self, call: Awaitable[Any]) -> Any:
@@ -98,23 +98,25 @@
     async def test_platform_link_is_delayed(self) -> None:
         params = PlatformParams(latency_ms=2, link_delay_ms=DELAY_MS)
         server = await start_platform(REACTOR, self.fake.clock, params, HOST, 0)
-        self.addCleanup(self.close, server)
+        self.addCleanup(self.close_server, server)
         began = self.fake.clock.now()
-        got = await self.advance_until_done(self.call(server.port, "GET", "/objects/a"))
-        assert got.status == 404
+        response = await self.advance_until_done(self.call(server.port, "GET", "/objects/a"))
+        assert response.status == 404
         assert self.fake.clock.now() - began >= DELAY_MS + 2 + DELAY_MS
 
     async def test_streamed_tokens_keep_their_order(self) -> None:
         params = EngineParams(base_ms=1.0, link_delay_ms=DELAY_MS)
         server = await start_engine(REACTOR, self.fake.clock, params, HOST, 0)
-        self.addCleanup(self.close, server)
+        self.addCleanup(self.close_server, server)
         body = {"prompt": "a", "max_tokens": 9, "stream": True}
         began = self.fake.clock.now()
-        got = await self.advance_until_done(self.call(server.port, "POST", "/v1/completions", body))
+        response = await self.advance_until_done(
+            self.call(server.port, "POST", "/v1/completions", body)
+        )
         assert self.fake.clock.now() - began >= DELAY_MS + 9 + DELAY_MS
-        places = [got.text.index(word) for word in expected_text("a", 9).split()]
+        places = [response.text.index(word) for word in expected_text("a", 9).split()]
         assert places == sorted(places)
-        assert got.text.endswith("data: [DONE]\n\n")
+        assert response.text.endswith("data: [DONE]\n\n")
 
     async def test_crash_drops_data_in_transit(self) -> None:
         """Check that data in transit is not delivered on a connection that a crash has reset."""
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -43,8 +43,8 @@
 
     async def test_conditional_changes(self) -> None:
         await self.start()
-        made = await self.create("a/b", b"one")
-        assert (made.status, made.headers["etag"]) == (201, '"1"')
+        created = await self.create("a/b", b"one")
+        assert (created.status, created.headers["etag"]) == (201, '"1"')
         assert (await self.create("a/b")).status == 412
         changed = await self.put("a/b", b"two", if_match='"1"')
         assert (changed.status, changed.headers["etag"]) == (200, '"2"')
@@ -202,7 +202,7 @@
             done = await self.call(self.server.port, "POST", "/control", control)
             assert done.status == 200
             shown = (await self.get("/instances")).value["instances"]
-            return {member["id"]: member["state"] for member in shown}
+            return {record["id"]: record["state"] for record in shown}
 
         assert await states(leaving=["one"]) == {"one": "leaving", "two": "live"}
         assert await states(removed=["two"]) == {"one": "leaving"}
--- a/tests/test_standin_weights.py
+++ b/tests/test_standin_weights.py
@@ -103,8 +103,8 @@
         return await self.call(self.fleet.platform.port, "GET", "/weights/a/b")
 
     async def order(self, name: str) -> None:
-        got = await self.call(self.fleet.engines[0].port, "POST", "/orders", load(name))
-        assert got.value == {"accepted": True}
+        response = await self.call(self.fleet.engines[0].port, "POST", "/orders", load(name))
+        assert response.value == {"accepted": True}
 
     async def test_rate_limit(self) -> None:
         await self.start(WeightParams(size_bytes=1_000, bytes_per_s=1))
