--- a/papayapier/load/arrivals.py
+++ b/papayapier/load/arrivals.py
@@ -1,8 +1,8 @@
-"""Draw arrival times of an open loop: a Poisson process whose rate follows the phase.
+"""Draw the arrival times of an open loop: a Poisson process whose rate follows the phase.
 
-The rate is constant between a few known edges (steps, burst edges). Within such a segment
-gaps are exponential; a gap that crosses an edge is cut there and drawn anew at the next
-segment's rate, which is exact because the exponential distribution has no memory.
+The rate is constant between known edges (steps, starts and ends of bursts). Within such a
+segment gaps are exponential. A gap that crosses an edge is discarded there and redrawn at the
+next segment's rate, which is exact because the exponential distribution is memoryless.
 """
 
 import random
@@ -29,8 +29,8 @@
 
 def rate_at(phase: Phase, at_ms: int) -> float:
     """Return the arrival rate per second at a time of the phase."""
-    begun = [step for step in phase.steps if step.at_ms <= at_ms]
-    rate = max(begun, key=lambda step: step.at_ms).rate_per_s if begun else phase.rate_per_s
+    started = [step for step in phase.steps if step.at_ms <= at_ms]
+    rate = max(started, key=lambda step: step.at_ms).rate_per_s if started else phase.rate_per_s
     for burst in phase.bursts:
         if burst.at_ms <= at_ms < burst.at_ms + burst.ms:
             rate *= burst.factor
@@ -42,6 +42,6 @@
     edges.update(step.at_ms for step in phase.steps)
     for burst in phase.bursts:
         edges.update((burst.at_ms, burst.at_ms + burst.ms))
-    inside = sorted(edge for edge in edges if edge <= phase.ms)
-    for start, end in pairwise(inside):
+    inner_edges = sorted(edge for edge in edges if edge <= phase.ms)
+    for start, end in pairwise(inner_edges):
         yield start * US_PER_MS, end * US_PER_MS, rate_at(phase, start)
--- a/papayapier/load/client.py
+++ b/papayapier/load/client.py
@@ -1,11 +1,10 @@
-"""Send one request to an instance and time its answer.
+"""Send one request to an instance and measure its latency.
 
-Latency counts from the intended send time. An open loop whose own sending falls behind
-(a busy client, a stalled connection) would otherwise start the clock late and hide the
-wait ("coordinated omission"). How far sending fell behind is reported beside it, since a
-slow client makes the whole measurement void.
+Latency is measured from the intended send time. If sending falls behind (a busy client, a
+stalled connection), measuring from the actual send time would hide the delay ("coordinated
+omission"). The send lag is reported as well, since a slow client invalidates the measurement.
 
-The pool never makes a request wait: it opens a connection when none is idle.
+The pool never delays a request: it opens a connection when none is idle.
 """
 
 from typing import Any, Final, NamedTuple, cast
@@ -27,7 +26,14 @@
 from twisted.web.iweb import IBodyProducer
 
 from papayapier.clock import Clock
-from papayapier.load.answer import End, ExpectedText, StreamReader, Verdict, judge, judge_stream
+from papayapier.load.answer import (
+    End,
+    ExpectedText,
+    StreamReader,
+    Verdict,
+    classify_response,
+    classify_stream,
+)
 from papayapier.load.mix import Request
 
 US_PER_S: Final = 1_000_000
@@ -35,7 +41,7 @@
 IDLE_PER_HOST: Final = 256
 IDLE_TIMEOUT_S: Final = 20
 
-BROKEN_CONNECTION: Final = (
+CONNECTION_ERRORS: Final = (
     ConnectError,
     ConnectionClosed,
     ConnectionLost,
@@ -47,9 +53,9 @@
 
 
 class Timing(NamedTuple):
-    """Hold the times of a request in microseconds, all from its intended send time.
+    """Hold the times of a request in microseconds, measured from its intended send time.
 
-    first_us is -1 without a token. gaps_us are the times between tokens.
+    first_us is -1 without a token. gaps_us are the intervals between tokens.
     """
 
     lag_us: int
@@ -59,9 +65,9 @@
 
 
 class Answered(NamedTuple):
-    """Hold what became of one request, and when; call_id is the instance's name for the work.
+    """Hold the outcome and timing of one request; call_id is the id given by the instance.
 
-    A request whose connection broke before the answer's head has no call_id.
+    A request whose connection broke before the response headers has no call_id.
     """
 
     verdict: Verdict
@@ -99,25 +105,33 @@
 
 
 def now_us(clock: Clock) -> int:
-    """Return the monotonic reading in microseconds: gaps between tokens are a few ms."""
+    """Return the monotonic time in microseconds, since gaps between tokens are only a few ms."""
     return int(clock.timers.seconds() * US_PER_S)
 
 
 async def send(client: Client, target: str, req: Request, intended_us: int) -> Answered:
-    """Send a request to "HOST:PORT" and return what became of it; never fails."""
+    """Send a request to "HOST:PORT" and return its outcome; never raises."""
     started_us = now_us(client.clock)
     receiver = _Receiver(req, client, intended_us)
-    work = Deferred.fromCoroutine(_exchange(client, target, req, receiver))
-    ended = _Stop()
-    timers = [client.clock.call_later(client.give_up_ms, lambda: ended.by(End.HUNG, work))]
+    exchange = Deferred.fromCoroutine(_exchange(client, target, req, receiver))
+    cancellation = _Cancellation()
+    timers = [
+        client.clock.call_later(
+            client.give_up_ms, lambda: cancellation.cancel_as(End.HUNG, exchange)
+        )
+    ]
     if req.leave_after_ms >= 0:
-        timers.append(client.clock.call_later(req.leave_after_ms, lambda: ended.by(End.LEFT, work)))
+        timers.append(
+            client.clock.call_later(
+                req.leave_after_ms, lambda: cancellation.cancel_as(End.LEFT, exchange)
+            )
+        )
     try:
-        verdict = await work
+        verdict = await exchange
     except CancelledError:
-        verdict = Verdict(ended.end, reason="no answer in time")
-    except BROKEN_CONNECTION as exc:
-        verdict = Verdict(ended.end, reason=f"{type(exc).__name__}: {exc}")
+        verdict = Verdict(cancellation.end, reason="no answer in time")
+    except CONNECTION_ERRORS as exc:
+        verdict = Verdict(cancellation.end, reason=f"{type(exc).__name__}: {exc}")
     for timer in timers:
         if timer.active():
             timer.cancel()
@@ -127,15 +141,15 @@
     return Answered(verdict, timing, receiver.call_id)
 
 
-class _Stop:
-    """Remember why a request was cancelled; until then its failure is a cut connection."""
+class _Cancellation:
+    """Record why a request was cancelled; otherwise its failure counts as a cut connection."""
 
     def __init__(self) -> None:
         self.end = End.CUT
 
-    def by(self, end: End, work: "Deferred[Verdict]") -> None:
+    def cancel_as(self, end: End, exchange: "Deferred[Verdict]") -> None:
         self.end = end
-        work.cancel()
+        exchange.cancel()
 
 
 async def _exchange(client: Client, target: str, req: Request, receiver: "_Receiver") -> Verdict:
@@ -148,9 +162,9 @@
     receiver.call_id = _header(response, "x-papayapier-call")
     response.deliverBody(receiver)
     await receiver.done
-    own_id = _header(response, "x-request-id")
-    if own_id and own_id != req.request_id:
-        return Verdict(End.WRONG, reason=f"the answer names request {own_id}")
+    response_id = _header(response, "x-request-id")
+    if response_id and response_id != req.request_id:
+        return Verdict(End.WRONG, reason=f"the response has the id of request {response_id}")
     return receiver.verdict()
 
 
@@ -175,7 +189,7 @@
 
 
 class _Receiver(Protocol):
-    """Collect one response body and note when its tokens came."""
+    """Collect one response body and record when its tokens arrived."""
 
     def __init__(self, req: Request, client: Client, intended_us: int) -> None:
         self._req = req
@@ -203,7 +217,7 @@
             self.gaps_us.append(at_us - self._last_us)
         else:
             self.first_us = at_us - self._intended_us
-        # Tokens that came in one read came without a gap between them.
+        # Tokens that arrive in one read have no gap between them.
         self.gaps_us.extend([0] * (tokens - 1))
         self._last_us = at_us
 
@@ -216,13 +230,15 @@
             self.done.errback(reason)
 
     def verdict(self) -> Verdict:
-        """Judge the whole body."""
+        """Classify the complete response."""
         if self.streams:
-            return judge_stream(self._req, self._reader, self._client.expected)
-        return judge(self._req, self.status, b"".join(self._body), self._client.expected)
+            return classify_stream(self._req, self._reader, self._client.expected)
+        return classify_response(
+            self._req, self.status, b"".join(self._body), self._client.expected
+        )
 
     def _abort(self, _cancelled: "Deferred[None]") -> None:
-        """Close the connection: a caller that goes away does not read the rest."""
+        """Abort the connection, as a caller does that disconnects without reading the rest."""
         abort = getattr(self.transport, "abortConnection", None)
         if abort is not None:
             abort()
--- a/papayapier/load/idle.py
+++ b/papayapier/load/idle.py
@@ -1,4 +1,4 @@
-"""Hold connections without a request, as callers' libraries do between two requests."""
+"""Open idle connections, as the connection pools of callers' libraries keep them."""
 
 from typing import Any, NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class IdleConnections(NamedTuple):
-    """Hold the open connections."""
+    """Hold the open idle connections."""
 
     protocols: list[Protocol]
 
@@ -21,12 +21,12 @@
 
 
 async def open_idle(targets: list[str], number: int) -> IdleConnections:
-    """Open a number of connections to the targets ("HOST:PORT") in turn."""
+    """Open connections to the targets ("HOST:PORT"), round robin."""
     from twisted.internet import reactor
 
     opening = []
-    for at in range(number):
-        host, _, port = targets[at % len(targets)].rpartition(":")
+    for index in range(number):
+        host, _, port = targets[index % len(targets)].rpartition(":")
         endpoint = TCP4ClientEndpoint(reactor, host, int(port))
         opening.append(connectProtocol(endpoint, Protocol()))
     return IdleConnections(await gatherResults(opening))
--- a/papayapier/load/results.py
+++ b/papayapier/load/results.py
@@ -1,8 +1,7 @@
-"""Count and time what became of the requests, by phase and class.
+"""Collect outcomes and latencies of the requests, by phase and class.
 
-Times are kept in HdrHistograms in microseconds, three significant digits. A request without
-an answer (hung, cut) has no latency that could be recorded; it is counted, never left out of
-the totals.
+Times are recorded in HdrHistograms in microseconds with three significant digits. A request
+without an answer (hung, cut) has no latency to record; it is still counted in the totals.
 """
 
 from collections import Counter
@@ -22,8 +21,8 @@
 MAX_REASONS: Final = 20
 
 
-class Times(NamedTuple):
-    """Summarise one distribution in milliseconds; all are 0 without values."""
+class LatencySummary(NamedTuple):
+    """Summarise one distribution in milliseconds; all fields are 0 without values."""
 
     number: int
     mean: float
@@ -36,11 +35,11 @@
 
 
 class ClassResult(NamedTuple):
-    """Hold the figures of one class in one phase; rates are per second of counted time.
+    """Hold the figures of one class in one phase; rates are per second of measured time.
 
-    late counts whole answers after the class's due time. fairness is Jain's index of the
-    callers' answered shares (1 is even), worst_caller the lowest answered share of one, and
-    worst_other that of one who did not send the most: nobody should pay for another's flood.
+    late counts complete answers after the class's due time. fairness is Jain's index of the
+    callers' answered shares (1 is even), worst_caller the lowest answered share of a caller.
+    worst_other leaves out the caller that sent the most, whose load should not harm others.
     """
 
     phase: str
@@ -52,19 +51,19 @@
     ends: dict[str, int]
     refusals: dict[str, int]
     reasons: list[str]
-    first: Times
-    gap: Times
-    total: Times
-    refused_after: Times
-    lag: Times
+    first: LatencySummary
+    gap: LatencySummary
+    total: LatencySummary
+    refused_after: LatencySummary
+    lag: LatencySummary
     tokens: int
     fairness: float
     worst_caller: float
     worst_other: float
 
 
-class Tally:
-    """Collect one class in one phase."""
+class ClassStats:
+    """Collect the figures of one class in one phase."""
 
     def __init__(self, phase: str, name: str) -> None:
         self.phase = phase
@@ -76,32 +75,32 @@
         self.refusals: Counter[str] = Counter()
         self.reasons: list[str] = []
         self.sent_by: Counter[str] = Counter()
-        self.whole_by: Counter[str] = Counter()
+        self.complete_by: Counter[str] = Counter()
         self.first = _histogram()
         self.gap = _histogram()
         self.total = _histogram()
         self.refused_after = _histogram()
         self.lag = _histogram()
 
-    def add(self, req: Request, got: Answered) -> None:
-        """Count one ended request."""
-        verdict, timing, _ = got
+    def add(self, req: Request, record: Answered) -> None:
+        """Count one finished request."""
+        verdict, timing, _ = record
         self.sent += 1
         self.sent_by[req.caller] += 1
         self.ends[verdict.end.value] += 1
         self.tokens += verdict.tokens
         _record(self.lag, timing.lag_us)
         if verdict.end is End.WHOLE:
-            self._add_whole(req, got)
+            self._add_complete(req, record)
         elif verdict.end is End.REFUSED:
             self.refusals[f"{verdict.kind}/{verdict.outcome}"] += 1
             _record(self.refused_after, timing.total_us)
         elif len(self.reasons) < MAX_REASONS:
             self.reasons.append(f"{req.request_id}: {verdict.end.value}: {verdict.reason}")
 
-    def _add_whole(self, req: Request, got: Answered) -> None:
-        timing = got.timing
-        self.whole_by[req.caller] += 1
+    def _add_complete(self, req: Request, record: Answered) -> None:
+        timing = record.timing
+        self.complete_by[req.caller] += 1
         _record(self.total, timing.total_us)
         if timing.first_us >= 0:
             _record(self.first, timing.first_us)
@@ -111,9 +110,9 @@
             self.late += 1
 
     def result(self, counted_ms: int) -> ClassResult:
-        """Summarise what was counted in a time."""
+        """Summarise what was counted during a measured time."""
         whole = self.ends[End.WHOLE.value]
-        shares = [self.whole_by[caller] / sent for caller, sent in self.sent_by.items()]
+        shares = [self.complete_by[caller] / sent for caller, sent in self.sent_by.items()]
         return ClassResult(
             phase=self.phase,
             name=self.name,
@@ -130,32 +129,34 @@
             refused_after=summarise(self.refused_after),
             lag=summarise(self.lag),
             tokens=self.tokens,
-            fairness=jain(shares),
+            fairness=jain_index(shares),
             worst_caller=min(shares, default=0.0),
             worst_other=self._worst_other(),
         )
 
     def _worst_other(self) -> float:
-        most = max(self.sent_by, key=lambda caller: self.sent_by[caller], default="")
-        others = [caller for caller in self.sent_by if caller != most] or list(self.sent_by)
-        shares = [self.whole_by[caller] / self.sent_by[caller] for caller in others]
+        largest = max(self.sent_by, key=lambda caller: self.sent_by[caller], default="")
+        others = [caller for caller in self.sent_by if caller != largest] or list(self.sent_by)
+        shares = [self.complete_by[caller] / self.sent_by[caller] for caller in others]
         return min(shares, default=0.0)
 
 
-def jain(shares: list[float]) -> float:
-    """Return Jain's fairness index: 1 when all are equal, 1/n when one has everything."""
+def jain_index(shares: list[float]) -> float:
+    """Return Jain's fairness index: 1 when all shares are equal, 1/n when only one is above 0."""
     squares = sum(share * share for share in shares)
     return sum(shares) ** 2 / (len(shares) * squares) if squares else 0.0
 
 
-def summarise(hist: Any) -> Times:
+def summarise(hist: Any) -> LatencySummary:
     """Return the summary of a histogram in milliseconds."""
     number = int(hist.get_total_count())
     if not number:
-        return Times(0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
-    p50, p90, p95, p99, p999 = (_ms(hist.get_value_at_percentile(part)) for part in PERCENTILES)
+        return LatencySummary(0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
+    p50, p90, p95, p99, p999 = (
+        _ms(hist.get_value_at_percentile(percentile)) for percentile in PERCENTILES
+    )
     highest = _ms(hist.get_max_value())
-    return Times(number, _ms(hist.get_mean_value()), p50, p90, p95, p99, p999, highest)
+    return LatencySummary(number, _ms(hist.get_mean_value()), p50, p90, p95, p99, p999, highest)
 
 
 def _histogram() -> Any:
--- a/papayapier/load/standins.py
+++ b/papayapier/load/standins.py
@@ -1,4 +1,4 @@
-"""Reach the stand-ins: list them, set their switches, read what they count."""
+"""Access the stand-ins: list them, set their switches, read their counters."""
 
 from collections import Counter
 from typing import Any, NamedTuple
@@ -24,22 +24,22 @@
     replicas: dict[str, StandInReplica]
 
     def address(self, target: str) -> str | None:
-        """Return where a fault's target listens."""
+        """Return the address of a fault's target."""
         if target == PLATFORM:
             return self.platform
         replica = self.replicas.get(target)
         return replica.address if replica is not None else None
 
 
-class Ran(NamedTuple):
-    """Hold how often each call was started, by upstream, and the tokens generated."""
+class RunCounts(NamedTuple):
+    """Hold the number of starts of each call, by upstream, and the tokens generated."""
 
     by_upstream: dict[str, dict[str, int]]
     tokens: int
 
     @property
     def started(self) -> dict[str, int]:
-        """Return how often each call was started anywhere."""
+        """Return the number of starts of each call at all upstreams."""
         total: Counter[str] = Counter()
         for calls in self.by_upstream.values():
             total.update(calls)
@@ -48,10 +48,10 @@
 
 async def find_standins(platform: str) -> Result[StandIns, str]:
     """Read the replicas' addresses from the platform's instance list."""
-    got = await call_json("GET", f"http://{platform}/instances?wait_ms=0&since=0")
-    if isinstance(got, Err):
-        return got
-    listed: list[dict[str, Any]] = got.ok_value["instances"]
+    response = await call_json("GET", f"http://{platform}/instances?wait_ms=0&since=0")
+    if isinstance(response, Err):
+        return response
+    listed: list[dict[str, Any]] = response.ok_value["instances"]
     replicas = {
         str(member["id"]): StandInReplica(member["upstream"], f"{member['host']}:{member['port']}")
         for member in listed
@@ -65,16 +65,16 @@
     return await call_json("POST", f"http://{address}/control", control)
 
 
-async def read_ran(standins: StandIns) -> Result[Ran, str]:
-    """Add up the counts of every replica, engines and services alike."""
+async def read_run_counts(standins: StandIns) -> Result[RunCounts, str]:
+    """Sum the counters of all replicas, engines and services."""
     by_upstream: dict[str, Counter[str]] = {}
     tokens = 0
     for upstream, address in standins.replicas.values():
-        got = await call_json("GET", f"http://{address}/counts")
-        if isinstance(got, Err):
-            return got
-        counts: dict[str, Any] = got.ok_value
+        response = await call_json("GET", f"http://{address}/counts")
+        if isinstance(response, Err):
+            return response
+        counts: dict[str, Any] = response.ok_value
         calls = counts.get("started", counts.get("calls", {}))
         by_upstream.setdefault(upstream, Counter()).update(calls)
         tokens += counts.get("tokens", 0)
-    return Ok(Ran(dict(by_upstream), tokens))
+    return Ok(RunCounts(dict(by_upstream), tokens))
--- a/papayapier/load/table.py
+++ b/papayapier/load/table.py
@@ -1,4 +1,4 @@
-"""Lay a report out as plain text tables."""
+"""Format a report as plain text tables."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -11,7 +11,7 @@
 
 
 class Table(NamedTuple):
-    """Hold a titled table; the first two columns are text, the others figures."""
+    """Hold a titled table; the first two columns are text, the others numbers."""
 
     title: str
     header: Row
@@ -20,7 +20,7 @@
     def text(self) -> str:
         """Return the table with aligned columns."""
         lines = [self.header, *self.rows]
-        widths = [max(len(line[at]) for line in lines) for at in range(len(self.header))]
+        widths = [max(len(line[index]) for line in lines) for index in range(len(self.header))]
         return "\n".join([self.title, *(_aligned(line, widths) for line in lines)])
 
 
@@ -30,10 +30,10 @@
         f"{report.experiment}, seed {report.seed}, run {report.run_id}, "
         f"{len(report.targets)} instances",
         *(table.text() for table in report_tables(report)),
-        f"compared with what ran: {report.compared} pieces of work, {report.unnamed} unnamed",
+        f"compared with what ran: {report.compared} calls, {report.unnamed} without a call id",
         *(f"warning: {line}" for line in report.warnings),
         *(f"load tool failed: {line}" for line in report.failures),
-        *(f"broken promise: {line}" for line in report.broken),
+        *(f"violated guarantee: {line}" for line in report.broken),
     ]
     return "\n\n".join(parts)
 
@@ -54,20 +54,20 @@
 def _online(report: Report) -> Table:
     header = ("phase", "class", "sent", "whole", "late", "refused", "other", "good/s")
     times = ("first p50", "p99", "gap p50", "p99", "total p50", "p99", "max", "lag p99")
-    rows = [_online_row(one) for one in report.classes]
+    rows = [_online_row(result) for result in report.classes]
     return Table("online requests, times in ms", header + times, rows)
 
 
-def _online_row(one: ClassResult) -> Row:
-    refused = sum(one.refusals.values())
-    counts = (one.sent, one.whole, one.late, refused, one.sent - one.whole - refused)
-    short = (one.first.p50, one.first.p99, one.gap.p50, one.gap.p99)
-    long = (one.total.p50, one.total.p99, one.total.max, one.lag.p99)
+def _online_row(result: ClassResult) -> Row:
+    refused = sum(result.refusals.values())
+    counts = (result.sent, result.whole, result.late, refused, result.sent - result.whole - refused)
+    short = (result.first.p50, result.first.p99, result.gap.p50, result.gap.p99)
+    long = (result.total.p50, result.total.p99, result.total.max, result.lag.p99)
     return (
-        one.phase,
-        one.name,
+        result.phase,
+        result.name,
         *(str(count) for count in counts),
-        f"{one.goodput_per_s:.1f}",
+        f"{result.goodput_per_s:.1f}",
         *(f"{time:.1f}" for time in (*short, *long)),
     )
 
@@ -75,85 +75,91 @@
 def _refusals(report: Report) -> Table:
     rows = [
         (
-            one.phase,
-            one.name,
-            " ".join(f"{kind}={count}" for kind, count in sorted(one.refusals.items())) or "-",
-            f"{one.refused_after.p99:.1f}",
-            " ".join(f"{end}={count}" for end, count in sorted(one.ends.items())),
-            f"{one.fairness:.3f}",
-            f"{one.worst_caller:.2f}",
-            f"{one.worst_other:.2f}",
+            result.phase,
+            result.name,
+            " ".join(f"{kind}={count}" for kind, count in sorted(result.refusals.items())) or "-",
+            f"{result.refused_after.p99:.1f}",
+            " ".join(f"{end}={count}" for end, count in sorted(result.ends.items())),
+            f"{result.fairness:.3f}",
+            f"{result.worst_caller:.2f}",
+            f"{result.worst_other:.2f}",
         )
-        for one in report.classes
-        if one.sent > one.whole
+        for result in report.classes
+        if result.sent > result.whole
     ]
     header = ("phase", "class", "refusals", "refused p99", "ends", "fairness", "worst caller")
-    return Table("what was not answered", (*header, "worst but the largest"), rows)
+    return Table("requests that were not answered", (*header, "worst except the largest"), rows)
 
 
 def _batch(report: Report) -> Table:
     rows = [
         (
-            one.phase,
-            f"{one.counted_ms / 1000:.1f} s",
-            f"{one.engine_tokens_per_s:.0f}",
-            f"{one.online_tokens_per_s:.0f}",
-            f"{one.batch_tokens_per_s:.0f}",
-            f"{one.useful_tokens_per_s:.0f}",
-            f"{one.items_per_s:.1f}",
+            result.phase,
+            f"{result.counted_ms / 1000:.1f} s",
+            f"{result.engine_tokens_per_s:.0f}",
+            f"{result.online_tokens_per_s:.0f}",
+            f"{result.batch_tokens_per_s:.0f}",
+            f"{result.useful_tokens_per_s:.0f}",
+            f"{result.items_per_s:.1f}",
         )
-        for one in report.batch
+        for result in report.batch
     ]
     header = ("phase", "counted", "all tokens/s", "online", "batch", "useful batch", "items/s")
-    return Table("tokens of the engines", header, rows)
+    return Table("tokens generated by the engines", header, rows)
 
 
 def _control(report: Report) -> Table:
     rows = [
         (
-            one.phase,
+            result.phase,
             "",
-            f"{one.peer_bytes_per_s:.0f}",
-            f"{one.store_bytes_per_s:.0f}",
-            f"{one.store_calls_per_s:.1f}",
+            f"{result.peer_bytes_per_s:.0f}",
+            f"{result.store_bytes_per_s:.0f}",
+            f"{result.store_calls_per_s:.1f}",
         )
-        for one in report.control
+        for result in report.control
     ]
     header = ("phase", "", "peer bytes/s", "store bytes/s", "store calls/s")
-    return Table("control traffic of all instances together", header, rows)
+    return Table("control traffic of all instances", header, rows)
 
 
 def _comparison(report: Report) -> Table:
-    rows = [_comparison_row(one) for one in comparisons(report)]
+    rows = [_comparison_row(result) for result in comparisons(report)]
     header = ("phase", "class", "first p50 x", "p99 x", "total p50 x", "p99 x", "gap p99 x")
-    title = f"beside '{report.compare.online}', batch beside '{report.compare.batch}'"
+    title = f"relative to '{report.compare.online}', batch relative to '{report.compare.batch}'"
     return Table(title, (*header, "batch tokens/s", "share"), rows)
 
 
-def _comparison_row(one: Comparison) -> Row:
-    ratios = (one.first_p50, one.first_p99, one.total_p50, one.total_p99, one.gap_p99)
+def _comparison_row(result: Comparison) -> Row:
+    ratios = (
+        result.first_p50,
+        result.first_p99,
+        result.total_p50,
+        result.total_p99,
+        result.gap_p99,
+    )
     return (
-        one.phase,
-        one.name,
+        result.phase,
+        result.name,
         *(f"{ratio:.2f}" if ratio else "-" for ratio in ratios),
-        f"{one.batch_tokens_per_s:.0f}",
-        f"{one.batch_share:.2f}",
+        f"{result.batch_tokens_per_s:.0f}",
+        f"{result.batch_share:.2f}",
     )
 
 
 def _instances(report: Report) -> Table:
-    names = sorted({name for one in report.instances for name in one.metrics})
+    names = sorted({name for result in report.instances for name in result.metrics})
     short = [name.removeprefix("papayapier_").removesuffix("_total") for name in names]
     rows = [
-        (one.target, "", *(f"{one.metrics.get(name, 0.0):.0f}" for name in names))
-        for one in report.instances
+        (result.target, "", *(f"{result.metrics.get(name, 0.0):.0f}" for name in names))
+        for result in report.instances
     ]
     return Table("metrics of the instances", ("instance", "", *short), rows)
 
 
 def _aligned(line: Row, widths: list[int]) -> str:
     cells = [
-        cell.ljust(width) if at < 2 else cell.rjust(width)
-        for at, (cell, width) in enumerate(zip(line, widths, strict=True))
+        cell.ljust(width) if index < 2 else cell.rjust(width)
+        for index, (cell, width) in enumerate(zip(line, widths, strict=True))
     ]
     return "  ".join(cells).rstrip()
--- a/papayapier/standin/command.py
+++ b/papayapier/standin/command.py
@@ -1,4 +1,4 @@
-"""Run a fleet of stand-ins as a process, for tests and measurements."""
+"""Run a fleet of stand-ins as one process, for tests and measurements."""
 
 import argparse
 import signal
@@ -20,7 +20,7 @@
 
 
 class StandinParams(NamedTuple):
-    """Hold a file of parameters for the three kinds of stand-in."""
+    """Hold the parameters of the three kinds of stand-in, as read from a file."""
 
     platform: PlatformParams = PlatformParams()
     engine: EngineParams = EngineParams()
@@ -28,14 +28,14 @@
 
 
 class Addresses(NamedTuple):
-    """Tell where the stand-ins listen; platform_port is 0 without a platform."""
+    """Hold where the stand-ins listen; platform_port is 0 without a platform."""
 
     platform_port: int
     replicas: list[Member]
 
 
 def run_standin(options: argparse.Namespace) -> int:
-    """Run stand-ins until SIGTERM; the first line printed tells their addresses."""
+    """Run stand-ins until SIGTERM; the first printed line holds their addresses as JSON."""
     params = _read_params(options.params)
     if isinstance(params, Err):
         print(f"papayapier: {params.err_value}", file=sys.stderr)
@@ -44,21 +44,21 @@
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
-    codes = [EXIT_OK]
+    exit_codes = [EXIT_OK]
 
-    def failed(failure: Any) -> None:
+    def on_failed(failure: Any) -> None:
         print(f"papayapier: {failure.getErrorMessage()}", file=sys.stderr)
-        codes[0] = EXIT_FAILED
+        exit_codes[0] = EXIT_FAILED
         reactor.stop()
 
-    def begin() -> None:
-        Deferred.fromCoroutine(_start(reactor, fleet, options.no_platform)).addErrback(failed)
+    def on_running() -> None:
+        Deferred.fromCoroutine(_start(reactor, fleet, options.no_platform)).addErrback(on_failed)
 
     signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(reactor.stop))
     signal.signal(signal.SIGINT, lambda *_: reactor.callFromThread(reactor.stop))
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(on_running)
     reactor.run(installSignalHandlers=False)
-    return codes[0]
+    return exit_codes[0]
 
 
 def _read_params(path: Path | None) -> Result[StandinParams, str]:
@@ -68,7 +68,7 @@
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
         return Err(f"{path}: cannot be read: {exc}")
-    return codec.from_commented_json(text, StandinParams).map_err(lambda why: f"{path}: {why}")
+    return codec.from_commented_json(text, StandinParams).map_err(lambda error: f"{path}: {error}")
 
 
 def _fleet_params(options: argparse.Namespace, params: StandinParams) -> FleetParams:
@@ -89,12 +89,12 @@
 async def _start(reactor: Any, params: FleetParams, no_platform: bool) -> Fleet | None:
     if no_platform:
         replicas = await run_replicas(reactor, real_clock(), params)
-        _print(Addresses(0, replicas.members))
+        _print_addresses(Addresses(0, replicas.members))
         return None
     fleet = await run_fleet(reactor, real_clock(), params)
-    _print(Addresses(fleet.platform.port, fleet.members))
+    _print_addresses(Addresses(fleet.platform.port, fleet.members))
     return fleet
 
 
-def _print(addresses: Addresses) -> None:
+def _print_addresses(addresses: Addresses) -> None:
     print(codec.to_json(addresses).decode(), flush=True)
--- a/papayapier/standin/service.py
+++ b/papayapier/standin/service.py
@@ -1,7 +1,7 @@
-"""Stand in for a plain service that counts each call by its id, so that a double run shows.
+"""Simulate a plain service that counts each call by its id, so that a repeated run is detected.
 
-Once accepted, a call runs to its end even when its caller has gone: a service that writes
-a pass does not take it back.
+An accepted call runs to completion even when its caller has disconnected: a service that has
+issued a pass does not revoke it.
 """
 
 import hashlib
@@ -15,14 +15,14 @@
 
 from papayapier.clock import Clock
 from papayapier.standin import web
-from papayapier.standin.crashes import Crashes, answer_control
 from papayapier.standin.link import Link
 from papayapier.standin.listener import Connection, Listener
+from papayapier.standin.process_faults import ProcessFaults, handle_control
 from papayapier.standin.switches import LATE_FACTOR, Control, Mode, Switches
 from papayapier.standin.timers import Timers
-from papayapier.standin.web import Json
+from papayapier.standin.web import JsonResponse
 
-OTHER_ANSWER: Final = {
+FOREIGN_ANSWER: Final = {
     "request_id": "another-request",
     "path": "/calls/another",
     "echo": hashlib.sha256(b"another").hexdigest(),
@@ -30,7 +30,7 @@
 
 
 class ServiceParams(NamedTuple):
-    """Set a plain service's normal behaviour; link_delay_ms is the way to its callers."""
+    """Set a plain service's normal behaviour; link_delay_ms is the one-way network delay."""
 
     slots: int = 16
     work_ms: int = 20
@@ -38,7 +38,7 @@
 
 
 class ServiceCounts(NamedTuple):
-    """Hold the counts of GET /counts; a call counts when its work begins."""
+    """Hold the counters of GET /counts; a call is counted when it starts to run."""
 
     calls: dict[str, int]
     total: int
@@ -52,10 +52,10 @@
 
 
 class ServiceServer:
-    """Serve plain calls, with switches and counts at hand."""
+    """Serve plain calls; switches and counters can also be used in the process."""
 
     __slots__ = (
-        "_crashes",
+        "_faults",
         "_listener",
         "_params",
         "_running",
@@ -76,12 +76,12 @@
         self._running = 0
         link = Link(clock, params.link_delay_ms)
         self._listener = Listener(reactor, self._handle, host, port, link)
-        self._crashes = Crashes(clock, self._listener, self._lose_work)
+        self._faults = ProcessFaults(clock, self._listener, self._drop_work)
         self._listener.open()
 
     @property
     def port(self) -> int:
-        """Return the port listened on."""
+        """Return the port that the server listens on."""
         return self._listener.port
 
     def waiting(self) -> int:
@@ -89,44 +89,44 @@
         return len(self._waiting)
 
     def control(self, control: Control, conn: Connection | None = None) -> None:
-        """Merge switches, as POST /control on a connection does."""
+        """Change switches, as POST /control does; conn is the connection that set them."""
         self.switches.merge(control)
-        self._crashes.apply(self.switches, control, conn)
+        self._faults.apply(self.switches, control, conn)
 
     def counts(self) -> ServiceCounts:
-        """Return what has been counted so far."""
+        """Return the current counters."""
         return ServiceCounts(calls=dict(self.calls), total=self.calls.total())
 
     def restart(self) -> Deferred[None]:
-        """Start a crashed service again on the same port."""
-        return self._crashes.restart()
+        """Restart a crashed service on the same port."""
+        return self._faults.restart()
 
     def close(self) -> Deferred[None]:
-        """Stop serving; running work is lost."""
-        self._lose_work()
-        return self._crashes.close()
+        """Stop serving; calls in progress are lost."""
+        self._drop_work()
+        return self._faults.close()
 
     def _handle(self, request: Request) -> None:
         path = web.path_of(request)
         if path == "/control":
-            answer_control(request, self.switches, self.control)
+            handle_control(request, self.switches, self.control)
         elif path == "/counts":
-            web.send_json(request, Json(200, self.counts()._asdict()))
+            web.send_json(request, JsonResponse(200, self.counts()._asdict()))
         elif path == "/load":
             self._handle_load(request)
         else:
             self._handle_call(request, path)
 
     def _handle_load(self, request: Request) -> None:
-        if self.switches.hangs_always():
+        if self.switches.hangs_all_calls():
             return
         load = {"running": self._running, "waiting": len(self._waiting)}
-        web.send_json(request, Json(200, {**load, "slots": self._params.slots}))
+        web.send_json(request, JsonResponse(200, {**load, "slots": self._params.slots}))
 
     def _handle_call(self, request: Request, path: str) -> None:
-        mode = self.switches.take()
+        mode = self.switches.next_mode()
         if mode is Mode.CRASH:
-            self._crashes.crash()
+            self._faults.crash()
             return
         request_id = web.header(request, "x-request-id")
         call_id = web.header(request, "x-papayapier-call") or request_id
@@ -152,12 +152,12 @@
 
     def _finish(self, call: _Call) -> None:
         self._running -= 1
-        mark = f"{self._running}/{len(self._waiting)}/{self._params.slots}"
-        web.set_header(call.request, "x-load", mark)
-        _answer(call)
+        load_header = f"{self._running}/{len(self._waiting)}/{self._params.slots}"
+        web.set_header(call.request, "x-load", load_header)
+        _respond(call)
         self._start_calls()
 
-    def _lose_work(self) -> None:
+    def _drop_work(self) -> None:
         self._timers.cancel_all()
         self._waiting.clear()
         self._running = 0
@@ -167,19 +167,19 @@
 def start_service(
     reactor: Any, clock: Clock, params: ServiceParams, host: str, port: int
 ) -> Deferred[ServiceServer]:
-    """Start a plain service; port 0 picks a free one."""
+    """Start a plain service; port 0 picks a free port."""
     return execute(partial(ServiceServer, reactor, clock, params, host, port))
 
 
-def _answer(call: _Call) -> None:
-    if web.is_gone(call.request):
+def _respond(call: _Call) -> None:
+    if web.is_closed(call.request):
         return
     if call.mode is Mode.RESET:
         web.connection_of(call.request).abort()
         return
     answer = call.answer
     if call.mode is Mode.CROSSED:
-        answer = OTHER_ANSWER
+        answer = FOREIGN_ANSWER
     web.set_header(call.request, "x-request-id", answer["request_id"])
     body = msgspec.json.encode(answer)
     if call.mode is Mode.TRUNCATE:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Test the load tool: experiment files, arrivals, verdicts, and the open-loop client."""
+"""Test the load tool: experiment files, arrivals, verdicts and the open-loop client."""
 
 import json
 import random
@@ -15,15 +15,22 @@
 
 from papayapier.clock import fake_clock, real_clock
 from papayapier.load import arrivals, runner, scenario
-from papayapier.load.answer import NO_FINISH_REASON, End, StreamReader, Verdict, judge, judge_stream
-from papayapier.load.chaos_plan import Kind, Sizes, draw_plan
+from papayapier.load.answer import (
+    NO_FINISH_REASON,
+    End,
+    StreamReader,
+    Verdict,
+    classify_response,
+    classify_stream,
+)
+from papayapier.load.chaos_plan import FaultKind, FleetSizes, draw_plan
 from papayapier.load.client import Answered, Client, Timing, make_client
 from papayapier.load.experiment import Options, run_experiment
-from papayapier.load.ledger import Ledger
 from papayapier.load.mix import Mix
+from papayapier.load.outcomes import OutcomeTracker
 from papayapier.load.pausing import PausableTimers
 from papayapier.load.report import report_html, report_json
-from papayapier.load.results import jain
+from papayapier.load.results import jain_index
 from papayapier.load.table import report_text
 from papayapier.standin.answers import expected_text
 
@@ -76,7 +83,7 @@
     assert 900 < counts[2] < 1_100
 
 
-def test_phases_of_a_round_get_the_same_shapes_and_other_words() -> None:
+def test_phases_of_a_round_share_shapes_but_not_words() -> None:
     classes = experiment(classes=[{**CHAT, "prompt_words": {"median": 20, "sigma": 0.5}}]).classes
     one, two = (Mix(classes, "r", random.Random(1), random.Random(words)) for words in (2, 3))
     pairs = [(one.draw(), two.draw()) for _ in range(20)]
@@ -84,12 +91,12 @@
     assert all(a.prompt != b.prompt for a, b in pairs)
 
 
-def test_verdicts_tell_whole_foreign_short_and_refused_answers_apart() -> None:
+def test_verdicts_distinguish_complete_foreign_truncated_and_refused_answers() -> None:
     req = Mix(experiment().classes, "r", random.Random(1), random.Random(2)).draw()
     own = expected_text(req.prompt, req.max_tokens)
 
     def end(status: int, document: object) -> End:
-        return judge(req, status, json.dumps(document).encode(), expected_text).end
+        return classify_response(req, status, json.dumps(document).encode(), expected_text).end
 
     def answer(text: str) -> object:
         return {"choices": [{"message": {"content": text}, "finish_reason": "length"}]}
@@ -101,21 +108,21 @@
     assert end(500, {"error": {"kind": "internal"}}) is End.WRONG
 
 
-def test_a_stream_without_its_end_mark_is_cut() -> None:
+def test_a_stream_without_its_end_marker_is_cut() -> None:
     req = Mix(experiment().classes, "r", random.Random(1), random.Random(2)).draw()
     reader = StreamReader()
     tokens = feed_answer(reader, expected_text(req.prompt, req.max_tokens))
-    assert judge_stream(req, reader, expected_text).end is End.CUT
+    assert classify_stream(req, reader, expected_text).end is End.CUT
     reader.feed(b"data: [DONE]\n\n")
     assert tokens == req.max_tokens
-    assert judge_stream(req, reader, expected_text).end is End.WHOLE
-    assert judge_stream(req, reader, expected_text).flaw == ""
+    assert classify_stream(req, reader, expected_text).end is End.WHOLE
+    assert classify_stream(req, reader, expected_text).flaw == ""
     reader.finished = False
-    assert judge_stream(req, reader, expected_text).flaw == NO_FINISH_REASON
+    assert classify_stream(req, reader, expected_text).flaw == NO_FINISH_REASON
 
 
 def feed_answer(reader: StreamReader, text: str) -> int:
-    """Feed a stream in pieces that cut across its lines; return how many tokens it gave."""
+    """Feed a stream in chunks that split its lines; return how many tokens it completed."""
     words = text.split()
     chunks = [
         {"choices": [{"delta": {"content": f" {word}"}, "finish_reason": at == len(words) - 1}]}
@@ -127,22 +134,21 @@
     return sum(reader.feed(data[at : at + 7]) for at in range(0, len(data), 7))
 
 
-def test_jain_tells_even_from_starved() -> None:
-    assert jain([0.5, 0.5, 0.5]) == pytest.approx(1.0)
-    assert jain([1.0, 0.0]) == pytest.approx(0.5)
+def test_jain_index_distinguishes_even_from_unequal_shares() -> None:
+    assert jain_index([0.5, 0.5, 0.5]) == pytest.approx(1.0)
+    assert jain_index([1.0, 0.0]) == pytest.approx(0.5)
 
 
-def test_the_ledger_finds_each_contradiction() -> None:
-    """Compare what callers were told with the stand-ins' counts.
+def test_outcome_tracker_finds_each_contradiction() -> None:
+    """Check that contradictions between outcomes and the stand-ins' counts are found.
 
-    Symptom: a hauler's pass was refused as "not run" and yet issued, or was issued twice.
-    Sequence: the refusal and the run are seen by different parties, so neither of them can
-    notice. Cause: whatever made an instance say what it could not know.
+    A call may be refused as "not run" and still run, or run twice. Caller and replica each see
+    only one side of this.
     """
     document = {**CHAT, "kind": "service", "path": "/services/gate/x", "idempotent": False}
     req = Mix(experiment(classes=[document]).classes, "r", *[random.Random(1)] * 2).draw()
     refused = Verdict(End.REFUSED, "overloaded", "not_run")
-    ledger = Ledger()
+    outcomes = OutcomeTracker()
     for call_id, verdict in (
         ("refused", refused),
         ("refused-then-answered", refused),
@@ -151,33 +157,32 @@
         ("never", Verdict(End.WHOLE)),
         ("", Verdict(End.CUT)),
     ):
-        ledger.observe(req, Answered(verdict, Timing(0, -1, 1, []), call_id))
-    found = ledger.broken({"refused": 1, "refused-then-answered": 1, "twice": 2})
+        outcomes.observe(req, Answered(verdict, Timing(0, -1, 1, []), call_id))
+    found = outcomes.contradictions({"refused": 1, "refused-then-answered": 1, "twice": 2})
     assert [line.split(" ", 1)[1] for line in found] == [
         "was refused as not run, and ran 1 times",
         "is not idempotent, and ran 2 times",
         "was answered, and never ran",
     ]
-    assert ledger.broken({"refused-then-answered": 1, "twice": 1, "never": 1}) == []
-    assert (ledger.named(), ledger.unnamed) == (4, 1)
+    assert outcomes.contradictions({"refused-then-answered": 1, "twice": 1, "never": 1}) == []
+    assert (outcomes.compared_count(), outcomes.without_call_id) == (4, 1)
 
 
-def test_a_chaos_plan_follows_from_its_seed() -> None:
-    sizes = Sizes(instances=4, engines=4, services=2)
+def test_a_chaos_plan_is_determined_by_its_seed() -> None:
+    sizes = FleetSizes(instances=4, engines=4, services=2)
     plan = draw_plan(random.Random(7), 600_000, sizes)
     assert plan == draw_plan(random.Random(7), 600_000, sizes)
     assert plan != draw_plan(random.Random(8), 600_000, sizes)
-    assert {event.kind for event in plan} == set(Kind)
-    gaps = [later.at_ms - one.at_ms for one, later in pairwise(plan)]
+    assert {event.kind for event in plan} == set(FaultKind)
+    gaps = [later.at_ms - earlier.at_ms for earlier, later in pairwise(plan)]
     assert min(gaps) < 500 < max(gaps)
 
 
 def test_a_paused_instance_runs_its_timers_late_and_in_order() -> None:
-    """Hold an instance's timers, as a paused virtual machine does.
+    """Check that timers are deferred as in a paused virtual machine.
 
-    Symptom: two holders of one lease. Sequence: the holder is paused, its renewal does not
-    run, the lease lapses, another takes it, and the first one wakes up unaware. Cause: a
-    timer that is late by the whole pause. The chaos run needs this to happen.
+    The chaos run uses this to make a lease lapse while its holder is paused: another instance
+    acquires the lease, and the first one resumes without knowing that it has lost it.
     """
     fake = fake_clock()
     timers = PausableTimers(fake.clock.timers)
@@ -196,20 +201,20 @@
 
 
 class Chat(Resource):
-    """Answer each chat request by what its number says."""
+    """Answer each chat request with a result that depends on its number."""
 
     isLeaf = True  # noqa: N815
 
     def __init__(self) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
-        self.seen: list[str] = []
+        self.request_ids: list[str] = []
 
     def render_GET(self, _request: Request) -> bytes:  # noqa: N802
         return b"papayapier_invariant_failures 2.0\n"
 
     def render_POST(self, request: Request) -> object:  # noqa: N802
-        number = len(self.seen)
-        self.seen.append(str(request.getHeader("x-request-id")))
+        number = len(self.request_ids)
+        self.request_ids.append(str(request.getHeader("x-request-id")))
         body = json.loads(cast(Any, request.content).read())
         text = expected_text(body["messages"][0]["content"], body["max_tokens"])
         if number % 4 == 1:
@@ -244,7 +249,7 @@
         await self.client.close()
         await self.port.stopListening()
 
-    def test_an_experiment_ends_in_a_report(self) -> Deferred[None]:
+    def test_an_experiment_produces_a_report(self) -> Deferred[None]:
         return Deferred.fromCoroutine(self._report())
 
     async def _report(self) -> None:
@@ -255,7 +260,7 @@
         document = json.loads(report_json(found))
         assert found.failures == []
         assert found.broken[0] == f"{target}: 2 internal checks failed"
-        assert len(found.broken) == 1 + len(self.chat.seen) // 4
+        assert len(found.broken) == 1 + len(self.chat.request_ids) // 4
         assert document["comparison"][0]["total_p99"] == 1.0
         assert document["windows"][0]["phase"] == "one"
         assert "one    chat" in report_text(found)
@@ -263,7 +268,7 @@
         assert page.count("<svg") == 3
         assert "nothing was compared with what ran" in page
 
-    def test_every_request_is_counted_once_by_its_end(self) -> Deferred[None]:
+    def test_every_request_is_counted_once_by_its_outcome(self) -> Deferred[None]:
         return Deferred.fromCoroutine(self._count())
 
     async def _count(self) -> None:
@@ -271,14 +276,14 @@
         run = runner.Run(
             experiment(), self.clock, self.client, lambda: target, "r", 1, lambda *_: None
         )
-        nothing = runner.Around(*[lambda _: succeed(None)] * 3)
+        nothing = runner.PhaseHooks(*[lambda _: succeed(None)] * 3)
         (result,) = await run.all_phases(nothing)
-        sent = len(self.chat.seen)
+        sent = len(self.chat.request_ids)
         ends = result.ends
         assert run.failures == []
         assert result.sent == sent == sum(ends.values())
         assert ends["whole"] == (sent + 3) // 4
         assert result.refusals == {"overloaded/not_run": (sent + 2) // 4}
         assert ends["hung"] == (sent + 1) // 4
-        assert ends["wrong"] == len(run.wrong) == sent // 4
+        assert ends["wrong"] == len(run.wrong_answers) == sent // 4
         assert result.total.number == ends["whole"]
