--- a/misc/bench_entry.py
+++ b/misc/bench_entry.py
@@ -1,11 +1,11 @@
-"""Measure what a request, and each token of a stream, costs an entry instance end to end.
+"""Measure the processor time of a request, and of each streamed token, in an entry instance.
 
 Run it from the repository's root: python -m misc.bench_entry
 
-The stand-ins, the instance and the callers (this process) are three processes. The processor
-time of the instance alone is read from /proc around each part of a round. What it spends
-without requests is measured first and taken off. Streams of two lengths are run, and the
-cost of a token is the slope between them.
+The stand-ins, the instance and the callers (this process) are three processes. Only the
+processor time of the instance is read, from /proc, around each workload of a round. Its idle
+processor time is measured first and subtracted. Streams of two lengths are run, and the cost
+of a token is the slope between them.
 """
 
 import argparse
@@ -40,7 +40,7 @@
 
 
 class Part(NamedTuple):
-    """Describe the requests of one part of a round."""
+    """Describe the requests of one workload of a round."""
 
     name: str
     path: str
@@ -50,7 +50,7 @@
 
 
 class Row(NamedTuple):
-    """Hold the processor time of the instance, in microseconds, and the idle share of a core."""
+    """Hold the instance's processor time in microseconds and the share of a core it uses idle."""
 
     us_per_service_call: float
     us_per_unary_call: float
@@ -62,12 +62,14 @@
 def main() -> None:
     """Run the benchmark and print a table or JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--calls", type=int, default=1_000, help="calls of a part")
-    parser.add_argument("--streams", type=int, default=240, help="long streams of a round")
-    parser.add_argument("--callers", type=int, default=24, help="connections of callers")
+    parser.add_argument("--calls", type=int, default=1_000, help="calls per workload")
+    parser.add_argument("--streams", type=int, default=240, help="long streams per round")
+    parser.add_argument("--callers", type=int, default=24, help="concurrent caller connections")
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--json", action="store_true", help="print JSON")
-    parser.add_argument("--profile", default="", metavar="ORDER", help="print where time goes")
+    parser.add_argument(
+        "--profile", default="", metavar="ORDER", help="print a profile sorted by ORDER"
+    )
     args = parser.parse_args()
     react(lambda _: Deferred.fromCoroutine(_run(args)))
 
@@ -112,7 +114,7 @@
 
 
 async def _ready(instance: Process) -> int:
-    """Put the profiles in force, and return the callers' port."""
+    """Wait until the instance has started, put the profiles, and return its entry port."""
     clock = real_clock()
     while (started := _started(instance.errors)) is None:
         if instance.ended():
@@ -173,7 +175,7 @@
 
 
 async def _cost(instance: Process, work: Deferred[Any]) -> tuple[float, int]:
-    """Return the processor time that the instance uses during some work, and the time."""
+    """Return the processor time in seconds that the instance uses until work ends, and the ms."""
     instance.sample()
     await work
     instance.sample()
@@ -202,7 +204,7 @@
 
 
 class _Caller(Protocol):
-    """Send requests over one connection, and read as little of the answers as can be."""
+    """Send requests over one connection and read only enough of a response to find its end."""
 
     def __init__(self) -> None:
         self._head = b""
--- a/misc/bench_upstream.py
+++ b/misc/bench_upstream.py
@@ -1,11 +1,11 @@
-"""Measure what a call, and each token of a stream, costs this process in processor time.
+"""Measure the processor time of a call, and of each token of a stream, in the upstream client.
 
 Run it from the repository's root: python -m misc.bench_upstream
 
-The stand-in engine runs in a process of its own, so that only the client's time is counted.
-Streams of two lengths are run, and the cost of a token is the slope between them; so what a
-call costs once does not count as the cost of its tokens. Beside the client, the same work is
-done with the bare library (twisted's Agent) and with treq, which check and decode nothing.
+The stand-in engine runs in a separate process, so that only the client's time is counted.
+Streams of two lengths are run, and the cost of a token is the slope between them, which leaves
+the fixed cost of a call out of the cost of its tokens. The same calls are made with twisted's
+Agent and with treq, which do not check or decode anything, for comparison.
 """
 
 import argparse
@@ -45,12 +45,12 @@
 ROUNDS: Final = 5
 DUE_MS: Final = 600_000
 
-# Make one call that asks for so many tokens, as a stream or not.
+# Makes one call for the given number of tokens, as a stream if the second argument is true.
 MakeCall = Callable[[int, bool], Awaitable[object]]
 
 
 class Row(NamedTuple):
-    """Hold the processor time of one way to call, in microseconds."""
+    """Hold the processor time of one client, in microseconds."""
 
     client: str
     us_per_unary_call: float
@@ -61,10 +61,10 @@
 def main() -> None:
     """Run the benchmark and print a table or JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--calls", type=int, default=500, help="unary calls a round")
-    parser.add_argument("--streams", type=int, default=100, help="streams at the same time")
+    parser.add_argument("--calls", type=int, default=500, help="unary calls per round")
+    parser.add_argument("--streams", type=int, default=100, help="concurrent streams")
     parser.add_argument("--json", action="store_true", help="print JSON")
-    parser.add_argument("--profile", action="store_true", help="print where the time goes")
+    parser.add_argument("--profile", action="store_true", help="print a profile of each client")
     parser.add_argument("--serve", action="store_true", help=argparse.SUPPRESS)
     args = parser.parse_args()
     if args.serve:
@@ -115,7 +115,7 @@
 
 
 async def _measure(name: str, make_call: MakeCall, args: argparse.Namespace) -> Row:
-    """Return the medians of several rounds, because the machine may be busy."""
+    """Return the medians of several rounds, which other load on the machine affects less."""
     rounds = [await _round(name, make_call, args) for _ in range(ROUNDS)]
     return Row(name, *(median(column) for column in list(zip(*rounds, strict=True))[1:]))
 
@@ -133,7 +133,7 @@
 
 
 async def _many(make_call: MakeCall, count: int, tokens: int, stream: bool) -> float:
-    """Make calls at the same time, and return the processor time that they took."""
+    """Make concurrent calls and return the processor time that they took together."""
     start = time.process_time()
     calls = [Deferred.fromCoroutine(cast(Any, make_call(tokens, stream))) for _ in range(count)]
     await gatherResults(calls)
@@ -147,7 +147,8 @@
 
 def _papayapier(port: int) -> MakeCall:
     clock = real_clock()
-    # All streams connect at the same time, which the stand-in's listen queue cannot hold.
+    # All streams connect at once and overflow the stand-in's listen queue, so that connecting
+    # may take longer than the default timeout.
     cfg = UpstreamSettings(connect_timeout_ms=DUE_MS)
     ups = make_upstreams(reactor, clock, cfg, make_metrics())
     replica = Replica("one", "chat", HOST, port, "dc")
@@ -197,7 +198,7 @@
 
 
 class _Ignore(Protocol):
-    """Drop a body."""
+    """Discard a response body."""
 
     def __init__(self) -> None:
         self.done: Deferred[None] = Deferred()
--- a/misc/build.py
+++ b/misc/build.py
@@ -1,14 +1,14 @@
-"""Build the one file to ship: a zipapp that runs as a single process.
+"""Build the release file: a zipapp that runs as a single process.
 
     python3 misc/build.py           writes dist/papayapier
 
-A PyInstaller one-file program is a parent that starts a child, against "a process starts no
-other process"; a shiv zipapp replaces nothing and starts nothing. shiv's own compiling of
-bytecode stays off, because it starts processes too.
+A PyInstaller one-file program is a parent process that starts a child, which breaks the rule
+that a process starts no other process; a shiv zipapp starts none. shiv's bytecode compilation
+stays off because it starts processes as well.
 
-pip installs the pinned libraries; the package itself is copied beside them. If pip built it
-too, the file would hold modules that have since been deleted (setuptools keeps them in its
-build folder) and the name of a temporary folder, so that no two builds were alike.
+pip installs the pinned libraries; the package itself is copied beside them. If pip built the
+package, the file would contain deleted modules, which setuptools keeps in its build folder, and
+the name of a temporary folder, which would make builds irreproducible.
 """
 
 import shutil
@@ -28,7 +28,7 @@
 def main() -> int:
     """Build the zipapp; return the exit code."""
     if not (BIN / "shiv").exists():
-        print("build: run python3 runtests.py once to make the environment", file=sys.stderr)
+        print("build: run python3 runtests.py once to create .venv", file=sys.stderr)
         return 1
     with tempfile.TemporaryDirectory() as folder:
         libraries = Path(folder)
@@ -39,11 +39,11 @@
 
 
 def install(folder: Path) -> int:
-    """Put the libraries and the package into a folder; return the exit code."""
+    """Install the libraries and copy the package into a folder; return the exit code."""
     pip = [str(BIN / "python"), "-m", "pip", "install", "--quiet", "--no-compile"]
     pip += ["--target", str(folder), "--requirement", str(ROOT / "requirements.txt")]
     code = subprocess.run(pip, cwd=ROOT).returncode
-    # Commands of the libraries, which nobody runs and which name this machine's Python.
+    # The libraries' commands are not used, and they contain the path of this machine's Python.
     shutil.rmtree(folder / "bin", ignore_errors=True)
     ignored = shutil.ignore_patterns("__pycache__")
     shutil.copytree(ROOT / PACKAGE, folder / PACKAGE, ignore=ignored)
@@ -51,7 +51,7 @@
 
 
 def pack(folder: Path) -> int:
-    """Make the zipapp of a folder; return the exit code."""
+    """Pack a folder into the zipapp; return the exit code."""
     TARGET.parent.mkdir(exist_ok=True)
     shiv = [str(BIN / "shiv"), "--entry-point", ENTRY_POINT, "--python", "/usr/bin/env python3"]
     shiv += ["--reproducible", "--site-packages", str(folder), "--output-file", str(TARGET)]
--- a/misc/capacity/__init__.py
+++ b/misc/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Measure what one instance spends, and work out what the users' target size would need."""
+"""Measure the cost of one instance, for extrapolation to the users' target size."""
--- a/misc/capacity/crowd.py
+++ b/misc/capacity/crowd.py
@@ -1,10 +1,11 @@
-"""Run the live neighbours of one measured instance as peers in one process.
+"""Run the neighbours of one measured instance as peers in one process.
 
     python -m misc.capacity.crowd HOST:PORT PEER_PORT NUMBER
 
-Lists NUMBER instances at the platform at HOST:PORT, spread as at the target size, as peers of
-the instance entry-1 in data centre dc-a, whose peer port is PEER_PORT. Only those that it
-picks as neighbours run, each with a hub of its own; nobody ever speaks with the others.
+Registers NUMBER instances with the platform at HOST:PORT, in as many data centres and regions
+as at the target size, as peers of the instance entry-1 in data centre dc-a, whose peer port is
+PEER_PORT. Only the instances that it picks as neighbours run, each with its own hub; the others
+exist in the list only, since no instance connects to them.
 """
 
 import random
@@ -30,7 +31,7 @@
 
 
 def main(args: list[str]) -> None:
-    """List the crowd and run those of it that are neighbours."""
+    """Register the peers and run those that are neighbours of the measured instance."""
     platform, peer_port, number = args[0], int(args[1]), int(args[2])
     me = Place(SUBJECT, CENTRES[0], _region(0))
     places = [
@@ -71,7 +72,7 @@
 
 
 def _region(centre: int) -> str:
-    """Return a data centre's region; the measured instance's own is called local."""
+    """Return a data centre's region; the region of the measured instance is called local."""
     return "local" if centre % REGIONS == 0 else f"region-{centre % REGIONS}"
 
 
--- a/misc/capacity/fleets.py
+++ b/misc/capacity/fleets.py
@@ -1,4 +1,4 @@
-"""Start the fleets that are measured, and change them through the usual interfaces."""
+"""Start the measured fleets and change them through their public HTTP interfaces."""
 
 import json
 import sys
@@ -31,7 +31,7 @@
 
 @contextmanager
 def running(instances: int, **settings: dict[str, Any]) -> Iterator[Fleet]:
-    """Run a fleet with so many instances and three engines."""
+    """Run a fleet with the given number of instances and three engines."""
     plan = FleetPlan(
         instances=instances, engines=ENGINES, engine_name="lm", services=0, settings=settings
     )
@@ -43,7 +43,7 @@
 
 
 def list_instances(fleet: Fleet, number: int) -> int:
-    """List further instances and run those that the first one picks; return how many run."""
+    """Register more instances and run those that the first one picks; return how many run."""
     settings = json.loads((FOLDER / "entry-1.json").read_text())
     port = str(settings["peer"]["port"])
     command = [sys.executable, "-m", "misc.capacity.crowd", fleet.addresses.platform, port]
@@ -52,7 +52,7 @@
 
 
 def list_replicas(fleet: Fleet, number: int) -> None:
-    """List further replicas, all of which are the first engine under other names."""
+    """Register more replicas, all of which are the first engine under other ids."""
     with urllib.request.urlopen(
         f"http://{fleet.addresses.platform}/instances?wait_ms=0&since=0", timeout=CALL_LIMIT_S
     ) as answer:
@@ -84,7 +84,7 @@
 
 
 def request(method: str, url: str, body: bytes, **headers: str) -> bytes:
-    """Make one call and return its answer."""
+    """Send a request and return the response body."""
     fields = {"Content-Type": "application/json"}
     fields.update({name.replace("_", "-"): value for name, value in headers.items()})
     call = urllib.request.Request(url, body or None, fields, method=method)
@@ -102,7 +102,7 @@
 
 
 def _operators(instances: int) -> list[str]:
-    """Return the operators' addresses; the fleet wrote them into the settings files."""
+    """Return the operator addresses, which the fleet's settings files contain."""
     found = []
     for number in range(1, instances + 1):
         settings = json.loads((FOLDER / f"entry-{number}.json").read_text())
--- a/misc/capacity/measures.py
+++ b/misc/capacity/measures.py
@@ -1,7 +1,7 @@
-"""Measure slopes: what an instance spends as one quantity grows and all others stay.
+"""Measure the cost of an instance as one quantity grows while all others stay constant.
 
-Each measure gives points (quantity, figures). A slope is the least-squares line through
-them; the figures of the calculation are slopes and the constant part, never single points.
+Each measure returns points (quantity, figures). The capacity calculation uses the slope and
+the constant of the least-squares line through the points, never single points.
 """
 
 import json
@@ -26,21 +26,21 @@
 
 
 class Point(NamedTuple):
-    """Hold the figures of one instance at one size of a quantity."""
+    """Hold the figures of one instance at one value of the quantity."""
 
     quantity: int
     figures: dict[str, float]
 
 
 class Measure(NamedTuple):
-    """Name a quantity and hold its points."""
+    """Hold the points that were measured for one quantity."""
 
     quantity: str
     points: list[Point]
 
 
 def neighbours(seconds: float) -> Measure:
-    """Vary the instances of a full mesh."""
+    """Vary the number of instances in a full mesh."""
     points = []
     for number in NEIGHBOURS:
         with fleets.running(number) as fleet:
@@ -49,7 +49,7 @@
 
 
 def listed(seconds: float) -> Measure:
-    """Vary the instances in the list; beyond the full mesh the links are bounded."""
+    """Vary the number of listed instances; beyond a full mesh the number of links is bounded."""
     points = []
     for number in LISTED:
         with fleets.running(1) as fleet:
@@ -60,7 +60,7 @@
 
 
 def replicas(seconds: float) -> Measure:
-    """Vary the replicas whose load an instance follows."""
+    """Vary the number of replicas whose load an instance tracks."""
     points = []
     for number in REPLICAS:
         with fleets.running(1) as fleet:
@@ -70,7 +70,7 @@
 
 
 def profiles(seconds: float) -> Measure:
-    """Vary the profiles in force."""
+    """Vary the number of profiles in force."""
     points = []
     for number in PROFILES:
         with fleets.running(2) as fleet:
@@ -81,7 +81,7 @@
 
 
 def changes(_seconds: float) -> Measure:
-    """Change one profile often, through one of six instances; watch another one."""
+    """Change one profile many times through one of six instances and measure another one."""
     quiet = {"level": "info", "form": "json"}
     with fleets.running(6, log=quiet) as fleet:
         watched, entry = fleet.instances[1], fleet.addresses.entries[1]
@@ -107,7 +107,7 @@
 
 
 def tokens(_seconds: float) -> Measure:
-    """Vary the tokens of streamed answers, sent one after the other."""
+    """Vary the number of tokens in streamed responses, requested one after the other."""
     points = []
     with fleets.running(1) as fleet:
         fleets.put_profile(fleet.operators[0], "chat", 60_000, 0)
@@ -123,7 +123,7 @@
 
 
 def jobs(_seconds: float) -> Measure:
-    """Run many small jobs, then one large one with as many items as the rest together."""
+    """Run many jobs of two items each, then one large job."""
     points = []
     for number, items in ((JOBS, 2), (1, ITEMS)):
         with fleets.running(1) as fleet:
@@ -165,9 +165,9 @@
 
 
 def _delays(fleet: fleets.Fleet) -> list[float]:
-    """Return how long after acceptance each version was in force on each other instance.
+    """Return the ms from the acceptance of each version until it was in force elsewhere.
 
-    All instances log with the same machine's wall clock.
+    Log times of different instances are comparable because all run on one machine.
     """
     accepted = {line["version"]: line["at_ms"] for line in _events(fleet, 0, CONFIG_ACCEPTED)}
     delays = []
@@ -198,7 +198,7 @@
     url = f"http://{entry}/v1/chat/completions"
     answer = fleets.request("POST", url, json.dumps(body).encode(), X_Papayapier_Profile="chat")
     if not answer.rstrip().endswith(b"[DONE]"):
-        raise RuntimeError(f"a stream was not whole: {answer[-200:]!r}")
+        raise RuntimeError(f"incomplete stream, it ends with {answer[-200:]!r}")
 
 
 def _submit(entry: str, name: str, items: int) -> str:
--- a/misc/capacity/probe.py
+++ b/misc/capacity/probe.py
@@ -1,4 +1,4 @@
-"""Read what one instance has spent: processor time, memory, bytes and calls."""
+"""Read the resource usage of one instance: processor time, memory, bytes and calls."""
 
 import time
 import urllib.request
@@ -13,7 +13,7 @@
 
 
 class Reading(NamedTuple):
-    """Hold the counters of one instance at a moment."""
+    """Hold the counters of one instance at one time."""
 
     at_s: float
     cpu_s: float
@@ -27,7 +27,7 @@
 
 
 class Spent(NamedTuple):
-    """Hold what one instance spent over a span; rss_mb is at its end."""
+    """Hold the usage of one instance over an interval; rss_mb is the value at its end."""
 
     seconds: float
     cpu_s: float
@@ -38,11 +38,11 @@
     calls: dict[str, float]
 
     def core_share(self) -> float:
-        """Return the part of one processor core that was used."""
+        """Return the share of one processor core that was used."""
         return self.cpu_s / self.seconds
 
     def per_second(self, amount: float) -> float:
-        """Return an amount of the span as a rate."""
+        """Return an amount of the interval as a rate per second."""
         return amount / self.seconds
 
 
@@ -77,7 +77,7 @@
 
 
 def spent(before: Reading, after: Reading) -> Spent:
-    """Return what was spent between two readings."""
+    """Return the usage between two readings."""
     calls = {name: times - before.calls.get(name, 0.0) for name, times in after.calls.items()}
     return Spent(
         seconds=after.at_s - before.at_s,
@@ -91,7 +91,7 @@
 
 
 def idle(group: ProcessGroup, process: Process, entry: str, seconds: float) -> Spent:
-    """Let an instance settle, then return what it spends while nothing is asked of it."""
+    """Let an instance settle, then return its usage while it receives no requests."""
     time.sleep(SETTLE_S)
     before = read(group, process, entry)
     time.sleep(seconds)
--- a/misc/capacity/spread_paths.py
+++ b/misc/capacity/spread_paths.py
@@ -1,8 +1,8 @@
-"""Compare ways to spread a change to all instances, by bytes, platform calls and delay.
+"""Compare methods of propagating a change to all instances by bytes, calls and delay.
 
-The relays' tree is walked on the real topology (papayapier.peer.topology); gossip and direct
-watches are worked out. Hop times are given by the caller: measured processing plus assumed
-network.
+Methods that use peer links are evaluated on the real topology (papayapier.peer.topology),
+gossip is simulated, and the watches are calculated. The caller provides the time of a hop,
+which is processing plus network time.
 """
 
 import random
@@ -19,7 +19,7 @@
 
 
 class Sizes(NamedTuple):
-    """Hold the size of a fleet and of a change on the wire."""
+    """Hold the size of a fleet, and the size and rate of changes."""
 
     instances: int
     data_centres: int
@@ -29,14 +29,14 @@
 
 
 class Hops(NamedTuple):
-    """Hold the time that one hop takes, processing included."""
+    """Hold the time of one hop inside a region and between regions, processing included."""
 
     near_ms: float
     far_ms: float
 
 
 class Way(NamedTuple):
-    """Hold what one way to spread changes costs; copies are per change and instance."""
+    """Hold the cost of one propagation method; copies are per change and instance."""
 
     name: str
     copies: float
@@ -47,7 +47,7 @@
 
 
 def compare(sizes: Sizes, limits: Limits, hops: Hops, store_ms: float) -> list[Way]:
-    """Return the ways that were weighed."""
+    """Return the cost of every propagation method."""
     places = _places(sizes)
     links = _links(places, limits)
     return [
@@ -86,17 +86,17 @@
 
 
 def _direct(sizes: Sizes, store_ms: float) -> Way:
-    """Let every instance watch the store: each change wakes all, and each reads and waits again."""
+    """Let every instance watch the store, read each change and start a new watch."""
     calls = sizes.instances * (1 / WATCH_WAIT_S + 2 * sizes.changes_per_s)
     size = sizes.change_bytes + 2 * WATCH_BYTES
     each = size * sizes.changes_per_s + WATCH_BYTES / WATCH_WAIT_S
-    # The platform answers the woken watches and the reads no faster than its rate.
+    # The platform's rate limits its replies to the watches and the reads that follow them.
     delay = 2 * store_ms + 2 * sizes.instances * 1_000 / PLATFORM_READS_PER_S
     return Way("direct watches", 1.0, each, calls, delay, 0.0)
 
 
 def _relays_only(sizes: Sizes, limits: Limits, hops: Hops, store_ms: float) -> Way:
-    """Let relays watch and send to all instances of their data centre themselves."""
+    """Let relays watch the store and send changes to all instances of their data centre."""
     relays = sizes.data_centres * limits.relays
     calls = relays * (1 / WATCH_WAIT_S + 2 * sizes.changes_per_s)
     each = sizes.instances / sizes.data_centres
@@ -105,13 +105,13 @@
 
 
 def _flood(sizes: Sizes, links: dict[str, set[str]], places: dict[str, Place], hops: Hops) -> Way:
-    """Pass a change on over every link but the one it came by."""
+    """Forward a change on every link except the one that it arrived on."""
     copies = (sum(len(names) - 1 for names in links.values()) + 1) / sizes.instances
     return _peers("all links", copies, sizes, links, places, hops)
 
 
 def _tree(sizes: Sizes, links: dict[str, set[str]], places: dict[str, Place], hops: Hops) -> Way:
-    """Pass a change on over the links that were not pruned: one copy for each instance."""
+    """Forward a change on the links that were not pruned, one copy for each instance."""
     copies = (sizes.instances - 1) / sizes.instances
     return _peers("pruned tree (built)", copies, sizes, links, places, hops)
 
@@ -124,7 +124,7 @@
     places: dict[str, Place],
     hops: Hops,
 ) -> Way:
-    # Sent and received: an instance is on both ends of a copy as often.
+    # Factor 2: each copy counts as sent by one instance and as received by another.
     each = 2 * copies * sizes.change_bytes * sizes.changes_per_s
     relays = sizes.data_centres * 2
     calls = relays * (1 / WATCH_WAIT_S + 2 * sizes.changes_per_s)
@@ -136,7 +136,7 @@
 def _delays(
     links: dict[str, set[str]], places: dict[str, Place], hops: Hops, origin: str
 ) -> dict[str, float]:
-    """Return when each instance first has the change."""
+    """Return the time at which each instance first receives the change."""
     at = {origin: 0.0}
     waiting = deque([origin])
     while waiting:
@@ -151,7 +151,7 @@
 
 
 def _gossip(sizes: Sizes, hops: Hops) -> Way:
-    """Let each instance tell a few random others once, in the round after it has heard."""
+    """Let each instance send a change once, to a few random others, a round after it arrives."""
     rng = random.Random(1)
     known = {0}
     fresh = {0}
--- a/misc/capacity/tables.py
+++ b/misc/capacity/tables.py
@@ -1,4 +1,4 @@
-"""Turn measured points into slopes, and write both as tables for docs/CAPACITY.md."""
+"""Fit slopes to measured points and format both as tables for docs/CAPACITY.md."""
 
 from collections.abc import Sequence
 from typing import Final, NamedTuple
@@ -10,14 +10,14 @@
 
 
 class Line(NamedTuple):
-    """Hold a least-squares line."""
+    """Hold the coefficients of a least-squares line."""
 
     constant: float
     slope: float
 
 
 def fit(points: Sequence[Point], figure: str) -> Line:
-    """Fit a line through one figure of the points."""
+    """Fit a least-squares line to one figure of the points."""
     pairs = [(point.quantity, point.figures.get(figure, 0.0)) for point in points]
     mean_x = sum(x for x, _ in pairs) / len(pairs)
     mean_y = sum(y for _, y in pairs) / len(pairs)
@@ -27,18 +27,18 @@
 
 
 def measured(measures: Sequence[Measure]) -> str:
-    """Write every measured point, and the line through those of a sloped quantity."""
+    """Format all measured points, and the fitted line of each quantity that has one."""
     return "\n\n".join(_measured(measure) for measure in measures)
 
 
 def ways(found: Sequence[Way]) -> str:
-    """Write the comparison of the ways to spread a change."""
+    """Format the comparison of the propagation methods."""
     head = [
         "way",
         "copies per instance",
         "bytes/s per instance",
         "platform calls/s",
-        "delay to the last, ms",
+        "delay to the last instance, ms",
         "missed",
     ]
     rows = [
@@ -56,7 +56,7 @@
 
 
 def table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
-    """Write a Markdown table."""
+    """Format a Markdown table."""
     lines = [head, ["---"] * len(head), *rows]
     return "\n".join("| " + " | ".join(cells) + " |" for cells in lines)
 
@@ -70,7 +70,7 @@
     if measure.quantity in SLOPED:
         lines = [fit(measure.points, name) for name in names]
         rows.append(["constant", *(_number(line.constant) for line in lines)])
-        rows.append(["each one more", *(_number(line.slope) for line in lines)])
+        rows.append(["per additional unit", *(_number(line.slope) for line in lines)])
     return f"### {measure.quantity}\n\n" + table([measure.quantity, *names], rows)
 
 
--- a/misc/claims_cost.py
+++ b/misc/claims_cost.py
@@ -1,11 +1,11 @@
-"""Measure what claims cost in store calls, by rate of claims and number of shards.
+"""Measure the store calls per claim, by rate of claims and number of shards.
 
 Run as: python -m misc.claims_cost [--seconds S] [--latency-ms L] [--shards N ...]
 
-Six instances claim and finish distinct keys, at Poisson times, over a simulated platform
-that answers after a fixed time; time is simulated too, so that the figures do not depend on
-the machine. Columns: writes, conflicts among them, reads and kilobytes written per claim
-(its begin and its end together), all writes a second, the time to claim, and refusals.
+Six instances claim and finish distinct keys with Poisson arrivals, on a simulated platform
+that replies after a fixed latency. Time is simulated as well, so that the figures do not depend
+on the machine. Columns: writes, write conflicts, reads and kilobytes written per claim (its
+begin and its end together), total writes per second, the time to claim, and refused claims.
 """
 
 import argparse
@@ -57,7 +57,7 @@
     args = parser.parse_args()
     print("shards  claims/s  writes  conflicts  reads     kB  writes/s  p50 ms  p99 ms  refused")
     for shards in args.shards:
-        # Not a setting on purpose (see records.SHARDS); only this comparison changes it.
+        # SHARDS is deliberately not a setting (see records.SHARDS); only this comparison sets it.
         for module in (records, service):
             setattr(module, "SHARDS", shards)  # noqa: B010
         for rate in RATES:
@@ -65,7 +65,7 @@
 
 
 def measure(shards: int, rate: int, seconds: int, latency_ms: int) -> Row:
-    """Run claims at a rate and count what they cost."""
+    """Run claims at a rate and count the store calls that they make."""
     fake = fake_clock()
     platform = FakePlatform(fake.clock, latency_ms)
     rng = random.Random(SEED)
--- a/misc/cost_sweep.py
+++ b/misc/cost_sweep.py
@@ -1,11 +1,11 @@
-"""Measure how the cost of an entry instance grows with the size of what is around it.
+"""Measure how the cost of an entry instance grows with the size of the fleet and its load.
 
     python -m misc.cost_sweep replicas --json out/sweep-replicas.json
 
-Runs misc/experiments/cost.json once per value of one axis, each on a fresh fleet, and prints
-the instances' processor share without requests, processor time per request above that,
-memory, and the bytes per second that instances exchange with each other and with the store.
-The first phase is the one without requests, the last the busiest.
+Runs misc/experiments/cost.json once per value of one axis, each time on a new fleet. Prints the
+share of a processor core that an idle instance uses, the processor time per request above
+that, memory, and the bytes per second exchanged between instances and with the store. The
+first phase of the experiment has no requests, and the last has the highest load.
 """
 
 import argparse
@@ -32,7 +32,7 @@
 
 
 class Point(NamedTuple):
-    """Hold one point; shares and bytes are per instance."""
+    """Hold the figures for one value of the axis; shares and bytes are per instance."""
 
     value: int
     idle_core_share: float
@@ -45,10 +45,10 @@
 
 
 def main(args: list[str]) -> int:
-    """Run one axis; return 1 when any run was not clean."""
+    """Sweep one axis; return 1 if any run had failures or violated an invariant."""
     parser = argparse.ArgumentParser(description=__doc__, prog="misc.cost_sweep")
     parser.add_argument("axis", choices=sorted(VALUES))
-    parser.add_argument("--values", type=int, nargs="+", help="instead of the axis's own")
+    parser.add_argument("--values", type=int, nargs="+", help="replaces the axis's default values")
     parser.add_argument("--json", type=Path, help="write the points as JSON")
     options = parser.parse_args(args)
     values = options.values or VALUES[options.axis]
--- a/misc/fleet.py
+++ b/misc/fleet.py
@@ -1,10 +1,11 @@
-"""Run an experiment against a fleet of real processes on this machine, then stop them.
+"""Run an experiment against a fleet of real processes on this machine.
 
     python -m misc.fleet misc/fleets/sulina.json misc/experiments/sulina.json --json out/s.json
 
-A fleet file (JSON with comments) sizes the stand-ins and the entry instances. The stand-ins
-are spread over several processes, so that they are not the bottleneck; the processor share
-of each process is printed beside the results, so that one can see whether they were.
+A fleet file (JSON with comments) sets the number and settings of the stand-ins and the entry
+instances. The stand-ins run in several processes so that they are not the bottleneck; the
+results include the processor share of each process, which shows whether they were. All
+processes are stopped at the end.
 """
 
 import argparse
@@ -37,7 +38,7 @@
 
 
 class FleetPlan(NamedTuple):
-    """Size a fleet; standin is the parameter file of the stand-ins, settings overrides."""
+    """Describe a fleet; standin holds stand-in parameters, settings overrides instance settings."""
 
     instances: Few = 6
     data_centres: tuple[str, ...] = ("dc-a", "dc-b", "dc-c")
@@ -52,7 +53,7 @@
 
 
 class Addresses(NamedTuple):
-    """Hold where the fleet listens."""
+    """Hold the addresses on which the fleet listens."""
 
     platform: str
     entries: list[str]
@@ -67,8 +68,8 @@
     parser.add_argument("--json", type=Path, help="write results and costs as JSON")
     parser.add_argument("--html", type=Path, help="write the HTML report")
     parser.add_argument("--seed", type=int, help="seed of the experiment")
-    parser.add_argument("--instances", type=int, help="instead of the fleet file's number")
-    parser.add_argument("--engines", type=int, help="instead of the fleet file's number")
+    parser.add_argument("--instances", type=int, help="replaces the number in the fleet file")
+    parser.add_argument("--engines", type=int, help="replaces the number in the fleet file")
     options = parser.parse_args(args)
     plan = read_plan(options)
     if isinstance(plan, Err):
@@ -87,7 +88,7 @@
 
 
 def read_plan(options: argparse.Namespace) -> Result[FleetPlan, str]:
-    """Read a fleet file and apply the options that replace its numbers."""
+    """Read a fleet file and apply the options that override it."""
     try:
         text = options.fleet.read_text(encoding="utf-8")
     except OSError as exc:
@@ -118,7 +119,7 @@
 
 
 def _start_standins(group: ProcessGroup, plan: FleetPlan, params: Path) -> str:
-    """Start the platform with the services, then the engines a few per process."""
+    """Start the platform with the services, then the engines in groups of a few per process."""
     common = [*PAPAYAPIER, "standin", "--params", str(params)]
     common += ["--data-centres", ",".join(plan.data_centres)]
     services = ["--services", str(plan.services), "--service-name", plan.service_name]
@@ -135,7 +136,7 @@
 
 
 def _list_replica(platform: str, member: dict[str, Any]) -> None:
-    """Put a replica into the platform's instance list."""
+    """Add a replica to the platform's instance list."""
     url = f"http://{platform}/instances/{member['id']}"
     request = urllib.request.Request(url, json.dumps(member).encode(), method="PUT")
     with urllib.request.urlopen(request, timeout=CALL_LIMIT_S) as answer:
@@ -171,7 +172,7 @@
 
 
 def _free_ports(number: int) -> list[int]:
-    """Return free ports; they are held open together, so that they differ."""
+    """Return free ports; all are bound at the same time, so that they differ."""
     held = [socket.socket() for _ in range(number)]
     for one in held:
         one.bind((HOST, 0))
@@ -183,11 +184,11 @@
 
 def _until_ready(group: ProcessGroup, entry: str) -> None:
     until = time.monotonic() + READY_LIMIT_S
-    why = "it did not answer"
+    why = "it did not reply"
     while time.monotonic() < until:
         ended = [one.name for one in group.processes if one.ended()]
         if ended:
-            raise RuntimeError(f"{ended[0]} has ended; see its .err file under out/")
+            raise RuntimeError(f"{ended[0]} has exited; its .err file under out/ states the reason")
         try:
             with urllib.request.urlopen(f"http://{entry}/readyz", timeout=2) as answer:
                 if answer.status == 200:
@@ -203,7 +204,7 @@
 def _run_load(
     group: ProcessGroup, addresses: Addresses, options: argparse.Namespace, folder: Path
 ) -> int:
-    """Run the load tool as one more process, sampling all of them while it runs."""
+    """Run the load tool as a process of the group and sample all processes while it runs."""
     results = folder / "results.json"
     command = [*PAPAYAPIER, "load", str(options.experiment), "--json", str(results)]
     command += ["--targets", ",".join(addresses.entries), "--operator", addresses.operator]
@@ -225,7 +226,7 @@
 
 
 def _interrupt(_number: int, _frame: object) -> None:
-    """Turn SIGTERM into an exception, so that the processes are stopped on the way out."""
+    """Turn SIGTERM into an exception, so that the process group stops its processes."""
     raise KeyboardInterrupt
 
 
--- a/misc/fleet_cost.py
+++ b/misc/fleet_cost.py
@@ -1,4 +1,4 @@
-"""Work out what each process cost in each counted part of a run."""
+"""Compute the processor time and memory of each process in each measured phase of a run."""
 
 from typing import Any, Final, NamedTuple
 
@@ -11,7 +11,7 @@
 
 
 class ProcessCost(NamedTuple):
-    """Hold one process in one phase; core_share is the part of one processor core."""
+    """Hold the cost of one process in one phase; core_share is the share of one core used."""
 
     phase: str
     name: str
@@ -22,10 +22,10 @@
 
 
 class RequestCost(NamedTuple):
-    """Hold what the entry instances together spent in one phase per online request.
+    """Hold the cost of all entry instances together in one phase, in total and per request.
 
-    us_above_idle leaves out what they spend in a phase without requests or batch work; it is
-    0 when the run has no such phase.
+    us_above_idle excludes the processor time that they use in a phase without requests or batch
+    jobs; it is 0 when the run has no such phase.
     """
 
     phase: str
@@ -40,7 +40,7 @@
 
 
 def with_cost(document: dict[str, Any], processes: list[Process]) -> dict[str, Any]:
-    """Return a results document with the costs added."""
+    """Return the results document with the costs added."""
     costs = [
         _process_cost(phase, process, document)
         for phase in _phases(document)
@@ -56,7 +56,7 @@
 
 
 def cost_text(document: dict[str, Any]) -> str:
-    """Return the cost per request as a text table."""
+    """Format the cost per request as a text table."""
     rows = [_row(RequestCost(**cost)) for cost in document["request_costs"]]
     header = (
         "phase",
--- a/misc/make_docs.py
+++ b/misc/make_docs.py
@@ -1,4 +1,4 @@
-"""Write the reference pages that are made from the code: events, errors and settings.
+"""Generate the reference pages from the code: events, errors and settings.
 
 python3 -m misc.make_docs           write the pages
 python3 -m misc.make_docs --check   fail if a page differs from the code
@@ -18,19 +18,19 @@
 
 
 class Page(NamedTuple):
-    """Hold one page."""
+    """Hold the file name and the text of one page."""
 
     name: str
     text: str
 
 
 def pages() -> list[Page]:
-    """Make all pages."""
+    """Return all generated pages."""
     return [Page("EVENTS.md", events_page()), Page("SETTINGS.md", settings_page())]
 
 
 def events_page() -> str:
-    """Make the catalogue of log events and error kinds."""
+    """Return the page of log events and error kinds."""
     lines = [
         "# Log events and error kinds",
         "",
@@ -60,7 +60,7 @@
 
 
 def settings_page() -> str:
-    """Make the reference of an instance's settings."""
+    """Return the reference page of an instance's settings."""
     lines = ["# Settings", "", MADE, ""]
     lines += [
         "One JSON file with comments per instance; `papayapier check FILE` checks it.",
@@ -114,7 +114,7 @@
 
 
 def main(args: list[str]) -> int:
-    """Write the pages, or compare them with what is there."""
+    """Write the pages, or with --check compare them with the files; return the exit code."""
     stale = 0
     for page in pages():
         path = DOCS / page.name
--- a/misc/measure_batch.py
+++ b/misc/measure_batch.py
@@ -1,11 +1,11 @@
-"""Measure what batch work costs as jobs grow: time, store calls and bytes, memory.
-
-Each size runs in a process of its own (python -m misc.measure_batch --items N), because the
-peak memory of a process never falls. Without --items, all sizes are run one after the other
-and a table is printed. The platform is a dictionary and the fleet answers at once, so the
-times are the processor time of batch work itself; lease and watch calls, which go by time
-and not by items, are counted apart. One instance does all the work, but a job is split as for
---instances of them.
+"""Measure the time, store calls, bytes and memory that batch jobs of growing size need.
+
+Each size runs in a separate process (python -m misc.measure_batch --items N), because the peak
+memory of a process never falls. Without --items, all sizes run one after the other and a table
+is printed. The platform is a dictionary and items are answered immediately, so that the times
+are the processor time of the batch code itself. Lease and watch calls, whose number depends on
+time and not on items, are counted separately. One instance runs the whole job, which is split
+as it would be among --instances instances.
 """
 
 import argparse
@@ -58,7 +58,7 @@
 
 
 class Measured(NamedTuple):
-    """Hold the figures of one job; rates are per second, the rest per 1,000 items."""
+    """Hold the figures of one job; writes to bytes_read are per 1,000 items."""
 
     items: int
     upload_items_per_s: float
@@ -76,7 +76,7 @@
 
 
 class DictPlatform:
-    """Keep objects in a dictionary and count calls and bytes."""
+    """Store objects in a dictionary and count calls and bytes."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -88,7 +88,7 @@
         self.read = 0
 
     def store(self) -> Store:
-        """Make the Store."""
+        """Return a Store that is backed by this platform."""
 
         async def members(_wait_ms: int, _since: int) -> Result[Members, StoreError]:
             return Ok(Members([], 0))
@@ -161,7 +161,7 @@
 
 
 def instant_dispatch() -> BatchDispatch:
-    """Make a dispatch that answers every item at once."""
+    """Return a dispatch that answers every item immediately."""
     body = json.dumps(
         {
             "id": "x" * 32,
@@ -180,7 +180,7 @@
 
 
 async def measure(items: int, instances: int) -> Measured:
-    """Run one job of so many items and return its figures."""
+    """Run one job with the given number of items and return its figures."""
     clock = real_clock()
     platform = DictPlatform(clock)
     batch = start_batch(_deps(clock, platform.store(), instances))
@@ -199,7 +199,7 @@
     count = await _count_output(batch, job_id)
     assert count == items, f"{count} results for {items} items"
     ended = time.perf_counter()
-    # The dictionary stands for the platform, so its content is not part of the instance.
+    # The dictionary replaces the platform, so its content does not count as instance memory.
     kept_mb = sum(len(one.value) for one in platform._objects.values()) / 1e6
     await batch.stop()
     per = 1_000 / items
@@ -287,7 +287,7 @@
 
 
 def run_all(as_json: bool, sizes: tuple[int, ...], instances: int) -> None:
-    """Measure every size, each in a process of its own, and print a table."""
+    """Measure every size, each in a separate process, and print the results."""
     rows = []
     for items in sizes:
         command = [sys.executable, "-m", "misc.measure_batch", "--items", str(items)]
@@ -302,12 +302,12 @@
 
 
 def main() -> None:
-    """Read the command line."""
+    """Parse the command line and measure one size or all sizes."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--items", type=int, help="measure one size in this process")
-    parser.add_argument("--most", type=int, default=SIZES[-1], help="leave out larger sizes")
-    parser.add_argument("--json", action="store_true", help="print JSON and no table")
-    parser.add_argument("--instances", type=int, default=6, help="split jobs for so many")
+    parser.add_argument("--most", type=int, default=SIZES[-1], help="skip larger sizes")
+    parser.add_argument("--json", action="store_true", help="print JSON instead of a table")
+    parser.add_argument("--instances", type=int, default=6, help="instances that share a job")
     options = parser.parse_args()
     if options.items:
         run_one(options.items, options.instances)
--- a/misc/measure_batch_faults.py
+++ b/misc/measure_batch_faults.py
@@ -1,9 +1,9 @@
-"""Measure how batch work gets over a loss, a cancel and an outage, with real processes.
+"""Measure how batch jobs recover from a crash, a cancellation and a store outage.
 
     python -m misc.measure_batch_faults [--json] [--outage-s 60]
 
-Three entry instances and nine engines run one job after the other. Each figure is read from
-outside: the instances' logs, the engines' counts and the platform's counts.
+Three entry instances and nine engines, all real processes, run one job after the other. Each
+figure comes from outside the instance: instance logs, engine counters, platform counters.
 """
 
 import argparse
@@ -45,7 +45,7 @@
 
 
 class Faults(NamedTuple):
-    """Hold the figures; calls are those of all instances to the platform."""
+    """Hold the figures; calls are those of all instances together to the platform."""
 
     takeover_first_ms: int
     takeover_last_ms: int
@@ -60,7 +60,7 @@
 
 
 class Outage(NamedTuple):
-    """Hold the figures of an outage."""
+    """Hold the figures of a store outage."""
 
     items: int
     recovery_ms: int
@@ -69,7 +69,7 @@
 
 
 class Bench:
-    """Hold a running fleet."""
+    """Submit jobs to a running fleet and read its counters."""
 
     def __init__(self, group: ProcessGroup, addresses: Addresses) -> None:
         self.group = group
@@ -93,16 +93,16 @@
         _call("POST", f"{entry}/v1/batches/{job_id}/cancel", b"")
 
     def tokens(self) -> int:
-        """Return how many tokens the engines have made."""
+        """Return how many tokens the engines have generated."""
         return sum(int(_call("GET", f"{engine}/counts")["tokens"]) for engine in self.engines)
 
     def recorded(self, job_id: str) -> int:
-        """Return how many tasks of a job are recorded; this is one read of the platform."""
+        """Return how many tasks of a job have results; this costs one platform read."""
         url = f"{self.addresses.platform}/list?prefix=results/{job_id}/&after=&limit=1000"
         return len(_call("GET", url)["objects"])
 
     def calls(self) -> int:
-        """Return how many calls the platform has had."""
+        """Return how many calls the platform has received."""
         counts = _call("GET", f"{self.addresses.platform}/counts")
         return int(counts["reads"]) + int(counts["writes"]) + int(counts["watches"])
 
@@ -137,7 +137,7 @@
 
 
 def _measure_cancel(bench: Bench) -> float:
-    """Return the time from the request to cancel to the last token that an engine made."""
+    """Return the time in ms from the cancellation until the engines generate no more tokens."""
     entry, other = bench.addresses.entries[:2]
     job_id = bench.submit(entry)
     before = bench.tokens()
@@ -155,7 +155,7 @@
 
 
 def _measure_outage(bench: Bench, outage_s: int) -> Outage:
-    """Return what ran during an outage, and how the instances came back."""
+    """Return how many items ran during an outage and how the instances recovered from it."""
     entry = bench.addresses.entries[0]
     job_id = bench.submit(entry)
     _until(lambda: bench.recorded(job_id) > 0)
@@ -184,7 +184,7 @@
 
 
 def _measure_takeover(bench: Bench, folder: Path) -> tuple[int, int, int]:
-    """Return the time from the loss of an instance to its first and last shard's new holder."""
+    """Return the ms from a crash to the first and the last shard takeover, and their number."""
     entry = bench.addresses.entries[0]
     job_id = bench.submit(entry)
     _until(lambda: bench.recorded(job_id) > 0)
@@ -198,7 +198,7 @@
 
 
 def _taken(folder: Path, since_ms: float) -> list[float]:
-    """Return when shards of a lost holder were taken, by the instances' logs."""
+    """Return when shards of the crashed instance were taken over, from the instance logs."""
     found: list[float] = []
     for path in folder.glob("entry-*.err"):
         for line in path.read_text().splitlines():
@@ -214,7 +214,7 @@
     until = time.monotonic() + LIMIT_S
     while not holds():
         if time.monotonic() > until:
-            raise RuntimeError("the fleet did not get there in time; see out/batch-faults")
+            raise RuntimeError("timed out waiting for the fleet; its logs are in out/batch-faults")
         time.sleep(POLL_S)
 
 
@@ -251,8 +251,8 @@
 def main() -> None:
     """Read the command line."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
-    parser.add_argument("--json", action="store_true", help="print JSON and no table")
-    parser.add_argument("--outage-s", type=int, default=60, help="length of the outage")
+    parser.add_argument("--json", action="store_true", help="print JSON instead of a table")
+    parser.add_argument("--outage-s", type=int, default=60, help="length of the outage in seconds")
     options = parser.parse_args()
     figures = measure(options.outage_s)._asdict()
     if options.json:
--- a/misc/measure_capacity.py
+++ b/misc/measure_capacity.py
@@ -1,13 +1,14 @@
-"""Measure what one instance spends per neighbour, replica, profile, change, token and item.
+"""Measure an instance's cost per neighbour, replica, profile, change, token and item.
 
     python -m misc.measure_capacity --json out/capacity.json             all measures
     python -m misc.measure_capacity --only replicas --json out/r.json    one of them
-    python -m misc.measure_capacity --show out/capacity.json             the tables again
-    python -m misc.measure_capacity --spread                             the ways to spread a change
+    python -m misc.measure_capacity --show out/capacity.json             print saved points
+    python -m misc.measure_capacity --spread                             compare propagation methods
 
-Each measure starts a small fleet of real processes, lets it settle and reads processor time
-and memory from /proc and bytes and calls from /metrics. --spread is a pure calculation on the
-topology that the instances use. docs/CAPACITY.md works the figures out to the target size.
+Each measure starts a small fleet of real processes, lets it settle, and reads processor time
+and memory from /proc and bytes and calls from /metrics. --spread only calculates: it compares
+methods of propagating a change on the topology that the instances use. docs/CAPACITY.md
+extrapolates the figures to the target size.
 """
 
 import argparse
@@ -28,23 +29,25 @@
 SECONDS: Final = 20.0
 DAY_S: Final = 86_400
 TARGET: Final = Sizes(1_400, 14, 6, 900, 14_000 / DAY_S)
-# Assumed: 1 ms inside a region, 80 ms between regions; measured processing comes on top.
+# Network time of one hop inside a region and between regions; --hop-ms adds its processing.
 NEAR_MS: Final = 1.0
 FAR_MS: Final = 80.0
 STORE_MS: Final = 5.0
 
 
 def main(args: list[str]) -> int:
-    """Measure, or show what was measured."""
+    """Measure, print saved points or compare propagation methods; return the exit code."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--only", choices=[*MEASURES], help="make one measure only")
-    parser.add_argument("--seconds", type=float, default=SECONDS, help="length of idle spans")
-    parser.add_argument("--json", type=Path, help="write the points")
-    parser.add_argument("--show", type=Path, help="print tables of points written before")
-    parser.add_argument("--spread", action="store_true", help="compare the ways to spread")
-    parser.add_argument("--hop-ms", type=float, default=1.0, help="processing of one hop")
+    parser.add_argument("--only", choices=[*MEASURES], help="run this measure only")
+    parser.add_argument(
+        "--seconds", type=float, default=SECONDS, help="length of idle measurements"
+    )
+    parser.add_argument("--json", type=Path, help="write the points as JSON")
+    parser.add_argument("--show", type=Path, help="print tables of saved points")
+    parser.add_argument("--spread", action="store_true", help="compare propagation methods")
+    parser.add_argument("--hop-ms", type=float, default=1.0, help="processing time of one hop")
     options = parser.parse_args(args)
     if options.spread:
         print(_spread(options.hop_ms))
@@ -52,7 +55,7 @@
     if options.show is not None:
         print(tables.measured(_read(options.show)))
         return 0
-    # Without this SIGTERM would leave the processes of the fleet behind.
+    # Without a handler, SIGTERM would leave the processes of the fleet running.
     signal.signal(signal.SIGTERM, _interrupt)
     names = [options.only] if options.only else [*MEASURES]
     found = []
--- a/misc/measure_spread.py
+++ b/misc/measure_spread.py
@@ -1,12 +1,12 @@
-"""Measure how fast an accepted change is in force on every instance, way by way.
+"""Measure how fast an accepted configuration change reaches every instance, by channel.
 
     python -m misc.measure_spread [--instances 6] [--changes 30] [--profiles 20] [--json]
 
-Starts one stand-in platform and several configurations with their real stores, over HTTP,
-and peer hubs, over pynng, on one reactor. For each way the others are cut: a watch that is
-never answered, a poll once a day, pushes that go nowhere, heartbeats that are not read. Times
-run from the moment the change is in force on the accepting instance. Bytes are those of all
-instances' peers and stores together, less those of an idle span before.
+Starts one stand-in platform and several configurations on one reactor, with their real stores
+(over HTTP) and peer hubs (over pynng). To measure one channel the others are disabled: the
+watch never gets a reply, polling happens once a day, pushes are dropped, heartbeats are not
+subscribed to. Times start when the change is in force on the accepting instance. Bytes are
+those of all instances with peers and store, less the traffic of an idle period before.
 """
 
 import argparse
@@ -45,7 +45,7 @@
 
 
 class Way(NamedTuple):
-    """Say which ways of spreading are open."""
+    """Name a set of enabled propagation channels."""
 
     name: str
     push: bool
@@ -64,7 +64,7 @@
 
 
 class Options(NamedTuple):
-    """Hold the command line."""
+    """Hold the command-line options."""
 
     instances: int
     changes: int
@@ -72,7 +72,7 @@
 
 
 class Spread(NamedTuple):
-    """Hold one way's result; times in milliseconds, bytes per change and instance."""
+    """Hold the result of one channel set; bytes are per change and instance."""
 
     way: str
     changes: int
@@ -86,7 +86,7 @@
 
 
 class Start(NamedTuple):
-    """Hold how long an instance takes from its start until it is ready."""
+    """Hold the time from an instance's start until it is ready."""
 
     case: str
     profiles: int
@@ -102,7 +102,7 @@
 
 
 class Node(NamedTuple):
-    """Hold one instance's parts."""
+    """Hold the components of one instance."""
 
     name: str
     config: Config
@@ -112,7 +112,7 @@
 
 
 class Bench:
-    """Own the platform and the instances of one way."""
+    """Own the platform and the instances of one channel set."""
 
     def __init__(self, reactor: Any, clock: Clock, platform: PlatformServer, way: Way) -> None:
         self._reactor = reactor
@@ -124,7 +124,7 @@
         self.rand = random.Random(SEED)
 
     def add(self, name: str) -> Node:
-        """Start one instance and make it known to the others."""
+        """Start one instance and add it to the member list of all."""
         metrics = make_metrics()
         platform = PlatformSettings(HOST, self.platform.port)
         store = http_store(self._reactor, self.clock, platform, metrics)
@@ -181,14 +181,14 @@
         await node.store.close()
 
     async def ready(self, node: Node) -> float:
-        """Wait until an instance is ready and return how long that took."""
+        """Wait until an instance is ready and return how long that took in ms."""
         started = self.clock.timers.seconds()
         while node.config.ready(self.clock.now()).is_err():
             await self.clock.sleep(1)
         return (self.clock.timers.seconds() - started) * 1_000
 
     def bytes(self) -> tuple[float, float]:
-        """Return the bytes of all instances: between peers, with the store."""
+        """Return the bytes that all instances exchanged with peers and with the store."""
         peer = sum(_total(n.metrics.peer_bytes, "sent") for n in self.nodes)
         store = sum(
             _total(n.metrics.store_bytes, direction)
@@ -198,7 +198,7 @@
         return peer, store
 
     async def change(self, number: int, profiles: int) -> tuple[float, list[float]]:
-        """Make one change; return the time to accept and the times until in force."""
+        """Make one change; return the ms to accept it and the ms until it is in force elsewhere."""
         node = self.rand.choice(self.nodes)
         name = f"p{number % profiles}"
         key = Subject(PROFILES, name).key
@@ -236,12 +236,12 @@
 
 
 def profile(name: str, due_ms: int) -> dict[str, object]:
-    """Make a profile document."""
+    """Return a profile document."""
     return dict(codec.to_document(Profile(name, "gate", "urgent", due_ms, False)))
 
 
 async def measure_way(bench: Bench, options: Options) -> Spread:
-    """Measure one way."""
+    """Measure one channel set."""
     for number in range(options.instances):
         bench.add(f"entry-{number}")
     await gatherResults([Deferred.fromCoroutine(bench.ready(node)) for node in bench.nodes])
@@ -278,7 +278,7 @@
 
 
 async def measure_starts(bench: Bench, options: Options) -> list[Start]:
-    """Measure a start with the store up, and one in an outage, from the peers."""
+    """Measure a start with the store available, and one in an outage that relies on the peers."""
     found: list[Start] = []
     for case, outage in (("store up", False), ("store down, from peers", True)):
         bench.platform.switches["outage"] = outage
@@ -293,7 +293,7 @@
 
 
 def percentile(values: list[float], percent: int) -> float:
-    """Return the value below which a share of all values is."""
+    """Return a percentile of the values."""
     ranked = sorted(values)
     return ranked[min(len(ranked) - 1, len(ranked) * percent // PERCENT)]
 
@@ -307,7 +307,7 @@
 
 
 async def measure(reactor: Any, options: Options) -> Results:
-    """Measure every way in turn, each with a fresh platform and fresh instances."""
+    """Measure every channel set, each with a new platform and new instances."""
     clock = real_clock()
     spread: list[Spread] = []
     starts: list[Start] = []
@@ -324,7 +324,7 @@
 
 
 def show(results: Results) -> None:
-    """Print the tables of the measurements page."""
+    """Print the results as Markdown tables."""
     print(f"{results.instances} instances, link delay {LINK_DELAY_MS:g} ms one way to the store")
     print(
         "| way | changes | accept p50 | one p50 | one max | all p50 | all max | peer B | store B |"
@@ -340,7 +340,7 @@
 
 
 def main(args: list[str]) -> int:
-    """Run the measurement."""
+    """Run the measurement and print its results; return the exit code."""
     from twisted.internet import reactor as installed
 
     parser = argparse.ArgumentParser(
--- a/misc/policy_sim/__init__.py
+++ b/misc/policy_sim/__init__.py
@@ -1,1 +1,1 @@
-"""Compare policy decisions on a model of a few engines, in virtual time and without sockets."""
+"""Simulate policy decisions on a model of a few engines, in virtual time without sockets."""
--- a/misc/policy_sim/affinity_run.py
+++ b/misc/policy_sim/affinity_run.py
@@ -1,8 +1,8 @@
-"""Compare ways of sending calls with a prompt prefix to where the prefix is cached.
+"""Compare strategies for sending calls with a prompt prefix to replicas that cache the prefix.
 
 Run as: python -m misc.policy_sim.affinity_run [--seed N] [--seconds S]
-Prefixes are as popular as Zipf's law says. An engine keeps the last few of them; a call whose
-prefix it does not have costs more of the step that computes its prompt.
+Prefixes follow a Zipf distribution. An engine caches the most recently used ones; a call whose
+prefix is not cached needs more time for the computation of its prompt.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 
 
 class Row(NamedTuple):
-    """Hold the measures of one run."""
+    """Hold the figures of one run; times are in ms."""
 
     hits: float
     first_p50: float
@@ -41,12 +41,12 @@
 
 
 def always(node: Node, prefix: str, now: int) -> str:
-    """Choose the replica that hashing gives the prefix, whatever its load."""
+    """Choose the replica with the highest rendezvous score for the prefix, whatever its load."""
     return max(node.ids, key=lambda key: score(prefix, key))
 
 
 def policy(node: Node, prefix: str, now: int) -> str:
-    """Choose as the product does."""
+    """Choose with the production policy."""
     return _chosen(node, prefix, now)
 
 
@@ -59,7 +59,7 @@
 
 
 class Run:
-    """Hold one run's fleet and measures."""
+    """Hold the fleet and the measurements of one run."""
 
     def __init__(self, strategy: Strategy, load: float, seed: int) -> None:
         self.strategy = strategy
@@ -77,7 +77,7 @@
         self.calls = 0
 
     def go(self, seconds: float) -> Row:
-        """Run and return the measures."""
+        """Run the simulation and return its figures."""
         for node in self.fleet.nodes:
             self.fleet.start_node(node)
         self._arrive()
@@ -127,12 +127,12 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Run every strategy at several loads and print a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=20.0)
     args = parser.parse_args()
-    print("load  way         hits  first p50  first p99  ms/token p99")
+    print("load  strategy    hits  first p50  first p99  ms/token p99")
     for load in (0.3, 0.5, 0.6):
         for name, strategy in STRATEGIES.items():
             row = Run(strategy, load, args.seed).go(args.seconds)
--- a/misc/policy_sim/batch_run.py
+++ b/misc/policy_sim/batch_run.py
@@ -1,9 +1,9 @@
-"""Compare ways of sharing replicas between online calls and batch streams.
+"""Compare policies for sharing replicas between online calls and batch streams.
 
 Run as: python -m misc.policy_sim.batch_run [--seed N] [--seconds S]
-Online calls come at a base rate, five times as many for one second in every ten. Batch work
-is never short. The last column is batch tokens against what the slots that online calls left
-free could have made at the pace of a full replica.
+Online calls arrive at a base rate, and at five times that rate for one second in every ten. There
+are always batch items to send. The last column is the batch tokens as a share of those that the
+slots without online calls could have generated at the speed of a full replica.
 """
 
 import argparse
@@ -40,16 +40,16 @@
 BATCH_TOKENS: Final = 200
 CASES: Final = ((0.15, 0.0, 1.0), (0.08, 0.0, 1.0), (0.15, 2.0, 1.0), (0.15, 0.0, 20.0))
 HEAD: Final = (
-    "way                   first p50    p99    p99.9  gap p50   p99  total p50    p99"
+    "policy                first p50    p99    p99.9  gap p50   p99  total p50    p99"
     "   batch/s  yields/s  of idle"
 )
 
 
 class Setup(NamedTuple):
-    """Set one run; online is the base load as a share of all slots.
+    """Configure one run; online is the base load as a share of all slots.
 
-    skew is how many times the traffic of another one the first instance gets. Only the first
-    workers have batch work until all_work_from_ms, if that is not 0.
+    The first instance gets skew times the traffic of each other instance. Only the first workers
+    instances have batch items; all have them from all_work_from_ms on, unless that is 0.
     """
 
     name: str
@@ -63,7 +63,7 @@
 
 
 class Row(NamedTuple):
-    """Hold the measures of one run."""
+    """Hold the figures of one run; times are in ms."""
 
     first: list[float]
     gap: list[float]
@@ -74,7 +74,7 @@
 
 
 class BatchNode(Node):
-    """Run one instance's online calls and batch streams."""
+    """Hold one instance's load estimates, batch share and open batch streams."""
 
     def __init__(self, index: int, replicas: list[Replica], setup: Setup, seed: int) -> None:
         super().__init__(index, replicas, seed)
@@ -91,7 +91,7 @@
 
 
 class Run:
-    """Hold one run's fleet and measures."""
+    """Hold the fleet and the measurements of one run."""
 
     def __init__(self, setup: Setup, seed: int) -> None:
         self.setup = setup
@@ -112,7 +112,7 @@
         self.per_ms = setup.online * REPLICAS * model.slots / model.full_step_ms() / ONLINE_TOKENS
 
     def go(self, seconds: float) -> Row:
-        """Run and return the measures."""
+        """Run the simulation and return its figures."""
         for node in self.nodes:
             self._start(node)
         self._arrive()
@@ -146,7 +146,7 @@
         node.share.on_report(key, report)
 
     def _send_early_heartbeat(self, node: BatchNode) -> None:
-        """Tell the peers at once when many online calls were opened or ended."""
+        """Send a heartbeat early if the number of online calls has changed by much."""
         if self.loop.now < node.told_ms + EARLY_MS:
             return
         online = {use.replica: use.online for use in node.book.uses()}
@@ -245,7 +245,7 @@
 
 
 def setups(online: float, prefill_ms: float) -> list[Setup]:
-    """List the runs of one table."""
+    """Return the runs of one table."""
 
     def rule(isolation: Isolation, share: float = 1.0) -> BatchRule:
         return BatchRule(share=share, isolation=isolation)
@@ -262,7 +262,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Run every policy in every case and print a table for each case."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=33.0)
--- a/misc/policy_sim/engine.py
+++ b/misc/policy_sim/engine.py
@@ -1,10 +1,10 @@
-"""Model the time that a continuously batching engine takes, in virtual milliseconds.
+"""Model the timing of an engine with continuous batching, in virtual milliseconds.
 
-Each step lasts base_ms + per_sequence_ms * running and gives every running sequence one
-token. Prompts are computed first, in arrival order and at most prefill_per_step_ms of them a
-step, which lengthens the step. A sequence that finds no free slot waits in arrival order.
-Load is reported as it was lag_ms ago. This is only enough to compare decisions; it says
-nothing about processor time.
+A step lasts base_ms + per_sequence_ms * running and generates one token for every running
+sequence. Prompts are computed first, in arrival order, for up to prefill_per_step_ms per step,
+which lengthens the step. A sequence without a free slot waits in arrival order. Reports state
+the load of lag_ms ago. The model serves to compare policy decisions only; it does not model
+processor time.
 """
 
 import heapq
@@ -16,7 +16,7 @@
 
 
 class Loop:
-    """Run calls in the order of their virtual time."""
+    """Run scheduled functions in the order of their virtual time."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -24,12 +24,12 @@
         self._count = 0
 
     def after(self, delay_ms: float, call: Callable[[], None]) -> None:
-        """Run a call after a delay."""
+        """Schedule a function to run after a delay."""
         self._count += 1
         heapq.heappush(self._calls, (self.now + delay_ms, self._count, call))
 
     def every(self, period_ms: float, offset_ms: float, call: Callable[[], None]) -> None:
-        """Run a call periodically."""
+        """Schedule a function to run periodically."""
 
         def again() -> None:
             call()
@@ -38,7 +38,7 @@
         self.after(offset_ms, again)
 
     def run(self, until_ms: float) -> None:
-        """Run every call up to a time."""
+        """Run every function that is scheduled up to a time."""
         while self._calls and self._calls[0][0] <= until_ms:
             self.now, _, call = heapq.heappop(self._calls)
             call()
@@ -46,7 +46,7 @@
 
 
 class Sequence:
-    """Hold one call at an engine; on_end gets True when all tokens were generated."""
+    """Hold one call at an engine; on_end receives True if all tokens were generated."""
 
     __slots__ = ("first_ms", "gone", "last_ms", "made", "on_end", "prefill_ms", "tokens")
 
@@ -61,7 +61,7 @@
 
 
 class EngineModel(NamedTuple):
-    """Set the timing of an engine."""
+    """Hold the timing parameters of an engine."""
 
     base_ms: float = 5.0
     per_sequence_ms: float = 0.06
@@ -95,14 +95,14 @@
         self._step_ms = model.base_ms
 
     def submit(self, seq: Sequence) -> None:
-        """Take a sequence."""
+        """Queue a sequence and start a step if none runs."""
         self.waiting.append(seq)
         self._note()
         if not self._stepping:
             self._step()
 
     def cancel(self, seq: Sequence) -> None:
-        """Drop a sequence, wherever it is."""
+        """Remove a running or waiting sequence; do nothing if it has ended."""
         if seq.gone:
             return
         seq.gone = True
@@ -114,7 +114,7 @@
         seq.on_end(False)
 
     def report(self) -> Load:
-        """Report the load as it was lag_ms ago."""
+        """Return the load of lag_ms ago."""
         seen = self._loop.now - self.model.lag_ms
         while len(self._past) > 1 and self._past[1].at_ms <= seen:
             self._past.popleft()
@@ -136,7 +136,7 @@
         self._loop.after(step, lambda: self._end_step(stepped))
 
     def _prefill(self) -> float:
-        """Spend the step's time for prompts, and return how much."""
+        """Compute prompts within the budget of a step and return the ms spent."""
         left = self.model.prefill_per_step_ms
         for seq in self.running:
             piece = min(left, seq.prefill_ms)
--- a/misc/policy_sim/fleet.py
+++ b/misc/policy_sim/fleet.py
@@ -1,7 +1,7 @@
-"""Model a fleet: engines, and instances that know them by reports and by heartbeats.
+"""Model a fleet of engines, and instances that learn their load by reports and heartbeats.
 
-The runs in this package differ in what the instances do; the links, the polling of reports
-and the heartbeats between instances are the same and stand here.
+The simulations of this package differ in the decisions of the instances. This module holds what
+they share: links, polling of load reports, and heartbeats between instances.
 """
 
 import random
@@ -25,7 +25,7 @@
 
 
 class Node:
-    """Hold what one instance knows."""
+    """Hold the load estimates and outlier state of one instance."""
 
     def __init__(self, index: int, replicas: Sequence[Replica], seed: int) -> None:
         self.name = f"i{index}"
@@ -39,13 +39,13 @@
         self.reported: dict[str, float] = dict.fromkeys(self.ids, 0.0)
 
     def on_report(self, key: str, load: Load) -> None:
-        """Take a load report."""
+        """Apply a load report."""
         self.reported[key] = load.running + load.waiting
         self.book.on_report(key, load)
 
 
 class Fleet:
-    """Hold the engines and the instances of one run, and the virtual time that they share."""
+    """Hold the engines and instances of one run and their common virtual-time loop."""
 
     def __init__(self, seed: int) -> None:
         self.loop = Loop()
@@ -57,7 +57,7 @@
         self.calls_per_ms = REPLICAS * model.slots / model.full_step_ms() / MEAN_TOKENS
 
     def start_node(self, node: Node) -> None:
-        """Let an instance poll the engines and send heartbeats, from random times on."""
+        """Start an instance's polling and heartbeats, each with a random offset."""
         for key in self.engines:
             offset = self.rand.uniform(0, POLL_MS)
             self.loop.every(POLL_MS, offset, partial(self._poll, node, key))
@@ -78,11 +78,11 @@
 
 
 def list_replicas(keys: Iterable[str]) -> list[Replica]:
-    """List the engines as replicas of one upstream, spread over the data centres."""
+    """Return the engines as replicas of one upstream, distributed over the data centres."""
     return [Replica(key, UPSTREAM, "", 0, f"dc{i % DATA_CENTRES}") for i, key in enumerate(keys)]
 
 
 def quantile(values: Sequence[float], share: float) -> float:
-    """Return a quantile of measured values."""
+    """Return a quantile of the values, 0.0 if there are none."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
--- a/misc/policy_sim/overload_run.py
+++ b/misc/policy_sim/overload_run.py
@@ -1,8 +1,8 @@
-"""Compare ways of holding requests back when more come than the replicas can run.
+"""Compare admission gates when more requests arrive than the replicas can run.
 
 Run as: python -m misc.policy_sim.overload_run [--seed N] [--seconds S]
 Six instances send to nine replicas through their admission queues; every request is due in
-1.5 s. Goodput is the share of the fleet's capacity that ended in answers in time.
+1.5 s. Goodput is the share of the fleet's capacity that produced responses by their due time.
 """
 
 import argparse
@@ -37,7 +37,7 @@
 
 
 class Row(NamedTuple):
-    """Hold the measures of one run."""
+    """Hold the figures of one run; times are in ms."""
 
     in_time: float
     late: int
@@ -50,17 +50,17 @@
 
 
 def open_gate(node: Node, now: int) -> bool:
-    """Send everything at once."""
+    """Send every request immediately."""
     return True
 
 
 def estimate_gate(node: Node, now: int) -> bool:
-    """Send while some replica's estimate is below its slots."""
+    """Send while the estimated load of a replica is below its number of slots."""
     return any(node.book.estimate(key, now) < node.book.slots(key) for key in node.ids)
 
 
 def policy_gate(node: Node, now: int) -> bool:
-    """Send as the product does."""
+    """Send with the production policy."""
     return free_calls(node.book, node.outliers, UPSTREAM, now) > 0
 
 
@@ -72,7 +72,7 @@
 
 
 class Run:
-    """Hold one run's fleet and measures."""
+    """Hold the fleet and the measurements of one run."""
 
     def __init__(self, gate: Gate, load: float, skew: float, seed: int) -> None:
         self.gate = gate
@@ -89,7 +89,7 @@
         self.peak = 0
 
     def go(self, seconds: float) -> Row:
-        """Run and return the measures."""
+        """Run the simulation and return its figures."""
         for node in self.fleet.nodes:
             self.fleet.start_node(node)
             self.loop.every(TICK_MS, self.rand.uniform(0, TICK_MS), partial(self._pump, node))
@@ -160,7 +160,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Run every gate at several loads and print a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=13.0)
--- a/misc/policy_sim/routing_run.py
+++ b/misc/policy_sim/routing_run.py
@@ -1,8 +1,8 @@
-"""Compare ways of choosing a replica while load reports lag.
+"""Compare strategies for choosing a replica when load reports are delayed.
 
 Run as: python -m misc.policy_sim.routing_run [--seed N] [--seconds S]
-Six instances send to nine replicas; in the last groups of rows one replica is three and ten
-times slower. Times are in ms.
+Six instances send to nine replicas. In the last two groups of rows one replica is three and
+ten times slower than the others. Times are in ms.
 """
 
 import argparse
@@ -23,7 +23,7 @@
 
 
 class Row(NamedTuple):
-    """Hold the measures of one run."""
+    """Hold the figures of one run; times are in ms."""
 
     first_p50: float
     first_p99: float
@@ -33,38 +33,38 @@
 
 
 def by_random(node: Node, now: int) -> str:
-    """Choose any replica."""
+    """Choose a random replica."""
     return node.rand.choice(node.ids)
 
 
 def by_least_reported(node: Node, now: int) -> str:
-    """Choose the replica whose last report is the lowest."""
+    """Choose the replica with the lowest load in its last report."""
     return min(node.ids, key=lambda key: (node.reported[key], node.rand.random()))
 
 
 def by_two_reported(node: Node, now: int) -> str:
-    """Choose the lower report of two."""
+    """Choose the one of two random replicas with the lower reported load."""
     return min(node.rand.sample(node.ids, 2), key=lambda key: node.reported[key])
 
 
 def by_least_estimated(node: Node, now: int) -> str:
-    """Choose the replica with the lowest estimate."""
+    """Choose the replica with the lowest estimated load."""
     return min(node.ids, key=lambda key: (node.book.estimate(key, now), node.rand.random()))
 
 
 def by_two_own(node: Node, now: int) -> str:
-    """Choose of two the one with fewer calls of this instance's own."""
+    """Choose the one of two random replicas with fewer open calls of this instance."""
     return min(node.rand.sample(node.ids, 2), key=lambda key: node.book.own(key).online)
 
 
 def by_policy(node: Node, now: int) -> str:
-    """Choose as the product does, prefixes aside."""
+    """Choose with the production policy, without prompt prefixes."""
     req = RouteRequest(UPSTREAM, "", node.data_centre)
     return choose(node.book, node.outliers, req, node.rand, now) or node.ids[0]
 
 
 def without_ejection(node: Node, now: int) -> str:
-    """Choose as the product does, but never eject."""
+    """Choose with the production policy, but eject no replica."""
     req = RouteRequest(UPSTREAM, "", node.data_centre)
     return choose(node.book, NO_OUTLIERS, req, node.rand, now) or node.ids[0]
 
@@ -81,7 +81,7 @@
 
 
 class Run:
-    """Hold one run's fleet and measures."""
+    """Hold the fleet and the measurements of one run."""
 
     def __init__(self, strategy: Strategy, load: float, slow: float, seed: int) -> None:
         self.strategy = strategy
@@ -95,7 +95,7 @@
         self.peak = 0
 
     def go(self, seconds: float) -> Row:
-        """Run and return the measures."""
+        """Run the simulation and return its figures."""
         for node in self.fleet.nodes:
             self.fleet.start_node(node)
         self._arrive()
@@ -137,12 +137,12 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Run every strategy at several loads and print a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=20.0)
     args = parser.parse_args()
-    print("load  slow  way               first p50  first p99  ms/token p50  p99  peak waiting")
+    print("load  slow  strategy          first p50  first p99  ms/token p50  p99  peak waiting")
     for load, slow in ((0.5, 1.0), (0.8, 1.0), (0.9, 1.0), (0.7, 3.0), (0.7, 10.0)):
         for name, strategy in STRATEGIES.items():
             row = Run(strategy, load, slow, args.seed).go(args.seconds)
--- a/misc/processes.py
+++ b/misc/processes.py
@@ -1,4 +1,4 @@
-"""Start, sample and always stop the processes of a measured fleet."""
+"""Start, sample and reliably stop the processes of a measured fleet."""
 
 import os
 import signal
@@ -16,7 +16,7 @@
 
 
 class Sample(NamedTuple):
-    """Hold the processor time and resident memory of one process at a wall time."""
+    """Hold the processor time and resident memory of one process at a wall-clock time."""
 
     wall_ms: int
     cpu_s: float
@@ -24,7 +24,7 @@
 
 
 class Process:
-    """Own one started process and its samples."""
+    """Own one child process and its samples."""
 
     def __init__(self, name: str, role: str, command: list[str], folder: Path) -> None:
         self.name = name
@@ -42,12 +42,12 @@
         return self._popen.pid
 
     def first_line(self) -> bytes:
-        """Return the first line that the process prints; empty when it ended without."""
+        """Return the first line that the process prints, empty if it ended without printing one."""
         assert self._popen.stdout is not None
         return self._popen.stdout.readline()
 
     def rest(self) -> bytes:
-        """Return what the process has printed since, after its end."""
+        """Return the rest of the standard output; blocks until the process closes it."""
         assert self._popen.stdout is not None
         return self._popen.stdout.read()
 
@@ -61,7 +61,7 @@
             self._popen.send_signal(number)
 
     def wait(self, limit_s: float) -> int | None:
-        """Wait for the end and return the exit code, None when it did not end in time."""
+        """Wait for the process to end; return its exit code, or None after the timeout."""
         try:
             return self._popen.wait(limit_s)
         except subprocess.TimeoutExpired:
@@ -74,13 +74,13 @@
             pages = int(Path(f"/proc/{self.pid}/statm").read_text().split()[1])
         except (OSError, IndexError):
             return
-        # The command's name, in brackets, may itself contain spaces.
+        # The command name, in parentheses, may contain spaces, so that fields are read after it.
         fields = stat.rpartition(")")[2].split()
         cpu_s = (int(fields[11]) + int(fields[12])) / TICKS_PER_S
         self.samples.append(Sample(int(time.time() * 1000), cpu_s, pages * PAGE_BYTES / 1e6))
 
     def cpu_at(self, wall_ms: int) -> float:
-        """Return the processor time used up to a wall time, between two samples."""
+        """Return the processor time used up to a wall-clock time, interpolated between samples."""
         before = [one for one in self.samples if one.wall_ms <= wall_ms]
         after = [one for one in self.samples if one.wall_ms > wall_ms]
         if not before:
@@ -93,7 +93,7 @@
 
 
 class ProcessGroup:
-    """Own all processes of a fleet; leaving the block stops every one of them."""
+    """Own all processes of a fleet; leaving the context stops all of them."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -108,22 +108,22 @@
     def start(self, name: str, role: str, command: list[str]) -> Process:
         """Start a process."""
         if len(self.processes) >= MOST_PROCESSES:
-            raise RuntimeError(f"more than {MOST_PROCESSES} processes asked for")
+            raise RuntimeError(f"the fleet needs more than {MOST_PROCESSES} processes")
         process = Process(name, role, command, self._folder)
         self.processes.append(process)
         return process
 
     def sample(self) -> None:
-        """Sample every process; a fleet over half of the machine's memory is given up."""
+        """Sample every process; raise if the fleet uses over half of the machine's memory."""
         for process in self.processes:
             process.sample()
         total_mb = sum(one.samples[-1].rss_mb for one in self.processes if one.samples)
         most_mb = MOST_MEMORY_SHARE * _machine_mb()
         if total_mb > most_mb:
-            raise RuntimeError(f"the fleet uses {total_mb:.0f} MB of at most {most_mb:.0f}")
+            raise RuntimeError(f"the fleet uses {total_mb:.0f} MB; the limit is {most_mb:.0f} MB")
 
     def stop(self) -> None:
-        """Stop instances first, then stand-ins: each one gracefully, at last by force."""
+        """Stop instances before their stand-ins (last started first); kill what does not end."""
         for process in reversed(self.processes):
             process.signal(signal.SIGTERM)
         until = time.monotonic() + STOP_LIMIT_S
--- a/misc/slot_ownership.py
+++ b/misc/slot_ownership.py
@@ -1,9 +1,9 @@
-"""Compute how unevenly rendezvous hashing gives out replicas, and slots, to instances.
+"""Compute how unevenly rendezvous hashing assigns replicas, and slots, to instances.
 
 Run as: python -m misc.slot_ownership [--instances N] [--replicas R] [--slots S]
-It counts over many made-up fleets how often some instance gets no replica when whole replicas
-are given to instances, and the least and most slots of an instance when single slots are
-given out, once by rendezvous hashing for each slot and once dealt in turn (slot_shares.py).
+Over many generated fleets it counts how often an instance gets no replica when whole replicas
+are assigned to instances. For single slots it prints the smallest and the largest number per
+instance, once with rendezvous hashing of each slot and once round robin (slot_shares.py).
 """
 
 import argparse
@@ -30,14 +30,14 @@
         owners = {owner(f"f{fleet}-r{r}", instances) for r in range(args.replicas)}
         left_out += len(owners) < args.instances
         without += args.instances - len(owners)
-    print(f"whole replicas: in {left_out / FLEETS:.1%} of fleets some instance has none,")
+    print(f"whole replicas: in {left_out / FLEETS:.1%} of fleets an instance has none,")
     print(f"  {without / FLEETS / args.instances:.1%} of instances have none")
     instances = [f"i{i}" for i in range(args.instances)]
     keys = [f"r{r}" for r in range(args.replicas)]
     hashed = Counter(owner(f"{key}/{s}", instances) for key in keys for s in range(args.slots))
     print(f"slots by hashing: {min(hashed.values())} to {max(hashed.values())} per instance")
     dealt = [_dealt(instance, instances, keys, args.slots) for instance in instances]
-    print(f"slots in turn: {min(dealt)} to {max(dealt)} per instance")
+    print(f"slots by round robin: {min(dealt)} to {max(dealt)} per instance")
 
 
 def _dealt(instance: str, instances: list[str], keys: list[str], slots: int) -> int:
