--- a/misc/processes.py
+++ b/misc/processes.py
@@ -120,7 +120,7 @@
         total_mb = sum(one.samples[-1].rss_mb for one in self.processes if one.samples)
         most_mb = MOST_MEMORY_SHARE * _machine_mb()
         if total_mb > most_mb:
-            raise RuntimeError(f"the fleet uses {total_mb:.0f} MB; the limit is {most_mb:.0f} MB")
+            raise RuntimeError(f"the fleet uses {total_mb:.0f} MB; limit in MB: {most_mb:.0f}")
 
     def stop(self) -> None:
         """Stop instances before their stand-ins (last started first); kill what does not end."""
