--- a/misc/policy_sim/affinity_run.py
+++ b/misc/policy_sim/affinity_run.py
@@ -27,35 +27,39 @@
 
 
 class Row(NamedTuple):
-    """Hold the figures of one run; times are in ms."""
+    """Hold the figures of one run; ttft is the time to the first token, times are in ms."""
 
     hits: float
-    first_p50: float
-    first_p99: float
-    pace_p99: float
+    ttft_p50: float
+    ttft_p99: float
+    token_ms_p99: float
 
 
-def without(node: Node, prefix: str, now: int) -> str:
+def by_load(node: Node, prefix: str, now: int) -> str:
     """Choose by load only."""
-    return _chosen(node, "", now)
+    return _choose_by_policy(node, "", now)
 
 
-def always(node: Node, prefix: str, now: int) -> str:
+def by_prefix(node: Node, prefix: str, now: int) -> str:
     """Choose the replica with the highest rendezvous score for the prefix, whatever its load."""
-    return max(node.ids, key=lambda key: score(prefix, key))
+    return max(node.replica_ids, key=lambda replica_id: score(prefix, replica_id))
 
 
-def policy(node: Node, prefix: str, now: int) -> str:
+def by_policy(node: Node, prefix: str, now: int) -> str:
     """Choose with the production policy."""
-    return _chosen(node, prefix, now)
+    return _choose_by_policy(node, prefix, now)
 
 
-STRATEGIES: Final[dict[str, Strategy]] = {"by load": without, "by prefix": always, "policy": policy}
+STRATEGIES: Final[dict[str, Strategy]] = {
+    "by load": by_load,
+    "by prefix": by_prefix,
+    "policy": by_policy,
+}
 
 
-def _chosen(node: Node, prefix: str, now: int) -> str:
+def _choose_by_policy(node: Node, prefix: str, now: int) -> str:
     req = RouteRequest(UPSTREAM, prefix, node.data_centre)
-    return choose(node.book, node.outliers, req, node.rand, now) or node.ids[0]
+    return choose(node.load_tracker, node.outliers, req, node.rand, now) or node.replica_ids[0]
 
 
 class Run:
@@ -66,17 +70,17 @@
         self.fleet = Fleet(seed)
         self.loop = self.fleet.loop
         self.rand = self.fleet.rand
-        self.per_ms = load * self.fleet.calls_per_ms
+        self.arrivals_per_ms = load * self.fleet.calls_per_ms
         self.caches: dict[str, OrderedDict[str, None]] = {
-            key: OrderedDict() for key in self.fleet.engines
+            replica_id: OrderedDict() for replica_id in self.fleet.engines
         }
         self.weights = list(accumulate(1 / (rank + 1) for rank in range(PREFIXES)))
-        self.firsts: list[float] = []
-        self.paces: list[float] = []
+        self.ttft_ms: list[float] = []
+        self.ms_per_token: list[float] = []
         self.hits = 0
         self.calls = 0
 
-    def go(self, seconds: float) -> Row:
+    def simulate(self, seconds: float) -> Row:
         """Run the simulation and return its figures."""
         for node in self.fleet.nodes:
             self.fleet.start_node(node)
@@ -85,36 +89,36 @@
         hits = self.hits / max(1, self.calls)
         return Row(
             hits,
-            quantile(self.firsts, 0.5),
-            quantile(self.firsts, 0.99),
-            quantile(self.paces, 0.99),
+            quantile(self.ttft_ms, 0.5),
+            quantile(self.ttft_ms, 0.99),
+            quantile(self.ms_per_token, 0.99),
         )
 
     def _arrive(self) -> None:
-        self.loop.after(self.rand.expovariate(self.per_ms), self._arrive)
+        self.loop.after(self.rand.expovariate(self.arrivals_per_ms), self._arrive)
         rank = self.rand.choices(range(PREFIXES), cum_weights=self.weights)[0]
         self._send(self.rand.choice(self.fleet.nodes), f"prefix-{rank}")
 
     def _send(self, node: Node, prefix: str) -> None:
-        begun = self.loop.now
-        key = self.strategy(node, prefix, int(begun))
-        node.book.on_sent(key, False, int(begun))
+        sent_ms = self.loop.now
+        replica_id = self.strategy(node, prefix, int(sent_ms))
+        node.load_tracker.on_sent(replica_id, False, int(sent_ms))
         tokens = max(1, round(self.rand.expovariate(1 / MEAN_TOKENS)))
 
-        def ended(_: bool) -> None:
-            self.loop.after(LINK_MS, done)
+        def on_finished(_: bool) -> None:
+            self.loop.after(LINK_MS, on_reply)
 
-        def done() -> None:
-            node.book.on_done(key, False, int(self.loop.now))
-            if begun >= WARM_UP_MS:
-                self.firsts.append(seq.first_ms + LINK_MS - begun)
-                self.paces.append((self.loop.now - begun) / tokens)
+        def on_reply() -> None:
+            node.load_tracker.on_done(replica_id, False, int(self.loop.now))
+            if sent_ms >= WARM_UP_MS:
+                self.ttft_ms.append(seq.first_ms + LINK_MS - sent_ms)
+                self.ms_per_token.append((self.loop.now - sent_ms) / tokens)
 
-        seq = Sequence(tokens, self._prefill_ms(key, prefix), ended)
-        self.loop.after(LINK_MS, partial(self.fleet.engines[key].submit, seq))
+        seq = Sequence(tokens, self._prefill_ms(replica_id, prefix), on_finished)
+        self.loop.after(LINK_MS, partial(self.fleet.engines[replica_id].submit, seq))
 
-    def _prefill_ms(self, key: str, prefix: str) -> float:
-        cache = self.caches[key]
+    def _prefill_ms(self, replica_id: str, prefix: str) -> float:
+        cache = self.caches[replica_id]
         hit = prefix in cache
         cache[prefix] = None
         cache.move_to_end(prefix)
@@ -135,10 +139,10 @@
     print("load  strategy    hits  first p50  first p99  ms/token p99")
     for load in (0.3, 0.5, 0.6):
         for name, strategy in STRATEGIES.items():
-            row = Run(strategy, load, args.seed).go(args.seconds)
+            row = Run(strategy, load, args.seed).simulate(args.seconds)
             print(
-                f"{load:4.2f}  {name:<10}{row.hits:6.2f}{row.first_p50:11.1f}"
-                f"{row.first_p99:11.1f}{row.pace_p99:14.1f}"
+                f"{load:4.2f}  {name:<10}{row.hits:6.2f}{row.ttft_p50:11.1f}"
+                f"{row.ttft_p99:11.1f}{row.token_ms_p99:14.1f}"
             )
 
 
--- a/misc/policy_sim/fleet.py
+++ b/misc/policy_sim/fleet.py
@@ -30,18 +30,18 @@
     def __init__(self, index: int, replicas: Sequence[Replica], seed: int) -> None:
         self.name = f"i{index}"
         self.data_centre = f"dc{index % DATA_CENTRES}"
-        self.book = LoadBook()
+        self.load_tracker = LoadBook()
         self.outliers = Outliers()
         self.rand = random.Random(f"{seed}/{index}")
-        self.book.on_listed(replicas, ())
+        self.load_tracker.on_listed(replicas, ())
         self.outliers.on_listed(replicas)
-        self.ids = [replica.id for replica in replicas]
-        self.reported: dict[str, float] = dict.fromkeys(self.ids, 0.0)
+        self.replica_ids = [replica.id for replica in replicas]
+        self.reported: dict[str, float] = dict.fromkeys(self.replica_ids, 0.0)
 
-    def on_report(self, key: str, load: Load) -> None:
+    def on_report(self, replica_id: str, load: Load) -> None:
         """Apply a load report."""
-        self.reported[key] = load.running + load.waiting
-        self.book.on_report(key, load)
+        self.reported[replica_id] = load.running + load.waiting
+        self.load_tracker.on_report(replica_id, load)
 
 
 class Fleet:
@@ -58,31 +58,34 @@
 
     def start_node(self, node: Node) -> None:
         """Start an instance's polling and heartbeats, each with a random offset."""
-        for key in self.engines:
+        for replica_id in self.engines:
             offset = self.rand.uniform(0, POLL_MS)
-            self.loop.every(POLL_MS, offset, partial(self._poll, node, key))
+            self.loop.every(POLL_MS, offset, partial(self._poll, node, replica_id))
         offset = self.rand.uniform(0, HEARTBEAT_MS)
         self.loop.every(HEARTBEAT_MS, offset, partial(self._send_heartbeat, node))
 
-    def _poll(self, node: Node, key: str) -> None:
-        node.on_report(key, self.engines[key].report())
+    def _poll(self, node: Node, replica_id: str) -> None:
+        node.on_report(replica_id, self.engines[replica_id].report())
 
     def _send_heartbeat(self, node: Node) -> None:
-        uses = node.book.uses()
+        uses = node.load_tracker.uses()
         for peer in self.nodes:
             if peer is not node:
                 self.loop.after(LINK_MS, partial(self._on_heartbeat, peer, node.name, uses))
 
     def _on_heartbeat(self, node: Node, peer: str, uses: list[ReplicaUse]) -> None:
-        node.book.on_peer_uses(peer, uses, int(self.loop.now))
+        node.load_tracker.on_peer_uses(peer, uses, int(self.loop.now))
 
 
-def list_replicas(keys: Iterable[str]) -> list[Replica]:
+def list_replicas(replica_ids: Iterable[str]) -> list[Replica]:
     """Return the engines as replicas of one upstream, distributed over the data centres."""
-    return [Replica(key, UPSTREAM, "", 0, f"dc{i % DATA_CENTRES}") for i, key in enumerate(keys)]
+    return [
+        Replica(replica_id, UPSTREAM, "", 0, f"dc{i % DATA_CENTRES}")
+        for i, replica_id in enumerate(replica_ids)
+    ]
 
 
-def quantile(values: Sequence[float], share: float) -> float:
+def quantile(values: Sequence[float], fraction: float) -> float:
     """Return a quantile of the values, 0.0 if there are none."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
--- a/misc/policy_sim/overload_run.py
+++ b/misc/policy_sim/overload_run.py
@@ -29,7 +29,7 @@
 WARM_UP_MS: Final = 3_000.0
 UNBOUNDED: Final = 1_000_000
 
-HEAD: Final = (
+HEADER: Final = (
     "load  skew  gate       goodput  late  refused  given up  engine p99  first p50   p99  peak"
 )
 
@@ -37,15 +37,15 @@
 
 
 class Row(NamedTuple):
-    """Hold the figures of one run; times are in ms."""
+    """Hold the figures of one run; ttft is the time to the first token, times are in ms."""
 
     in_time: float
     late: int
     refused: int
     given_up: int
     engine_wait_p99: float
-    first_p50: float
-    first_p99: float
+    ttft_p50: float
+    ttft_p99: float
     peak_waiting: int
 
 
@@ -56,12 +56,15 @@
 
 def estimate_gate(node: Node, now: int) -> bool:
     """Send while the estimated load of a replica is below its number of slots."""
-    return any(node.book.estimate(key, now) < node.book.slots(key) for key in node.ids)
+    return any(
+        node.load_tracker.estimate(replica_id, now) < node.load_tracker.slots(replica_id)
+        for replica_id in node.replica_ids
+    )
 
 
 def policy_gate(node: Node, now: int) -> bool:
     """Send with the production policy."""
-    return free_calls(node.book, node.outliers, UPSTREAM, now) > 0
+    return free_calls(node.load_tracker, node.outliers, UPSTREAM, now) > 0
 
 
 GATES: Final[dict[str, Gate]] = {
@@ -79,20 +82,22 @@
         self.fleet = Fleet(seed)
         self.loop = self.fleet.loop
         self.rand = self.fleet.rand
-        self.per_ms = load * self.fleet.calls_per_ms
+        self.arrivals_per_ms = load * self.fleet.calls_per_ms
         self.weights = [skew, *[1.0] * (INSTANCES - 1)]
         self.queues = {node.name: AdmissionQueue(UNBOUNDED) for node in self.fleet.nodes}
         self.ticket = 0
         self.counts = {"in_time": 0, "late": 0, "refused": 0, "given_up": 0}
         self.engine_waits: list[float] = []
-        self.firsts: list[float] = []
-        self.peak = 0
+        self.ttft_ms: list[float] = []
+        self.peak_waiting = 0
 
-    def go(self, seconds: float) -> Row:
+    def simulate(self, seconds: float) -> Row:
         """Run the simulation and return its figures."""
         for node in self.fleet.nodes:
             self.fleet.start_node(node)
-            self.loop.every(TICK_MS, self.rand.uniform(0, TICK_MS), partial(self._pump, node))
+            self.loop.every(
+                TICK_MS, self.rand.uniform(0, TICK_MS), partial(self._send_admitted, node)
+            )
         self._arrive()
         self.loop.run(seconds * 1000)
         capacity = self.fleet.calls_per_ms * (seconds * 1000 - WARM_UP_MS)
@@ -102,13 +107,13 @@
             self.counts["refused"],
             self.counts["given_up"],
             quantile(self.engine_waits, 0.99),
-            quantile(self.firsts, 0.5),
-            quantile(self.firsts, 0.99),
-            self.peak,
+            quantile(self.ttft_ms, 0.5),
+            quantile(self.ttft_ms, 0.99),
+            self.peak_waiting,
         )
 
     def _arrive(self) -> None:
-        self.loop.after(self.rand.expovariate(self.per_ms), self._arrive)
+        self.loop.after(self.rand.expovariate(self.arrivals_per_ms), self._arrive)
         node = self.rand.choices(self.fleet.nodes, self.weights)[0]
         now = int(self.loop.now)
         self.ticket += 1
@@ -118,13 +123,13 @@
         )
         if self.queues[node.name].offer(item, now).is_err():
             self._count("refused")
-        self._pump(node)
+        self._send_admitted(node)
 
-    def _count(self, end: str) -> None:
+    def _count(self, outcome: str) -> None:
         if self.loop.now >= WARM_UP_MS:
-            self.counts[end] += 1
+            self.counts[outcome] += 1
 
-    def _pump(self, node: Node) -> None:
+    def _send_admitted(self, node: Node) -> None:
         now = int(self.loop.now)
         queue = self.queues[node.name]
         for _ in queue.expired(now):
@@ -134,29 +139,29 @@
             self._send(node, item)
 
     def _send(self, node: Node, item: Waiting) -> None:
-        begun = self.loop.now
+        sent_ms = self.loop.now
         req = RouteRequest(UPSTREAM, "", node.data_centre)
-        key = choose(node.book, node.outliers, req, node.rand, int(begun))
-        assert key is not None
-        node.book.on_sent(key, False, int(begun))
+        replica_id = choose(node.load_tracker, node.outliers, req, node.rand, int(sent_ms))
+        assert replica_id is not None
+        node.load_tracker.on_sent(replica_id, False, int(sent_ms))
         tokens = max(1, round(self.rand.expovariate(1 / MEAN_TOKENS)))
 
-        def ended(_: bool) -> None:
-            self.loop.after(LINK_MS, done)
+        def on_finished(_: bool) -> None:
+            self.loop.after(LINK_MS, on_reply)
 
-        def done() -> None:
+        def on_reply() -> None:
             now = int(self.loop.now)
-            node.book.on_done(key, False, now)
-            self.queues[node.name].on_ended(UPSTREAM, 1.0, int(begun), now, "chat")
+            node.load_tracker.on_done(replica_id, False, now)
+            self.queues[node.name].on_ended(UPSTREAM, 1.0, int(sent_ms), now, "chat")
             self._count("in_time" if now <= item.due_ms else "late")
-            if begun >= WARM_UP_MS:
-                self.engine_waits.append(seq.first_ms - begun)
-                self.firsts.append(seq.first_ms + LINK_MS - item.enqueued_ms)
-            self._pump(node)
+            if sent_ms >= WARM_UP_MS:
+                self.engine_waits.append(seq.first_ms - sent_ms)
+                self.ttft_ms.append(seq.first_ms + LINK_MS - item.enqueued_ms)
+            self._send_admitted(node)
 
-        seq = Sequence(tokens, 0.0, ended)
-        self.loop.after(LINK_MS, partial(self.fleet.engines[key].submit, seq))
-        self.peak = max(self.peak, len(self.fleet.engines[key].waiting))
+        seq = Sequence(tokens, 0.0, on_finished)
+        self.loop.after(LINK_MS, partial(self.fleet.engines[replica_id].submit, seq))
+        self.peak_waiting = max(self.peak_waiting, len(self.fleet.engines[replica_id].waiting))
 
 
 def main() -> None:
@@ -165,14 +170,14 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=13.0)
     args = parser.parse_args()
-    print(HEAD)
+    print(HEADER)
     for load, skew in ((0.9, 1.0), (1.2, 1.0), (2.0, 1.0), (4.0, 1.0), (2.0, 20.0)):
         for name, gate in GATES.items():
-            row = Run(gate, load, skew, args.seed).go(args.seconds)
+            row = Run(gate, load, skew, args.seed).simulate(args.seconds)
             print(
                 f"{load:4.1f}  {skew:4.0f}  {name:<9}{row.in_time:9.2f}{row.late:6d}"
-                f"{row.refused:9d}{row.given_up:10d}{row.engine_wait_p99:12.1f}{row.first_p50:11.1f}"
-                f"{row.first_p99:6.0f}{row.peak_waiting:6d}"
+                f"{row.refused:9d}{row.given_up:10d}{row.engine_wait_p99:12.1f}{row.ttft_p50:11.1f}"
+                f"{row.ttft_p99:6.0f}{row.peak_waiting:6d}"
             )
 
 
