--- a/misc/bench_entry.py
+++ b/misc/bench_entry.py
@@ -35,11 +35,11 @@
 IDLE_MS: Final = 4_000
 US_PER_S: Final = 1_000_000
 PROFILE_LINES: Final = 80
-END: Final = b"0\r\n\r\n"
+LAST_CHUNK: Final = b"0\r\n\r\n"
 PROFILES: Final = (("chat", "lm"), ("gate", "gate"))
 
 
-class Part(NamedTuple):
+class Workload(NamedTuple):
     """Describe the requests of one workload of a round."""
 
     name: str
@@ -76,18 +76,22 @@
 
 async def _run(args: argparse.Namespace) -> None:
     with tempfile.TemporaryDirectory() as name, ProcessGroup(Path(name)) as group:
-        stats = Path(name) / "profile"
+        stats_path = Path(name) / "profile"
         standin = _start_standins(group)
-        platform = json.loads(standin.first_line())["platform_port"]
-        instance = _start_instance(group, Path(name), platform, stats if args.profile else None)
-        port = await _ready(instance)
-        parts = _parts(args)
-        rounds = [await _round(instance, port, parts, args.callers) for _ in range(args.rounds)]
+        platform = json.loads(standin.read_first_line())["platform_port"]
+        instance = _start_instance(
+            group, Path(name), platform, stats_path if args.profile else None
+        )
+        port = await _wait_ready(instance)
+        workloads = _make_workloads(args)
+        rounds = [
+            await _run_round(instance, port, workloads, args.callers) for _ in range(args.rounds)
+        ]
         if args.profile:
             instance.signal(15)
             instance.wait(30)
-            _print_profile(stats, args.profile)
-    _print(rounds, args.json)
+            _print_profile(stats_path, args.profile)
+    _print_rounds(rounds, args.json)
 
 
 def _start_standins(group: ProcessGroup) -> Process:
@@ -113,12 +117,12 @@
     return group.start("instance", "entry", command)
 
 
-async def _ready(instance: Process) -> int:
+async def _wait_ready(instance: Process) -> int:
     """Wait until the instance has started, put the profiles, and return its entry port."""
     clock = real_clock()
-    while (started := _started(instance.errors)) is None:
-        if instance.ended():
-            raise RuntimeError(instance.errors.read_text())
+    while (start_line := _read_start_line(instance.stderr_path)) is None:
+        if instance.has_ended():
+            raise RuntimeError(instance.stderr_path.read_text())
         await clock.sleep(50)
     for name, upstream in PROFILES:
         profile = {
@@ -134,15 +138,15 @@
             "reason": "benchmark",
             "change_id": f"bench-{name}",
         }
-        url = f"http://{HOST}:{started['operator_port']}/v1/profiles/{name}"
-        answer = await treq.put(url, json=change, persistent=False)
-        if answer.code not in (200, 201):
-            raise RuntimeError(await answer.text())
+        url = f"http://{HOST}:{start_line['operator_port']}/v1/profiles/{name}"
+        response = await treq.put(url, json=change, persistent=False)
+        if response.code not in (200, 201):
+            raise RuntimeError(await response.text())
     await clock.sleep(2_000)
-    return int(started["entry_port"])
+    return int(start_line["entry_port"])
 
 
-def _started(log: Path) -> dict[str, Any] | None:
+def _read_start_line(log: Path) -> dict[str, Any] | None:
     for line in log.read_text().splitlines():
         document: dict[str, Any] = json.loads(line)
         if "entry_port" in document:
@@ -150,31 +154,31 @@
     return None
 
 
-def _parts(args: argparse.Namespace) -> list[Part]:
-    def chat(name: str, tokens: int, stream: bool, count: int) -> Part:
+def _make_workloads(args: argparse.Namespace) -> list[Workload]:
+    def chat(name: str, tokens: int, stream: bool, count: int) -> Workload:
         body = {"model": "lm", "prompt": "open?", "max_tokens": tokens, "stream": stream}
-        return Part(name, "/v1/completions", "chat", json.dumps(body).encode(), count)
+        return Workload(name, "/v1/completions", "chat", json.dumps(body).encode(), count)
 
     return [
-        Part("service", "/services/gate/calls/x", "gate", b"{}", args.calls),
+        Workload("service", "/services/gate/calls/x", "gate", b"{}", args.calls),
         chat("unary", SHORT_TOKENS, False, args.calls),
         chat("short", SHORT_TOKENS, True, args.calls),
         chat("long", LONG_TOKENS, True, args.streams),
     ]
 
 
-async def _round(instance: Process, port: int, parts: list[Part], callers: int) -> Row:
-    idle_s, idle_ms = await _cost(instance, real_clock().sleep(IDLE_MS))
+async def _run_round(instance: Process, port: int, workloads: list[Workload], callers: int) -> Row:
+    idle_s, idle_ms = await _measure_cpu(instance, real_clock().sleep(IDLE_MS))
     idle_share = idle_s / (idle_ms / 1_000)
-    us: dict[str, float] = {}
-    for part in parts:
-        used_s, took_ms = await _cost(instance, _send_all(port, part, callers))
-        us[part.name] = US_PER_S * (used_s - idle_share * took_ms / 1_000) / part.calls
-    per_token = (us["long"] - us["short"]) / (LONG_TOKENS - SHORT_TOKENS)
-    return Row(us["service"], us["unary"], us["short"], per_token, idle_share)
+    cost_us: dict[str, float] = {}
+    for workload in workloads:
+        cpu_s, wall_ms = await _measure_cpu(instance, _send_all(port, workload, callers))
+        cost_us[workload.name] = US_PER_S * (cpu_s - idle_share * wall_ms / 1_000) / workload.calls
+    per_token = (cost_us["long"] - cost_us["short"]) / (LONG_TOKENS - SHORT_TOKENS)
+    return Row(cost_us["service"], cost_us["unary"], cost_us["short"], per_token, idle_share)
 
 
-async def _cost(instance: Process, work: Deferred[Any]) -> tuple[float, int]:
+async def _measure_cpu(instance: Process, work: Deferred[Any]) -> tuple[float, int]:
     """Return the processor time in seconds that the instance uses until work ends, and the ms."""
     instance.sample()
     await work
@@ -183,32 +187,35 @@
     return after.cpu_s - before.cpu_s, after.wall_ms - before.wall_ms
 
 
-def _send_all(port: int, part: Part, callers: int) -> Deferred[Any]:
-    left = [part.calls]
+def _send_all(port: int, workload: Workload, callers: int) -> Deferred[Any]:
+    remaining = [workload.calls]
     return gatherResults(
-        [Deferred.fromCoroutine(_send_one_by_one(port, part, left)) for _ in range(callers)]
+        [
+            Deferred.fromCoroutine(_send_sequentially(port, workload, remaining))
+            for _ in range(callers)
+        ]
     )
 
 
-async def _send_one_by_one(port: int, part: Part, left: list[int]) -> None:
+async def _send_sequentially(port: int, workload: Workload, remaining: list[int]) -> None:
     endpoint = TCP4ClientEndpoint(reactor, HOST, port)
-    caller: _Caller = await connectProtocol(endpoint, _Caller())
+    connection: _CallerConnection = await connectProtocol(endpoint, _CallerConnection())
     head = (
-        f"POST {part.path} HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: {len(part.body)}\r\n"
-        f"X-Papayapier-Profile: {part.profile}\r\n\r\n"
+        f"POST {workload.path} HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: {len(workload.body)}\r\n"
+        f"X-Papayapier-Profile: {workload.profile}\r\n\r\n"
     )
-    while left[0] > 0:
-        left[0] -= 1
-        await caller.send(head.encode() + part.body)
-    await caller.close()
+    while remaining[0] > 0:
+        remaining[0] -= 1
+        await connection.send(head.encode() + workload.body)
+    await connection.close()
 
 
-class _Caller(Protocol):
+class _CallerConnection(Protocol):
     """Send requests over one connection and read only enough of a response to find its end."""
 
     def __init__(self) -> None:
         self._head = b""
-        self._left = 0
+        self._remaining = 0
         self._done: Deferred[None] = Deferred()
         self._closed: Deferred[None] = Deferred()
 
@@ -231,14 +238,14 @@
                 assert len(body) == int(length)
                 self._done.callback(None)
                 return
-        if data.endswith(END):
+        if data.endswith(LAST_CHUNK):
             self._done.callback(None)
 
     def connectionLost(self, reason: Any = connectionDone) -> None:  # noqa: N802
         self._closed.callback(None)
 
 
-def _print(rounds: list[Row], as_json: bool) -> None:
+def _print_rounds(rounds: list[Row], as_json: bool) -> None:
     if as_json:
         print(json.dumps([row._asdict() for row in rounds]))
         return
@@ -248,8 +255,8 @@
         print(f"{name:24}{median(values):10.3f}{min(values):10.3f}{max(values):10.3f}")
 
 
-def _print_profile(stats: Path, order: str) -> None:
-    pstats.Stats(str(stats)).sort_stats(order).print_stats(PROFILE_LINES)
+def _print_profile(stats_path: Path, order: str) -> None:
+    pstats.Stats(str(stats_path)).sort_stats(order).print_stats(PROFILE_LINES)
 
 
 if __name__ == "__main__":
--- a/misc/bench_upstream.py
+++ b/misc/bench_upstream.py
@@ -68,7 +68,7 @@
     parser.add_argument("--serve", action="store_true", help=argparse.SUPPRESS)
     args = parser.parse_args()
     if args.serve:
-        react(lambda _: Deferred.fromCoroutine(_serve(args.streams)))
+        react(lambda _: Deferred.fromCoroutine(_serve_engine(args.streams)))
     with subprocess.Popen(
         [sys.executable, "-m", "misc.bench_upstream", "--serve", "--streams", str(args.streams)],
         stdout=subprocess.PIPE,
@@ -77,30 +77,30 @@
         try:
             assert engine.stdout is not None
             port = int(engine.stdout.readline())
-            react(lambda _: Deferred.fromCoroutine(_bench(args, port)))
+            react(lambda _: Deferred.fromCoroutine(_run_benchmark(args, port)))
         finally:
             engine.terminate()
 
 
-async def _serve(slots: int) -> None:
+async def _serve_engine(slots: int) -> None:
     params = EngineParams(slots=slots, base_ms=STEP_MS, per_sequence_ms=0.0, prefill_ms=0.0)
     engine = await start_engine(reactor, real_clock(), params, HOST, 0)
     print(engine.port, flush=True)
     await Deferred()
 
 
-async def _bench(args: argparse.Namespace, port: int) -> None:
+async def _run_benchmark(args: argparse.Namespace, port: int) -> None:
     rows = []
     for name, make_call in (
-        ("papayapier", _papayapier(port)),
-        ("agent", _agent(port)),
-        ("treq", _treq(port)),
+        ("papayapier", _make_papayapier_client(port)),
+        ("agent", _make_agent_client(port)),
+        ("treq", _make_treq_client(port)),
     ):
         profile = cProfile.Profile()
-        await _many(make_call, args.streams, SHORT_TOKENS, True)
+        await _run_calls(make_call, args.streams, SHORT_TOKENS, True)
         if args.profile:
             profile.enable()
-        rows.append(await _measure(name, make_call, args))
+        rows.append(await _measure_client(name, make_call, args))
         if args.profile:
             profile.disable()
             pstats.Stats(profile).sort_stats("tottime").print_stats(25)
@@ -114,25 +114,25 @@
         )
 
 
-async def _measure(name: str, make_call: MakeCall, args: argparse.Namespace) -> Row:
+async def _measure_client(name: str, make_call: MakeCall, args: argparse.Namespace) -> Row:
     """Return the medians of several rounds, which other load on the machine affects less."""
-    rounds = [await _round(name, make_call, args) for _ in range(ROUNDS)]
+    rounds = [await _run_round(name, make_call, args) for _ in range(ROUNDS)]
     return Row(name, *(median(column) for column in list(zip(*rounds, strict=True))[1:]))
 
 
-async def _round(name: str, make_call: MakeCall, args: argparse.Namespace) -> Row:
-    unary = 0.0
+async def _run_round(name: str, make_call: MakeCall, args: argparse.Namespace) -> Row:
+    unary_s = 0.0
     for _ in range(args.calls // args.streams):
-        unary += await _many(make_call, args.streams, 1, False)
-    short = await _many(make_call, args.streams, SHORT_TOKENS, True)
-    long = await _many(make_call, args.streams, LONG_TOKENS, True)
-    per_token = (long - short) / args.streams / (LONG_TOKENS - SHORT_TOKENS)
-    per_stream = short / args.streams - per_token * SHORT_TOKENS
+        unary_s += await _run_calls(make_call, args.streams, 1, False)
+    short_s = await _run_calls(make_call, args.streams, SHORT_TOKENS, True)
+    long_s = await _run_calls(make_call, args.streams, LONG_TOKENS, True)
+    per_token_s = (long_s - short_s) / args.streams / (LONG_TOKENS - SHORT_TOKENS)
+    per_stream_s = short_s / args.streams - per_token_s * SHORT_TOKENS
     calls = args.calls // args.streams * args.streams
-    return Row(name, unary / calls * 1e6, per_stream * 1e6, per_token * 1e6)
+    return Row(name, unary_s / calls * 1e6, per_stream_s * 1e6, per_token_s * 1e6)
 
 
-async def _many(make_call: MakeCall, count: int, tokens: int, stream: bool) -> float:
+async def _run_calls(make_call: MakeCall, count: int, tokens: int, stream: bool) -> float:
     """Make concurrent calls and return the processor time that they took together."""
     start = time.process_time()
     calls = [Deferred.fromCoroutine(cast(Any, make_call(tokens, stream))) for _ in range(count)]
@@ -140,48 +140,50 @@
     return time.process_time() - start
 
 
-def _body(tokens: int, stream: bool) -> bytes:
-    keys = {"model": "base", "prompt": "a b c", "max_tokens": tokens, "stream": stream}
-    return json.dumps(keys).encode()
+def _request_body(tokens: int, stream: bool) -> bytes:
+    fields = {"model": "base", "prompt": "a b c", "max_tokens": tokens, "stream": stream}
+    return json.dumps(fields).encode()
 
 
-def _papayapier(port: int) -> MakeCall:
+def _make_papayapier_client(port: int) -> MakeCall:
     clock = real_clock()
     # All streams connect at once and overflow the stand-in's listen queue, so that connecting
     # may take longer than the default timeout.
     cfg = UpstreamSettings(connect_timeout_ms=DUE_MS)
-    ups = make_upstreams(reactor, clock, cfg, make_metrics())
+    upstreams = make_upstreams(reactor, clock, cfg, make_metrics())
     replica = Replica("one", "chat", HOST, port, "dc")
 
     async def make_call(tokens: int, stream: bool) -> None:
         due_ms = clock.now() + DUE_MS
-        body = _body(tokens, stream)
+        body = _request_body(tokens, stream)
         call = Call("c", "r1", "POST", PATH, body, "application/json", stream, due_ms)
-        (await ups.send(replica, call, lambda _: None)).unwrap()
+        (await upstreams.send(replica, call, lambda _: None)).unwrap()
 
     return make_call
 
 
-def _agent(port: int) -> MakeCall:
-    agent = _bare_agent()
+def _make_agent_client(port: int) -> MakeCall:
+    agent = _make_plain_agent()
     headers = Headers({"X-Request-Id": ["r1"]})
     url = f"http://{HOST}:{port}{PATH}".encode()
 
     async def make_call(tokens: int, stream: bool) -> None:
-        response = await agent.request(b"POST", url, headers, _Body(_body(tokens, stream)))
-        ignored = _Ignore()
-        response.deliverBody(ignored)
-        await ignored.done
+        response = await agent.request(
+            b"POST", url, headers, _BytesProducer(_request_body(tokens, stream))
+        )
+        discard = _DiscardProtocol()
+        response.deliverBody(discard)
+        await discard.done
 
     return make_call
 
 
-def _treq(port: int) -> MakeCall:
-    client: Any = HTTPClient(_bare_agent())
+def _make_treq_client(port: int) -> MakeCall:
+    client: Any = HTTPClient(_make_plain_agent())
     url = f"http://{HOST}:{port}{PATH}"
 
     async def make_call(tokens: int, stream: bool) -> None:
-        body = _body(tokens, stream)
+        body = _request_body(tokens, stream)
         headers = {"X-Request-Id": "r1"}
         response = await client.post(url, data=body, headers=headers, unbuffered=True)
         await response.collect(lambda _: None)
@@ -189,7 +191,7 @@
     return make_call
 
 
-def _bare_agent() -> Any:
+def _make_plain_agent() -> Any:
     make_pool: Any = HTTPConnectionPool
     pool = make_pool(reactor)
     pool.maxPersistentPerHost = 10_000
@@ -197,7 +199,7 @@
     return make_agent(reactor, pool=pool)
 
 
-class _Ignore(Protocol):
+class _DiscardProtocol(Protocol):
     """Discard a response body."""
 
     def __init__(self) -> None:
@@ -210,7 +212,7 @@
         self.done.callback(None)
 
 
-class _Body:
+class _BytesProducer:
     """Write a body that is already in memory."""
 
     def __init__(self, body: bytes) -> None:
--- a/misc/build.py
+++ b/misc/build.py
@@ -20,7 +20,7 @@
 
 ROOT: Final = Path(__file__).resolve().parent.parent
 BIN: Final = ROOT / ".venv" / "bin"
-TARGET: Final = ROOT / "dist" / "papayapier"
+OUTPUT: Final = ROOT / "dist" / "papayapier"
 PACKAGE: Final = "papayapier"
 ENTRY_POINT: Final = "papayapier.main:run"
 
@@ -34,7 +34,7 @@
         libraries = Path(folder)
         code = install(libraries) or pack(libraries)
     if code == 0:
-        print(f"{TARGET.relative_to(ROOT)}: {TARGET.stat().st_size // 1_000_000} MB")
+        print(f"{OUTPUT.relative_to(ROOT)}: {OUTPUT.stat().st_size // 1_000_000} MB")
     return code
 
 
@@ -52,9 +52,9 @@
 
 def pack(folder: Path) -> int:
     """Pack a folder into the zipapp; return the exit code."""
-    TARGET.parent.mkdir(exist_ok=True)
+    OUTPUT.parent.mkdir(exist_ok=True)
     shiv = [str(BIN / "shiv"), "--entry-point", ENTRY_POINT, "--python", "/usr/bin/env python3"]
-    shiv += ["--reproducible", "--site-packages", str(folder), "--output-file", str(TARGET)]
+    shiv += ["--reproducible", "--site-packages", str(folder), "--output-file", str(OUTPUT)]
     return subprocess.run(shiv, cwd=ROOT).returncode
 
 
--- a/misc/capacity/crowd.py
+++ b/misc/capacity/crowd.py
@@ -24,56 +24,56 @@
 from papayapier.settings import PeerSettings
 from papayapier.store.api import ENTRY, LIVE, Member
 
-CENTRES: Final = ("dc-a", *(f"dc-{number}" for number in range(1, 14)))
+DATA_CENTRES: Final = ("dc-a", *(f"dc-{number}" for number in range(1, 14)))
 REGIONS: Final = 6
-SUBJECT: Final = "entry-1"
-DEAD_PORT: Final = 9
+MEASURED_INSTANCE: Final = "entry-1"
+CLOSED_PORT: Final = 9
 
 
 def main(args: list[str]) -> None:
     """Register the peers and run those that are neighbours of the measured instance."""
-    platform, peer_port, number = args[0], int(args[1]), int(args[2])
-    me = Place(SUBJECT, CENTRES[0], _region(0))
+    platform, peer_port, count = args[0], int(args[1]), int(args[2])
+    measured_place = Place(MEASURED_INSTANCE, DATA_CENTRES[0], _region(0))
     places = [
-        Place(f"listed-{i}", CENTRES[i % len(CENTRES)], _region(i % len(CENTRES)))
-        for i in range(number)
+        Place(f"listed-{i}", DATA_CENTRES[i % len(DATA_CENTRES)], _region(i % len(DATA_CENTRES)))
+        for i in range(count)
     ]
     cfg = PeerSettings(port=0)
-    plan = make_plan(me, places, Limits(cfg.full_mesh, cfg.picks, cfg.relays))
-    subject = _member(me, peer_port)
+    plan = make_plan(measured_place, places, Limits(cfg.full_mesh, cfg.picks, cfg.relays))
+    measured = _make_member(measured_place, peer_port)
     for place in places:
-        port = DEAD_PORT
+        port = CLOSED_PORT
         if place.id in plan.neighbours:
-            port = _start(place, cfg, subject)
+            port = _start_hub(place, cfg, measured)
         url = f"http://{platform}/instances/{place.id}"
-        fleets.request("PUT", url, codec.to_json(_member(place, port)))
+        fleets.request("PUT", url, codec.to_json(_make_member(place, port)))
     print(codec.to_json(sorted(plan.neighbours)).decode(), flush=True)
     cast(Any, reactor).run()
 
 
-def _start(place: Place, cfg: PeerSettings, subject: Member) -> int:
+def _start_hub(place: Place, cfg: PeerSettings, measured: Member) -> int:
     """Start the hub of one neighbour and return its port."""
-    me = Identity(place.id, 1, fleets.HOST, place.data_centre, place.region)
+    identity = Identity(place.id, 1, fleets.HOST, place.data_centre, place.region)
 
     def heartbeat() -> Heartbeat:
         return Heartbeat(place.id, 1, "serving", 1)
 
     rand = random.Random(place.id)
-    hub = PeerHub(cast(Any, reactor), real_clock(), cfg, me, heartbeat, make_metrics(), rand)
+    hub = PeerHub(cast(Any, reactor), real_clock(), cfg, identity, heartbeat, make_metrics(), rand)
     port = hub.start().unwrap()
-    hub.set_members([subject])
+    hub.set_members([measured])
     return port
 
 
-def _member(place: Place, port: int) -> Member:
+def _make_member(place: Place, port: int) -> Member:
     return Member(
         place.id, ENTRY, "", fleets.HOST, port, port, place.data_centre, place.region, LIVE, True
     )
 
 
-def _region(centre: int) -> str:
+def _region(centre_index: int) -> str:
     """Return a data centre's region; the region of the measured instance is called local."""
-    return "local" if centre % REGIONS == 0 else f"region-{centre % REGIONS}"
+    return "local" if centre_index % REGIONS == 0 else f"region-{centre_index % REGIONS}"
 
 
 if __name__ == "__main__":
--- a/misc/capacity/fleets.py
+++ b/misc/capacity/fleets.py
@@ -15,7 +15,7 @@
 from papayapier.store.api import REPLICA, Member
 
 FOLDER: Final = Path(__file__).parents[2] / "out" / "capacity"
-CALL_LIMIT_S: Final = 30.0
+CALL_TIMEOUT_S: Final = 30.0
 ENGINES: Final = 3
 HOST: Final = "127.0.0.1"
 
@@ -30,7 +30,7 @@
 
 
 @contextmanager
-def running(instances: int, **settings: dict[str, Any]) -> Iterator[Fleet]:
+def run_fleet(instances: int, **settings: dict[str, Any]) -> Iterator[Fleet]:
     """Run a fleet with the given number of instances and three engines."""
     plan = FleetPlan(
         instances=instances, engines=ENGINES, engine_name="lm", services=0, settings=settings
@@ -38,28 +38,28 @@
     FOLDER.mkdir(parents=True, exist_ok=True)
     with ProcessGroup(FOLDER) as group:
         addresses = start_fleet(group, plan, FOLDER)
-        processes = [one for one in group.processes if one.role == "entry"]
-        yield Fleet(group, addresses, processes, _operators(instances))
+        processes = [process for process in group.processes if process.role == "entry"]
+        yield Fleet(group, addresses, processes, _read_operators(instances))
 
 
-def list_instances(fleet: Fleet, number: int) -> int:
+def register_instances(fleet: Fleet, count: int) -> int:
     """Register more instances and run those that the first one picks; return how many run."""
     settings = json.loads((FOLDER / "entry-1.json").read_text())
     port = str(settings["peer"]["port"])
     command = [sys.executable, "-m", "misc.capacity.crowd", fleet.addresses.platform, port]
-    crowd = fleet.group.start("crowd", "crowd", [*command, str(number)])
-    return len(json.loads(crowd.first_line()))
+    peers = fleet.group.start("crowd", "crowd", [*command, str(count)])
+    return len(json.loads(peers.read_first_line()))
 
 
-def list_replicas(fleet: Fleet, number: int) -> None:
+def register_replicas(fleet: Fleet, count: int) -> None:
     """Register more replicas, all of which are the first engine under other ids."""
     with urllib.request.urlopen(
-        f"http://{fleet.addresses.platform}/instances?wait_ms=0&since=0", timeout=CALL_LIMIT_S
-    ) as answer:
-        listed = json.load(answer)["instances"]
-    first = next(member for member in listed if member["kind"] == REPLICA)
-    for index in range(number):
-        _list(fleet, Member(**{**first, "id": f"more-{index}"}))
+        f"http://{fleet.addresses.platform}/instances?wait_ms=0&since=0", timeout=CALL_TIMEOUT_S
+    ) as response:
+        members = json.load(response)["instances"]
+    first = next(member for member in members if member["kind"] == REPLICA)
+    for index in range(count):
+        _register(fleet, Member(**{**first, "id": f"more-{index}"}))
 
 
 def put_profile(
@@ -85,26 +85,26 @@
 
 def request(method: str, url: str, body: bytes, **headers: str) -> bytes:
     """Send a request and return the response body."""
-    fields = {"Content-Type": "application/json"}
-    fields.update({name.replace("_", "-"): value for name, value in headers.items()})
-    call = urllib.request.Request(url, body or None, fields, method=method)
+    all_headers = {"Content-Type": "application/json"}
+    all_headers.update({name.replace("_", "-"): value for name, value in headers.items()})
+    http_request = urllib.request.Request(url, body or None, all_headers, method=method)
     try:
-        with urllib.request.urlopen(call, timeout=CALL_LIMIT_S) as answer:
-            content: bytes = answer.read()
+        with urllib.request.urlopen(http_request, timeout=CALL_TIMEOUT_S) as response:
+            content: bytes = response.read()
     except urllib.error.HTTPError as exc:
         raise RuntimeError(f"{method} {url}: {exc.code} {exc.read()[:300]!r}") from exc
     return content
 
 
-def _list(fleet: Fleet, member: Member) -> None:
+def _register(fleet: Fleet, member: Member) -> None:
     url = f"http://{fleet.addresses.platform}/instances/{member.id}"
     request("PUT", url, codec.to_json(member))
 
 
-def _operators(instances: int) -> list[str]:
+def _read_operators(instances: int) -> list[str]:
     """Return the operator addresses, which the fleet's settings files contain."""
-    found = []
+    operators = []
     for number in range(1, instances + 1):
         settings = json.loads((FOLDER / f"entry-{number}.json").read_text())
-        found.append(f"{HOST}:{settings['operator']['port']}")
-    return found
+        operators.append(f"{HOST}:{settings['operator']['port']}")
+    return operators
--- a/misc/capacity/probe.py
+++ b/misc/capacity/probe.py
@@ -8,7 +8,7 @@
 
 from misc.processes import Process, ProcessGroup
 
-CALL_LIMIT_S: Final = 10.0
+CALL_TIMEOUT_S: Final = 10.0
 SETTLE_S: Final = 6.0
 
 
@@ -26,7 +26,7 @@
     calls: dict[str, float]
 
 
-class Spent(NamedTuple):
+class Usage(NamedTuple):
     """Hold the usage of one instance over an interval; rss_mb is the value at its end."""
 
     seconds: float
@@ -46,11 +46,11 @@
         return amount / self.seconds
 
 
-def read(group: ProcessGroup, process: Process, entry: str) -> Reading:
+def read_counters(group: ProcessGroup, process: Process, entry: str) -> Reading:
     """Read the counters of an instance."""
     group.sample()
-    with urllib.request.urlopen(f"http://{entry}/metrics", timeout=CALL_LIMIT_S) as answer:
-        text = answer.read().decode()
+    with urllib.request.urlopen(f"http://{entry}/metrics", timeout=CALL_TIMEOUT_S) as response:
+        text = response.read().decode()
     sums: dict[str, float] = {}
     calls: dict[str, float] = {}
     for family in text_string_to_metric_families(text):
@@ -76,23 +76,23 @@
     )
 
 
-def spent(before: Reading, after: Reading) -> Spent:
+def usage_between(before: Reading, after: Reading) -> Usage:
     """Return the usage between two readings."""
-    calls = {name: times - before.calls.get(name, 0.0) for name, times in after.calls.items()}
-    return Spent(
+    calls = {name: count - before.calls.get(name, 0.0) for name, count in after.calls.items()}
+    return Usage(
         seconds=after.at_s - before.at_s,
         cpu_s=after.cpu_s - before.cpu_s,
         rss_mb=after.rss_mb,
         peer_bytes=after.peer_sent + after.peer_received - before.peer_sent - before.peer_received,
         peer_frames=after.peer_frames - before.peer_frames,
         store_bytes=after.store_out + after.store_in - before.store_out - before.store_in,
-        calls={name: times for name, times in calls.items() if times},
+        calls={name: count for name, count in calls.items() if count},
     )
 
 
-def idle(group: ProcessGroup, process: Process, entry: str, seconds: float) -> Spent:
+def measure_idle(group: ProcessGroup, process: Process, entry: str, seconds: float) -> Usage:
     """Let an instance settle, then return its usage while it receives no requests."""
     time.sleep(SETTLE_S)
-    before = read(group, process, entry)
+    before = read_counters(group, process, entry)
     time.sleep(seconds)
-    return spent(before, read(group, process, entry))
+    return usage_between(before, read_counters(group, process, entry))
--- a/misc/capacity/spread_paths.py
+++ b/misc/capacity/spread_paths.py
@@ -18,7 +18,7 @@
 PLATFORM_READS_PER_S: Final = 2_000
 
 
-class Sizes(NamedTuple):
+class FleetSize(NamedTuple):
     """Hold the size of a fleet, and the size and rate of changes."""
 
     instances: int
@@ -28,14 +28,14 @@
     changes_per_s: float
 
 
-class Hops(NamedTuple):
+class HopTimes(NamedTuple):
     """Hold the time of one hop inside a region and between regions, processing included."""
 
-    near_ms: float
-    far_ms: float
+    in_region_ms: float
+    cross_region_ms: float
 
 
-class Way(NamedTuple):
+class MethodCost(NamedTuple):
     """Hold the cost of one propagation method; copies are per change and instance."""
 
     name: str
@@ -46,36 +46,38 @@
     missed_share: float
 
 
-def compare(sizes: Sizes, limits: Limits, hops: Hops, store_ms: float) -> list[Way]:
+def compare_methods(
+    fleet: FleetSize, limits: Limits, hop_times: HopTimes, store_ms: float
+) -> list[MethodCost]:
     """Return the cost of every propagation method."""
-    places = _places(sizes)
-    links = _links(places, limits)
+    places = _make_places(fleet)
+    links = _make_links(places, limits)
     return [
-        _direct(sizes, store_ms),
-        _relays_only(sizes, limits, hops, store_ms),
-        _flood(sizes, links, places, hops),
-        _tree(sizes, links, places, hops),
-        _gossip(sizes, hops),
+        _direct_watches(fleet, store_ms),
+        _relays_only(fleet, limits, hop_times, store_ms),
+        _flood(fleet, links, places, hop_times),
+        _tree(fleet, links, places, hop_times),
+        _gossip(fleet, hop_times),
     ]
 
 
-def degrees(sizes: Sizes, limits: Limits) -> tuple[float, int]:
+def neighbour_counts(fleet: FleetSize, limits: Limits) -> tuple[float, int]:
     """Return the mean and the largest number of neighbours."""
-    links = _links(_places(sizes), limits)
+    links = _make_links(_make_places(fleet), limits)
     counts = [len(names) for names in links.values()]
     return sum(counts) / len(counts), max(counts)
 
 
-def _places(sizes: Sizes) -> dict[str, Place]:
-    found = {}
-    for index in range(sizes.instances):
-        centre = index % sizes.data_centres
+def _make_places(fleet: FleetSize) -> dict[str, Place]:
+    places = {}
+    for index in range(fleet.instances):
+        data_centre = index % fleet.data_centres
         name = f"i{index}"
-        found[name] = Place(name, f"dc-{centre}", f"region-{centre % sizes.regions}")
-    return found
+        places[name] = Place(name, f"dc-{data_centre}", f"region-{data_centre % fleet.regions}")
+    return places
 
 
-def _links(places: dict[str, Place], limits: Limits) -> dict[str, set[str]]:
+def _make_links(places: dict[str, Place], limits: Limits) -> dict[str, set[str]]:
     links: dict[str, set[str]] = {name: set() for name in places}
     for name, place in places.items():
         others = [other for other in places.values() if other is not place]
@@ -85,88 +87,100 @@
     return links
 
 
-def _direct(sizes: Sizes, store_ms: float) -> Way:
+def _direct_watches(fleet: FleetSize, store_ms: float) -> MethodCost:
     """Let every instance watch the store, read each change and start a new watch."""
-    calls = sizes.instances * (1 / WATCH_WAIT_S + 2 * sizes.changes_per_s)
-    size = sizes.change_bytes + 2 * WATCH_BYTES
-    each = size * sizes.changes_per_s + WATCH_BYTES / WATCH_WAIT_S
+    calls_per_s = fleet.instances * (1 / WATCH_WAIT_S + 2 * fleet.changes_per_s)
+    size = fleet.change_bytes + 2 * WATCH_BYTES
+    bytes_per_s = size * fleet.changes_per_s + WATCH_BYTES / WATCH_WAIT_S
     # The platform's rate limits its replies to the watches and the reads that follow them.
-    delay = 2 * store_ms + 2 * sizes.instances * 1_000 / PLATFORM_READS_PER_S
-    return Way("direct watches", 1.0, each, calls, delay, 0.0)
+    delay = 2 * store_ms + 2 * fleet.instances * 1_000 / PLATFORM_READS_PER_S
+    return MethodCost("direct watches", 1.0, bytes_per_s, calls_per_s, delay, 0.0)
 
 
-def _relays_only(sizes: Sizes, limits: Limits, hops: Hops, store_ms: float) -> Way:
+def _relays_only(
+    fleet: FleetSize, limits: Limits, hop_times: HopTimes, store_ms: float
+) -> MethodCost:
     """Let relays watch the store and send changes to all instances of their data centre."""
-    relays = sizes.data_centres * limits.relays
-    calls = relays * (1 / WATCH_WAIT_S + 2 * sizes.changes_per_s)
-    each = sizes.instances / sizes.data_centres
-    sent = each * sizes.change_bytes * sizes.changes_per_s
-    return Way("relays, one level", 1.0, sent, calls, 2 * store_ms + hops.near_ms, 0.0)
-
-
-def _flood(sizes: Sizes, links: dict[str, set[str]], places: dict[str, Place], hops: Hops) -> Way:
+    relays = fleet.data_centres * limits.relays
+    calls_per_s = relays * (1 / WATCH_WAIT_S + 2 * fleet.changes_per_s)
+    instances_per_centre = fleet.instances / fleet.data_centres
+    sent = instances_per_centre * fleet.change_bytes * fleet.changes_per_s
+    return MethodCost(
+        "relays, one level", 1.0, sent, calls_per_s, 2 * store_ms + hop_times.in_region_ms, 0.0
+    )
+
+
+def _flood(
+    fleet: FleetSize, links: dict[str, set[str]], places: dict[str, Place], hop_times: HopTimes
+) -> MethodCost:
     """Forward a change on every link except the one that it arrived on."""
-    copies = (sum(len(names) - 1 for names in links.values()) + 1) / sizes.instances
-    return _peers("all links", copies, sizes, links, places, hops)
+    copies = (sum(len(names) - 1 for names in links.values()) + 1) / fleet.instances
+    return _peer_links("all links", copies, fleet, links, places, hop_times)
 
 
-def _tree(sizes: Sizes, links: dict[str, set[str]], places: dict[str, Place], hops: Hops) -> Way:
+def _tree(
+    fleet: FleetSize, links: dict[str, set[str]], places: dict[str, Place], hop_times: HopTimes
+) -> MethodCost:
     """Forward a change on the links that were not pruned, one copy for each instance."""
-    copies = (sizes.instances - 1) / sizes.instances
-    return _peers("pruned tree (built)", copies, sizes, links, places, hops)
+    copies = (fleet.instances - 1) / fleet.instances
+    return _peer_links("pruned tree (built)", copies, fleet, links, places, hop_times)
 
 
-def _peers(
+def _peer_links(
     name: str,
     copies: float,
-    sizes: Sizes,
+    fleet: FleetSize,
     links: dict[str, set[str]],
     places: dict[str, Place],
-    hops: Hops,
-) -> Way:
+    hop_times: HopTimes,
+) -> MethodCost:
     # Factor 2: each copy counts as sent by one instance and as received by another.
-    each = 2 * copies * sizes.change_bytes * sizes.changes_per_s
-    relays = sizes.data_centres * 2
-    calls = relays * (1 / WATCH_WAIT_S + 2 * sizes.changes_per_s)
-    reached = _delays(links, places, hops, next(iter(links)))
-    missed = 1 - len(reached) / sizes.instances
-    return Way(name, copies, each, calls, max(reached.values()), missed)
+    bytes_per_s = 2 * copies * fleet.change_bytes * fleet.changes_per_s
+    relays = fleet.data_centres * 2
+    calls_per_s = relays * (1 / WATCH_WAIT_S + 2 * fleet.changes_per_s)
+    reached = _arrival_times(links, places, hop_times, next(iter(links)))
+    missed = 1 - len(reached) / fleet.instances
+    return MethodCost(name, copies, bytes_per_s, calls_per_s, max(reached.values()), missed)
 
 
-def _delays(
-    links: dict[str, set[str]], places: dict[str, Place], hops: Hops, origin: str
+def _arrival_times(
+    links: dict[str, set[str]], places: dict[str, Place], hop_times: HopTimes, origin: str
 ) -> dict[str, float]:
     """Return the time at which each instance first receives the change."""
-    at = {origin: 0.0}
-    waiting = deque([origin])
-    while waiting:
-        name = waiting.popleft()
+    arrivals_ms = {origin: 0.0}
+    pending = deque([origin])
+    while pending:
+        name = pending.popleft()
         for neighbour in sorted(links[name]):
-            same = places[name].region == places[neighbour].region
-            when = at[name] + (hops.near_ms if same else hops.far_ms)
-            if when < at.get(neighbour, float("inf")):
-                at[neighbour] = when
-                waiting.append(neighbour)
-    return at
+            same_region = places[name].region == places[neighbour].region
+            arrival_ms = arrivals_ms[name] + (
+                hop_times.in_region_ms if same_region else hop_times.cross_region_ms
+            )
+            if arrival_ms < arrivals_ms.get(neighbour, float("inf")):
+                arrivals_ms[neighbour] = arrival_ms
+                pending.append(neighbour)
+    return arrivals_ms
 
 
-def _gossip(sizes: Sizes, hops: Hops) -> Way:
+def _gossip(fleet: FleetSize, hop_times: HopTimes) -> MethodCost:
     """Let each instance send a change once, to a few random others, a round after it arrives."""
     rng = random.Random(1)
-    known = {0}
-    fresh = {0}
+    reached = {0}
+    senders = {0}
     rounds = 0
     copies = 0
-    while fresh:
-        told = set()
-        for _ in fresh:
-            told.update(rng.sample(range(sizes.instances), GOSSIP_FANOUT))
+    while senders:
+        receivers = set()
+        for _ in senders:
+            receivers.update(rng.sample(range(fleet.instances), GOSSIP_FANOUT))
             copies += GOSSIP_FANOUT
-        fresh = told - known
-        known |= told
+        senders = receivers - reached
+        reached |= receivers
         rounds += 1
-    per_instance = copies / sizes.instances
-    each = 2 * per_instance * sizes.change_bytes * sizes.changes_per_s
-    delay = rounds * (GOSSIP_ROUND_MS / 2 + hops.far_ms)
-    missed = 1 - len(known) / sizes.instances
-    return Way(f"gossip, fanout {GOSSIP_FANOUT}", per_instance, each, 0.0, delay, missed)
+    per_instance = copies / fleet.instances
+    bytes_per_s = 2 * per_instance * fleet.change_bytes * fleet.changes_per_s
+    delay = rounds * (GOSSIP_ROUND_MS / 2 + hop_times.cross_region_ms)
+    missed = 1 - len(reached) / fleet.instances
+    return MethodCost(
+        f"gossip, fanout {GOSSIP_FANOUT}", per_instance, bytes_per_s, 0.0, delay, missed
+    )
--- a/misc/claims_cost.py
+++ b/misc/claims_cost.py
@@ -27,9 +27,9 @@
 
 INSTANCES: Final = 6
 RATES: Final = (6, 30, 120, 600, 2_400)
-WORK_MS: Final = 200
+RUN_MS: Final = 200
 DUE_MS: Final = 5_000
-ANSWER: Final = SavedAnswer(200, "application/json", bytes(300))
+SAVED_ANSWER: Final = SavedAnswer(200, "application/json", bytes(300))
 SEED: Final = 1
 
 
@@ -61,7 +61,7 @@
         for module in (records, service):
             setattr(module, "SHARDS", shards)  # noqa: B010
         for rate in RATES:
-            print(_format(measure(shards, rate, args.seconds, args.latency_ms)), flush=True)
+            print(_format_row(measure(shards, rate, args.seconds, args.latency_ms)), flush=True)
 
 
 def measure(shards: int, rate: int, seconds: int, latency_ms: int) -> Row:
@@ -69,36 +69,42 @@
     fake = fake_clock()
     platform = FakePlatform(fake.clock, latency_ms)
     rng = random.Random(SEED)
-    fleet = [_make_claims(fake, platform, index) for index in range(INSTANCES)]
-    waits: list[int] = []
+    instances = [_make_claims(fake, platform, index) for index in range(INSTANCES)]
+    claim_times_ms: list[int] = []
     refused: list[str] = []
-    begun = 0
-    next_ms = 0.0
+    started = 0
+    next_arrival_ms = 0.0
     end_ms = seconds * MS_PER_S
     while fake.clock.now() < end_ms + DUE_MS:
-        while next_ms <= fake.clock.now() and next_ms < end_ms:
-            _start(fleet[begun % INSTANCES], fake, f"k{begun}", waits.append, refused.append)
-            begun += 1
-            next_ms += rng.expovariate(rate) * MS_PER_S
+        while next_arrival_ms <= fake.clock.now() and next_arrival_ms < end_ms:
+            _start_claim(
+                instances[started % INSTANCES],
+                fake,
+                f"k{started}",
+                claim_times_ms.append,
+                refused.append,
+            )
+            started += 1
+            next_arrival_ms += rng.expovariate(rate) * MS_PER_S
         fake.advance(1)
     writes = sum(platform.writes.values())
-    waits.sort()
+    claim_times_ms.sort()
     return Row(
         shards,
         rate,
-        writes / begun,
-        platform.conflicts / begun,
-        platform.calls["get"] / begun,
-        platform.bytes_in / begun / 1_000,
+        writes / started,
+        platform.conflicts / started,
+        platform.calls["get"] / started,
+        platform.bytes_in / started / 1_000,
         writes / seconds,
-        waits[len(waits) // 2],
-        waits[len(waits) * 99 // 100],
+        claim_times_ms[len(claim_times_ms) // 2],
+        claim_times_ms[len(claim_times_ms) * 99 // 100],
         len(refused),
     )
 
 
 def _make_claims(fake: FakeClock, platform: FakePlatform, index: int) -> Claims:
-    async def ask_writer(_instance: str, _reference: str) -> str:
+    async def query_writer(_instance: str, _reference: str) -> str:
         return "silent"
 
     name = f"entry-{index}"
@@ -111,12 +117,12 @@
             make_metrics(),
             name,
             index,
-            ask_writer,
+            query_writer,
         )
     )
 
 
-def _start(
+def _start_claim(
     claims: Claims,
     fake: FakeClock,
     key: str,
@@ -125,18 +131,18 @@
 ) -> None:
     async def run() -> None:
         start_ms = fake.clock.now()
-        begun = await claims.begin("caller", key, b"content", start_ms + DUE_MS)
-        if not isinstance(begun, Ok) or not isinstance(begun.ok_value, New):
+        outcome = await claims.begin("caller", key, b"content", start_ms + DUE_MS)
+        if not isinstance(outcome, Ok) or not isinstance(outcome.ok_value, New):
             on_refused(key)
             return
         on_claimed(fake.clock.now() - start_ms)
-        await fake.clock.sleep(WORK_MS)
-        claims.finish(begun.ok_value.token, ANSWER)
+        await fake.clock.sleep(RUN_MS)
+        claims.finish(outcome.ok_value.token, SAVED_ANSWER)
 
     Deferred.fromCoroutine(run()).addErrback(lambda failure: failure.printTraceback())
 
 
-def _format(row: Row) -> str:
+def _format_row(row: Row) -> str:
     return (
         f"{row.shards:6}  {row.rate:8}  {row.writes:6.2f}  {row.conflicts:9.2f}  {row.reads:5.2f}"
         f"  {row.kilobytes:5.1f}  {row.writes_per_s:8.0f}  {row.p50_ms:6}  {row.p99_ms:6}"
--- a/misc/cost_sweep.py
+++ b/misc/cost_sweep.py
@@ -15,7 +15,7 @@
 from typing import Any, Final, NamedTuple
 
 from misc import fleet
-from misc.fleet_cost import ENTRY
+from misc.fleet_cost import ENTRY_ROLE
 from papayapier import codec
 from papayapier.load import scenario
 from papayapier.load.table import Table
@@ -23,7 +23,7 @@
 EXPERIMENT: Final = fleet.ROOT / "misc" / "experiments" / "cost.json"
 FLEET: Final = fleet.ROOT / "misc" / "fleets" / "sulina.json"
 
-VALUES: Final = {
+AXIS_VALUES: Final = {
     "replicas": (3, 9, 24, 48),
     "instances": (2, 6, 12),
     "callers": (10, 100, 1_000),
@@ -31,7 +31,7 @@
 }
 
 
-class Point(NamedTuple):
+class SweepPoint(NamedTuple):
     """Hold the figures for one value of the axis; shares and bytes are per instance."""
 
     value: int
@@ -47,65 +47,69 @@
 def main(args: list[str]) -> int:
     """Sweep one axis; return 1 if any run had failures or violated an invariant."""
     parser = argparse.ArgumentParser(description=__doc__, prog="misc.cost_sweep")
-    parser.add_argument("axis", choices=sorted(VALUES))
+    parser.add_argument("axis", choices=sorted(AXIS_VALUES))
     parser.add_argument("--values", type=int, nargs="+", help="replaces the axis's default values")
     parser.add_argument("--json", type=Path, help="write the points as JSON")
     options = parser.parse_args(args)
-    values = options.values or VALUES[options.axis]
-    points = [_measure(options.axis, value) for value in values]
-    print("\n" + _text(options.axis, points))
+    values = options.values or AXIS_VALUES[options.axis]
+    points = [_measure_point(options.axis, value) for value in values]
+    print("\n" + _format_table(options.axis, points))
     if options.json:
         options.json.write_bytes(codec.to_json(points))
     return 1 if any(point.broken for point in points) else 0
 
 
-def _measure(axis: str, value: int) -> Point:
+def _measure_point(axis: str, value: int) -> SweepPoint:
     folder = fleet.ROOT / "out" / "cost-sweep"
     folder.mkdir(parents=True, exist_ok=True)
-    experiment = folder / f"{axis}-{value}.json"
-    experiment.write_bytes(codec.to_json(_experiment(axis, value)))
-    results = folder / f"{axis}-{value}-results.json"
-    results.unlink(missing_ok=True)
-    command = [str(FLEET), str(experiment), "--json", str(results)]
+    experiment_path = folder / f"{axis}-{value}.json"
+    experiment_path.write_bytes(codec.to_json(_make_experiment(axis, value)))
+    results_path = folder / f"{axis}-{value}-results.json"
+    results_path.unlink(missing_ok=True)
+    command = [str(FLEET), str(experiment_path), "--json", str(results_path)]
     if axis in ("replicas", "instances"):
         command += ["--engines" if axis == "replicas" else "--instances", str(value)]
     fleet.main(command)
-    return _point(value, json.loads(results.read_text()))
+    return _make_point(value, json.loads(results_path.read_text()))
 
 
-def _experiment(axis: str, value: int) -> scenario.Experiment:
-    exp = scenario.load(EXPERIMENT).unwrap()
+def _make_experiment(axis: str, value: int) -> scenario.Experiment:
+    experiment = scenario.load(EXPERIMENT).unwrap()
     if axis == "connections":
-        return exp._replace(idle_connections=value)
+        return experiment._replace(idle_connections=value)
     if axis == "callers":
         callers = scenario.Callers(value)
-        return exp._replace(classes=tuple(cls._replace(callers=callers) for cls in exp.classes))
-    return exp
+        return experiment._replace(
+            classes=tuple(
+                traffic_class._replace(callers=callers) for traffic_class in experiment.classes
+            )
+        )
+    return experiment
 
 
-def _point(value: int, document: dict[str, Any]) -> Point:
-    costs = document["request_costs"]
-    shares = [
-        one["core_share"]
-        for one in document["process_costs"]
-        if one["role"] == ENTRY and one["phase"] == costs[0]["phase"]
+def _make_point(value: int, results: dict[str, Any]) -> SweepPoint:
+    costs = results["request_costs"]
+    core_shares = [
+        cost["core_share"]
+        for cost in results["process_costs"]
+        if cost["role"] == ENTRY_ROLE and cost["phase"] == costs[0]["phase"]
     ]
-    instances = len(document["instances"])
-    idle = document["control"][0]
-    busy = document["control"][-1]
-    return Point(
+    instances = len(results["instances"])
+    idle = results["control"][0]
+    busy = results["control"][-1]
+    return SweepPoint(
         value,
-        round(sum(shares) / len(shares), 4),
+        round(sum(core_shares) / len(core_shares), 4),
         costs[-1]["us_above_idle"],
-        max(one["largest_rss_mb"] for one in costs),
+        max(cost["largest_rss_mb"] for cost in costs),
         round(idle["peer_bytes_per_s"] / instances, 1),
         round(idle["store_bytes_per_s"] / instances, 1),
         round(busy["peer_bytes_per_s"] / instances, 1),
-        len(document["broken"]) + len(document["failures"]),
+        len(results["broken"]) + len(results["failures"]),
     )
 
 
-def _text(axis: str, points: list[Point]) -> str:
+def _format_table(axis: str, points: list[SweepPoint]) -> str:
     header = (axis, "", "idle core share", "us/request above idle", "largest MB")
     rows = [
         (
--- a/misc/fleet.py
+++ b/misc/fleet.py
@@ -22,31 +22,31 @@
 from msgspec import Meta
 from result import Err, Ok, Result
 
-from misc.fleet_cost import ENTRY, cost_text, with_cost
+from misc.fleet_cost import ENTRY_ROLE, add_costs, format_costs
 from misc.processes import Process, ProcessGroup
 from papayapier import codec
 
-Few = Annotated[int, Meta(ge=0, le=200)]
+SmallCount = Annotated[int, Meta(ge=0, le=200)]
 
 ROOT: Final = Path(__file__).parent.parent
 HOST: Final = "127.0.0.1"
-READY_LIMIT_S: Final = 30.0
-CALL_LIMIT_S: Final = 5.0
-POLL_S: Final = 0.1
-SAMPLE_S: Final = 0.5
+READY_TIMEOUT_S: Final = 30.0
+CALL_TIMEOUT_S: Final = 5.0
+POLL_PERIOD_S: Final = 0.1
+SAMPLE_PERIOD_S: Final = 0.5
 PAPAYAPIER: Final = [sys.executable, "-m", "papayapier"]
 
 
 class FleetPlan(NamedTuple):
     """Describe a fleet; standin holds stand-in parameters, settings overrides instance settings."""
 
-    instances: Few = 6
+    instances: SmallCount = 6
     data_centres: tuple[str, ...] = ("dc-a", "dc-b", "dc-c")
     region: str = "local"
-    engines: Few = 9
+    engines: SmallCount = 9
     engine_name: str = "assistant"
     engines_per_process: Annotated[int, Meta(ge=1, le=50)] = 3
-    services: Few = 3
+    services: SmallCount = 3
     service_name: str = "gate"
     standin: dict[str, Any] = {}  # noqa: RUF012
     settings: dict[str, Any] = {}  # noqa: RUF012
@@ -62,7 +62,9 @@
 
 def main(args: list[str]) -> int:
     """Run one experiment; return the exit code of the load tool."""
-    parser = argparse.ArgumentParser(description=__doc__, prog="misc.fleet", formatter_class=_Plain)
+    parser = argparse.ArgumentParser(
+        description=__doc__, prog="misc.fleet", formatter_class=_DescriptionFormatter
+    )
     parser.add_argument("fleet", type=Path, help="fleet file")
     parser.add_argument("experiment", type=Path, help="experiment file")
     parser.add_argument("--json", type=Path, help="write results and costs as JSON")
@@ -83,7 +85,7 @@
         return _run_load(group, addresses, options, folder)
 
 
-class _Plain(argparse.RawDescriptionHelpFormatter):
+class _DescriptionFormatter(argparse.RawDescriptionHelpFormatter):
     """Keep the line breaks of the description."""
 
 
@@ -96,8 +98,8 @@
     plan = codec.from_commented_json(text, FleetPlan)
     if isinstance(plan, Err):
         return Err(f"{options.fleet}: {plan.err_value}")
-    given = {name: getattr(options, name) for name in ("instances", "engines")}
-    return Ok(plan.ok_value._replace(**{k: v for k, v in given.items() if v is not None}))
+    overrides = {name: getattr(options, name) for name in ("instances", "engines")}
+    return Ok(plan.ok_value._replace(**{k: v for k, v in overrides.items() if v is not None}))
 
 
 def start_fleet(group: ProcessGroup, plan: FleetPlan, folder: Path) -> Addresses:
@@ -107,14 +109,14 @@
     platform = _start_standins(group, plan, params)
     entries, operators = [], []
     for number in range(1, plan.instances + 1):
-        settings = _settings(plan, platform, number)
+        settings = _make_settings(plan, platform, number)
         path = folder / f"entry-{number}.json"
         path.write_text(json.dumps(settings))
-        group.start(f"entry-{number}", ENTRY, [*PAPAYAPIER, "serve", "--settings", str(path)])
+        group.start(f"entry-{number}", ENTRY_ROLE, [*PAPAYAPIER, "serve", "--settings", str(path)])
         entries.append(f"{HOST}:{settings['entry']['port']}")
         operators.append(f"{HOST}:{settings['operator']['port']}")
     for entry in entries:
-        _until_ready(group, entry)
+        _wait_ready(group, entry)
     return Addresses(platform, entries, operators[0])
 
 
@@ -124,13 +126,15 @@
     common += ["--data-centres", ",".join(plan.data_centres)]
     services = ["--services", str(plan.services), "--service-name", plan.service_name]
     process = group.start("platform", "platform", [*common, *services])
-    platform = f"{HOST}:{_addresses(process)['platform_port']}"
+    platform = f"{HOST}:{_read_addresses(process)['platform_port']}"
     for first in range(1, plan.engines + 1, plan.engines_per_process):
         number = min(plan.engines_per_process, plan.engines + 1 - first)
         engines = ["--engines", str(number), "--first", str(first)]
         engines += ["--engine-name", plan.engine_name]
-        started = group.start(f"engines-{first}", "engines", [*common, *engines, "--no-platform"])
-        for member in _addresses(started)["replicas"]:
+        engine_process = group.start(
+            f"engines-{first}", "engines", [*common, *engines, "--no-platform"]
+        )
+        for member in _read_addresses(engine_process)["replicas"]:
             _list_replica(platform, member)
     return platform
 
@@ -139,18 +143,20 @@
     """Add a replica to the platform's instance list."""
     url = f"http://{platform}/instances/{member['id']}"
     request = urllib.request.Request(url, json.dumps(member).encode(), method="PUT")
-    with urllib.request.urlopen(request, timeout=CALL_LIMIT_S) as answer:
-        answer.read()
+    with urllib.request.urlopen(request, timeout=CALL_TIMEOUT_S) as response:
+        response.read()
 
 
-def _addresses(process: Process) -> Any:
-    line = process.first_line()
+def _read_addresses(process: Process) -> Any:
+    line = process.read_first_line()
     if not line:
-        raise RuntimeError(f"{process.name} did not start: {process.errors.read_text()[-500:]}")
+        raise RuntimeError(
+            f"{process.name} did not start: {process.stderr_path.read_text()[-500:]}"
+        )
     return json.loads(line)
 
 
-def _settings(plan: FleetPlan, platform: str, number: int) -> dict[str, Any]:
+def _make_settings(plan: FleetPlan, platform: str, number: int) -> dict[str, Any]:
     """Return the settings of one instance, with free ports."""
     entry, operator, peer = _free_ports(3)
     settings: dict[str, Any] = {
@@ -173,32 +179,32 @@
 
 def _free_ports(number: int) -> list[int]:
     """Return free ports; all are bound at the same time, so that they differ."""
-    held = [socket.socket() for _ in range(number)]
-    for one in held:
-        one.bind((HOST, 0))
-    ports = [one.getsockname()[1] for one in held]
-    for one in held:
-        one.close()
+    sockets = [socket.socket() for _ in range(number)]
+    for sock in sockets:
+        sock.bind((HOST, 0))
+    ports = [sock.getsockname()[1] for sock in sockets]
+    for sock in sockets:
+        sock.close()
     return ports
 
 
-def _until_ready(group: ProcessGroup, entry: str) -> None:
-    until = time.monotonic() + READY_LIMIT_S
-    why = "it did not reply"
-    while time.monotonic() < until:
-        ended = [one.name for one in group.processes if one.ended()]
+def _wait_ready(group: ProcessGroup, entry: str) -> None:
+    deadline = time.monotonic() + READY_TIMEOUT_S
+    reason = "it did not reply"
+    while time.monotonic() < deadline:
+        ended = [process.name for process in group.processes if process.has_ended()]
         if ended:
             raise RuntimeError(f"{ended[0]} has exited; its .err file under out/ states the reason")
         try:
-            with urllib.request.urlopen(f"http://{entry}/readyz", timeout=2) as answer:
-                if answer.status == 200:
+            with urllib.request.urlopen(f"http://{entry}/readyz", timeout=2) as response:
+                if response.status == 200:
                     return
         except urllib.error.HTTPError as exc:
-            why = exc.read().decode(errors="replace")[:200]
+            reason = exc.read().decode(errors="replace")[:200]
         except OSError as exc:
-            why = str(exc)
-        time.sleep(POLL_S)
-    raise RuntimeError(f"{entry} did not become ready: {why}")
+            reason = str(exc)
+        time.sleep(POLL_PERIOD_S)
+    raise RuntimeError(f"{entry} did not become ready: {reason}")
 
 
 def _run_load(
@@ -212,14 +218,14 @@
     command += ["--html", str(options.html)] if options.html else []
     command += ["--seed", str(options.seed)] if options.seed is not None else []
     results.unlink(missing_ok=True)
-    load = group.start("load", "load", command)
-    while (code := load.wait(SAMPLE_S)) is None:
+    load_process = group.start("load", "load", command)
+    while (code := load_process.wait(SAMPLE_PERIOD_S)) is None:
         group.sample()
-    sys.stdout.write(load.rest().decode())
-    sys.stderr.write(load.errors.read_text())
+    sys.stdout.write(load_process.read_rest().decode())
+    sys.stderr.write(load_process.stderr_path.read_text())
     if results.exists():
-        document = with_cost(json.loads(results.read_text()), group.processes)
-        print("\n" + cost_text(document))
+        document = add_costs(json.loads(results.read_text()), group.processes)
+        print("\n" + format_costs(document))
         if options.json:
             options.json.write_text(json.dumps(document, indent=1))
     return code
--- a/misc/fleet_cost.py
+++ b/misc/fleet_cost.py
@@ -7,7 +7,7 @@
 
 US_PER_S: Final = 1_000_000
 MS_PER_S: Final = 1_000
-ENTRY: Final = "entry"
+ENTRY_ROLE: Final = "entry"
 
 
 class ProcessCost(NamedTuple):
@@ -39,15 +39,15 @@
     busiest_other: str
 
 
-def with_cost(document: dict[str, Any], processes: list[Process]) -> dict[str, Any]:
+def add_costs(document: dict[str, Any], processes: list[Process]) -> dict[str, Any]:
     """Return the results document with the costs added."""
     costs = [
-        _process_cost(phase, process, document)
+        _make_process_cost(phase, process, document)
         for phase in _phases(document)
         for process in processes
     ]
-    plain = [_request_cost(phase, document, costs) for phase in _phases(document)]
-    requests = [_above_idle(one, plain, document) for one in plain]
+    totals = [_make_request_cost(phase, document, costs) for phase in _phases(document)]
+    requests = [_subtract_idle(total, totals, document) for total in totals]
     return {
         **document,
         "process_costs": [cost._asdict() for cost in costs],
@@ -55,9 +55,9 @@
     }
 
 
-def cost_text(document: dict[str, Any]) -> str:
+def format_costs(document: dict[str, Any]) -> str:
     """Format the cost per request as a text table."""
-    rows = [_row(RequestCost(**cost)) for cost in document["request_costs"]]
+    rows = [_format_row(RequestCost(**cost)) for cost in document["request_costs"]]
     header = (
         "phase",
         "busiest other process",
@@ -70,7 +70,7 @@
     return Table(title, (*header, "largest MB", "busiest core"), rows).text()
 
 
-def _row(cost: RequestCost) -> tuple[str, ...]:
+def _format_row(cost: RequestCost) -> tuple[str, ...]:
     return (
         cost.phase,
         cost.busiest_other,
@@ -87,7 +87,7 @@
     return list(dict.fromkeys(window["phase"] for window in document["windows"]))
 
 
-def _process_cost(phase: str, process: Process, document: dict[str, Any]) -> ProcessCost:
+def _make_process_cost(phase: str, process: Process, document: dict[str, Any]) -> ProcessCost:
     cpu_s = 0.0
     wall_ms = 0
     rss_mb = 0.0
@@ -97,23 +97,27 @@
         start, end = window["start_wall_ms"], window["end_wall_ms"]
         cpu_s += process.cpu_at(end) - process.cpu_at(start)
         wall_ms += end - start
-        inside = [one.rss_mb for one in process.samples if start <= one.wall_ms <= end]
+        inside = [sample.rss_mb for sample in process.samples if start <= sample.wall_ms <= end]
         rss_mb = max([rss_mb, *inside])
     share = cpu_s * MS_PER_S / max(1, wall_ms)
     return ProcessCost(phase, process.name, process.role, round(cpu_s, 3), round(share, 4), rss_mb)
 
 
-def _request_cost(phase: str, document: dict[str, Any], costs: list[ProcessCost]) -> RequestCost:
-    classes = [one for one in document["classes"] if one["phase"] == phase]
-    requests = sum(one["sent"] for one in classes)
-    entries = [cost for cost in costs if cost.phase == phase and cost.role == ENTRY]
-    others = [cost for cost in costs if cost.phase == phase and cost.role != ENTRY]
+def _make_request_cost(
+    phase: str, document: dict[str, Any], costs: list[ProcessCost]
+) -> RequestCost:
+    classes = [
+        traffic_class for traffic_class in document["classes"] if traffic_class["phase"] == phase
+    ]
+    requests = sum(traffic_class["sent"] for traffic_class in classes)
+    entries = [cost for cost in costs if cost.phase == phase and cost.role == ENTRY_ROLE]
+    others = [cost for cost in costs if cost.phase == phase and cost.role != ENTRY_ROLE]
     busiest = max(others, key=lambda cost: cost.core_share)
     cpu_s = sum(cost.cpu_s for cost in entries)
     return RequestCost(
         phase,
         requests,
-        sum(one["tokens"] for one in classes),
+        sum(traffic_class["tokens"] for traffic_class in classes),
         round(cpu_s, 3),
         round(cpu_s * US_PER_S / requests, 1) if requests else 0.0,
         0.0,
@@ -123,18 +127,18 @@
     )
 
 
-def _above_idle(
-    cost: RequestCost, plain: list[RequestCost], document: dict[str, Any]
+def _subtract_idle(
+    cost: RequestCost, totals: list[RequestCost], document: dict[str, Any]
 ) -> RequestCost:
-    batch = {one["phase"]: one["batch_tokens_per_s"] for one in document["batch"]}
-    idle = [one for one in plain if not one.requests and abs(batch.get(one.phase, 0)) < 1]
-    if not idle or not cost.requests:
+    batch = {row["phase"]: row["batch_tokens_per_s"] for row in document["batch"]}
+    idle_phases = [row for row in totals if not row.requests and abs(batch.get(row.phase, 0)) < 1]
+    if not idle_phases or not cost.requests:
         return cost
-    idle_cpu_s = idle[0].cpu_s / _counted_ms(document, idle[0].phase)
-    above_s = cost.cpu_s - idle_cpu_s * _counted_ms(document, cost.phase)
+    idle_s_per_ms = idle_phases[0].cpu_s / _phase_ms(document, idle_phases[0].phase)
+    above_s = cost.cpu_s - idle_s_per_ms * _phase_ms(document, cost.phase)
     return cost._replace(us_above_idle=round(above_s * US_PER_S / cost.requests, 1))
 
 
-def _counted_ms(document: dict[str, Any], phase: str) -> int:
-    windows = [one for one in document["windows"] if one["phase"] == phase]
-    return sum(one["end_wall_ms"] - one["start_wall_ms"] for one in windows)
+def _phase_ms(document: dict[str, Any], phase: str) -> int:
+    windows = [window for window in document["windows"] if window["phase"] == phase]
+    return sum(window["end_wall_ms"] - window["start_wall_ms"] for window in windows)
--- a/misc/make_docs.py
+++ b/misc/make_docs.py
@@ -14,7 +14,7 @@
 from papayapier.node import settings as node_settings
 
 DOCS: Final = Path(__file__).resolve().parent.parent / "docs"
-MADE: Final = "This page is made from the code by `python3 -m misc.make_docs`."
+GENERATED_NOTICE: Final = "This page is made from the code by `python3 -m misc.make_docs`."
 
 
 class Page(NamedTuple):
@@ -26,15 +26,15 @@
 
 def pages() -> list[Page]:
     """Return all generated pages."""
-    return [Page("EVENTS.md", events_page()), Page("SETTINGS.md", settings_page())]
+    return [Page("EVENTS.md", make_events_page()), Page("SETTINGS.md", make_settings_page())]
 
 
-def events_page() -> str:
+def make_events_page() -> str:
     """Return the page of log events and error kinds."""
     lines = [
         "# Log events and error kinds",
         "",
-        MADE,
+        GENERATED_NOTICE,
         "Numbers never change meaning. 1xx process, 2xx online, 3xx upstream, 4xx store, 5xx",
         "batch, 6xx configuration, 7xx peers, 8xx orders, 9xx invariants.",
         "",
@@ -59,53 +59,60 @@
     return "\n".join(lines) + "\n"
 
 
-def settings_page() -> str:
+def make_settings_page() -> str:
     """Return the reference page of an instance's settings."""
-    lines = ["# Settings", "", MADE, ""]
+    lines = ["# Settings", "", GENERATED_NOTICE, ""]
     lines += [
         "One JSON file with comments per instance; `papayapier check FILE` checks it.",
         "A key without a default is required.",
     ]
-    lines += _sections(settings.Settings, "##")
+    lines += _format_sections(settings.Settings, "##")
     lines += ["", "## On the users' platform", "", "`entry` and `keeper` read these; the"]
     lines += ["platform fills in `deploy/settings.json`."]
-    lines += _sections(node_settings.NodeSettings, "###")
+    lines += _format_sections(node_settings.NodeSettings, "###")
     return "\n".join(lines) + "\n"
 
 
-def _sections(record: Any, heading: str) -> list[str]:
+def _format_sections(record: Any, heading: str) -> list[str]:
     lines = []
     for name, hint in get_type_hints(record, include_extras=True).items():
-        section = next((part for part in (hint, *get_args(hint)) if hasattr(part, "_fields")), None)
+        section = next(
+            (
+                field_type
+                for field_type in (hint, *get_args(hint))
+                if hasattr(field_type, "_fields")
+            ),
+            None,
+        )
         if section is None:
-            lines += ["", f"{heading} `{name}`", "", _type_name(hint)]
+            lines += ["", f"{heading} `{name}`", "", _format_type(hint)]
             continue
         lines += ["", f"{heading} `{name}`", "", (section.__doc__ or "").strip(), ""]
         lines += ["| key | type | default |", "| --- | --- | --- |"]
-        lines += [_row(section, key) for key in section._fields]
+        lines += [_format_row(section, key) for key in section._fields]
     return lines
 
 
-def _row(section: Any, key: str) -> str:
+def _format_row(section: Any, key: str) -> str:
     hint = get_type_hints(section, include_extras=True)[key]
     default = "required"
     if key in section._field_defaults:
         default = "`" + codec.to_json(section._field_defaults[key]).decode() + "`"
-    return f"| `{key}` | {_type_name(hint)} | {default} |"
+    return f"| `{key}` | {_format_type(hint)} | {default} |"
 
 
-def _type_name(hint: Any) -> str:
+def _format_type(hint: Any) -> str:
     if hasattr(hint, "__metadata__"):
-        return f"{_type_name(get_args(hint)[0])}{_bounds(hint.__metadata__)}"
+        return f"{_format_type(get_args(hint)[0])}{_format_bounds(hint.__metadata__)}"
     if get_origin(hint) is tuple:
-        part = get_args(hint)[0]
-        keys = ", ".join(f"`{name}`" for name in getattr(part, "_fields", ()))
+        item_type = get_args(hint)[0]
+        keys = ", ".join(f"`{name}`" for name in getattr(item_type, "_fields", ()))
         return f"list of {{{keys}}}"
     return str(getattr(hint, "__name__", hint))
 
 
-def _bounds(metadata: tuple[Any, ...]) -> str:
-    meta = next(part for part in metadata if isinstance(part, msgspec.Meta))
+def _format_bounds(metadata: tuple[Any, ...]) -> str:
+    meta = next(annotation for annotation in metadata if isinstance(annotation, msgspec.Meta))
     if meta.pattern:
         return " `" + meta.pattern.replace("|", "\\|") + "`"
     if meta.ge is not None:
@@ -115,15 +122,15 @@
 
 def main(args: list[str]) -> int:
     """Write the pages, or with --check compare them with the files; return the exit code."""
-    stale = 0
+    stale_pages = 0
     for page in pages():
         path = DOCS / page.name
         if "--check" not in args:
             path.write_text(page.text, encoding="utf-8")
         elif not path.exists() or path.read_text(encoding="utf-8") != page.text:
             print(f"{path.name} differs from the code: run python3 -m misc.make_docs")
-            stale += 1
-    return 1 if stale else 0
+            stale_pages += 1
+    return 1 if stale_pages else 0
 
 
 if __name__ == "__main__":
--- a/misc/measure_batch.py
+++ b/misc/measure_batch.py
@@ -49,15 +49,15 @@
 CALLER: Final = "measure"
 URL: Final = "/v1/chat/completions"
 PROMPT: Final = "the truck at the north gate carries pruned branches and leaves " * 3
-ANSWER: Final = "accepted for the green heap " * 4
-PIECE_LINES: Final = 200
-ROOM: Final = 256
+ANSWER_TEXT: Final = "accepted for the green heap " * 4
+CHUNK_LINES: Final = 200
+FREE_SLOTS: Final = 256
 POLL_MS: Final = 20
-BY_TIME: Final = ("sessions/", "leases/")
-WRITES: Final = ("create", "update", "delete")
+TIMED_PREFIXES: Final = ("sessions/", "leases/")
+WRITE_CALLS: Final = ("create", "update", "delete")
 
 
-class Measured(NamedTuple):
+class JobFigures(NamedTuple):
     """Hold the figures of one job; writes to bytes_read are per 1,000 items."""
 
     items: int
@@ -75,7 +75,7 @@
     peak_mb: float
 
 
-class DictPlatform:
+class InMemoryPlatform:
     """Store objects in a dictionary and count calls and bytes."""
 
     def __init__(self, clock: Clock) -> None:
@@ -83,9 +83,9 @@
         self._objects: dict[str, Stored] = {}
         self._revision = 0
         self.calls: Counter[str] = Counter()
-        self.by_time = 0
-        self.written = 0
-        self.read = 0
+        self.timed_calls = 0
+        self.written_bytes = 0
+        self.read_bytes = 0
 
     def store(self) -> Store:
         """Return a Store that is backed by this platform."""
@@ -93,7 +93,7 @@
         async def members(_wait_ms: int, _since: int) -> Result[Members, StoreError]:
             return Ok(Members([], 0))
 
-        async def nothing(*_: Any) -> Result[None, StoreError]:
+        async def no_op(*_: Any) -> Result[None, StoreError]:
             return Ok(None)
 
         return Store(
@@ -104,23 +104,23 @@
             self._list,
             self._watch,
             members,
-            nothing,
-            nothing,
+            no_op,
+            no_op,
         )
 
-    def _count(self, call: str, key: str) -> None:
-        if key.startswith(BY_TIME):
-            self.by_time += 1
+    def _count_call(self, call: str, key: str) -> None:
+        if key.startswith(TIMED_PREFIXES):
+            self.timed_calls += 1
         else:
             self.calls[call] += 1
 
     async def _get(self, key: str) -> Result[Stored, StoreError]:
-        self._count("get", key)
-        found = self._objects.get(key)
-        if found is None:
+        self._count_call("get", key)
+        stored = self._objects.get(key)
+        if stored is None:
             return Err(StoreError.NOT_FOUND)
-        self.read += len(found.value)
-        return Ok(found)
+        self.read_bytes += len(stored.value)
+        return Ok(stored)
 
     async def _create(self, key: str, value: bytes) -> Result[int, StoreError]:
         return self._put("create", key, value, 0)
@@ -129,32 +129,32 @@
         return self._put("update", key, value, version)
 
     def _put(self, call: str, key: str, value: bytes, version: int) -> Result[int, StoreError]:
-        self._count(call, key)
-        found = self._objects.get(key)
-        if (found.version if found else 0) != version:
+        self._count_call(call, key)
+        stored = self._objects.get(key)
+        if (stored.version if stored else 0) != version:
             return Err(StoreError.CONFLICT)
         self._revision += 1
-        self.written += len(value)
+        self.written_bytes += len(value)
         self._objects[key] = Stored(key, self._revision, value)
         return Ok(self._revision)
 
     async def _delete(self, key: str, version: int) -> Result[int, StoreError]:
-        self._count("delete", key)
-        found = self._objects.get(key)
-        if found is None or found.version != version:
+        self._count_call("delete", key)
+        stored = self._objects.get(key)
+        if stored is None or stored.version != version:
             return Err(StoreError.CONFLICT)
         del self._objects[key]
         self._revision += 1
         return Ok(self._revision)
 
     async def _list(self, prefix: str, after: str, limit: int) -> Result[Listing, StoreError]:
-        self._count("list", prefix)
+        self._count_call("list", prefix)
         keys = sorted(key for key in self._objects if key.startswith(prefix) and key > after)
         page = [Entry(key, self._objects[key].version) for key in keys[:limit]]
         return Ok(Listing(page, len(keys) > limit, self._revision))
 
     async def _watch(self, _prefix: str, since: int, wait_ms: int) -> Result[Changes, StoreError]:
-        self.by_time += 1
+        self.timed_calls += 1
         await self._clock.sleep(wait_ms)
         changes: list[Change] = []
         return Ok(Changes(changes, since))
@@ -166,7 +166,7 @@
         {
             "id": "x" * 32,
             "object": "chat.completion",
-            "choices": [{"index": 0, "message": {"role": "assistant", "content": ANSWER}}],
+            "choices": [{"index": 0, "message": {"role": "assistant", "content": ANSWER_TEXT}}],
             "usage": {"prompt_tokens": 40, "completion_tokens": 20},
         }
     ).encode()
@@ -176,13 +176,13 @@
         assert call.still_allowed()
         return Ok(reply)
 
-    return BatchDispatch(lambda _: ROOM, run, lambda _: None)
+    return BatchDispatch(lambda _: FREE_SLOTS, run, lambda _: None)
 
 
-async def measure(items: int, instances: int) -> Measured:
+async def measure(items: int, instances: int) -> JobFigures:
     """Run one job with the given number of items and return its figures."""
     clock = real_clock()
-    platform = DictPlatform(clock)
+    platform = InMemoryPlatform(clock)
     batch = start_batch(_deps(clock, platform.store(), instances))
     await clock.sleep(200)
     base_mb = _peak_mb()
@@ -193,30 +193,30 @@
     job_id = (await batch.jobs.accept(request)).unwrap().record.job_id
     while job_id in batch.registry.jobs:
         await clock.sleep(POLL_MS)
-    ran = time.perf_counter()
+    finished = time.perf_counter()
     calls = Counter(platform.calls)
-    written, read, by_time = platform.written, platform.read, platform.by_time
+    written, read, by_time = platform.written_bytes, platform.read_bytes, platform.timed_calls
     count = await _count_output(batch, job_id)
     assert count == items, f"{count} results for {items} items"
-    ended = time.perf_counter()
+    output_read = time.perf_counter()
     # The dictionary replaces the platform, so its content does not count as instance memory.
-    kept_mb = sum(len(one.value) for one in platform._objects.values()) / 1e6
+    stored_mb = sum(len(stored.value) for stored in platform._objects.values()) / 1e6
     await batch.stop()
-    per = 1_000 / items
-    return Measured(
+    per_thousand = 1_000 / items
+    return JobFigures(
         items=items,
         upload_items_per_s=round(items / (uploaded - started)),
-        run_items_per_s=round(items / (ran - uploaded)),
-        output_items_per_s=round(items / (ended - ran)),
-        writes=round((calls["create"] + calls["update"]) * per, 3),
-        deletes=round(calls["delete"] * per, 3),
-        reads=round(calls["get"] * per, 3),
-        lists=round(calls["list"] * per, 3),
-        bytes_written=round(written * per),
-        bytes_read=round(read * per),
+        run_items_per_s=round(items / (finished - uploaded)),
+        output_items_per_s=round(items / (output_read - finished)),
+        writes=round((calls["create"] + calls["update"]) * per_thousand, 3),
+        deletes=round(calls["delete"] * per_thousand, 3),
+        reads=round(calls["get"] * per_thousand, 3),
+        lists=round(calls["list"] * per_thousand, 3),
+        bytes_written=round(written * per_thousand),
+        bytes_read=round(read * per_thousand),
         by_time=by_time,
         base_mb=round(base_mb, 1),
-        peak_mb=round(_peak_mb() - kept_mb, 1),
+        peak_mb=round(_peak_mb() - stored_mb, 1),
     )
 
 
@@ -238,15 +238,15 @@
 
 async def _upload(batch: Batch, clock: Clock, items: int) -> str:
     intake = batch.new_file(CALLER, "measure.jsonl", "batch")
-    for start in range(0, items, PIECE_LINES):
-        lines = [_line(n) for n in range(start, min(items, start + PIECE_LINES))]
+    for start in range(0, items, CHUNK_LINES):
+        lines = [_make_line(n) for n in range(start, min(items, start + CHUNK_LINES))]
         refusal = await intake.feed(b"".join(lines))
         assert refusal is None, refusal
         await clock.sleep(0)
     return (await intake.finish()).unwrap().file_id
 
 
-def _line(number: int) -> bytes:
+def _make_line(number: int) -> bytes:
     body = f'{{"messages":[{{"role":"user","content":"{PROMPT}"}}],"max_tokens":32}}'
     return (
         f'{{"custom_id":"note-{number}","method":"POST","url":"{URL}","body":{body}}}\n'
@@ -257,8 +257,8 @@
     output = (await batch.views.output(CALLER, f"file-out-{job_id}")).unwrap()
     failed: list[Any] = []
     count = 0
-    async for piece in batch.views.output_lines(output, failed.append):
-        count += piece.count(b"\n")
+    async for chunk in batch.views.output_lines(output, failed.append):
+        count += chunk.count(b"\n")
     assert not failed, failed
     return count
 
@@ -269,21 +269,21 @@
 
 def run_one(items: int, instances: int) -> None:
     """Measure one size in this process and print it as JSON."""
-    shown: list[Measured] = []
+    results: list[JobFigures] = []
 
     def main(_reactor: Any) -> Deferred[None]:
-        async def work() -> None:
-            shown.append(await measure(items, instances))
+        async def run_measure() -> None:
+            results.append(await measure(items, instances))
 
-        return Deferred.fromCoroutine(work())
+        return Deferred.fromCoroutine(run_measure())
 
-    start: Callable[..., Any] = task.react
+    run_reactor: Callable[..., Any] = task.react
     try:
-        start(main, [], reactor)
+        run_reactor(main, [], reactor)
     except SystemExit as exc:
         if exc.code:
             raise
-    print(json.dumps(shown[0]._asdict()))
+    print(json.dumps(results[0]._asdict()))
 
 
 def run_all(as_json: bool, sizes: tuple[int, ...], instances: int) -> None:
@@ -292,12 +292,12 @@
     for items in sizes:
         command = [sys.executable, "-m", "misc.measure_batch", "--items", str(items)]
         command += ["--instances", str(instances)]
-        done = subprocess.run(command, check=True, capture_output=True, text=True)
-        rows.append(json.loads(done.stdout.splitlines()[-1]))
+        completed = subprocess.run(command, check=True, capture_output=True, text=True)
+        rows.append(json.loads(completed.stdout.splitlines()[-1]))
     if as_json:
         print(json.dumps(rows, indent=2))
         return
-    for name in Measured._fields:
+    for name in JobFigures._fields:
         print(f"{name:<20}" + "".join(f"{row[name]:>14,}" for row in rows))
 
 
--- a/misc/measure_capacity.py
+++ b/misc/measure_capacity.py
@@ -20,19 +20,19 @@
 from typing import Final
 
 from misc.capacity import tables
-from misc.capacity.measures import MEASURES, Measure, Point
-from misc.capacity.spread_paths import Hops, Sizes, compare, degrees
+from misc.capacity.measures import MEASUREMENTS, Measurement, Point
+from misc.capacity.spread_paths import FleetSize, HopTimes, compare_methods, neighbour_counts
 from papayapier import codec
 from papayapier.peer.topology import Limits
 from papayapier.settings import PeerSettings
 
-SECONDS: Final = 20.0
+IDLE_S: Final = 20.0
 DAY_S: Final = 86_400
-TARGET: Final = Sizes(1_400, 14, 6, 900, 14_000 / DAY_S)
+TARGET_SIZE: Final = FleetSize(1_400, 14, 6, 900, 14_000 / DAY_S)
 # Network time of one hop inside a region and between regions; --hop-ms adds its processing.
-NEAR_MS: Final = 1.0
-FAR_MS: Final = 80.0
-STORE_MS: Final = 5.0
+IN_REGION_HOP_MS: Final = 1.0
+CROSS_REGION_HOP_MS: Final = 80.0
+STORE_CALL_MS: Final = 5.0
 
 
 def main(args: list[str]) -> int:
@@ -40,32 +40,30 @@
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--only", choices=[*MEASURES], help="run this measure only")
-    parser.add_argument(
-        "--seconds", type=float, default=SECONDS, help="length of idle measurements"
-    )
+    parser.add_argument("--only", choices=[*MEASUREMENTS], help="run this measure only")
+    parser.add_argument("--seconds", type=float, default=IDLE_S, help="length of idle measurements")
     parser.add_argument("--json", type=Path, help="write the points as JSON")
     parser.add_argument("--show", type=Path, help="print tables of saved points")
     parser.add_argument("--spread", action="store_true", help="compare propagation methods")
     parser.add_argument("--hop-ms", type=float, default=1.0, help="processing time of one hop")
     options = parser.parse_args(args)
     if options.spread:
-        print(_spread(options.hop_ms))
+        print(_compare_spreading(options.hop_ms))
         return 0
     if options.show is not None:
-        print(tables.measured(_read(options.show)))
+        print(tables.format_measurements(_read_measurements(options.show)))
         return 0
     # Without a handler, SIGTERM would leave the processes of the fleet running.
     signal.signal(signal.SIGTERM, _interrupt)
-    names = [options.only] if options.only else [*MEASURES]
-    found = []
+    names = [options.only] if options.only else [*MEASUREMENTS]
+    measurements = []
     for name in names:
         print(f"measuring {name}", file=sys.stderr, flush=True)
-        found.append(MEASURES[name](options.seconds))
+        measurements.append(MEASUREMENTS[name](options.seconds))
         if options.json is not None:
             options.json.parent.mkdir(parents=True, exist_ok=True)
-            options.json.write_bytes(codec.to_json(found))
-    print(tables.measured(found))
+            options.json.write_bytes(codec.to_json(measurements))
+    print(tables.format_measurements(measurements))
     return 0
 
 
@@ -73,20 +71,22 @@
     raise KeyboardInterrupt
 
 
-def _read(path: Path) -> list[Measure]:
+def _read_measurements(path: Path) -> list[Measurement]:
     return [
-        Measure(one["quantity"], [Point(**point) for point in one["points"]])
-        for one in json.loads(path.read_text())
+        Measurement(row["quantity"], [Point(**point) for point in row["points"]])
+        for row in json.loads(path.read_text())
     ]
 
 
-def _spread(hop_ms: float) -> str:
+def _compare_spreading(hop_ms: float) -> str:
     cfg = PeerSettings()
     limits = Limits(cfg.full_mesh, cfg.picks, cfg.relays)
-    mean, most = degrees(TARGET, limits)
-    hops = Hops(NEAR_MS + hop_ms, FAR_MS + hop_ms)
-    found = tables.ways(compare(TARGET, limits, hops, STORE_MS))
-    return f"neighbours: {mean:.1f} on average, {most} at most\n\n{found}"
+    mean, largest = neighbour_counts(TARGET_SIZE, limits)
+    hop_times = HopTimes(IN_REGION_HOP_MS + hop_ms, CROSS_REGION_HOP_MS + hop_ms)
+    comparison = tables.format_methods(
+        compare_methods(TARGET_SIZE, limits, hop_times, STORE_CALL_MS)
+    )
+    return f"neighbours: {mean:.1f} on average, {largest} at most\n\n{comparison}"
 
 
 if __name__ == "__main__":
--- a/misc/measure_spread.py
+++ b/misc/measure_spread.py
@@ -38,13 +38,13 @@
 NEVER_MS: Final = 86_400_000
 IDLE_MS: Final = 3_000
 SETTLE_MS: Final = 1_500
-LIMIT_MS: Final = 20_000
-GAP_MS: Final = (50, 400)
+CHANGE_TIMEOUT_MS: Final = 20_000
+CHANGE_GAP_MS: Final = (50, 400)
 SEED: Final = 1
 PERCENT: Final = 100
 
 
-class Way(NamedTuple):
+class ChannelSet(NamedTuple):
     """Name a set of enabled propagation channels."""
 
     name: str
@@ -54,12 +54,12 @@
     poll: bool
 
 
-WAYS: Final = (
-    Way("all", True, True, True, True),
-    Way("push", True, False, False, False),
-    Way("watch", False, True, False, False),
-    Way("heartbeat", False, False, True, False),
-    Way("poll", False, False, False, True),
+CHANNEL_SETS: Final = (
+    ChannelSet("all", True, True, True, True),
+    ChannelSet("push", True, False, False, False),
+    ChannelSet("watch", False, True, False, False),
+    ChannelSet("heartbeat", False, False, True, False),
+    ChannelSet("poll", False, False, False, True),
 )
 
 
@@ -71,7 +71,7 @@
     profiles: int
 
 
-class Spread(NamedTuple):
+class SpreadResult(NamedTuple):
     """Hold the result of one channel set; bytes are per change and instance."""
 
     way: str
@@ -85,7 +85,7 @@
     store_bytes: float
 
 
-class Start(NamedTuple):
+class StartResult(NamedTuple):
     """Hold the time from an instance's start until it is ready."""
 
     case: str
@@ -97,8 +97,8 @@
     """Hold all results."""
 
     instances: int
-    spread: list[Spread]
-    starts: list[Start]
+    spread: list[SpreadResult]
+    starts: list[StartResult]
 
 
 class Node(NamedTuple):
@@ -111,19 +111,21 @@
     metrics: Metrics
 
 
-class Bench:
+class Cluster:
     """Own the platform and the instances of one channel set."""
 
-    def __init__(self, reactor: Any, clock: Clock, platform: PlatformServer, way: Way) -> None:
+    def __init__(
+        self, reactor: Any, clock: Clock, platform: PlatformServer, channels: ChannelSet
+    ) -> None:
         self._reactor = reactor
         self.clock = clock
         self.platform = platform
-        self.way = way
+        self.channels = channels
         self.nodes: list[Node] = []
         self.members: list[Member] = []
         self.rand = random.Random(SEED)
 
-    def add(self, name: str) -> Node:
+    def add_node(self, name: str) -> Node:
         """Start one instance and add it to the member list of all."""
         metrics = make_metrics()
         platform = PlatformSettings(HOST, self.platform.port)
@@ -131,24 +133,24 @@
         configs: list[Config] = []
 
         def heartbeat() -> Heartbeat:
-            book = configs[0].book
-            return Heartbeat(name, 1, "serving", book.version(), (), book.digest())
+            registry = configs[0].book
+            return Heartbeat(name, 1, "serving", registry.version(), (), registry.digest())
 
-        me = Identity(name, 1, HOST, "dc-a", "local")
+        identity = Identity(name, 1, HOST, "dc-a", "local")
         hub = PeerHub(
-            self._reactor, self.clock, PeerSettings(port=0), me, heartbeat, metrics, self.rand
+            self._reactor, self.clock, PeerSettings(port=0), identity, heartbeat, metrics, self.rand
         )
-        way = self.way
-        cfg = ConfigSettings(poll_ms=ConfigSettings().poll_ms if way.poll else NEVER_MS)
+        channels = self.channels
+        cfg = ConfigSettings(poll_ms=ConfigSettings().poll_ms if channels.poll else NEVER_MS)
         config = start_config(
             ConfigDeps(
                 clock=self.clock,
                 rand=random.Random(name),
-                store=store if way.watch else store._replace(watch=self._silent_watch),
+                store=store if channels.watch else store._replace(watch=self._silent_watch),
                 settings=cfg,
                 metrics=metrics,
                 tell=hub.tell,
-                broadcast=hub.tell_all if way.push else lambda _message: None,
+                broadcast=hub.tell_all if channels.push else lambda _message: None,
                 peers=lambda: [view.id for view in hub.views() if view.up],
                 queued_under=lambda _name: 0,
                 upstream_names=set,
@@ -157,7 +159,7 @@
         )
         configs.append(config)
         for kind in (ConfigPush, ConfigAsk, ConfigTell, Heartbeat):
-            if kind is not Heartbeat or way.heartbeat:
+            if kind is not Heartbeat or channels.heartbeat:
                 hub.subscribe(kind, config.on_peer)
         port = hub.start().unwrap()
         node = Node(name, config, hub, store, metrics)
@@ -165,8 +167,8 @@
         self.members.append(
             Member(name, ENTRY, "", HOST, 0, port, "dc-a", "local", LIVE, static=True)
         )
-        for one in self.nodes:
-            one.hub.set_members(self.members)
+        for member in self.nodes:
+            member.hub.set_members(self.members)
         return node
 
     async def _silent_watch(self, _prefix: str, since: int, _wait_ms: int) -> Any:
@@ -180,116 +182,128 @@
         node.hub.close()
         await node.store.close()
 
-    async def ready(self, node: Node) -> float:
+    async def wait_ready(self, node: Node) -> float:
         """Wait until an instance is ready and return how long that took in ms."""
         started = self.clock.timers.seconds()
         while node.config.ready(self.clock.now()).is_err():
             await self.clock.sleep(1)
         return (self.clock.timers.seconds() - started) * 1_000
 
-    def bytes(self) -> tuple[float, float]:
+    def read_bytes(self) -> tuple[float, float]:
         """Return the bytes that all instances exchanged with peers and with the store."""
-        peer = sum(_total(n.metrics.peer_bytes, "sent") for n in self.nodes)
+        peer = sum(_counter_value(n.metrics.peer_bytes, "sent") for n in self.nodes)
         store = sum(
-            _total(n.metrics.store_bytes, direction)
+            _counter_value(n.metrics.store_bytes, direction)
             for n in self.nodes
             for direction in _directions(n.metrics.store_bytes)
         )
         return peer, store
 
-    async def change(self, number: int, profiles: int) -> tuple[float, list[float]]:
+    async def make_change(self, number: int, profiles: int) -> tuple[float, list[float]]:
         """Make one change; return the ms to accept it and the ms until it is in force elsewhere."""
         node = self.rand.choice(self.nodes)
         name = f"p{number % profiles}"
         key = Subject(PROFILES, name).key
-        before = node.config.book.version_of(key)
+        old_version = node.config.book.version_of(key)
         times: dict[str, float] = {}
         done: Deferred[None] = Deferred()
-        for one in self.nodes:
-            one.config.book.watch(self._arrival(one.name, key, before, times, done))
-        began = self.clock.timers.seconds()
-        wanted = profile(name, 1_000 + number)
+        for receiver in self.nodes:
+            receiver.config.book.watch(
+                self._arrival_callback(receiver.name, key, old_version, times, done)
+            )
+        start_s = self.clock.timers.seconds()
+        document = make_profile(name, 1_000 + number)
         reason = "measure"
         accepted = await node.config.accept(
-            Change(Subject(PROFILES, name), wanted, before, reason, f"change-{number:06}", "me")
+            Change(
+                Subject(PROFILES, name), document, old_version, reason, f"change-{number:06}", "me"
+            )
         )
-        accept_ms = (self.clock.timers.seconds() - began) * 1_000
+        accept_ms = (self.clock.timers.seconds() - start_s) * 1_000
         assert isinstance(accepted, Ok), accepted
-        timer = self.clock.call_later(LIMIT_MS, lambda: done.errback(TimeoutError(str(times))))
+        timer = self.clock.call_later(
+            CHANGE_TIMEOUT_MS, lambda: done.errback(TimeoutError(str(times)))
+        )
         await done
         timer.cancel()
-        first = times[node.name]
-        late = [max(0.0, at - first) * 1_000 for who, at in times.items() if who != node.name]
-        return accept_ms, late
-
-    def _arrival(
-        self, name: str, key: str, before: int, times: dict[str, float], done: "Deferred[None]"
+        first_s = times[node.name]
+        delays_ms = [
+            max(0.0, in_force_s - first_s) * 1_000
+            for instance, in_force_s in times.items()
+            if instance != node.name
+        ]
+        return accept_ms, delays_ms
+
+    def _arrival_callback(
+        self, name: str, key: str, old_version: int, times: dict[str, float], done: "Deferred[None]"
     ) -> Callable[[str, int], None]:
-        def arrived(changed: str, version: int) -> None:
-            if changed != key or version <= before or name in times:
+        def on_change(changed: str, version: int) -> None:
+            if changed != key or version <= old_version or name in times:
                 return
             times[name] = self.clock.timers.seconds()
             if len(times) == len(self.nodes) and not done.called:
                 done.callback(None)
 
-        return arrived
+        return on_change
 
 
-def profile(name: str, due_ms: int) -> dict[str, object]:
+def make_profile(name: str, due_ms: int) -> dict[str, object]:
     """Return a profile document."""
     return dict(codec.to_document(Profile(name, "gate", "urgent", due_ms, False)))
 
 
-async def measure_way(bench: Bench, options: Options) -> Spread:
+async def measure_channels(cluster: Cluster, options: Options) -> SpreadResult:
     """Measure one channel set."""
     for number in range(options.instances):
-        bench.add(f"entry-{number}")
-    await gatherResults([Deferred.fromCoroutine(bench.ready(node)) for node in bench.nodes])
-    await bench.clock.sleep(SETTLE_MS)
-    idle_before = bench.bytes()
-    await bench.clock.sleep(IDLE_MS)
-    idle = tuple((b - a) / IDLE_MS for a, b in zip(idle_before, bench.bytes(), strict=True))
-    before, began = bench.bytes(), bench.clock.now()
-    accepts, ones, alls = [], [], []
+        cluster.add_node(f"entry-{number}")
+    await gatherResults(
+        [Deferred.fromCoroutine(cluster.wait_ready(node)) for node in cluster.nodes]
+    )
+    await cluster.clock.sleep(SETTLE_MS)
+    idle_before = cluster.read_bytes()
+    await cluster.clock.sleep(IDLE_MS)
+    idle = tuple((b - a) / IDLE_MS for a, b in zip(idle_before, cluster.read_bytes(), strict=True))
+    before, started_ms = cluster.read_bytes(), cluster.clock.now()
+    accept_times_ms, all_delays_ms, last_delays_ms = [], [], []
     for number in range(options.changes):
-        accept_ms, late = await bench.change(number, options.profiles)
-        accepts.append(accept_ms)
-        ones += late
-        alls.append(max(late))
-        await bench.clock.sleep(bench.rand.uniform(*GAP_MS))
-    spent_ms = bench.clock.now() - began
-    after = bench.bytes()
-    share = options.changes * options.instances
+        accept_ms, delays_ms = await cluster.make_change(number, options.profiles)
+        accept_times_ms.append(accept_ms)
+        all_delays_ms += delays_ms
+        last_delays_ms.append(max(delays_ms))
+        await cluster.clock.sleep(cluster.rand.uniform(*CHANGE_GAP_MS))
+    duration_ms = cluster.clock.now() - started_ms
+    after = cluster.read_bytes()
+    samples = options.changes * options.instances
     peer, store = (
-        max(0.0, b - a - rate * spent_ms) / share
+        max(0.0, b - a - rate * duration_ms) / samples
         for a, b, rate in zip(before, after, idle, strict=True)
     )
-    return Spread(
-        bench.way.name,
+    return SpreadResult(
+        cluster.channels.name,
         options.changes,
-        percentile(accepts, 50),
-        percentile(ones, 50),
-        max(ones),
-        percentile(alls, 50),
-        max(alls),
+        percentile(accept_times_ms, 50),
+        percentile(all_delays_ms, 50),
+        max(all_delays_ms),
+        percentile(last_delays_ms, 50),
+        max(last_delays_ms),
         peer,
         store,
     )
 
 
-async def measure_starts(bench: Bench, options: Options) -> list[Start]:
+async def measure_starts(cluster: Cluster, options: Options) -> list[StartResult]:
     """Measure a start with the store available, and one in an outage that relies on the peers."""
-    found: list[Start] = []
+    results: list[StartResult] = []
     for case, outage in (("store up", False), ("store down, from peers", True)):
-        bench.platform.switches["outage"] = outage
-        node = bench.add(f"new-{len(found)}")
-        ready_ms = await bench.ready(node)
+        cluster.platform.switches["outage"] = outage
+        node = cluster.add_node(f"new-{len(results)}")
+        ready_ms = await cluster.wait_ready(node)
         count = len(node.config.book.profiles())
-        found.append(Start(case, count, ready_ms))
-        bench.platform.switches["outage"] = False
-        bench.members = [m for m in bench.members if m.id != node.name]
-        await bench.remove(node)
-    return found
+        results.append(StartResult(case, count, ready_ms))
+        cluster.platform.switches["outage"] = False
+        cluster.members = [m for m in cluster.members if m.id != node.name]
+        await cluster.remove(node)
+    return results
 
 
 def percentile(values: list[float], percent: int) -> float:
@@ -298,7 +312,7 @@
     return ranked[min(len(ranked) - 1, len(ranked) * percent // PERCENT)]
 
 
-def _total(counter: Any, direction: str) -> float:
+def _counter_value(counter: Any, direction: str) -> float:
     return float(counter.labels(direction=direction)._value.get())
 
 
@@ -309,21 +323,21 @@
 async def measure(reactor: Any, options: Options) -> Results:
     """Measure every channel set, each with a new platform and new instances."""
     clock = real_clock()
-    spread: list[Spread] = []
-    starts: list[Start] = []
-    for way in WAYS:
+    spread: list[SpreadResult] = []
+    starts: list[StartResult] = []
+    for channels in CHANNEL_SETS:
         params = PlatformParams(link_delay_ms=LINK_DELAY_MS)
         platform = await start_platform(reactor, clock, params, HOST, 0)
-        bench = Bench(reactor, clock, platform, way)
-        spread.append(await measure_way(bench, options))
-        if way.name == "all":
-            starts = await measure_starts(bench, options)
-        for node in list(bench.nodes):
-            await bench.remove(node)
+        cluster = Cluster(reactor, clock, platform, channels)
+        spread.append(await measure_channels(cluster, options))
+        if channels.name == "all":
+            starts = await measure_starts(cluster, options)
+        for node in list(cluster.nodes):
+            await cluster.remove(node)
     return Results(options.instances, spread, starts)
 
 
-def show(results: Results) -> None:
+def print_results(results: Results) -> None:
     """Print the results as Markdown tables."""
     print(f"{results.instances} instances, link delay {LINK_DELAY_MS:g} ms one way to the store")
     print(
@@ -341,7 +355,7 @@
 
 def main(args: list[str]) -> int:
     """Run the measurement and print its results; return the exit code."""
-    from twisted.internet import reactor as installed
+    from twisted.internet import reactor as installed_reactor
 
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
@@ -350,29 +364,29 @@
     parser.add_argument("--changes", type=int, default=30)
     parser.add_argument("--profiles", type=int, default=20)
     parser.add_argument("--json", action="store_true")
-    given = parser.parse_args(args)
-    reactor = cast(Any, installed)
-    codes: list[int] = []
+    parsed = parser.parse_args(args)
+    reactor = cast(Any, installed_reactor)
+    exit_codes: list[int] = []
 
     def finished(results: Results) -> None:
-        if given.json:
+        if parsed.json:
             print(codec.to_json(results).decode())
         else:
-            show(results)
-        codes.append(0)
+            print_results(results)
+        exit_codes.append(0)
 
     def failed(failure: Failure) -> None:
         print(failure.getTraceback(), file=sys.stderr)
 
     def start() -> None:
-        options = Options(given.instances, given.changes, given.profiles)
+        options = Options(parsed.instances, parsed.changes, parsed.profiles)
         running = Deferred.fromCoroutine(measure(reactor, options))
         running.addCallbacks(finished, failed)
         running.addBoth(lambda _: reactor.stop())
 
     reactor.callWhenRunning(start)
     reactor.run()
-    return codes[0] if codes else 1
+    return exit_codes[0] if exit_codes else 1
 
 
 if __name__ == "__main__":
--- a/misc/processes.py
+++ b/misc/processes.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 from typing import Final, NamedTuple
 
-MOST_PROCESSES: Final = 48
-MOST_MEMORY_SHARE: Final = 0.5
-STOP_LIMIT_S: Final = 20.0
-KILL_LIMIT_S: Final = 5.0
+MAX_PROCESSES: Final = 48
+MAX_MEMORY_SHARE: Final = 0.5
+STOP_TIMEOUT_S: Final = 20.0
+KILL_TIMEOUT_S: Final = 5.0
 TICKS_PER_S: Final = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES: Final = os.sysconf("SC_PAGE_SIZE")
 
@@ -30,10 +30,10 @@
         self.name = name
         self.role = role
         self.samples: list[Sample] = []
-        self.errors = folder / f"{name}.err"
-        with self.errors.open("wb") as err:
+        self.stderr_path = folder / f"{name}.err"
+        with self.stderr_path.open("wb") as stderr_file:
             self._popen = subprocess.Popen(
-                command, stdout=subprocess.PIPE, stderr=err, start_new_session=True
+                command, stdout=subprocess.PIPE, stderr=stderr_file, start_new_session=True
             )
 
     @property
@@ -41,29 +41,29 @@
         """Return the process id."""
         return self._popen.pid
 
-    def first_line(self) -> bytes:
+    def read_first_line(self) -> bytes:
         """Return the first line that the process prints, empty if it ended without printing one."""
         assert self._popen.stdout is not None
         return self._popen.stdout.readline()
 
-    def rest(self) -> bytes:
+    def read_rest(self) -> bytes:
         """Return the rest of the standard output; blocks until the process closes it."""
         assert self._popen.stdout is not None
         return self._popen.stdout.read()
 
-    def ended(self) -> bool:
+    def has_ended(self) -> bool:
         """Tell whether the process has ended."""
         return self._popen.poll() is not None
 
     def signal(self, number: int) -> None:
         """Send a signal, unless the process has ended."""
-        if not self.ended():
+        if not self.has_ended():
             self._popen.send_signal(number)
 
-    def wait(self, limit_s: float) -> int | None:
+    def wait(self, timeout_s: float) -> int | None:
         """Wait for the process to end; return its exit code, or None after the timeout."""
         try:
-            return self._popen.wait(limit_s)
+            return self._popen.wait(timeout_s)
         except subprocess.TimeoutExpired:
             return None
 
@@ -81,15 +81,15 @@
 
     def cpu_at(self, wall_ms: int) -> float:
         """Return the processor time used up to a wall-clock time, interpolated between samples."""
-        before = [one for one in self.samples if one.wall_ms <= wall_ms]
-        after = [one for one in self.samples if one.wall_ms > wall_ms]
+        before = [sample for sample in self.samples if sample.wall_ms <= wall_ms]
+        after = [sample for sample in self.samples if sample.wall_ms > wall_ms]
         if not before:
             return after[0].cpu_s if after else 0.0
         if not after:
             return before[-1].cpu_s
         low, high = before[-1], after[0]
-        part = (wall_ms - low.wall_ms) / (high.wall_ms - low.wall_ms)
-        return low.cpu_s + part * (high.cpu_s - low.cpu_s)
+        fraction = (wall_ms - low.wall_ms) / (high.wall_ms - low.wall_ms)
+        return low.cpu_s + fraction * (high.cpu_s - low.cpu_s)
 
 
 class ProcessGroup:
@@ -107,8 +107,8 @@
 
     def start(self, name: str, role: str, command: list[str]) -> Process:
         """Start a process."""
-        if len(self.processes) >= MOST_PROCESSES:
-            raise RuntimeError(f"the fleet needs more than {MOST_PROCESSES} processes")
+        if len(self.processes) >= MAX_PROCESSES:
+            raise RuntimeError(f"the fleet needs more than {MAX_PROCESSES} processes")
         process = Process(name, role, command, self._folder)
         self.processes.append(process)
         return process
@@ -117,22 +117,22 @@
         """Sample every process; raise if the fleet uses over half of the machine's memory."""
         for process in self.processes:
             process.sample()
-        total_mb = sum(one.samples[-1].rss_mb for one in self.processes if one.samples)
-        most_mb = MOST_MEMORY_SHARE * _machine_mb()
-        if total_mb > most_mb:
-            raise RuntimeError(f"the fleet uses {total_mb:.0f} MB; limit in MB: {most_mb:.0f}")
+        total_mb = sum(member.samples[-1].rss_mb for member in self.processes if member.samples)
+        max_mb = MAX_MEMORY_SHARE * _machine_memory_mb()
+        if total_mb > max_mb:
+            raise RuntimeError(f"the fleet uses {total_mb:.0f} MB; limit in MB: {max_mb:.0f}")
 
     def stop(self) -> None:
         """Stop instances before their stand-ins (last started first); kill what does not end."""
         for process in reversed(self.processes):
             process.signal(signal.SIGTERM)
-        until = time.monotonic() + STOP_LIMIT_S
+        deadline = time.monotonic() + STOP_TIMEOUT_S
         for process in reversed(self.processes):
-            process.wait(max(0.1, until - time.monotonic()))
+            process.wait(max(0.1, deadline - time.monotonic()))
         for process in self.processes:
             process.signal(signal.SIGKILL)
-            process.wait(KILL_LIMIT_S)
+            process.wait(KILL_TIMEOUT_S)
 
 
-def _machine_mb() -> float:
+def _machine_memory_mb() -> float:
     return PAGE_BYTES * os.sysconf("SC_PHYS_PAGES") / 1e6
--- a/misc/slot_ownership.py
+++ b/misc/slot_ownership.py
@@ -13,7 +13,7 @@
 from papayapier.policy.ownership import owner
 from papayapier.policy.slot_shares import SlotShares
 
-FLEETS: Final = 2_000
+FLEET_COUNT: Final = 2_000
 
 
 def main() -> None:
@@ -23,27 +23,37 @@
     parser.add_argument("--replicas", type=int, default=9)
     parser.add_argument("--slots", type=int, default=32)
     args = parser.parse_args()
-    left_out = 0
-    without = 0
-    for fleet in range(FLEETS):
+    incomplete_fleets = 0
+    empty_instances = 0
+    for fleet in range(FLEET_COUNT):
         instances = [f"f{fleet}-i{i}" for i in range(args.instances)]
         owners = {owner(f"f{fleet}-r{r}", instances) for r in range(args.replicas)}
-        left_out += len(owners) < args.instances
-        without += args.instances - len(owners)
-    print(f"whole replicas: in {left_out / FLEETS:.1%} of fleets an instance has none,")
-    print(f"  {without / FLEETS / args.instances:.1%} of instances have none")
+        incomplete_fleets += len(owners) < args.instances
+        empty_instances += args.instances - len(owners)
+    print(
+        f"whole replicas: in {incomplete_fleets / FLEET_COUNT:.1%} of fleets an instance has none,"
+    )
+    print(f"  {empty_instances / FLEET_COUNT / args.instances:.1%} of instances have none")
     instances = [f"i{i}" for i in range(args.instances)]
-    keys = [f"r{r}" for r in range(args.replicas)]
-    hashed = Counter(owner(f"{key}/{s}", instances) for key in keys for s in range(args.slots))
+    replica_ids = [f"r{r}" for r in range(args.replicas)]
+    hashed = Counter(
+        owner(f"{replica_id}/{s}", instances)
+        for replica_id in replica_ids
+        for s in range(args.slots)
+    )
     print(f"slots by hashing: {min(hashed.values())} to {max(hashed.values())} per instance")
-    dealt = [_dealt(instance, instances, keys, args.slots) for instance in instances]
-    print(f"slots by round robin: {min(dealt)} to {max(dealt)} per instance")
+    slot_counts = [
+        _round_robin_slots(instance, instances, replica_ids, args.slots) for instance in instances
+    ]
+    print(f"slots by round robin: {min(slot_counts)} to {max(slot_counts)} per instance")
 
 
-def _dealt(instance: str, instances: list[str], keys: list[str], slots: int) -> int:
+def _round_robin_slots(
+    instance: str, instances: list[str], replica_ids: list[str], slots: int
+) -> int:
     shares = SlotShares(instance)
     shares.set_live(instances)
-    return sum(shares.part(key, slots) for key in keys)
+    return sum(shares.part(replica_id, slots) for replica_id in replica_ids)
 
 
 if __name__ == "__main__":
