--- a/misc/processes.py
+++ b/misc/processes.py
@@ -74,7 +74,7 @@
             pages = int(Path(f"/proc/{self.pid}/statm").read_text().split()[1])
         except (OSError, IndexError):
             return
-        # The command name, in parentheses, may contain spaces, so that fields are read after it.
+        # The command name may contain spaces, so split only what follows its parentheses.
         fields = stat.rpartition(")")[2].split()
         cpu_s = (int(fields[11]) + int(fields[12])) / TICKS_PER_S
         self.samples.append(Sample(int(time.time() * 1000), cpu_s, pages * PAGE_BYTES / 1e6))
