--- a/misc/capacity/probe.py
+++ b/misc/capacity/probe.py
@@ -1,4 +1,4 @@
-"""Read what one instance has spent: processor time, memory, bytes and calls."""
+"""Read the resource usage of one instance: processor time, memory, bytes and calls."""
 
 import time
 import urllib.request
@@ -8,12 +8,12 @@
 
 from misc.processes import Process, ProcessGroup
 
-CALL_LIMIT_S: Final = 10.0
+CALL_TIMEOUT_S: Final = 10.0
 SETTLE_S: Final = 6.0
 
 
 class Reading(NamedTuple):
-    """Hold the counters of one instance at a moment."""
+    """Hold the counters of one instance at one time."""
 
     at_s: float
     cpu_s: float
@@ -26,8 +26,8 @@
     calls: dict[str, float]
 
 
-class Spent(NamedTuple):
-    """Hold what one instance spent over a span; rss_mb is at its end."""
+class Usage(NamedTuple):
+    """Hold the usage of one instance over an interval; rss_mb is the value at its end."""
 
     seconds: float
     cpu_s: float
@@ -38,19 +38,19 @@
     calls: dict[str, float]
 
     def core_share(self) -> float:
-        """Return the part of one processor core that was used."""
+        """Return the share of one processor core that was used."""
         return self.cpu_s / self.seconds
 
     def per_second(self, amount: float) -> float:
-        """Return an amount of the span as a rate."""
+        """Return an amount of the interval as a rate per second."""
         return amount / self.seconds
 
 
-def read(group: ProcessGroup, process: Process, entry: str) -> Reading:
+def read_counters(group: ProcessGroup, process: Process, entry: str) -> Reading:
     """Read the counters of an instance."""
     group.sample()
-    with urllib.request.urlopen(f"http://{entry}/metrics", timeout=CALL_LIMIT_S) as answer:
-        text = answer.read().decode()
+    with urllib.request.urlopen(f"http://{entry}/metrics", timeout=CALL_TIMEOUT_S) as response:
+        text = response.read().decode()
     sums: dict[str, float] = {}
     calls: dict[str, float] = {}
     for family in text_string_to_metric_families(text):
@@ -76,23 +76,23 @@
     )
 
 
-def spent(before: Reading, after: Reading) -> Spent:
-    """Return what was spent between two readings."""
-    calls = {name: times - before.calls.get(name, 0.0) for name, times in after.calls.items()}
-    return Spent(
+def usage_between(before: Reading, after: Reading) -> Usage:
+    """Return the usage between two readings."""
+    calls = {name: count - before.calls.get(name, 0.0) for name, count in after.calls.items()}
+    return Usage(
         seconds=after.at_s - before.at_s,
         cpu_s=after.cpu_s - before.cpu_s,
         rss_mb=after.rss_mb,
         peer_bytes=after.peer_sent + after.peer_received - before.peer_sent - before.peer_received,
         peer_frames=after.peer_frames - before.peer_frames,
         store_bytes=after.store_out + after.store_in - before.store_out - before.store_in,
-        calls={name: times for name, times in calls.items() if times},
+        calls={name: count for name, count in calls.items() if count},
     )
 
 
-def idle(group: ProcessGroup, process: Process, entry: str, seconds: float) -> Spent:
-    """Let an instance settle, then return what it spends while nothing is asked of it."""
+def measure_idle(group: ProcessGroup, process: Process, entry: str, seconds: float) -> Usage:
+    """Let an instance settle, then return its usage while it receives no requests."""
     time.sleep(SETTLE_S)
-    before = read(group, process, entry)
+    before = read_counters(group, process, entry)
     time.sleep(seconds)
-    return spent(before, read(group, process, entry))
+    return usage_between(before, read_counters(group, process, entry))
