--- a/tests/site/__init__.py
+++ b/tests/site/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the users' platform, by its published protocol, around real processes of ours."""
+"""Stand-ins of the platform, by its published protocol, for tests with real processes."""
--- a/tests/site/case.py
+++ b/tests/site/case.py
@@ -1,4 +1,4 @@
-"""Give each test of the whole path a world of its own."""
+"""Base class of tests that run entries and keepers as processes against the stand-ins."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 class SiteCase(TestCase):
-    """Own the processes of one test; it has no tests itself."""
+    """Create the stand-ins of each test, and end its processes afterwards."""
 
     timeout = 60
 
--- a/tests/site/replicas.py
+++ b/tests/site/replicas.py
@@ -1,4 +1,4 @@
-"""Stand in for replicas of the platform: streams of events and whole answers, with faults."""
+"""Stand in for the platform's replicas: serve event streams and plain answers, with faults."""
 
 import itertools
 from typing import TYPE_CHECKING, Any, Final
@@ -16,25 +16,26 @@
 _Resource: Any = Resource
 
 SLOTS: Final = 4
-EVENTS: Final = 6
-EVENT_S: Final = 0.02
-# A request with this in its path ends each replica that begins to run it.
-CRASHING: Final = b"crash"
-# A request of this path is answered with a large body.
-LARGE: Final = b"/look/large"
+EVENTS_PER_STREAM: Final = 6
+EVENT_INTERVAL_S: Final = 0.02
+# A request with this in its path crashes each replica that starts it.
+CRASH_MARKER: Final = b"crash"
+# A request for this path is answered with a large body.
+LARGE_PATH: Final = b"/look/large"
 LARGE_BYTES: Final = 420_000
-CRASH_S: Final = 0.02
-# The platform's list drops a replica that has ended only after some silence.
-LAPSE_S: Final = 0.5
+CRASH_DELAY_S: Final = 0.02
+# How long the platform's list of replicas still shows a replica that has crashed.
+REMOVAL_DELAY_S: Final = 0.5
 _NUMBERS = itertools.count(1)
 
 
 class StandinReplica(_Resource):  # type: ignore[misc]
-    """Serve one replica; runs counts what it has begun, by request id, in SLOTS at once.
+    """Serve one replica, and record the ids of the requests that it starts.
 
-    cut_after breaks every stream after that many events, stall_after lets it fall silent there.
-    hang answers nothing; shed rejects; fails tells which requests are run and answered with an
-    error. A request whose path has CRASHING in it ends the replica; ended is called then.
+    cut_after_events breaks every stream after that many events, stall_after_events stops writing
+    there and keeps the connection open. hang leaves requests unanswered; shed rejects them;
+    should_fail selects those that are run and answered with an error. If on_crash is set, a
+    request with CRASH_MARKER in its path ends the replica, and on_crash is called then.
     """
 
     isLeaf = True  # noqa: N815
@@ -42,25 +43,25 @@
     def __init__(self, store: StandinStore, service: str) -> None:
         super().__init__()
         self.id = f"i-{next(_NUMBERS)}"
-        self.runs: list[str] = []
-        self.cut_after = 0
-        self.stall_after = 0
+        self.started_requests: list[str] = []
+        self.cut_after_events = 0
+        self.stall_after_events = 0
         self.hang = False
         self.shed = False
-        self.fails: Callable[[Any], bool] = fails_none
-        self.gone_runs = 0
-        # Requests that are open now, and the most there were.
-        self.open = 0
-        self.most_open = 0
-        # What each run was asked with: the team's name, and a key if one came.
-        self.asked: list[tuple[str, str | None, str | None]] = []
-        self.asked_s: list[float] = []
-        self.born = 0
-        self.ended: Callable[[], None] | None = None
+        self.should_fail: Callable[[Any], bool] = never_fails
+        self.starts_at_removal = 0
+        # Requests that are open now, and their maximum so far.
+        self.open_requests = 0
+        self.max_open_requests = 0
+        # Request id, team and Authorization header of each started request.
+        self.received: list[tuple[str, str | None, str | None]] = []
+        self.received_at_s: list[float] = []
+        self.boot_number = 0
+        self.on_crash: Callable[[], None] | None = None
         self.crashed = False
-        self.leaving = False
+        self.draining = False
         self._channels: set[Any] = set()
-        self._lapse: Any = None
+        self._removal: Any = None
         self.service = service
         self._store = store
         self._port = reactor.listenTCP(0, Site(self), interface="127.0.0.1")
@@ -68,41 +69,41 @@
         self.register("ready")
 
     def register(self, state: str) -> None:
-        """Write this replica's entry."""
-        self.leaving = state == "draining"
+        """Write this replica's entry into the store."""
+        self.draining = state == "draining"
         entry: dict[str, Any] = {
             "service": self.service,
             "address": self.address,
             "zone": "z1",
             "slots": SLOTS,
         }
-        if self.born:
-            entry["born"] = self.born
+        if self.boot_number:
+            entry["born"] = self.boot_number
         self._store.put("servers", self.id, {**entry, "state": state})
 
     def restart(self) -> None:
-        """Start again under the same name, as another boot."""
-        self.born += 1
+        """Register again under the same name, with another boot number."""
+        self.boot_number += 1
         self.register("ready")
 
     async def close(self) -> None:
         """Stop serving."""
-        if self._lapse is not None and self._lapse.active():
-            self._lapse.cancel()
+        if self._removal is not None and self._removal.active():
+            self._removal.cancel()
         if not self._port.disconnected:
             await self._port.stopListening()
 
     def _crash(self) -> None:
-        """End: all connections are reset, no new ones are taken, the entry lapses."""
-        if self.ended is None or self.crashed:
+        """Reset all connections, accept no new ones, and remove the entry after a delay."""
+        if self.on_crash is None or self.crashed:
             return
         self.crashed = True
         for channel in self._channels:
             if channel.transport is not None:
                 channel.transport.abortConnection()
         self._port.stopListening()
-        self._lapse = reactor.callLater(LAPSE_S, self._store.remove, "servers", self.id)
-        self.ended()
+        self._removal = reactor.callLater(REMOVAL_DELAY_S, self._store.remove, "servers", self.id)
+        self.on_crash()
 
     def render(self, request: Any) -> Any:
         if self.crashed:
@@ -114,55 +115,55 @@
             return _refuse(request, 421)
         if self.shed:
             return _refuse(request, 503)
-        self.runs.append(request_id)
-        self.asked.append(
+        self.started_requests.append(request_id)
+        self.received.append(
             (request_id, request.getHeader("X-Tenant"), request.getHeader("Authorization"))
         )
-        self.asked_s.append(reactor.seconds())
-        self.open += 1
-        self.most_open = max(self.most_open, self.open)
-        request.notifyFinish().addBoth(self._closed)
-        if CRASHING in request.path:
-            reactor.callLater(CRASH_S, self._crash)
+        self.received_at_s.append(reactor.seconds())
+        self.open_requests += 1
+        self.max_open_requests = max(self.max_open_requests, self.open_requests)
+        request.notifyFinish().addBoth(self._on_finished)
+        if CRASH_MARKER in request.path:
+            reactor.callLater(CRASH_DELAY_S, self._crash)
             return NOT_DONE_YET
         if self.hang:
             return NOT_DONE_YET
         request.setHeader("X-Request-Id", request_id)
         request.setHeader("X-Server-Stamp", "signed")
         request.setHeader("X-Server-Load", "1,0,4")
-        if self.fails(request):
+        if self.should_fail(request):
             request.setResponseCode(500)
             return b"failed"
-        if request.path == LARGE:
+        if request.path == LARGE_PATH:
             return b"x" * LARGE_BYTES
         if b"/stream/" not in request.path and b"/job/" not in request.path:
             return b"whole answer"
-        after = int(request.getHeader("Last-Event-Id") or 0)
+        last_event = int(request.getHeader("Last-Event-Id") or 0)
         request.setHeader("Content-Type", "text/event-stream")
-        reactor.callLater(EVENT_S, self._event, request, after + 1, 1)
+        reactor.callLater(EVENT_INTERVAL_S, self._write_event, request, last_event + 1, 1)
         return NOT_DONE_YET
 
-    def _closed(self, _why: object) -> None:
-        self.open -= 1
+    def _on_finished(self, _reason: object) -> None:
+        self.open_requests -= 1
 
-    def _event(self, request: Any, number: int, sent: int) -> None:
+    def _write_event(self, request: Any, number: int, written: int) -> None:
         if request._disconnected:
             return
-        if number > EVENTS:
+        if number > EVENTS_PER_STREAM:
             request.finish()
             return
-        if self.stall_after and sent > self.stall_after:
+        if self.stall_after_events and written > self.stall_after_events:
             return
-        if self.cut_after and sent > self.cut_after:
+        if self.cut_after_events and written > self.cut_after_events:
             request.write(f"id: {number}\nda".encode())
             reactor.callLater(0, request.transport.abortConnection)
             return
         request.write(f"id: {number}\ndata: piece {number}\n\n".encode())
-        reactor.callLater(EVENT_S, self._event, request, number + 1, sent + 1)
+        reactor.callLater(EVENT_INTERVAL_S, self._write_event, request, number + 1, written + 1)
 
 
-def fails_none(_request: Any) -> bool:
-    """Fail no request."""
+def never_fails(_request: Any) -> bool:
+    """Return False for every request; the default of should_fail."""
     return False
 
 
--- a/tests/site/soak.py
+++ b/tests/site/soak.py
@@ -1,13 +1,14 @@
-"""Soak real processes under faults from outside, and check the promises afterwards.
+"""Run real processes under load and injected faults, and check the guarantees afterwards.
 
     python3 -m tests.site.soak --seconds 60 --seed 1
 
-Callers send requests of every kind and jobs, some of them twice and at two entries, while
-processes are killed, paused and replaced, the store goes away and loses answers, and replicas
-hang, break off and leave, and a request that ends the replicas that run it comes again and again.
-Streams meet errors of replicas beside all this, so that some are begun after one and then cut.
-Keys are withdrawn and added meanwhile, and one team sends far more than its allowance.
-What is checked holds at any moment and for any seed.
+Callers send requests of every kind and submit jobs, some of them several times and at different
+entries. Meanwhile processes are killed and restarted or suspended, the store is unavailable or
+leaves writes unanswered, replicas reject requests, cut streams and leave, and a request that
+crashes the replicas that run it is sent repeatedly. Replicas also answer part of the streams with
+errors, so that some streams are started again after an error and are then cut. API keys are
+withdrawn and added, and one team sends far more than its allowance. The checks hold at any moment
+and for any seed.
 """
 
 import argparse
@@ -23,24 +24,26 @@
 
 from papayapier.errors import ErrorKind
 from papayapier.policy.crashes import LOSSES_MOST
-from tests.site.replicas import EVENTS, fails_none
-from tests.site.world import SiteWorld, begin, configuration, new_id, pause
+from tests.site.replicas import EVENTS_PER_STREAM, never_fails
+from tests.site.world import SiteWorld, configuration, new_id, pause, start_task
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
 reactor: Any = installed
 
-TEXT: Final = "\n".join(f"piece {n}" for n in range(1, EVENTS + 1))
-STREAM: Final = b"".join(f"id: {n}\ndata: piece {n}\n\n".encode() for n in range(1, EVENTS + 1))
+TEXT: Final = "\n".join(f"piece {n}" for n in range(1, EVENTS_PER_STREAM + 1))
+STREAM: Final = b"".join(
+    f"id: {n}\ndata: piece {n}\n\n".encode() for n in range(1, EVENTS_PER_STREAM + 1)
+)
 REQUEST_GAP_S: Final = 0.06
 JOB_GAP_S: Final = 0.7
 FAULT_GAP_S: Final = 1.5
-SETTLE_S: Final = 4.0
+RECOVERY_S: Final = 4.0
 ERROR_SHARE: Final = 0.6
-ITEMS: Final = 3
-# What another writer may leave among the entries of replicas.
-FOREIGN: Final[tuple[object, ...]] = (
+ITEMS_PER_JOB: Final = 3
+# Invalid or unusable values that another writer may leave among the entries of replicas.
+INVALID_ENTRIES: Final[tuple[object, ...]] = (
     None,
     "no entry",
     "\ud800",
@@ -50,102 +53,104 @@
     {"service": "lm", "address": "127.0.0.1:1", "zone": "z1", "slots": -4, "state": "ready"},
     {"service": "lm", "address": "127.0.0.1:1", "zone": "z1", "slots": 4, "state": "odd"},
 )
-# Where and how often the request that ends replicas comes: far more often than it may end any.
+# The request that crashes replicas is sent far more often than it may crash any.
 CRASHING_PATHS: Final = ("/stream/once/crash", "/stream/again/crash", "/look/crash")
 CRASHING_GAP_S: Final = 0.7
-ENDS_REPLICAS: Final = ErrorKind.ENDS_REPLICAS.value.encode()
-NOT_RUN: Final = (429, 503, 408, 421)
-# A team that may send 5 a second and 5 on top, and in 5 s a tenth and 20 more.
-CAPPED: Final = {"name": "capped", "apiKeys": ["kq-capped"], "ratePerS": 5, "burst": 5}
-CAPPED_MOST: Final = (5 * 5 + 5) * 1.1 + 20
-WINDOW_S: Final = 5.0
+QUARANTINED: Final = ErrorKind.ENDS_REPLICAS.value.encode()
+NOT_RUN_STATUSES: Final = (429, 503, 408, 421)
+# A team with an allowance of 5 requests a second and a burst of 5. The limit of what it gets in a
+# window of 5 s adds the tenth of overrun and the slack of 20 from the settings.
+CAPPED_TEAM: Final = {"name": "capped", "apiKeys": ["kq-capped"], "ratePerS": 5, "burst": 5}
+CAPPED_MAX_REQUESTS: Final = (5 * 5 + 5) * 1.1 + 20
+ALLOWANCE_WINDOW_S: Final = 5.0
 CAPPED_GAP_S: Final = 0.1
-JUMP: Final = 30
-JUMP_GAP_S: Final = 1.5
+BURST_REQUESTS: Final = 30
+BURST_GAP_S: Final = 1.5
 UNKNOWN_KEY: Final = "kq-nobody"
-IN_FORCE_S: Final = 2.0
+CONFIG_APPLIED_S: Final = 2.0
 
 
 class Report(NamedTuple):
-    """Hold what a soak saw; broken is empty when every promise held."""
+    """Hold the counts of a run; violations is empty when every guarantee held."""
 
     answers: Counter[str]
     faults: Counter[str]
     jobs: int
-    broken: list[str]
+    violations: list[str]
 
 
 class Soak:
-    """Play one soak; a large one has more processes than all hear each other, and jumps of load."""
+    """Run the load and the faults; large means no full mesh between processes, and load bursts."""
 
     def __init__(self, world: SiteWorld, seed: int, large: bool = False) -> None:
         self.world = world
         self.large = large
         self.seed = seed
-        self.rand = random.Random(seed)
+        self.rng = random.Random(seed)
         self.answers: Counter[str] = Counter()
         self.faults: Counter[str] = Counter()
-        self.refused: list[str] = []
-        self.once: list[str] = []
-        self.accepted: list[str] = []
-        self.broken: list[str] = []
-        # Faults in which an instance may not see or not keep what a send did, or may not be told.
-        self.unseen: list[str] = []
-        self.version = 1
-        self.withdrawn: list[str] = []
+        self.refused_as_not_run: list[str] = []
+        self.at_most_once_ids: list[str] = []
+        self.accepted_jobs: list[str] = []
+        self.violations: list[str] = []
+        # Kills and suspensions. In each an instance may not observe a replica loss, may lose its
+        # record or may not be notified of it, so that each allows one more crashed replica.
+        self.uncounted_faults: list[str] = []
+        self.config_version = 1
+        self.withdrawn_keys: list[str] = []
         self.stopping = False
-        self._work: list[Any] = []
+        self._tasks: list[Any] = []
 
     async def run(self, seconds: float) -> Report:
-        """Play, let all settle, and check."""
+        """Run for some seconds, end the faults, wait for recovery, and check."""
         self._write_configuration("kq-0")
         if self.large:
-            self.world.peer = {"full_mesh": 2, "early_calls": 1, "heartbeat_ms": 200}
-            self.world.placing = {"queue": True}
+            self.world.peer_settings = {"full_mesh": 2, "early_calls": 1, "heartbeat_ms": 200}
+            self.world.placing_settings = {"queue": True}
         await self.world.start(entries=2, keepers=3 if self.large else 2)
         self.world.replace_crashed()
-        plays = [
-            self._requests(),
-            self._jobs(),
-            self._faults(),
-            self._crashing(),
-            self._capped(),
-            self._errors(),
+        activities = [
+            self._send_requests(),
+            self._submit_jobs(),
+            self._inject_faults(),
+            self._send_crashing(),
+            self._send_over_allowance(),
+            self._fail_streams(),
         ]
         if self.large:
-            plays.append(self._jumps())
-        loops = [begin(loop) for loop in plays]
+            activities.append(self._send_bursts())
+        loops = [start_task(loop) for loop in activities]
         await pause(seconds)
         self.stopping = True
         await gatherResults(loops)
-        await gatherResults(self._work)
-        self._calm()
+        await gatherResults(self._tasks)
+        self._end_faults()
         for name in self.world.callers:
             await self.world.until_ready(name)
-        await pause(SETTLE_S)
+        await pause(RECOVERY_S)
         await self._check()
-        return Report(self.answers, self.faults, len(self.accepted), self.broken)
+        return Report(self.answers, self.faults, len(self.accepted_jobs), self.violations)
 
     def _port(self) -> int:
-        return self.rand.choice(list(self.world.callers.values()))
+        return self.rng.choice(list(self.world.callers.values()))
 
-    async def _requests(self) -> None:
+    async def _send_requests(self) -> None:
         while not self.stopping:
-            path = self.rand.choice(["/look/", "/once/", "/stream/once/", "/stream/again/"])
-            self._work.append(begin(self._request(path)))
+            path = self.rng.choice(["/look/", "/once/", "/stream/once/", "/stream/again/"])
+            self._tasks.append(start_task(self._send_request(path)))
             await pause(REQUEST_GAP_S)
 
-    async def _jumps(self) -> None:
-        """Ask for more than the replicas run, all at once."""
+    async def _send_bursts(self) -> None:
+        """Send more requests at once than the replicas can run."""
         while not self.stopping:
-            path = self.rand.choice(["/stream/once/", "/stream/again/"])
-            self._work += [begin(self._request(path)) for _ in range(JUMP)]
-            await pause(JUMP_GAP_S)
+            path = self.rng.choice(["/stream/once/", "/stream/again/"])
+            self._tasks += [start_task(self._send_request(path)) for _ in range(BURST_REQUESTS)]
+            await pause(BURST_GAP_S)
 
-    async def _request(self, path: str) -> None:
+    async def _send_request(self, path: str) -> None:
         request_id = new_id()
         if "once" in path:
-            self.once.append(request_id)
+            self.at_most_once_ids.append(request_id)
         try:
             target = path if "crash" in path else path + "1"
             reply = await self.world.get(self._port(), target, X_Request_Id=request_id)
@@ -155,25 +160,25 @@
         self.answers[f"{path} {reply.status}"] += 1
         if "crash" in path:
             return
-        if reply.status == 503 and reply.body.startswith(ENDS_REPLICAS):
-            self.broken.append(f"{request_id}: {path}: held, and ends no replica")
-        whole = STREAM if "stream" in path else b"whole answer"
-        if reply.status == 200 and reply.body != whole:
-            self.broken.append(f"{request_id}: {path}: not the whole answer: {reply.body[:80]!r}")
-        if reply.status in NOT_RUN and "once" in path:
-            self.refused.append(request_id)
-
-    async def _crashing(self) -> None:
-        path = self.rand.choice(CRASHING_PATHS)
+        if reply.status == 503 and reply.body.startswith(QUARANTINED):
+            self.violations.append(f"{request_id}: {path}: quarantined, but crashes no replica")
+        complete_body = STREAM if "stream" in path else b"whole answer"
+        if reply.status == 200 and reply.body != complete_body:
+            self.violations.append(f"{request_id}: {path}: incomplete answer: {reply.body[:80]!r}")
+        if reply.status in NOT_RUN_STATUSES and "once" in path:
+            self.refused_as_not_run.append(request_id)
+
+    async def _send_crashing(self) -> None:
+        path = self.rng.choice(CRASHING_PATHS)
         while not self.stopping:
-            self._work.append(begin(self._request(path)))
+            self._tasks.append(start_task(self._send_request(path)))
             await pause(CRASHING_GAP_S)
 
-    async def _capped(self) -> None:
-        """Send far more than a team may, and now and then what shows no known key."""
+    async def _send_over_allowance(self) -> None:
+        """Send far more than a team's allowance, and sometimes use an unknown key."""
         while not self.stopping:
-            key = UNKNOWN_KEY if self.rand.random() < 0.05 else "kq-capped"
-            self._work.append(begin(self._send_as(key)))
+            key = UNKNOWN_KEY if self.rng.random() < 0.05 else "kq-capped"
+            self._tasks.append(start_task(self._send_as(key)))
             await pause(CAPPED_GAP_S)
 
     async def _send_as(self, key: str) -> None:
@@ -184,208 +189,230 @@
             return
         self.answers[f"{key} {reply.status}"] += 1
         if key == UNKNOWN_KEY and reply.status not in (401, 503):
-            self.broken.append(f"a key that nobody holds was answered {reply.status}")
+            self.violations.append(f"an unknown key was answered with {reply.status}")
 
-    async def _jobs(self) -> None:
+    async def _submit_jobs(self) -> None:
         number = 0
         while not self.stopping:
             number += 1
-            self._work.append(begin(self._job(f"job-{number}")))
+            self._tasks.append(start_task(self._submit_job(f"job-{number}")))
             await pause(JOB_GAP_S)
 
-    async def _job(self, job_id: str) -> None:
-        for _ in range(self.rand.choice([1, 1, 2, 3])):
+    async def _submit_job(self, job_id: str) -> None:
+        for _ in range(self.rng.choice([1, 1, 2, 3])):
             try:
-                reply = await self.world.submit(self._port(), job_id, ITEMS)
+                reply = await self.world.submit(self._port(), job_id, ITEMS_PER_JOB)
             except Exception as exc:
                 self.answers[f"job {type(exc).__name__}"] += 1
                 continue
             self.answers[f"job {reply.status}"] += 1
-            if reply.status == 202 and job_id not in self.accepted:
-                self.accepted.append(job_id)
+            if reply.status == 202 and job_id not in self.accepted_jobs:
+                self.accepted_jobs.append(job_id)
 
-    async def _faults(self) -> None:
-        plays: list[Callable[[], Awaitable[None]]] = [
-            self._store_away,
-            self._writes_lost,
+    async def _inject_faults(self) -> None:
+        activities: list[Callable[[], Awaitable[None]]] = [
+            self._store_unavailable,
+            self._writes_unanswered,
             self._kill,
-            self._freeze,
-            self._replica_fails,
-            self._replica_replaced,
-            self._configure,
-            self._replica_restarted,
-            self._foreign_entry,
+            self._suspend,
+            self._break_replica,
+            self._replace_replica,
+            self._change_configuration,
+            self._restart_replica,
+            self._write_invalid_entry,
             self._change_keys,
         ]
         while not self.stopping:
-            play = self.rand.choice(plays)
-            self.faults[play.__name__.strip("_")] += 1
-            if play in (self._kill, self._freeze):
-                self.unseen.append(play.__name__)
-            await play()
-            await pause(self.rand.uniform(0.2, FAULT_GAP_S))
+            inject = self.rng.choice(activities)
+            self.faults[inject.__name__.strip("_")] += 1
+            if inject in (self._kill, self._suspend):
+                self.uncounted_faults.append(inject.__name__)
+            await inject()
+            await pause(self.rng.uniform(0.2, FAULT_GAP_S))
 
-    async def _store_away(self) -> None:
-        self.world.store.away = True
-        await pause(self.rand.uniform(0.2, 2.5))
-        self.world.store.away = False
+    async def _store_unavailable(self) -> None:
+        self.world.store.unavailable = True
+        await pause(self.rng.uniform(0.2, 2.5))
+        self.world.store.unavailable = False
 
-    async def _writes_lost(self) -> None:
-        self.world.store.lose_writes = self.rand.randint(1, 4)
+    async def _writes_unanswered(self) -> None:
+        self.world.store.unanswered_writes = self.rng.randint(1, 4)
 
     async def _kill(self) -> None:
-        name = self.rand.choice(list(self.world.children))
+        name = self.rng.choice(list(self.world.children))
         child = self.world.children[name]
         child.signal(SIGKILL)
         await child.ended
         self.world.restart(name)
 
-    async def _freeze(self) -> None:
-        child = self.rand.choice(list(self.world.children.values()))
+    async def _suspend(self) -> None:
+        child = self.rng.choice(list(self.world.children.values()))
         child.signal(SIGSTOP)
-        await pause(self.rand.uniform(0.2, 2.5))
+        await pause(self.rng.uniform(0.2, 2.5))
         child.signal(SIGCONT)
 
-    async def _replica_fails(self) -> None:
-        replica = self.rand.choice(self.world.replicas)
-        fault = self.rand.choice(["cut", "shed"])
-        replica.cut_after, replica.shed = (2, False) if fault == "cut" else (0, True)
-        await pause(self.rand.uniform(0.2, 1.5))
-        replica.cut_after, replica.shed = 0, False
+    async def _break_replica(self) -> None:
+        replica = self.rng.choice(self.world.replicas)
+        fault = self.rng.choice(["cut", "shed"])
+        replica.cut_after_events, replica.shed = (2, False) if fault == "cut" else (0, True)
+        await pause(self.rng.uniform(0.2, 1.5))
+        replica.cut_after_events, replica.shed = 0, False
 
-    async def _errors(self) -> None:
-        """Let replicas answer part of their streams with errors for some time."""
-        rand = random.Random(self.seed)
+    async def _fail_streams(self) -> None:
+        """Make replicas answer part of their streams with errors, at intervals."""
+        rng = random.Random(self.seed)
 
         def fails(request: Any) -> bool:
-            return b"/stream/" in request.path and rand.random() < ERROR_SHARE
+            return b"/stream/" in request.path and rng.random() < ERROR_SHARE
 
         while not self.stopping:
-            await pause(rand.uniform(0.2, FAULT_GAP_S))
+            await pause(rng.uniform(0.2, FAULT_GAP_S))
             failing = list(self.world.replicas)
             for replica in failing:
-                replica.fails = fails
-            await pause(rand.uniform(0.2, FAULT_GAP_S))
+                replica.should_fail = fails
+            await pause(rng.uniform(0.2, FAULT_GAP_S))
             for replica in failing:
-                replica.fails = fails_none
+                replica.should_fail = never_fails
 
-    async def _replica_replaced(self) -> None:
-        """Let a replica leave that no request has ended, and another one take its place."""
-        old = self.rand.choice([one for one in self.world.replicas if not one.crashed])
-        self.world.add_like(old)
-        old.register("draining")
+    async def _replace_replica(self) -> None:
+        """Drain and remove a replica that has not crashed, and start another in its place."""
+        previous = self.rng.choice(
+            [replica for replica in self.world.replicas if not replica.crashed]
+        )
+        self.world.add_like(previous)
+        previous.register("draining")
         await pause(0.5)
-        self.world.store.remove("servers", old.id)
-        old.gone_runs = len(old.runs)
+        self.world.store.remove("servers", previous.id)
+        previous.starts_at_removal = len(previous.started_requests)
         await pause(0.5)
 
-    async def _replica_restarted(self) -> None:
+    async def _restart_replica(self) -> None:
         registered = self.world.store.names("servers")
-        listed = [one for one in self.world.replicas if one.id in registered]
+        listed = [replica for replica in self.world.replicas if replica.id in registered]
         if listed:
-            self.rand.choice(listed).restart()
+            self.rng.choice(listed).restart()
 
-    async def _foreign_entry(self) -> None:
-        """Write what is no entry of a replica, under a new name or over one that is in use."""
+    async def _write_invalid_entry(self) -> None:
+        """Write an invalid replica entry, under a new name or over an existing entry."""
         registered = self.world.store.names("servers")
-        listed = [one for one in self.world.replicas if one.id in registered]
-        odd = self.rand.choice(FOREIGN)
-        if listed and self.rand.random() < 0.5:
-            replica = self.rand.choice(listed)
-            self.world.store.put("servers", replica.id, odd)
-            await pause(self.rand.uniform(0.2, 1.0))
+        listed = [replica for replica in self.world.replicas if replica.id in registered]
+        invalid = self.rng.choice(INVALID_ENTRIES)
+        if listed and self.rng.random() < 0.5:
+            replica = self.rng.choice(listed)
+            self.world.store.put("servers", replica.id, invalid)
+            await pause(self.rng.uniform(0.2, 1.0))
             replica.register("ready")
             return
         name = f"foreign-{new_id()}"
-        self.world.store.put("servers", name, odd)
-        await pause(self.rand.uniform(0.2, 1.0))
+        self.world.store.put("servers", name, invalid)
+        await pause(self.rng.uniform(0.2, 1.0))
         self.world.store.remove("servers", name)
 
-    async def _configure(self) -> None:
-        self.version += self.rand.randint(1, 3)
-        self._write_configuration(self.world.key)
+    async def _change_configuration(self) -> None:
+        self.config_version += self.rng.randint(1, 3)
+        self._write_configuration(self.world.api_key)
 
     async def _change_keys(self) -> None:
-        """Add a key, let callers use it, and withdraw the one before."""
-        old = self.world.key
-        new = f"kq-{len(self.withdrawn) + 1}"
-        self.version += 1
-        self._write_configuration(old, new)
-        await pause(IN_FORCE_S)
-        self.version += 1
-        self._write_configuration(new)
-        self.withdrawn.append(old)
+        """Add a key, let callers use it, and withdraw the previous key."""
+        previous = self.world.api_key
+        added = f"kq-{len(self.withdrawn_keys) + 1}"
+        self.config_version += 1
+        self._write_configuration(previous, added)
+        await pause(CONFIG_APPLIED_S)
+        self.config_version += 1
+        self._write_configuration(added)
+        self.withdrawn_keys.append(previous)
 
     def _write_configuration(self, *keys: str) -> None:
         """Put a configuration in the store; callers use the last key from now on."""
-        self.world.key = keys[-1]
-        teams = [{"name": "yard", "apiKeys": list(keys)}, CAPPED]
-        document = {**configuration(self.version), "tenants": teams}
+        self.world.api_key = keys[-1]
+        teams = [{"name": "yard", "apiKeys": list(keys)}, CAPPED_TEAM]
+        document = {**configuration(self.config_version), "tenants": teams}
         self.world.store.put("config", "main", document)
 
-    def _calm(self) -> None:
-        self.world.store.away = False
-        self.world.store.lose_writes = 0
+    def _end_faults(self) -> None:
+        self.world.store.unavailable = False
+        self.world.store.unanswered_writes = 0
         for replica in self.world.replicas:
-            replica.cut_after, replica.shed = 0, False
+            replica.cut_after_events, replica.shed = 0, False
 
     async def _check(self) -> None:
-        runs = Counter(run for replica in self.world.replicas for run in replica.runs)
-        for request_id in self.once:
-            if runs[request_id] > 1:
-                self.broken.append(f"{request_id}: ran {runs[request_id]} times")
-        if self.world.crashed() > LOSSES_MOST + len(self.unseen):
-            self.broken.append(
-                f"{self.world.crashed()} replicas were ended by one request, {self.unseen} apart"
+        start_counts = Counter(
+            run for replica in self.world.replicas for run in replica.started_requests
+        )
+        for request_id in self.at_most_once_ids:
+            if start_counts[request_id] > 1:
+                self.violations.append(f"{request_id}: ran {start_counts[request_id]} times")
+        if self.world.crashed() > LOSSES_MOST + len(self.uncounted_faults):
+            self.violations.append(
+                f"{self.world.crashed()} replicas were crashed by one request,"
+                f" {self.uncounted_faults} allowed for"
             )
-        for request_id in self.refused:
-            if runs[request_id]:
-                self.broken.append(f"{request_id}: refused as not run, and ran")
-        for job_id in self.accepted:
+        for request_id in self.refused_as_not_run:
+            if start_counts[request_id]:
+                self.violations.append(f"{request_id}: refused as not run, but it ran")
+        for job_id in self.accepted_jobs:
             await self._check_job(job_id)
         self._check_teams()
         for port in self.world.callers.values():
-            for key in self.withdrawn:
+            for key in self.withdrawn_keys:
                 reply = await self.world.get(port, "/look/1", Authorization=f"Bearer {key}")
                 if reply.status != 401:
-                    self.broken.append(f"a withdrawn key was answered {reply.status}")
+                    self.violations.append(f"a withdrawn key was answered with {reply.status}")
 
     def _check_teams(self) -> None:
-        """Check what replicas were told of who asks, and how much one team has sent."""
-        first: dict[str, float] = {}
+        """Check the team and key headers at the replicas, and the rate of the capped team."""
+        first_received_s: dict[str, float] = {}
         for replica in self.world.replicas:
-            for (request, team, key), at_s in zip(replica.asked, replica.asked_s, strict=True):
+            for (request, team, key), at_s in zip(
+                replica.received, replica.received_at_s, strict=True
+            ):
                 if key is not None or team not in ("yard", "capped"):
-                    self.broken.append(f"{request}: a replica was told of team {team}, key {key}")
+                    self.violations.append(f"{request}: a replica received team {team}, key {key}")
                 if team == "capped":
-                    first[request] = min(at_s, first.get(request, at_s))
-        times = sorted(first.values())
-        most = max(
-            (sum(one <= other < one + WINDOW_S for other in times) for one in times), default=0
+                    first_received_s[request] = min(at_s, first_received_s.get(request, at_s))
+        received_times_s = sorted(first_received_s.values())
+        max_in_window = max(
+            (
+                sum(start <= other < start + ALLOWANCE_WINDOW_S for other in received_times_s)
+                for start in received_times_s
+            ),
+            default=0,
         )
-        if most > CAPPED_MOST:
-            self.broken.append(f"{most} requests of one team in {WINDOW_S} s")
-        self.answers["most of the capped team"] = most
+        if max_in_window > CAPPED_MAX_REQUESTS:
+            self.violations.append(
+                f"{max_in_window} requests of one team in {ALLOWANCE_WINDOW_S} s"
+            )
+        self.answers["max requests of the capped team"] = max_in_window
         for child in self.world.children.values():
-            if any(key in child.printed for key in (*self.withdrawn, "kq-capped", UNKNOWN_KEY)):
-                self.broken.append(f"{child.name} has printed a key")
+            if any(
+                key in child.printed for key in (*self.withdrawn_keys, "kq-capped", UNKNOWN_KEY)
+            ):
+                self.violations.append(f"{child.name} has printed an API key")
 
     async def _check_job(self, job_id: str) -> None:
-        seen = []
+        results_by_entry = []
         for port in self.world.callers.values():
-            results = await self.world.results(port, job_id, ITEMS)
-            seen.append([(one["id"], one["state"], one["text"]) for one in results])
-        if any(one != seen[0] for one in seen):
-            self.broken.append(f"{job_id}: two entries show other results")
-        if {one[0] for one in seen[0]} != {f"{job_id}-{n}" for n in range(ITEMS)}:
-            self.broken.append(f"{job_id}: not each item once: {[one[0] for one in seen[0]]}")
-        for item, state, text in seen[0]:
+            results = await self.world.results(port, job_id, ITEMS_PER_JOB)
+            results_by_entry.append(
+                [(result["id"], result["state"], result["text"]) for result in results]
+            )
+        if any(other != results_by_entry[0] for other in results_by_entry):
+            self.violations.append(f"{job_id}: two entries show different results")
+        if {result[0] for result in results_by_entry[0]} != {
+            f"{job_id}-{n}" for n in range(ITEMS_PER_JOB)
+        }:
+            self.violations.append(
+                f"{job_id}: not one result per item:"
+                f" {[result[0] for result in results_by_entry[0]]}"
+            )
+        for item, state, text in results_by_entry[0]:
             if (state, text) != ("completed", TEXT):
-                self.broken.append(f"{item}: {state}, {len(text)} characters")
+                self.violations.append(f"{item}: {state}, {len(text)} characters")
 
 
-async def soak(seconds: float, seed: int, large: bool = False) -> Report:
-    """Play one soak in a world of its own."""
+async def run_soak(seconds: float, seed: int, large: bool = False) -> Report:
+    """Run one soak with its own stand-ins and processes."""
     world = SiteWorld()
     try:
         return await Soak(world, seed, large).run(seconds)
@@ -394,30 +421,34 @@
 
 
 def main() -> int:
-    """Run from the command line; 1 says that a promise was broken."""
+    """Run from the command line; return 1 if a guarantee was violated."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--seed", type=int, default=int(time.time()))
-    parser.add_argument("--large", action="store_true", help="more than all hear each other")
+    parser.add_argument(
+        "--large", action="store_true", help="more processes than a full mesh connects"
+    )
     options = parser.parse_args()
-    code = [1]
+    exit_code = [1]
 
-    def done(report: Any) -> None:
+    def on_finished(report: Any) -> None:
         if isinstance(report, Report):
-            code[0] = 1 if report.broken else 0
+            exit_code[0] = 1 if report.violations else 0
             print(f"seed {options.seed}: {report.jobs} jobs, faults {dict(report.faults)}")
             print(f"answers {dict(sorted(report.answers.items()))}")
-            print("\n".join(report.broken) or "every promise held")
+            print("\n".join(report.violations) or "every guarantee held")
         else:
             print(report)
         reactor.stop()
 
     def start() -> None:
-        Deferred.fromCoroutine(soak(options.seconds, options.seed, options.large)).addBoth(done)
+        Deferred.fromCoroutine(run_soak(options.seconds, options.seed, options.large)).addBoth(
+            on_finished
+        )
 
     reactor.callWhenRunning(start)
     reactor.run()
-    return code[0]
+    return exit_code[0]
 
 
 if __name__ == "__main__":
--- a/tests/site/world.py
+++ b/tests/site/world.py
@@ -1,4 +1,4 @@
-"""Run entries and keepers as processes against the stand-ins, and call them as callers do."""
+"""Run entries and keepers as processes against the stand-ins, and send requests to them."""
 
 import base64
 import itertools
@@ -27,12 +27,12 @@
 _Pool: Any = HTTPConnectionPool
 
 HOST: Final = "site.example"
-LIMIT_S: Final = 20.0
+REPLY_TIMEOUT_S: Final = 20.0
 _IDS = itertools.count(1)
 
 
 class Reply(NamedTuple):
-    """Hold an answer."""
+    """Hold the answer to a request."""
 
     status: int
     headers: Any
@@ -43,7 +43,7 @@
 
 
 def configuration(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Make the operator's configuration; changes go to every route."""
+    """Return an operator's configuration; changes are applied to every route."""
     limits = {
         "maxHeaderBytes": 16384,
         "maxBodyBytes": 100_000,
@@ -86,7 +86,7 @@
 
 
 class SiteWorld:
-    """Hold the stand-ins and the processes of one test."""
+    """Own the stand-ins and the processes of one test."""
 
     def __init__(self) -> None:
         self._folder = TemporaryDirectory()
@@ -94,43 +94,44 @@
         self.store.put("config", "main", configuration())
         self.replicas = [StandinReplica(self.store, name) for name in ("lm", "lm", "app", "app")]
         self.children: dict[str, Child] = {}
-        # Settings of the protocol between processes, beside its port.
-        self.peer: dict[str, Any] = {}
-        # Where calls wait that find no room.
-        self.placing: dict[str, Any] = {}
-        # What an entry may hold for its callers.
-        self.memory: dict[str, Any] = {}
-        # The key that callers show, if any.
-        self.key = ""
+        # Settings of the protocol between processes, except its port.
+        self.peer_settings: dict[str, Any] = {}
+        # Settings of where calls wait for a free slot.
+        self.placing_settings: dict[str, Any] = {}
+        # Settings of how much memory an entry may use for its callers.
+        self.memory_settings: dict[str, Any] = {}
+        # The API key that callers send, if any.
+        self.api_key = ""
         self.callers: dict[str, int] = {}
-        self.ready: dict[str, int] = {}
+        self.readiness_ports: dict[str, int] = {}
         self.agent = _Agent(reactor, connectTimeout=2, pool=_Pool(reactor, persistent=False))
 
     def replace_crashed(self) -> None:
-        """Start another replica for each that a request ends; those stay in the list as well."""
+        """Start another replica for each that a request crashes; replicas keeps both."""
         for replica in self.replicas:
-            self._replace_when_ended(replica)
+            self._replace_on_crash(replica)
 
     def add_like(self, replica: StandinReplica) -> StandinReplica:
-        """Start one more replica of the same service, which a request can end as well."""
+        """Start one more replica of the same service, which is also replaced after a crash."""
         other = StandinReplica(self.store, replica.service)
         self.replicas.append(other)
-        if replica.ended is not None:
-            self._replace_when_ended(other)
+        if replica.on_crash is not None:
+            self._replace_on_crash(other)
         return other
 
-    def _replace_when_ended(self, replica: StandinReplica) -> None:
+    def _replace_on_crash(self, replica: StandinReplica) -> None:
         def replace() -> None:
             self.add_like(replica)
 
-        replica.ended = replace
+        replica.on_crash = replace
 
     def crashed(self) -> int:
-        """Return how many replicas a request has ended, those that were leaving apart.
+        """Return how many replicas a request has crashed, except those that were draining.
 
-        What one that leaves as planned cuts off at its end says nothing of the request.
+        A connection that is cut when a draining replica ends does not show that the request on
+        it crashed the replica.
         """
-        return sum(one.crashed and not one.leaving for one in self.replicas)
+        return sum(replica.crashed and not replica.draining for replica in self.replicas)
 
     async def start(self, entries: int = 2, keepers: int = 1) -> None:
         """Start the processes, and wait until every entry is ready."""
@@ -141,21 +142,21 @@
         for name in self.callers:
             await self.until_ready(name)
         for child in self.children.values():
-            await self.until(partial(_started, child), f"{child.name} starts")
+            await self.wait_until(partial(_has_started, child), f"{child.name} starts")
 
     def start_entry(self, name: str) -> None:
         """Start an entry."""
-        self.callers[name], self.ready[name] = _free_port(), _free_port()
+        self.callers[name], self.readiness_ports[name] = _free_port(), _free_port()
         listen = {
             "callers": f"127.0.0.1:{self.callers[name]}",
-            "readiness": f"127.0.0.1:{self.ready[name]}",
+            "readiness": f"127.0.0.1:{self.readiness_ports[name]}",
         }
-        # The first one listens before its program is imported, as on the platform.
-        early = ("--callers", listen["callers"]) if len(self.callers) == 1 else ()
-        self._start(name, "entry", {"listen": listen}, *early)
+        # The first entry listens before its program is imported, as entries on the platform do.
+        early_listen = ("--callers", listen["callers"]) if len(self.callers) == 1 else ()
+        self._start(name, "entry", {"listen": listen}, *early_listen)
 
     def restart(self, name: str) -> None:
-        """Start a process again at its addresses."""
+        """Start a process again with the same settings and addresses."""
         path = Path(self._folder.name) / f"{name}.json"
         if name in self.callers:
             address = f"127.0.0.1:{self.callers[name]}"
@@ -164,13 +165,15 @@
         else:
             self.children[name] = start(name, "keeper", "--settings", str(path))
 
-    def configure(self, version: int, teams: list[dict[str, Any]], **changes: Any) -> None:
-        """Write a configuration with teams."""
+    def write_configuration(
+        self, version: int, teams: list[dict[str, Any]], **changes: Any
+    ) -> None:
+        """Write a configuration with teams into the store."""
         document = {**configuration(version, **changes), "tenants": teams}
         self.store.put("config", "main", document)
 
-    async def until_open(self, port: int) -> None:
-        """Wait until a port takes connections."""
+    async def wait_until_listening(self, port: int) -> None:
+        """Wait until a port accepts connections."""
 
         def is_open() -> bool:
             with socket.socket() as sock:
@@ -180,7 +183,7 @@
             if is_open():
                 return
             await pause(0.005)
-        raise AssertionError(f"nobody listens on {port}")
+        raise AssertionError(f"no process listens on port {port}")
 
     def start_keeper(self, name: str) -> None:
         """Start a keeper with a disk."""
@@ -188,28 +191,28 @@
         disk.mkdir(exist_ok=True)
         self._start(name, "keeper", {"jobs": {"folder": str(disk)}})
 
-    def _start(self, name: str, role: str, more: dict[str, Any], *arguments: str) -> None:
-        place = {"id": name, "data_centre": "z1", "region": "r1", "host": "127.0.0.1"}
+    def _start(self, name: str, role: str, role_settings: dict[str, Any], *arguments: str) -> None:
+        instance = {"id": name, "data_centre": "z1", "region": "r1", "host": "127.0.0.1"}
         settings = {
-            "instance": place,
+            "instance": instance,
             "store": {"address": self.store.address, "reads_per_s": 2000, "writes_per_s": 400},
             "stop": {"within_s": 8, "balancer_lag_ms": 500},
-            "peer": {"port": _free_port(), **self.peer},
+            "peer": {"port": _free_port(), **self.peer_settings},
             "allowance": {"window_s": 5, "overrun": 0.1, "slack": 20},
-            "placing": self.placing,
-            "memory": self.memory,
-            **more,
+            "placing": self.placing_settings,
+            "memory": self.memory_settings,
+            **role_settings,
         }
         path = Path(self._folder.name) / f"{name}.json"
         path.write_text(json.dumps(settings))
         self.children[name] = start(name, role, "--settings", str(path), *arguments)
 
     async def until_ready(self, name: str) -> None:
-        """Wait until an entry says that it is ready."""
+        """Wait until the readiness check of an entry succeeds."""
 
         async def ready() -> bool:
             try:
-                reply = await self.get(self.ready[name], "/v1/readiness")
+                reply = await self.get(self.readiness_ports[name], "/v1/readiness")
             except Exception:
                 return False
             return reply.status == 200
@@ -227,23 +230,23 @@
     async def send(
         self, port: int, method: str, path: str, body: bytes = b"", **headers: str
     ) -> Reply:
-        """Send a request as a caller does; the error of a broken answer is raised."""
-        sent = {"Host": [HOST], "X-Deadline-Ms": ["4000"], "X-Request-Id": [new_id()]}
-        if self.key:
-            sent["Authorization"] = [f"Bearer {self.key}"]
-        sent |= {name.replace("_", "-"): [value] for name, value in headers.items()}
+        """Send a request as a caller does; an answer that breaks off raises an exception."""
+        all_headers = {"Host": [HOST], "X-Deadline-Ms": ["4000"], "X-Request-Id": [new_id()]}
+        if self.api_key:
+            all_headers["Authorization"] = [f"Bearer {self.api_key}"]
+        all_headers |= {name.replace("_", "-"): [value] for name, value in headers.items()}
         url = f"http://127.0.0.1:{port}{path}".encode()
-        producer = _Body(body) if body else None
-        asked = self.agent.request(method.encode(), url, Headers(sent), producer)
-        asked.addTimeout(LIMIT_S, reactor)
-        response = await asked
+        producer = _BodyProducer(body) if body else None
+        pending = self.agent.request(method.encode(), url, Headers(all_headers), producer)
+        pending.addTimeout(REPLY_TIMEOUT_S, reactor)
+        response = await pending
         read = readBody(response)
-        read.addTimeout(LIMIT_S, reactor)
+        read.addTimeout(REPLY_TIMEOUT_S, reactor)
         return Reply(response.code, response.headers, await read)
 
     async def submit(self, port: int, job_id: str, items: int = 3) -> Reply:
         """Submit a batch job."""
-        listed = [
+        job_items = [
             {
                 "id": f"{job_id}-{number}",
                 "path": f"/job/{number}",
@@ -253,26 +256,26 @@
             }
             for number in range(items)
         ]
-        body = json.dumps({"items": listed}).encode()
+        body = json.dumps({"items": job_items}).encode()
         return await self.send(port, "POST", f"/job/{job_id}", body, X_Request_Id=job_id)
 
     async def results(self, port: int, job_id: str, wanted: int) -> list[dict[str, str]]:
-        """Read results from the start until there are as many as wanted."""
-        found: list[dict[str, str]] = []
+        """Read the results of a job from the start until there are as many as wanted."""
+        received: list[dict[str, str]] = []
         for _ in range(40):
-            path = f"/v1/lots/{job_id}?after={len(found)}"
+            path = f"/v1/lots/{job_id}?after={len(received)}"
             reply = await self.get(port, path, X_Wait_Ms="500")
             if reply.status == 200:
-                found += reply.json()["results"]
-                assert reply.json()["nextToken"] == len(found)
-            if len(found) >= wanted:
-                return found
+                received += reply.json()["results"]
+                assert reply.json()["nextToken"] == len(received)
+            if len(received) >= wanted:
+                return received
             await pause(0.1)
         lines = "\n".join(child.last_lines() for child in self.children.values())
-        raise AssertionError(f"job {job_id} has not {wanted} results\n{lines}")
+        raise AssertionError(f"job {job_id} has fewer than {wanted} results\n{lines}")
 
-    async def until(self, holds: Callable[[], bool], what: str) -> None:
-        """Wait until something holds."""
+    async def wait_until(self, holds: Callable[[], bool], what: str) -> None:
+        """Wait until a condition holds; what describes it in the error."""
         for _ in range(200):
             if holds():
                 return
@@ -280,7 +283,7 @@
         raise AssertionError(what)
 
     async def close(self) -> None:
-        """End all processes and stand-ins."""
+        """Kill all processes and stop the stand-ins."""
         for child in self.children.values():
             child.signal(SIGKILL)
         for child in self.children.values():
@@ -292,14 +295,14 @@
         self._folder.cleanup()
 
     async def stop(self, name: str) -> int | None:
-        """Send SIGTERM and wait for the end; return the exit code."""
+        """Send SIGTERM, wait until the process has ended, and return its exit code."""
         self.children[name].signal(SIGTERM)
         await self.children[name].ended
         return self.children[name].exit_code
 
 
-class _Body:
-    """Write a body that is in memory."""
+class _BodyProducer:
+    """Write a request body that is in memory."""
 
     def __init__(self, body: bytes) -> None:
         self._body = body
@@ -321,7 +324,7 @@
         pass
 
 
-def _started(child: Child) -> bool:
+def _has_started(child: Child) -> bool:
     return child.logged(events.PROCESS_STARTED.number) > 0
 
 
@@ -331,13 +334,13 @@
 
 
 def pause(seconds: float) -> Deferred[None]:
-    """Wait."""
+    """Return a Deferred that fires after some seconds."""
     return deferLater(reactor, seconds, lambda: None)
 
 
-def begin(work: Any) -> Any:
-    """Start work that goes on beside the test."""
-    return ensureDeferred(work)
+def start_task(coroutine: Any) -> Any:
+    """Start a coroutine that runs concurrently with the test."""
+    return ensureDeferred(coroutine)
 
 
 def _free_port() -> int:
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -1,4 +1,4 @@
-"""Test the whole path on the users' platform: real processes on loopback around stand-ins."""
+"""Test entries and keepers as processes on loopback against stand-ins of the platform."""
 
 from signal import SIGKILL, SIGTERM, Signals
 from typing import Any
@@ -9,44 +9,45 @@
 from papayapier import events
 from papayapier.node.entry import BRINGING_MS
 from tests.site.case import SiteCase
-from tests.site.replicas import EVENTS
-from tests.site.soak import soak
-from tests.site.world import begin, configuration, new_id, pause
+from tests.site.replicas import EVENTS_PER_STREAM
+from tests.site.soak import run_soak
+from tests.site.world import configuration, new_id, pause, start_task
 
-STREAM = b"".join(f"id: {n}\ndata: piece {n}\n\n".encode() for n in range(1, EVENTS + 1))
-TEXT = "\n".join(f"piece {n}" for n in range(1, EVENTS + 1))
+STREAM = b"".join(f"id: {n}\ndata: piece {n}\n\n".encode() for n in range(1, EVENTS_PER_STREAM + 1))
+TEXT = "\n".join(f"piece {n}" for n in range(1, EVENTS_PER_STREAM + 1))
 
 
 class SiteTestCase(SiteCase):
-    """Play calm and troubled moments of one small site."""
+    """Run a small site with and without faults of replicas, the store and its processes."""
 
-    async def _calm(self) -> None:
+    async def _without_faults(self) -> None:
         world = self.world
         await world.start()
-        whole = await world.get(self.port(), "/look/1")
-        assert (whole.status, whole.body) == (200, b"whole answer")
-        assert whole.headers.getRawHeaders("X-Server-Stamp") == ["signed"]
+        complete = await world.get(self.port(), "/look/1")
+        assert (complete.status, complete.body) == (200, b"whole answer")
+        assert complete.headers.getRawHeaders("X-Server-Stamp") == ["signed"]
         stream = await world.get(self.port(2), "/stream/once/1")
         assert (stream.status, stream.body) == (200, STREAM)
         assert (await world.submit(self.port(), "job-1")).status == 202
         results = await world.results(self.port(2), "job-1", 3)
-        assert {one["id"] for one in results} == {f"job-1-{n}" for n in range(3)}
-        assert {(one["state"], one["text"]) for one in results} == {("completed", TEXT)}
+        assert {result["id"] for result in results} == {f"job-1-{n}" for n in range(3)}
+        assert {(result["state"], result["text"]) for result in results} == {("completed", TEXT)}
         assert (await world.get(self.port(), "/nowhere/1")).status == 404
-        # An entry that has just started is not sure yet: keepers may still hold such a job.
+        # An entry that has just started cannot deny a job yet: keepers may still have a copy of it.
         await pause(BRINGING_MS / 1_000)
         assert (await world.get(self.port(), "/v1/lots/no-such-job")).status == 404
         body = await world.get(self.port(2), "/v1/items/job-1?id=job-1-0")
         assert body.body == b"ask"
 
-    def test_a_calm_day(self) -> Any:
-        return Deferred.fromCoroutine(self._calm())
+    def test_without_faults(self) -> Any:
+        # Failure: requests, streams or jobs are answered wrongly although nothing fails.
+        return Deferred.fromCoroutine(self._without_faults())
 
-    async def _replica_lost(self) -> None:
-        # Symptom: answers cut short or joined wrongly when a replica breaks off.
-        # Events: one replica breaks every stream in the middle of an event, one app hangs.
+    async def _replica_cuts_streams(self) -> None:
+        # Failure: answers are truncated or joined wrongly when a replica cuts its streams. One
+        # replica cuts every stream in the middle of an event; another rejects all requests.
         world = self.world
-        world.replicas[0].cut_after = 2
+        world.replicas[0].cut_after_events = 2
         world.replicas[2].shed = True
         await world.start()
         for number in range(4):
@@ -54,35 +55,35 @@
             assert (stream.status, stream.body) == (200, STREAM)
             assert (await world.get(self.port(), f"/look/{number}")).status == 200
         assert (await world.submit(self.port(), "job-1")).status == 202
-        for one in await world.results(self.port(), "job-1", 3):
-            assert one["text"] == TEXT
+        for result in await world.results(self.port(), "job-1", 3):
+            assert result["text"] == TEXT
 
-    def test_a_replica_breaks_off(self) -> Any:
-        return Deferred.fromCoroutine(self._replica_lost())
+    def test_a_replica_cuts_its_streams(self) -> Any:
+        return Deferred.fromCoroutine(self._replica_cuts_streams())
 
     async def _error_then_cut(self) -> None:
-        # Failure: streams that met an error and are then cut at one replica end as complete.
+        # Failure: a stream that is retried after an error and then cut ends as if complete.
         world = self.world
         world.store.put("config", "main", configuration(maxAttempts=2))
         request_ids = {new_id(), new_id()}
-        met = set(request_ids)
+        unanswered_ids = set(request_ids)
 
         def fails(request: Any) -> bool:
             request_id = request.getHeader("X-Request-Id")
-            first = request_id in met
-            met.discard(request_id)
+            first = request_id in unanswered_ids
+            unanswered_ids.discard(request_id)
             return first
 
         for replica in world.replicas[:2]:
-            replica.fails = fails
-            replica.cut_after = 2
+            replica.should_fail = fails
+            replica.cut_after_events = 2
         await world.start(entries=2, keepers=0)
         sends = [
             self._is_cut_off(entry, request_id)
             for entry, request_id in enumerate(sorted(request_ids), 1)
         ]
-        for cut in [begin(send) for send in sends]:
-            assert await cut
+        for was_cut in [start_task(send) for send in sends]:
+            assert await was_cut
 
     async def _is_cut_off(self, entry: int, request_id: str) -> bool:
         try:
@@ -91,33 +92,35 @@
             return True
         return False
 
-    def test_a_stream_that_met_an_error_and_breaks_off_is_cut(self) -> Any:
+    def test_a_stream_cut_after_an_error_is_not_complete(self) -> Any:
         return Deferred.fromCoroutine(self._error_then_cut())
 
-    async def _entry_ends(self, signal: Signals) -> None:
-        # Failure: a stream that is open where its entry ends looks whole to its caller.
+    async def _entry_exits(self, signal: Signals) -> None:
+        # Failure: a stream that is open when its entry ends looks complete to its caller.
         world = self.world
         for replica in world.replicas[:2]:
-            replica.stall_after = 2
+            replica.stall_after_events = 2
         await world.start(entries=1, keepers=0)
-        cut = begin(self._is_cut_off(1, new_id()))
-        await world.until(lambda: any(one.open for one in world.replicas[:2]), "a stream is open")
+        was_cut = start_task(self._is_cut_off(1, new_id()))
+        await world.wait_until(
+            lambda: any(replica.open_requests for replica in world.replicas[:2]), "a stream is open"
+        )
         await pause(0.1)
         world.children["entry-1"].signal(signal)
-        assert await cut
+        assert await was_cut
 
     def test_a_stream_is_cut_where_its_entry_is_killed(self) -> Any:
-        return Deferred.fromCoroutine(self._entry_ends(SIGKILL))
+        return Deferred.fromCoroutine(self._entry_exits(SIGKILL))
 
     def test_a_stalled_stream_is_cut_in_a_planned_stop(self) -> Any:
-        return Deferred.fromCoroutine(self._entry_ends(SIGTERM))
+        return Deferred.fromCoroutine(self._entry_exits(SIGTERM))
 
-    async def _at_most_once(self) -> None:
-        # Symptom: a request that may run once has run twice, or is said not to have run.
-        # Events: its replica closes the connection after it has begun.
+    async def _started_once(self) -> None:
+        # Failure: a non-idempotent request runs twice, or is refused as not run although it ran.
+        # Its replica closes the connection after the request has started.
         world = self.world
         for replica in world.replicas[:2]:
-            replica.cut_after = 1
+            replica.cut_after_events = 1
         await world.start(entries=1, keepers=0)
         request_id = new_id()
         try:
@@ -126,49 +129,53 @@
             assert "PartialDownload" in repr(exc) or "ResponseFailed" in repr(exc), exc
         else:
             assert reply.status == 502, reply
-        runs = [one for replica in world.replicas for one in replica.runs]
-        assert runs.count(request_id) == 1
+        started_ids = [
+            started_id for replica in world.replicas for started_id in replica.started_requests
+        ]
+        assert started_ids.count(request_id) == 1
 
-    def test_a_broken_run_is_not_repeated(self) -> Any:
-        return Deferred.fromCoroutine(self._at_most_once())
+    def test_a_started_request_is_not_resent(self) -> Any:
+        return Deferred.fromCoroutine(self._started_once())
 
-    async def _outage(self) -> None:
-        # Events: the store answers 503 for some seconds; jobs are refused as not run, online
-        # requests go on, results that were read stay readable; then all goes on.
+    async def _store_outage(self) -> None:
+        # Failure: a store outage of some seconds affects more than new jobs. They are refused as
+        # not run; online requests continue, and results that were read before stay readable.
+        # After the outage jobs are accepted again.
         world = self.world
         await world.start()
         assert (await world.submit(self.port(), "job-1")).status == 202
         await world.results(self.port(), "job-1", 3)
-        world.store.away = True
+        world.store.unavailable = True
         refused = await world.submit(self.port(), "job-2")
         assert refused.status == 503
         assert refused.headers.getRawHeaders("Retry-After")
         assert (await world.get(self.port(), "/look/1")).status == 200
         assert len(await world.results(self.port(), "job-1", 3)) == 3
         assert (await world.get(self.port(2), "/v1/lots/job-2")).status == 503
-        world.store.away = False
+        world.store.unavailable = False
         await pause(1.5)
         assert (await world.submit(self.port(2), "job-2")).status == 202
         await world.results(self.port(), "job-2", 3)
 
     def test_a_store_outage(self) -> Any:
-        return Deferred.fromCoroutine(self._outage())
+        return Deferred.fromCoroutine(self._store_outage())
 
     async def _accepted_in_an_outage(self) -> None:
-        # Symptom: jobs that come while the store is away are refused at every attempt.
-        # Events: the store answers 503; a job comes, twice; all processes are killed and start
-        # again while the store is still away; then it is back.
+        # Failure: jobs that are submitted during a store outage are refused or lost. A job is
+        # submitted twice, all processes are killed and restarted while the store is still
+        # unavailable, and then the store is available again.
         world = self.world
         await world.start(entries=2, keepers=3)
-        # An entry asks the keepers that are written down and heard; on a busy machine it hears
-        # of the last of them up to 1.5 s after that one has started, and refuses until then.
+        # An entry sends copies of a job to the keepers that are registered in the store and
+        # reachable. On a busy machine it learns of the last keeper up to 1.5 s after that keeper
+        # has started, and refuses jobs until then.
         entries = [world.children[name] for name in world.callers]
-        await world.until(
-            lambda: all(one.logged(events.PEER_UP.number) >= 4 for one in entries),
-            "the entries hear the keepers",
+        await world.wait_until(
+            lambda: all(entry.logged(events.PEER_UP.number) >= 4 for entry in entries),
+            "the entries receive heartbeats of the keepers",
         )
         await pause(2.0)
-        world.store.away = True
+        world.store.unavailable = True
         assert (await world.submit(self.port(), "job-1")).status == 202
         assert (await world.submit(self.port(2), "job-1")).status == 202
         for name, child in list(world.children.items()):
@@ -176,9 +183,9 @@
             await child.ended
             world.restart(name)
         for port in world.callers.values():
-            await world.until_open(port)
+            await world.wait_until_listening(port)
         assert world.store.names("papayapier-jobs") == []
-        world.store.away = False
+        world.store.unavailable = False
         for name in world.callers:
             await world.until_ready(name)
         for port in world.callers.values():
@@ -188,14 +195,13 @@
     def test_a_job_is_accepted_in_an_outage(self) -> Any:
         return Deferred.fromCoroutine(self._accepted_in_an_outage())
 
-    async def _sent_twice(self) -> None:
-        # Symptom: a job's items run and are listed twice.
-        # Events: the write of its record is done and not answered, the caller sends it again
-        # elsewhere at the same time.
+    async def _submit_twice(self) -> None:
+        # Failure: a job's items run and are listed twice. The write of the job's record is carried
+        # out but not answered, and the caller submits the job at another entry at the same time.
         world = self.world
         await world.start()
-        world.store.lose_writes = 1
-        sends = [begin(world.submit(self.port(n), "job-1")) for n in (1, 2)]
+        world.store.unanswered_writes = 1
+        sends = [start_task(world.submit(self.port(n), "job-1")) for n in (1, 2)]
         for sent in sends:
             assert (await sent).status == 202
         await world.results(self.port(), "job-1", 3)
@@ -203,18 +209,18 @@
         await pause(0.5)
         assert len(await world.results(self.port(2), "job-1", 3)) == 3
 
-    def test_a_job_sent_twice(self) -> Any:
-        return Deferred.fromCoroutine(self._sent_twice())
+    def test_a_job_submitted_twice(self) -> Any:
+        return Deferred.fromCoroutine(self._submit_twice())
 
     async def _planned_stop(self) -> None:
-        # Symptom: a stream is cut when its entry is stopped.
-        # Events: SIGTERM while a stream is under way, and while a keeper runs items.
+        # Failure: a stream is cut when its entry is stopped. SIGTERM is sent to an entry with an
+        # open stream and to a keeper that runs items.
         world = self.world
         await world.start(entries=2, keepers=2)
         assert (await world.submit(self.port(2), "job-1")).status == 202
-        stream = begin(world.get(self.port(1), "/stream/once/1"))
+        stream = start_task(world.get(self.port(1), "/stream/once/1"))
         await pause(0.05)
-        stops = [begin(world.stop(name)) for name in ("entry-1", "keeper-1")]
+        stops = [start_task(world.stop(name)) for name in ("entry-1", "keeper-1")]
         assert (await stream).body == STREAM
         for stop in stops:
             assert await stop == 0
@@ -224,7 +230,7 @@
         return Deferred.fromCoroutine(self._planned_stop())
 
     async def _keeper_killed(self) -> None:
-        # Events: the keeper that runs a job is killed; the other one takes the job over.
+        # Failure: jobs of a killed keeper are not completed. The other keeper takes them over.
         world = self.world
         await world.start(entries=1, keepers=2)
         for number in range(4):
@@ -232,14 +238,14 @@
         world.children["keeper-1"].signal(SIGKILL)
         for number in range(4):
             results = await world.results(self.port(), f"job-{number}", 3)
-            assert len({one["id"] for one in results}) == 3
+            assert len({result["id"] for result in results}) == 3
 
     def test_a_keeper_is_killed(self) -> Any:
         return Deferred.fromCoroutine(self._keeper_killed())
 
     async def _configuration(self) -> None:
-        # Events: a newer configuration moves a host away; a configuration that cannot be read
-        # follows; the newer one stays in force.
+        # Failure: an unreadable configuration replaces the valid one. A newer configuration
+        # changes the host; it stays in force when an unreadable configuration follows.
         world = self.world
         await world.start(entries=1, keepers=0)
         world.store.put("config", "main", configuration(version=5, host="other.example"))
@@ -254,67 +260,69 @@
     def test_a_configuration_changes(self) -> Any:
         return Deferred.fromCoroutine(self._configuration())
 
-    async def _leaving_replica(self) -> None:
-        # Events: a replica says that it drains; nothing is sent to it any more.
+    async def _replica_drains(self) -> None:
+        # Failure: requests are sent to a replica whose entry says that it drains.
         world = self.world
         await world.start(entries=1, keepers=0)
         world.replicas[2].register("draining")
         await pause(0.3)
         for number in range(6):
             assert (await world.get(self.port(), f"/look/{number}")).status == 200
-        assert world.replicas[2].runs == []
+        assert world.replicas[2].started_requests == []
 
-    def test_a_replica_leaves(self) -> Any:
-        return Deferred.fromCoroutine(self._leaving_replica())
+    def test_a_draining_replica_gets_no_requests(self) -> Any:
+        return Deferred.fromCoroutine(self._replica_drains())
 
-    async def _cancelled(self) -> None:
-        # Events: a job is ended by its caller; its items stop, and stay ended when it is
-        # sent again.
+    async def _job_cancelled(self) -> None:
+        # Failure: items of a cancelled job run, or run after the job is submitted again.
         world = self.world
         await world.start(entries=1, keepers=1)
         for replica in world.replicas[:2]:
             replica.hang = True
         assert (await world.submit(self.port(), "job-1")).status == 202
-        await world.until(lambda: bool(world.replicas[0].runs + world.replicas[1].runs), "a run")
+        await world.wait_until(
+            lambda: bool(world.replicas[0].started_requests + world.replicas[1].started_requests),
+            "a run",
+        )
         assert (await world.send(self.port(), "DELETE", "/v1/lots/job-1")).status == 200
         assert (await world.send(self.port(), "DELETE", "/v1/lots/job-1")).status == 200
         await pause(0.5)
-        begun = sum(len(replica.runs) for replica in world.replicas)
+        started = sum(len(replica.started_requests) for replica in world.replicas)
         assert (await world.submit(self.port(), "job-1")).status == 202
         await pause(1.0)
-        assert sum(len(replica.runs) for replica in world.replicas) == begun
+        assert sum(len(replica.started_requests) for replica in world.replicas) == started
 
-    def test_a_job_is_ended(self) -> Any:
-        return Deferred.fromCoroutine(self._cancelled())
+    def test_a_job_is_cancelled(self) -> Any:
+        return Deferred.fromCoroutine(self._job_cancelled())
 
-    async def _killed_entry(self) -> None:
-        # Symptom: callers meet a closed port for as long as a killed entry takes to start.
-        # Events: an entry is killed and started again; a request comes while it imports its
-        # program. It waits in the kernel and is served.
+    async def _entry_restarts(self) -> None:
+        # Failure: connections are refused while a killed entry restarts. A request that arrives
+        # while the entry imports its program waits in the kernel's accept queue and is served.
         world = self.world
         await world.start(entries=1, keepers=0)
         world.children["entry-1"].signal(SIGKILL)
         await world.children["entry-1"].ended
         world.restart("entry-1")
-        await world.until_open(self.port())
+        await world.wait_until_listening(self.port())
         assert not world.children["entry-1"].logged(101)
         assert (await world.get(self.port(), "/look/1")).status == 200
 
-    def test_an_entry_listens_at_once(self) -> Any:
-        return Deferred.fromCoroutine(self._killed_entry())
+    def test_a_restarted_entry_listens_at_once(self) -> Any:
+        return Deferred.fromCoroutine(self._entry_restarts())
 
     async def _soak(self) -> None:
-        for one in self.world.replicas:
-            await one.close()
+        for replica in self.world.replicas:
+            await replica.close()
         self.world.replicas.clear()
-        report = await soak(seconds=8, seed=1)
-        assert report.broken == [], report
+        report = await run_soak(seconds=8, seed=1)
+        assert report.violations == [], report
         assert report.jobs > 0
 
     def test_a_short_soak(self) -> Any:
+        # Failure: a guarantee is violated under load and injected faults (see tests/site/soak.py).
         return Deferred.fromCoroutine(self._soak())
 
-    async def _bad_input(self) -> None:
+    async def _invalid_input(self) -> None:
         world = self.world
         await world.start(entries=1, keepers=0)
         cases = [
@@ -330,5 +338,6 @@
         large = await world.send(self.port(), "POST", "/look/1", b"x" * 200_000)
         assert large.status == 413
 
-    def test_bad_input_is_named(self) -> Any:
-        return Deferred.fromCoroutine(self._bad_input())
+    def test_invalid_input_is_named_in_the_refusal(self) -> Any:
+        # Failure: a refusal of invalid input does not name the header or field that is wrong.
+        return Deferred.fromCoroutine(self._invalid_input())
--- a/tests/test_site_world.py
+++ b/tests/test_site_world.py
@@ -1,4 +1,4 @@
-"""Test that the stand-ins count what happens to them and nothing else."""
+"""Test how the stand-ins of the platform count crashed replicas."""
 
 from typing import Any, Final
 
@@ -10,18 +10,18 @@
 from twisted.web.client import Agent, HTTPConnectionPool, ResponseNeverReceived, readBody
 from twisted.web.http_headers import Headers
 
-from tests.site.replicas import CRASH_S
-from tests.site.world import Reply, SiteWorld, begin, pause
+from tests.site.replicas import CRASH_DELAY_S
+from tests.site.world import Reply, SiteWorld, pause, start_task
 
 reactor: Any = installed
 _Agent: Any = Agent
 _Pool: Any = HTTPConnectionPool
 
-NOT_TAKEN: Final = 503
+REJECTED: Final = 503
 
 
 class CrashedReplicasTest(TestCase):
-    """Add replicas and end them."""
+    """Add replicas and crash them by a request."""
 
     timeout = 20
 
@@ -33,11 +33,11 @@
         return Deferred.fromCoroutine(self.world.close())
 
     def test_an_added_replica_is_not_counted_as_crashed(self) -> None:
-        # Failure: a replica that the soak adds counts as one that a request has ended.
+        # Failure: a replica that the soak adds is counted as crashed.
         self.world.add_like(self.world.replicas[0])
         assert self.world.crashed() == 0
 
-    async def _ask(self, number: int) -> Reply | str:
+    async def _send_crashing(self, number: int) -> Reply | str:
         replica = self.world.replicas[number]
         port = int(replica.address.rpartition(":")[2])
         path = "/stream/once/crash"
@@ -46,56 +46,58 @@
         except Exception as exc:
             return type(exc).__name__
 
-    async def _ends_added(self) -> None:
+    async def _added_replica_crashes(self) -> None:
         self.world.add_like(self.world.replicas[0])
-        first = len(self.world.replicas)
-        assert await self._ask(first - 1) == "ResponseNeverReceived"
-        # The one in its place can be ended as well, and each counts once.
-        assert await self._ask(first) == "ResponseNeverReceived"
-        assert (self.world.crashed(), len(self.world.replicas)) == (2, first + 2)
+        replica_count = len(self.world.replicas)
+        assert await self._send_crashing(replica_count - 1) == "ResponseNeverReceived"
+        # The replacement can be crashed as well, and each replica counts once.
+        assert await self._send_crashing(replica_count) == "ResponseNeverReceived"
+        assert (self.world.crashed(), len(self.world.replicas)) == (2, replica_count + 2)
 
-    def test_a_request_ends_an_added_replica_too(self) -> Any:
-        # Failure: a replica that the soak adds outlives the request that ends all others.
-        return Deferred.fromCoroutine(self._ends_added())
+    def test_a_request_crashes_an_added_replica_too(self) -> Any:
+        # Failure: the request that crashes all other replicas does not crash an added replica.
+        return Deferred.fromCoroutine(self._added_replica_crashes())
 
-    async def _ends_leaving(self) -> None:
+    async def _draining_replica_crashes(self) -> None:
         self.world.replicas[0].register("draining")
-        assert await self._ask(0) == "ResponseNeverReceived"
+        assert await self._send_crashing(0) == "ResponseNeverReceived"
         assert self.world.crashed() == 0
 
-    def test_a_replica_that_leaves_is_not_counted(self) -> Any:
-        return Deferred.fromCoroutine(self._ends_leaving())
+    def test_a_draining_replica_is_not_counted(self) -> Any:
+        # Failure: a request that ends a draining replica counts as having crashed it.
+        return Deferred.fromCoroutine(self._draining_replica_crashes())
 
-    async def _keeps_a_connection(self) -> None:
+    async def _kept_connection_is_closed(self) -> None:
         replica = self.world.replicas[0]
         pool = _Pool(reactor)
         headers = Headers({"X-Request-Id": ["kept"], "X-Expect-Instance": [replica.id]})
 
-        async def ask() -> int:
+        async def send() -> int:
             agent = _Agent(reactor, connectTimeout=2, pool=pool)
             response = await agent.request(b"GET", f"http://{replica.address}/a".encode(), headers)
             await readBody(response)
             return int(response.code)
 
         replica.shed = True
-        assert await ask() == NOT_TAKEN
+        assert await send() == REJECTED
         replica.shed = False
-        assert await self._ask(0) == "ResponseNeverReceived"
+        assert await self._send_crashing(0) == "ResponseNeverReceived"
         for _ in range(2):
             with pytest.raises((ResponseNeverReceived, ConnectionRefusedError)):
-                await ask()
+                await send()
         await pool.closeCachedConnections()
 
-    def test_a_crashed_replica_answers_on_no_connection(self) -> Any:
-        # Failure: a connection on which all was rejected so far outlives its replica, whose loss is
-        # then taken back.
-        return Deferred.fromCoroutine(self._keeps_a_connection())
+    def test_a_crashed_replica_closes_kept_connections(self) -> Any:
+        # Failure: a kept connection, on which requests were only rejected so far, stays open after
+        # the crash of its replica, and the replica loss is withdrawn.
+        return Deferred.fromCoroutine(self._kept_connection_is_closed())
 
-    async def _ends_once(self) -> None:
-        both = [begin(self._ask(0)) for _ in range(2)]
-        await pause(2 * CRASH_S)
-        assert [await one for one in both] == ["ResponseNeverReceived"] * 2
+    async def _two_requests_crash_one_replica(self) -> None:
+        pending = [start_task(self._send_crashing(0)) for _ in range(2)]
+        await pause(2 * CRASH_DELAY_S)
+        assert [await response for response in pending] == ["ResponseNeverReceived"] * 2
         assert self.world.crashed() == 1
 
-    def test_two_requests_end_a_replica_once(self) -> Any:
-        return Deferred.fromCoroutine(self._ends_once())
+    def test_two_requests_crash_a_replica_once(self) -> Any:
+        # Failure: a replica that runs two crashing requests is counted and replaced twice.
+        return Deferred.fromCoroutine(self._two_requests_crash_one_replica())
