--- a/tests/scenario/__init__.py
+++ b/tests/scenario/__init__.py
@@ -1,1 +1,1 @@
-"""Run failure scenarios that are written as small text cases; docs/SCENARIOS.md explains."""
+"""Run failure scenarios written as text cases; docs/SCENARIOS.md describes the language."""
--- a/tests/scenario/actions.py
+++ b/tests/scenario/actions.py
@@ -1,4 +1,4 @@
-"""Carry out the steps that change something."""
+"""Carry out the steps of a case, except those that wait for a condition."""
 
 from collections.abc import Awaitable, Callable
 from signal import Signals
@@ -11,9 +11,9 @@
 from papayapier.load.calls import call, call_json
 from tests.scenario import jobs, steps
 from tests.scenario.checks import wait_until
-from tests.scenario.requests import Group, make_requests
+from tests.scenario.requests import RequestGroup, make_requests
 from tests.scenario.steps import Condition
-from tests.scenario.world import HOST, Instance, World, WrongCaseError, write_settings
+from tests.scenario.world import HOST, CaseError, Instance, World, write_settings
 
 READY_LIMIT_MS: Final = 20_000
 SIGNALS: Final = {"kill": Signals.SIGKILL, "stop": Signals.SIGTERM, "pause": Signals.SIGSTOP}
@@ -21,8 +21,8 @@
 
 async def start_platform(world: World, _step: steps.StartPlatform) -> None:
     child = await world.spawn("platform", "standin")
-    shown = await child.document_with("platform_port")
-    world.platform = f"{HOST}:{shown['platform_port']}"
+    printed = await child.document_with("platform_port")
+    world.platform = f"{HOST}:{printed['platform_port']}"
 
 
 async def start_replicas(world: World, step: steps.StartReplicas) -> None:
@@ -36,51 +36,55 @@
         f"--{option}-name",
         step.name,
     )
-    shown = await child.document_with("replicas")
+    printed = await child.document_with("replicas")
     if step.kind == "engines":
         world.engines.add(step.name)
-    for member in shown["replicas"]:
-        world.replicas[member["id"]] = member
-        await _list_replica(world, member)
+    for replica in printed["replicas"]:
+        world.replicas[replica["id"]] = replica
+        await _put_replica(world, replica)
 
 
 async def start_instance(world: World, step: steps.StartInstance) -> None:
     instance = world.instances.get(step.name) or world.new_instance(step.name)
     if instance.child is not None and instance.child.exit_code is None:
-        raise WrongCaseError(f"instance {step.name} is running")
+        raise CaseError(f"instance {step.name} is running")
     write_settings(instance)
-    instance.may_end = False
+    instance.may_exit = False
     instance.child = await world.spawn(step.name, "serve", "--settings", str(instance.file))
     started = await instance.child.document_with("entry_port")
-    # A restart uses the same ports, as an instance in production would.
+    # A restart uses the same ports, as an instance in production does.
     for surface in ("entry", "operator", "peer"):
         instance.settings[surface]["port"] = started[f"{surface}_port"]
     await wait_until(world, Condition("ready", step.name), READY_LIMIT_MS)
 
 
 async def define_profile(world: World, step: steps.DefineProfile) -> None:
-    on = world.instance(step.on) if step.on else world.any_running()
+    instance = world.instance(step.on) if step.on else world.any_running()
     world.profiles[step.name] = step
-    _demand(await _put_profile(on, step, await _version(on, step.name), "scenario"))
-    names = tuple(one.name for one in world.instances.values() if one.running())
+    _unwrap(
+        await _put_profile(instance, step, await _profile_version(instance, step.name), "scenario")
+    )
+    names = tuple(known.name for known in world.instances.values() if known.is_running())
     await wait_until(world, Condition("in_force", step.name, 0, names), READY_LIMIT_MS)
 
 
 async def race(world: World, step: steps.Race) -> None:
     first, second = world.instance(step.first), world.instance(step.second)
-    base = await _version(first, step.name)
+    base = await _profile_version(first, step.name)
     profile = world.profile(step.name)
-    racers = [
-        Deferred.fromCoroutine(_put_profile(on, profile._replace(due=due), base, on.name))
-        for on, due in ((first, step.first_due), (second, step.second_due))
+    changes = [
+        Deferred.fromCoroutine(
+            _put_profile(instance, profile._replace(due=due), base, instance.name)
+        )
+        for instance, due in ((first, step.first_due), (second, step.second_due))
     ]
-    outcomes: Any = await DeferredList(racers)
-    world.race = [isinstance(outcome, Ok) for _, outcome in outcomes]
+    outcomes: Any = await DeferredList(changes)
+    world.race_accepted = [isinstance(outcome, Ok) for _, outcome in outcomes]
 
 
 async def send(world: World, step: steps.Send) -> None:
     profile = world.profile(step.profile)
-    group = world.groups.setdefault(step.label, Group(step.label))
+    group = world.groups.setdefault(step.label, RequestGroup(step.label))
     requests = make_requests(step, profile.upstream, world.case_id)
     group.start(world.client, world.instance(step.to).address(), requests)
 
@@ -92,14 +96,14 @@
     address = world.instance(step.to).address()
     key = step.key or step.name
     accepted = await jobs.submit(address, upstream, step.profile, key, bodies, engines)
-    job = _demand(accepted)
-    known = world.jobs.setdefault(step.name, job)
-    if known.id != job.id:
-        raise WrongCaseError(f"job {step.name} was accepted twice: {known.id} and {job.id}")
+    job = _unwrap(accepted)
+    first_accepted = world.jobs.setdefault(step.name, job)
+    if first_accepted.id != job.id:
+        raise CaseError(f"job {step.name} was accepted twice: {first_accepted.id} and {job.id}")
 
 
 async def cancel_job(world: World, step: steps.CancelJob) -> None:
-    _demand(await jobs.cancel(world.instance(step.via).address(), world.job(step.name)))
+    _unwrap(await jobs.cancel(world.instance(step.via).address(), world.job(step.name)))
 
 
 async def fail(world: World, step: steps.Fail) -> None:
@@ -114,10 +118,10 @@
 
 
 async def leave(world: World, step: steps.Leave) -> None:
-    member = world.replicas.get(step.replica)
-    if member is None:
-        raise WrongCaseError(f"no replica is named {step.replica}")
-    await _list_replica(world, {**member, "state": "leaving"})
+    replica = world.replicas.get(step.replica)
+    if replica is None:
+        raise CaseError(f"no replica is named {step.replica}")
+    await _put_replica(world, {**replica, "state": "leaving"})
 
 
 async def platform(world: World, step: steps.Platform) -> None:
@@ -128,19 +132,19 @@
 async def signal(world: World, step: steps.Signal) -> None:
     instance = world.instance(step.name)
     if instance.child is None:
-        raise WrongCaseError(f"instance {step.name} was not started")
+        raise CaseError(f"instance {step.name} was not started")
     instance.child.signal(SIGNALS[step.action])
     if step.action == "pause":
         instance.paused = True
-        world.clock.call_later(step.pause_ms, lambda: _go_on(instance))
+        world.clock.call_later(step.pause_ms, lambda: _resume(instance))
         return
-    instance.may_end = True
+    instance.may_exit = True
     if step.action == "kill":
         await instance.child.ended
 
 
 async def mark(world: World, step: steps.Mark) -> None:
-    world.marks[step.name] = sum((await world.calls_at(step.name)).values())
+    world.marks[step.name] = sum((await world.starts_by_call(step.name)).values())
 
 
 async def wait(world: World, step: steps.Wait) -> None:
@@ -151,10 +155,10 @@
     if step.subject == "group":
         line = f"{step.name}: {world.group(step.name).summary()}"
     elif step.subject == "job":
-        state = _demand(await jobs.state(world.any_running().address(), world.job(step.name)))
+        state = _unwrap(await jobs.read_state(world.any_running().address(), world.job(step.name)))
         line = f"{step.name}: {state.status}, {state.completed} completed, {state.failed} failed"
     else:
-        calls = await world.calls_at(step.name)
+        calls = await world.starts_by_call(step.name)
         line = f"{step.name}: {len(calls)} calls, {sum(calls.values())} starts"
     world.transcript.append(line)
 
@@ -179,28 +183,28 @@
 }
 
 
-def _go_on(instance: Instance) -> None:
+def _resume(instance: Instance) -> None:
     instance.paused = False
     if instance.child is not None:
         instance.child.signal(Signals.SIGCONT)
 
 
-async def _list_replica(world: World, member: dict[str, Any]) -> None:
-    url = f"http://{world.platform}/instances/{member['id']}"
-    _demand(await call("PUT", url, msgspec.json.encode(member)))
+async def _put_replica(world: World, replica: dict[str, Any]) -> None:
+    url = f"http://{world.platform}/instances/{replica['id']}"
+    _unwrap(await call("PUT", url, msgspec.json.encode(replica)))
 
 
 async def _control(address: str, switches: dict[str, object]) -> None:
-    _demand(await call("POST", f"http://{address}/control", msgspec.json.encode(switches)))
+    _unwrap(await call("POST", f"http://{address}/control", msgspec.json.encode(switches)))
 
 
-async def _version(on: Instance, name: str) -> int:
-    got = await call_json("GET", f"http://{on.address('operator')}/v1/profiles/{name}")
-    return int(got.ok_value["version"]) if isinstance(got, Ok) else 0
+async def _profile_version(instance: Instance, name: str) -> int:
+    reply = await call_json("GET", f"http://{instance.address('operator')}/v1/profiles/{name}")
+    return int(reply.ok_value["version"]) if isinstance(reply, Ok) else 0
 
 
 async def _put_profile(
-    on: Instance, step: steps.DefineProfile, based_on: int, who: str
+    instance: Instance, step: steps.DefineProfile, based_on: int, writer: str
 ) -> Result[Any, str]:
     change = {
         "profile": {
@@ -212,14 +216,14 @@
         },
         "based_on": based_on,
         "reason": "scenario",
-        "change_id": f"{who}-{step.name}-{step.due}-{based_on}",
+        "change_id": f"{writer}-{step.name}-{step.due}-{based_on}",
     }
     return await call_json(
-        "PUT", f"http://{on.address('operator')}/v1/profiles/{step.name}", change
+        "PUT", f"http://{instance.address('operator')}/v1/profiles/{step.name}", change
     )
 
 
-def _demand(result: Result[Any, str]) -> Any:
+def _unwrap(result: Result[Any, str]) -> Any:
     if isinstance(result, Err):
-        raise WrongCaseError(result.err_value)
+        raise CaseError(result.err_value)
     return result.ok_value
--- a/tests/scenario/checks.py
+++ b/tests/scenario/checks.py
@@ -1,7 +1,7 @@
-"""Judge the conditions of a case, and wait until they hold.
+"""Check the conditions of a case, and wait until they hold.
 
-A check returns whether its condition holds and what was seen, for the report of a failure.
-Verdicts rest on counts and states only.
+A check returns whether its condition holds and what it observed, for the error of a failed case.
+Results depend on counts and states only, not on durations.
 """
 
 from collections.abc import Awaitable, Callable
@@ -12,183 +12,183 @@
 from papayapier.load.answer import End
 from papayapier.load.calls import call
 from tests.scenario import jobs
-from tests.scenario.requests import Group
+from tests.scenario.requests import RequestGroup
 from tests.scenario.steps import Condition
-from tests.scenario.world import SCALE, World, WrongCaseError, read_json, read_metric
+from tests.scenario.world import LIMIT_SCALE, CaseError, World, read_json, read_metric
 
 POLL_MS: Final = 50
-LEAST_LIMIT_MS: Final = 60_000
+MIN_LIMIT_MS: Final = 60_000
 
 
-class Seen(NamedTuple):
-    """Say whether a condition holds, what was seen, and whether waiting can change it."""
+class CheckResult(NamedTuple):
+    """Hold whether a condition holds, what was observed, and whether that is final."""
 
     holds: bool
-    text: str
+    observed: str
     final: bool = False
 
 
-Check = Callable[[World, Condition], Awaitable[Seen]]
+Check = Callable[[World, Condition], Awaitable[CheckResult]]
 
 
 async def wait_until(world: World, condition: Condition, limit_ms: int) -> None:
-    """Wait until a condition holds, or fail the case."""
+    """Poll a condition until it holds; raise CaseError when the limit has passed."""
     check = CHECKS[condition.kind]
-    end = world.clock.now() + max(limit_ms * SCALE, LEAST_LIMIT_MS)
+    deadline_ms = world.clock.now() + max(limit_ms * LIMIT_SCALE, MIN_LIMIT_MS)
     while True:
-        seen = await _look(check, world, condition)
-        if seen.holds:
+        result = await _run_check(check, world, condition)
+        if result.holds:
             return
-        if seen.final or world.clock.now() >= end:
-            raise WrongCaseError(f"did not come true; last seen: {seen.text}")
+        if result.final or world.clock.now() >= deadline_ms:
+            raise CaseError(f"condition did not hold in time; last observed: {result.observed}")
         await world.clock.sleep(POLL_MS)
 
 
-async def _look(check: Check, world: World, condition: Condition) -> Seen:
+async def _run_check(check: Check, world: World, condition: Condition) -> CheckResult:
     try:
         return await check(world, condition)
-    except WrongCaseError as exc:
-        return Seen(False, str(exc))
+    except CaseError as exc:
+        return CheckResult(False, str(exc))
 
 
-async def _answered(world: World, condition: Condition) -> Seen:
+async def _answered(world: World, condition: Condition) -> CheckResult:
     group = world.group(condition.subject)
-    whole = group.ended() and group.count(End.WHOLE) == group.sent
-    return Seen(whole, _outcome(group), group.ended())
+    all_complete = group.is_finished() and group.count(End.WHOLE) == group.sent
+    return CheckResult(all_complete, _describe(group), group.is_finished())
 
 
-async def _ended(world: World, condition: Condition) -> Seen:
-    """Hold when each request got its own whole answer or a refusal, or saw its connection cut."""
+async def _ended(world: World, condition: Condition) -> CheckResult:
+    """Check that each request got its own complete answer, a refusal or a cut connection."""
     group = world.group(condition.subject)
-    bad = group.count(End.WRONG) + group.count(End.HUNG)
-    return Seen(group.ended() and not bad, _outcome(group), bad > 0)
+    failed = group.count(End.WRONG) + group.count(End.HUNG)
+    return CheckResult(group.is_finished() and not failed, _describe(group), failed > 0)
 
 
-def _outcome(group: Group) -> str:
-    return f"{group.summary()} of {group.sent} {group.worst()}"
+def _describe(group: RequestGroup) -> str:
+    return f"{group.summary()} of {group.sent} {group.failed_verdicts()}"
 
 
-async def _some_answered(world: World, condition: Condition) -> Seen:
+async def _some_answered(world: World, condition: Condition) -> CheckResult:
     number = world.group(condition.subject).count(End.WHOLE)
-    return Seen(number == condition.number, f"{number} answered")
+    return CheckResult(number == condition.number, f"{number} answered")
 
 
-async def _some_refused(world: World, condition: Condition) -> Seen:
+async def _some_refused(world: World, condition: Condition) -> CheckResult:
     number = world.group(condition.subject).count(End.REFUSED)
-    return Seen(number == condition.number, f"{number} refused")
+    return CheckResult(number == condition.number, f"{number} refused")
 
 
-async def _refusals_true(world: World, condition: Condition) -> Seen:
+async def _refusals_true(world: World, condition: Condition) -> CheckResult:
     refused = world.group(condition.subject).refused("not_run")
-    ran: set[str] = set()
+    started_ids: set[str] = set()
     for upstream in {replica["upstream"] for replica in world.replicas.values()}:
-        ran.update(await world.calls_at(upstream))
-    untrue = [answer.call_id for answer in refused if answer.call_id in ran]
-    return Seen(not untrue, f"refused as not run, but ran: {untrue}")
+        started_ids.update(await world.starts_by_call(upstream))
+    started_anyway = [answer.call_id for answer in refused if answer.call_id in started_ids]
+    return CheckResult(not started_anyway, f"refused as not run, but ran: {started_anyway}")
 
 
-async def _calls_started(world: World, condition: Condition) -> Seen:
-    calls = await world.calls_at(condition.subject)
-    return Seen(len(calls) == condition.number, f"{len(calls)} calls")
+async def _calls_started(world: World, condition: Condition) -> CheckResult:
+    calls = await world.starts_by_call(condition.subject)
+    return CheckResult(len(calls) == condition.number, f"{len(calls)} calls")
 
 
-async def _calls_at_most_once(world: World, condition: Condition) -> Seen:
-    calls = await world.calls_at(condition.subject)
-    twice = {call_id: times for call_id, times in calls.items() if times > 1}
-    return Seen(not twice, f"ran more than once: {twice}")
+async def _calls_at_most_once(world: World, condition: Condition) -> CheckResult:
+    calls = await world.starts_by_call(condition.subject)
+    repeated = {call_id: times for call_id, times in calls.items() if times > 1}
+    return CheckResult(not repeated, f"ran more than once: {repeated}")
 
 
-async def _job_status(world: World, condition: Condition) -> Seen:
+async def _job_status(world: World, condition: Condition) -> CheckResult:
     wanted = condition.kind.removeprefix("job_")
     state = await _job_state(world, condition.subject)
-    return Seen(state.status == wanted, str(state))
+    return CheckResult(state.status == wanted, str(state))
 
 
-async def _job_past(world: World, condition: Condition) -> Seen:
+async def _job_past(world: World, condition: Condition) -> CheckResult:
     state = await _job_state(world, condition.subject)
-    return Seen(state.completed + state.failed >= condition.number, str(state))
+    return CheckResult(state.completed + state.failed >= condition.number, str(state))
 
 
-async def _results_once(world: World, condition: Condition) -> Seen:
+async def _results_once(world: World, condition: Condition) -> CheckResult:
     job = world.job(condition.subject)
-    wrong = await jobs.wrong_results(world.any_running().address(), job)
-    if isinstance(wrong, Err):
-        return Seen(False, wrong.err_value)
-    return Seen(not wrong.ok_value, "; ".join(wrong.ok_value[:5]))
+    problems = await jobs.wrong_results(world.any_running().address(), job)
+    if isinstance(problems, Err):
+        return CheckResult(False, problems.err_value)
+    return CheckResult(not problems.ok_value, "; ".join(problems.ok_value[:5]))
 
 
 async def _job_state(world: World, name: str) -> jobs.JobState:
-    state = await jobs.state(world.any_running().address(), world.job(name))
+    state = await jobs.read_state(world.any_running().address(), world.job(name))
     if isinstance(state, Err):
-        raise WrongCaseError(state.err_value)
+        raise CaseError(state.err_value)
     return state.ok_value
 
 
-async def _idle(world: World, condition: Condition) -> Seen:
+async def _idle(world: World, condition: Condition) -> CheckResult:
     running = 0
     for replica in world.replicas_of(condition.subject):
         load = await read_json(f"http://{world.replica_address(replica)}/load")
         running += load["running"] + load["waiting"]
-    return Seen(running == 0, f"{running} running or waiting")
+    return CheckResult(running == 0, f"{running} running or waiting")
 
 
-async def _started_since(world: World, condition: Condition) -> Seen:
+async def _started_since(world: World, condition: Condition) -> CheckResult:
     if condition.subject not in world.marks:
-        raise WrongCaseError(f"{condition.subject} was not marked")
-    started = sum((await world.calls_at(condition.subject)).values())
-    since = started - world.marks[condition.subject]
-    return Seen(since == condition.number, f"{since} started")
+        raise CaseError(f"{condition.subject} was not marked")
+    started = sum((await world.starts_by_call(condition.subject)).values())
+    started_since_mark = started - world.marks[condition.subject]
+    return CheckResult(started_since_mark == condition.number, f"{started_since_mark} started")
 
 
-async def _exited(world: World, condition: Condition) -> Seen:
+async def _exited(world: World, condition: Condition) -> CheckResult:
     child = world.instance(condition.subject).child
     code = None if child is None else child.exit_code
-    return Seen(code == condition.number, f"exit code {code}")
+    return CheckResult(code == condition.number, f"exit code {code}")
 
 
-async def _ready(world: World, condition: Condition) -> Seen:
+async def _ready(world: World, condition: Condition) -> CheckResult:
     address = world.instance(condition.subject).address("operator")
-    got = await call("GET", f"http://{address}/readyz")
-    return Seen(not isinstance(got, Err), str(got))
+    reply = await call("GET", f"http://{address}/readyz")
+    return CheckResult(not isinstance(reply, Err), str(reply))
 
 
-async def _not_ready(world: World, condition: Condition) -> Seen:
+async def _not_ready(world: World, condition: Condition) -> CheckResult:
     address = world.instance(condition.subject).address("operator")
-    got = await call("GET", f"http://{address}/readyz")
-    return Seen(isinstance(got, Err) and "status 503" in got.err_value, str(got))
+    reply = await call("GET", f"http://{address}/readyz")
+    return CheckResult(isinstance(reply, Err) and "status 503" in reply.err_value, str(reply))
 
 
-async def _logged(world: World, condition: Condition) -> Seen:
+async def _logged(world: World, condition: Condition) -> CheckResult:
     child = world.instance(condition.subject).child
     number = 0 if child is None else child.logged(condition.number)
-    return Seen(number > 0, f"event {condition.number} was not logged")
+    return CheckResult(number > 0, f"event {condition.number} was not logged")
 
 
-async def _peers(world: World, condition: Condition) -> Seen:
+async def _peers(world: World, condition: Condition) -> CheckResult:
     address = world.instance(condition.subject).address("operator")
     number = await read_metric(address, "papayapier_peers_live")
-    return Seen(number == condition.number, f"{number:.0f} peers")
+    return CheckResult(number == condition.number, f"{number:.0f} peers")
 
 
-async def _replicas(world: World, condition: Condition) -> Seen:
+async def _replicas(world: World, condition: Condition) -> CheckResult:
     address = world.instance(condition.subject).address("operator")
     label = f'upstream="{condition.names[0]}"'
     number = await read_metric(address, "papayapier_replicas_usable", label)
-    return Seen(number == condition.number, f"{number:.0f} usable")
+    return CheckResult(number == condition.number, f"{number:.0f} usable")
 
 
-async def _in_force(world: World, condition: Condition) -> Seen:
-    """Hold when all the instances have the same version of a profile, with the same content."""
-    found = []
+async def _in_force(world: World, condition: Condition) -> CheckResult:
+    """Check that all the instances have the same version and content of a profile."""
+    documents = []
     for name in condition.names:
         address = world.instance(name).address("operator")
-        found.append(await read_json(f"http://{address}/v1/profiles/{condition.subject}"))
-    same = all(one == found[0] for one in found)
-    return Seen(same, str(found))
+        documents.append(await read_json(f"http://{address}/v1/profiles/{condition.subject}"))
+    all_equal = all(document == documents[0] for document in documents)
+    return CheckResult(all_equal, str(documents))
 
 
-async def _race_won(world: World, _condition: Condition) -> Seen:
-    return Seen(world.race.count(True) == 1, f"accepted: {world.race}")
+async def _race_won(world: World, _condition: Condition) -> CheckResult:
+    return CheckResult(world.race_accepted.count(True) == 1, f"accepted: {world.race_accepted}")
 
 
 CHECKS: Final[dict[str, Check]] = {
--- a/tests/scenario/driver.py
+++ b/tests/scenario/driver.py
@@ -6,18 +6,18 @@
 from tests.scenario.checks import wait_until
 from tests.scenario.language import Case, NumberedStep
 from tests.scenario.steps import Expect
-from tests.scenario.world import World, WrongCaseError
+from tests.scenario.world import CaseError, World
 
-LINES_SHOWN: Final = 12
+MAX_LOG_LINES: Final = 12
 
 
 async def run_case(case: Case) -> None:
-    """Run a case; an AssertionError names file, line and what was seen."""
+    """Run a case; an AssertionError names the file, the line and what was observed."""
     world = World(f"{case.file.removesuffix('.test')}-{case.line}")
     try:
         for step in case.steps:
             await _run_step(world, case, step)
-        _compare(world, case)
+        _check_transcript(world, case)
     finally:
         await world.close()
 
@@ -29,24 +29,24 @@
             await wait_until(world, step.condition, step.limit_ms)
         else:
             await ACTIONS[type(step)](world, step)
-    except (WrongCaseError, RuntimeError) as exc:
-        where = f"{case.file}:{numbered.line}: {numbered.text}: {exc}"
-        raise AssertionError(f"{where}\n{_logs(world)}") from exc
+    except (CaseError, RuntimeError) as exc:
+        place = f"{case.file}:{numbered.line}: {numbered.text}: {exc}"
+        raise AssertionError(f"{place}\n{_last_log_lines(world)}") from exc
 
 
-def _compare(world: World, case: Case) -> None:
-    where = f"{case.file}:{case.line}: case {case.name}"
-    trouble = world.trouble()
-    if trouble:
-        raise AssertionError(f"{where}: {'; '.join(trouble)}\n{_logs(world)}")
+def _check_transcript(world: World, case: Case) -> None:
+    place = f"{case.file}:{case.line}: case {case.name}"
+    failures = world.find_failures()
+    if failures:
+        raise AssertionError(f"{place}: {'; '.join(failures)}\n{_last_log_lines(world)}")
     if case.out is not None and case.out != world.transcript:
-        raise AssertionError(f"{where}: the transcript is {world.transcript}, not {case.out}")
+        raise AssertionError(f"{place}: the transcript is {world.transcript}, not {case.out}")
 
 
-def _logs(world: World) -> str:
-    """Return the last lines that each process printed."""
-    parts = []
+def _last_log_lines(world: World) -> str:
+    """Return the last lines that each process has printed."""
+    logs = []
     for child in world.children:
-        lines = list(child.tail)[-LINES_SHOWN:]
-        parts.append(f"--- {child.name} (exit code {child.exit_code})\n" + "\n".join(lines))
-    return "\n".join(parts)
+        lines = list(child.tail)[-MAX_LOG_LINES:]
+        logs.append(f"--- {child.name} (exit code {child.exit_code})\n" + "\n".join(lines))
+    return "\n".join(logs)
--- a/tests/scenario/jobs.py
+++ b/tests/scenario/jobs.py
@@ -1,4 +1,4 @@
-"""Submit the batch jobs of a case and check their results against what was asked."""
+"""Submit the batch jobs of a case and check their results against their items."""
 
 import hashlib
 from collections import Counter
@@ -15,14 +15,14 @@
 
 
 class Job(NamedTuple):
-    """Hold a job as accepted; bodies are by custom id."""
+    """Hold an accepted job, with the request bodies of its items by custom id."""
 
     id: str
     bodies: dict[str, bytes]
 
 
 class JobState(NamedTuple):
-    """Hold how far a job is."""
+    """Hold the status of a job and its counts of completed and failed items."""
 
     status: str
     completed: int
@@ -30,7 +30,7 @@
 
 
 def make_bodies(name: str, number: int, engines: bool) -> dict[str, bytes]:
-    """Make the bodies of a job's items; they are the same on every call."""
+    """Make the request bodies of a job's items; the same arguments give the same bodies."""
     return {f"{name}-{i}": _body(f"{name}-{i}", engines) for i in range(number)}
 
 
@@ -44,20 +44,20 @@
     uploaded = await call_json_lines(f"http://{address}/v1/files", b"\n".join(lines) + b"\n")
     if isinstance(uploaded, Err):
         return uploaded
-    wanted = {
+    job_document = {
         "input_file_id": uploaded.ok_value["id"],
         "endpoint": endpoint,
         "completion_window": "24h",
     }
     headers = {"X-Papayapier-Profile": profile, "Idempotency-Key": key}
-    created = await call_json("POST", f"http://{address}/v1/batches", wanted, headers)
+    created = await call_json("POST", f"http://{address}/v1/batches", job_document, headers)
     return created.map(lambda answer: Job(str(answer["id"]), bodies))
 
 
 async def call_json_lines(url: str, body: bytes) -> Result[Any, str]:
     """Post JSON lines and return the answer's document."""
-    answered = await call("POST", url, body, {"Content-Type": "application/jsonl"})
-    return answered.map(msgspec.json.decode)
+    response = await call("POST", url, body, {"Content-Type": "application/jsonl"})
+    return response.map(msgspec.json.decode)
 
 
 async def cancel(address: str, job: Job) -> Result[Any, str]:
@@ -65,49 +65,52 @@
     return await call_json("POST", f"http://{address}/v1/batches/{job.id}/cancel")
 
 
-async def state(address: str, job: Job) -> Result[JobState, str]:
-    """Read how far a job is."""
-    got = await call_json("GET", f"http://{address}/v1/batches/{job.id}")
-    return got.map(_state)
+async def read_state(address: str, job: Job) -> Result[JobState, str]:
+    """Read the status and the counts of a job."""
+    reply = await call_json("GET", f"http://{address}/v1/batches/{job.id}")
+    return reply.map(_state)
 
 
 async def wrong_results(address: str, job: Job) -> Result[list[str], str]:
-    """Return each result that is doubled, missing, foreign or not the item's own."""
-    got = await call_json("GET", f"http://{address}/v1/batches/{job.id}")
-    if isinstance(got, Err):
-        return got
+    """Return a description of each duplicate, missing, foreign or mixed-up result."""
+    reply = await call_json("GET", f"http://{address}/v1/batches/{job.id}")
+    if isinstance(reply, Err):
+        return reply
     lines: list[Any] = []
     for field in ("output_file_id", "error_file_id"):
-        file_id = got.ok_value.get(field)
+        file_id = reply.ok_value.get(field)
         if not file_id:
             continue
         content = await call("GET", f"http://{address}/v1/files/{file_id}/content")
         if isinstance(content, Err):
             return content
         lines += [msgspec.json.decode(line) for line in content.ok_value.splitlines()]
-    return Ok(_wrong(job, lines))
+    return Ok(_find_problems(job, lines))
 
 
-def _wrong(job: Job, lines: list[Any]) -> list[str]:
-    times = Counter(str(line["custom_id"]) for line in lines)
-    found = [f"{name} has {number} results" for name, number in times.items() if number > 1]
-    found += [f"{name} is not of the job" for name in times.keys() - job.bodies.keys()]
-    found += [f"{name} has no result" for name in job.bodies.keys() - times.keys()]
-    found += [
+def _find_problems(job: Job, lines: list[Any]) -> list[str]:
+    result_counts = Counter(str(line["custom_id"]) for line in lines)
+    problems = [
+        f"{name} has {number} results" for name, number in result_counts.items() if number > 1
+    ]
+    problems += [f"{name} is not of the job" for name in result_counts.keys() - job.bodies.keys()]
+    problems += [f"{name} has no result" for name in job.bodies.keys() - result_counts.keys()]
+    problems += [
         f"{line['custom_id']} has another item's result"
         for line in lines
-        if not line.get("error") and not _own(line, job.bodies.get(line["custom_id"], b""))
+        if not line.get("error")
+        and not _is_own_result(line, job.bodies.get(line["custom_id"], b""))
     ]
-    return found
+    return problems
 
 
-def _own(line: Any, body: bytes) -> bool:
+def _is_own_result(line: Any, body: bytes) -> bool:
     answer = line["response"]["body"]
     if "echo" in answer:
         return bool(answer["echo"] == hashlib.sha256(body).hexdigest())
-    asked = msgspec.json.decode(body)
+    request = msgspec.json.decode(body)
     text = answer["choices"][0]["message"]["content"]
-    return bool(text == expected_text(asked["messages"][0]["content"], asked["max_tokens"]))
+    return bool(text == expected_text(request["messages"][0]["content"], request["max_tokens"]))
 
 
 def _body(custom_id: str, engines: bool) -> bytes:
--- a/tests/scenario/language.py
+++ b/tests/scenario/language.py
@@ -1,7 +1,8 @@
 """Read scenario files into cases.
 
-A file holds cases: a line "[case NAME]", then one step a line, then optionally "[out]" and
-the transcript that the case must give. Blank lines and lines that begin with "#" are notes.
+A file contains cases: a line "[case NAME]", then one step a line, then optionally "[out]" and
+the transcript that the case must produce. Blank lines and comments, which begin with "#", are
+ignored.
 """
 
 import re
@@ -17,7 +18,7 @@
 
 
 class NumberedStep(NamedTuple):
-    """Hold a step and where it stands."""
+    """Hold a step, its text and its line number."""
 
     line: int
     text: str
@@ -25,7 +26,7 @@
 
 
 class Case(NamedTuple):
-    """Hold one case; out is None when its transcript is not compared."""
+    """Hold one case; out is its expected transcript, None if that is not compared."""
 
     name: str
     file: str
@@ -35,45 +36,45 @@
 
 
 def load_cases(path: Path) -> Result[list[Case], str]:
-    """Read the cases of a file; the error names file and line."""
+    """Read the cases of a file; an error names the file and the line."""
     return parse_cases(path.read_text(encoding="utf-8"), path.name)
 
 
 def parse_cases(text: str, file: str) -> Result[list[Case], str]:
     """Parse the cases of a text."""
     cases: list[Case] = []
-    for number, raw in enumerate(text.splitlines(), 1):
-        line = " ".join(raw.split())
+    for number, raw_line in enumerate(text.splitlines(), 1):
+        line = " ".join(raw_line.split())
         if not line or line.startswith("#"):
             continue
-        wrong = _take(line, number, file, cases)
-        if wrong:
-            return Err(f"{file}:{number}: {wrong}")
+        error = _add_line(line, number, file, cases)
+        if error:
+            return Err(f"{file}:{number}: {error}")
     if not cases:
-        return Err(f"{file}:1: there is no case")
+        return Err(f"{file}:1: the file contains no case")
     return Ok(cases)
 
 
-def _take(line: str, number: int, file: str, cases: list[Case]) -> str:
-    """Add a line to the cases; return what is wrong with it, or nothing."""
-    head = CASE_LINE.fullmatch(line)
-    if head is not None:
-        if any(case.name == head[1] for case in cases):
-            return f"a case named {head[1]!r} stands above"
-        cases.append(Case(head[1], file, number, [], None))
+def _add_line(line: str, number: int, file: str, cases: list[Case]) -> str:
+    """Add a line to the cases; return an error message, or an empty string."""
+    case_start = CASE_LINE.fullmatch(line)
+    if case_start is not None:
+        if any(case.name == case_start[1] for case in cases):
+            return f"a case named {case_start[1]!r} already exists"
+        cases.append(Case(case_start[1], file, number, [], None))
         return ""
     if line.startswith("[") and line != OUT_LINE:
         return f"unknown section {line}"
     if not cases:
         return "a [case NAME] line must come first"
-    return _take_inside(line, number, cases)
+    return _add_case_line(line, number, cases)
 
 
-def _take_inside(line: str, number: int, cases: list[Case]) -> str:
+def _add_case_line(line: str, number: int, cases: list[Case]) -> str:
     case = cases[-1]
     if line == OUT_LINE:
         if case.out is not None:
-            return "the case has an [out] already"
+            return "the case already has an [out] section"
         cases[-1] = case._replace(out=[])
         return ""
     if case.out is not None:
--- a/tests/scenario/processes.py
+++ b/tests/scenario/processes.py
@@ -1,4 +1,4 @@
-"""Start the processes of a case, read what they print, signal and end them."""
+"""Start child processes, read their output and send signals to them."""
 
 import sys
 from collections import deque
@@ -13,12 +13,12 @@
 from twisted.python.failure import Failure
 
 ROOT: Final = Path(__file__).resolve().parents[2]
-KEPT_LINES: Final = 60
+MAX_TAIL_LINES: Final = 60
 STDERR: Final = 2
 
 
 class Child(ProcessProtocol):
-    """Hold one running process: what it printed, and how it ended."""
+    """Hold a child process: its output, and its exit code when it has ended."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -26,14 +26,14 @@
         self.ended: Deferred[None] = Deferred()
         self.documents: list[dict[str, Any]] = []
         self.printed = ""
-        self.tail: deque[str] = deque(maxlen=KEPT_LINES)
-        self._rest = {1: b"", STDERR: b""}
+        self.tail: deque[str] = deque(maxlen=MAX_TAIL_LINES)
+        self._partial_lines = {1: b"", STDERR: b""}
         self._waiters: list[tuple[str, Deferred[dict[str, Any]]]] = []
 
     def childDataReceived(self, childFD: int, data: bytes) -> None:  # noqa: N802, N803
-        *lines, self._rest[childFD] = (self._rest[childFD] + data).split(b"\n")
+        *lines, self._partial_lines[childFD] = (self._partial_lines[childFD] + data).split(b"\n")
         for line in lines:
-            self._take(line.decode("utf-8", "replace"))
+            self._add_line(line.decode("utf-8", "replace"))
 
     def processEnded(self, reason: Failure) -> None:  # noqa: N802
         code = cast(Any, reason.value).exitCode
@@ -44,11 +44,11 @@
         self._waiters.clear()
 
     def document_with(self, key: str) -> Deferred[dict[str, Any]]:
-        """Wait for the first printed JSON object that has a key."""
+        """Return a Deferred of the first printed JSON object that has a key."""
         waiter: Deferred[dict[str, Any]] = Deferred()
-        found = next((doc for doc in self.documents if key in doc), None)
-        if found is not None:
-            waiter.callback(found)
+        printed = next((document for document in self.documents if key in document), None)
+        if printed is not None:
+            waiter.callback(printed)
         elif self.exit_code is not None:
             waiter.errback(RuntimeError(f"{self.name} ended: {self.last_lines()}"))
         else:
@@ -56,7 +56,7 @@
         return waiter
 
     def signal(self, number: Signals) -> None:
-        """Send a signal; nothing happens when the process has ended."""
+        """Send a signal; do nothing if the process has ended."""
         if self.exit_code is not None:
             return
         try:
@@ -65,17 +65,17 @@
             return
 
     def logged(self, event: int) -> int:
-        """Return how often a numbered event was logged."""
+        """Return how often the event with a number was logged."""
         return sum(document.get("event") == event for document in self.documents)
 
     def last_lines(self) -> str:
-        """Return the last printed lines."""
+        """Return the last printed lines as one text."""
         return "\n".join(self.tail)
 
-    def _take(self, line: str) -> None:
+    def _add_line(self, line: str) -> None:
         self.tail.append(line)
         self.printed += line + "\n"
-        document = _document(line)
+        document = _parse_json(line)
         if document is None:
             return
         self.documents.append(document)
@@ -97,7 +97,7 @@
     return child
 
 
-def _document(line: str) -> dict[str, Any] | None:
+def _parse_json(line: str) -> dict[str, Any] | None:
     try:
         return msgspec.json.decode(line, type=dict[str, Any])
     except msgspec.MsgspecError:
--- a/tests/scenario/requests.py
+++ b/tests/scenario/requests.py
@@ -1,4 +1,4 @@
-"""Send the online requests of a case in the background and keep what became of them."""
+"""Send the online requests of a case in the background and keep their outcomes."""
 
 import msgspec
 from twisted.internet.defer import Deferred
@@ -9,11 +9,11 @@
 from papayapier.load.scenario import RequestClass
 from tests.scenario.steps import Send
 
-TOKENS = 20
+MAX_TOKENS = 20
 
 
-class Group:
-    """Hold the requests of one send step, and their answers as they come."""
+class RequestGroup:
+    """Hold the requests of the send steps with one label, and their outcomes as they arrive."""
 
     def __init__(self, label: str) -> None:
         self.label = label
@@ -24,39 +24,41 @@
         """Send all the requests at once."""
         for request in requests:
             self.sent += 1
-            work = Deferred.fromCoroutine(send(client, address, request, now_us(client.clock)))
-            work.addCallback(self.answers.append)
+            pending = Deferred.fromCoroutine(send(client, address, request, now_us(client.clock)))
+            pending.addCallback(self.answers.append)
 
     def count(self, end: End) -> int:
-        """Return how many requests ended in a way."""
+        """Return how many requests ended with an outcome."""
         return sum(answer.verdict.end is end for answer in self.answers)
 
-    def ended(self) -> bool:
-        """Tell whether no request is under way."""
+    def is_finished(self) -> bool:
+        """Tell whether every request has ended."""
         return len(self.answers) == self.sent
 
     def refused(self, outcome: str) -> list[Answered]:
-        """Return the requests that were refused with an outcome."""
+        """Return the requests whose refusal states an outcome."""
         return [answer for answer in self.answers if answer.verdict.outcome == outcome]
 
     def summary(self) -> str:
-        """Return the counts by end, in a fixed order."""
+        """Return the number of requests by outcome, in a fixed order."""
         counts = [(end.value, self.count(end)) for end in End]
         return ", ".join(f"{number} {name}" for name, number in counts if number)
 
-    def worst(self) -> list[Verdict]:
-        """Return what there is to say of requests that were not answered."""
-        return [a.verdict for a in self.answers if a.verdict.end is not End.WHOLE][:3]
+    def failed_verdicts(self) -> list[Verdict]:
+        """Return the verdicts of at most three requests without a complete answer."""
+        return [answer.verdict for answer in self.answers if answer.verdict.end is not End.WHOLE][
+            :3
+        ]
 
 
 def make_requests(step: Send, upstream: str, case_id: str) -> list[Request]:
-    """Make the requests of a step; with a key the same step makes the same work again."""
+    """Make the requests of a step; steps with the same key make the same requests."""
     return [_request(step, upstream, case_id, index) for index in range(step.number)]
 
 
 def _request(step: Send, upstream: str, case_id: str, index: int) -> Request:
     subject = f"{step.key or step.label}-{index}"
-    cls = RequestClass(
+    request_class = RequestClass(
         name=step.label,
         kind="service" if step.kind == "service" else "chat",
         profile=step.profile,
@@ -64,14 +66,14 @@
         stream=step.kind == "stream",
     )
     return Request(
-        cls=cls,
+        cls=request_class,
         request_id=f"{case_id}-{step.label}-{index}",
         key=f"{step.key}-{index}" if step.key else "",
         caller="scenario",
-        path=cls.path if cls.kind == "service" else CHAT_PATH,
+        path=request_class.path if request_class.kind == "service" else CHAT_PATH,
         body=_body(step, subject),
         prompt=subject,
-        max_tokens=TOKENS,
+        max_tokens=MAX_TOKENS,
     )
 
 
@@ -82,7 +84,7 @@
         {
             "model": "base",
             "messages": [{"role": "user", "content": subject}],
-            "max_tokens": TOKENS,
+            "max_tokens": MAX_TOKENS,
             "stream": step.kind == "stream",
         }
     )
--- a/tests/scenario/steps.py
+++ b/tests/scenario/steps.py
@@ -1,4 +1,4 @@
-"""List the steps of the scenario language, each with the line that states it."""
+"""Define the steps of the scenario language, and the form of the line that states each."""
 
 from typing import Any, Final, NamedTuple
 
@@ -22,13 +22,13 @@
 
 
 class StartInstance(NamedTuple):
-    """Start an entry instance, or start it again with the same settings, until it is ready."""
+    """Start or restart an entry instance and wait until it is ready; settings are kept."""
 
     name: str
 
 
 class DefineProfile(NamedTuple):
-    """Write a profile through an operator address."""
+    """Write a profile through the operator address of an instance."""
 
     name: str
     urgency: str
@@ -39,7 +39,7 @@
 
 
 class Race(NamedTuple):
-    """Let two operators change a profile at once, on the same version."""
+    """Send two changes of a profile at once, both based on the same version."""
 
     name: str
     first: str
@@ -49,7 +49,7 @@
 
 
 class Send(NamedTuple):
-    """Send online requests at once, in the background; they form a group with a label."""
+    """Send online requests at once, in the background, as a group with a label."""
 
     number: int
     kind: str
@@ -60,7 +60,7 @@
 
 
 class SubmitJob(NamedTuple):
-    """Submit a batch job; a key that stands already resubmits it."""
+    """Submit a batch job; the key of an accepted job resubmits that job."""
 
     name: str
     number: int
@@ -77,9 +77,9 @@
 
 
 class Fail(NamedTuple):
-    """Make a replica misbehave; times 0 means until healed.
+    """Inject a fault into a replica; times 0 means until it is healed.
 
-    A crashed replica starts again after restart_ms, or never.
+    A crashed replica restarts after restart_ms, or not at all if that is 0.
     """
 
     replica: str
@@ -89,7 +89,7 @@
 
 
 class Slow(NamedTuple):
-    """Make a replica slower by a factor."""
+    """Slow a replica down by a factor."""
 
     replica: str
     factor: int
@@ -102,14 +102,14 @@
 
 
 class Platform(NamedTuple):
-    """Set a switch of the platform."""
+    """Set a fault switch of the stand-in platform."""
 
     switch: str
     value: int
 
 
 class Signal(NamedTuple):
-    """Send a signal to an instance; after pause_ms a paused one goes on."""
+    """Send a signal to an instance; a paused instance continues after pause_ms."""
 
     name: str
     action: str
@@ -117,33 +117,33 @@
 
 
 class Mark(NamedTuple):
-    """Remember what an upstream's or a replica's stand-ins have started so far."""
+    """Record how many calls an upstream or a replica has started so far."""
 
     name: str
 
 
 class Wait(NamedTuple):
-    """Let time pass; only for a span that itself is the failure."""
+    """Sleep; only for cases in which the elapsed time itself is the fault."""
 
     span: int
 
 
 class Show(NamedTuple):
-    """Write what is known of a subject into the transcript."""
+    """Append the state of a group, a job or an upstream to the transcript."""
 
     subject: str
     name: str
 
 
 class Expect(NamedTuple):
-    """Wait until a condition holds; the limit is stretched by the driver's scale."""
+    """Wait until a condition holds; the limit is multiplied by LIMIT_SCALE."""
 
     condition: "Condition"
     limit_ms: int = DEFAULT_LIMIT_MS
 
 
 class Condition(NamedTuple):
-    """State what is to hold: a kind of check, its subject and the figures or names."""
+    """State a kind of check, its subject, and the expected number or names."""
 
     kind: str
     subject: str = ""
@@ -195,7 +195,7 @@
 
 
 def _send(kind: str) -> Any:
-    return lambda **gaps: Send(kind=kind, **gaps)
+    return lambda **values: Send(kind=kind, **values)
 
 
 def _platform(switch: str) -> Any:
@@ -210,8 +210,8 @@
     return lambda name: Show(subject, name)
 
 
-_PROFILE_TAIL: Final = "upstream {upstream:name} [on {on:name}]"
-_SEND_TAIL: Final = "profile {profile:name} [key {key:name}] to {to:name} [as {label:name}]"
+_PROFILE_SUFFIX: Final = "upstream {upstream:name} [on {on:name}]"
+_SEND_SUFFIX: Final = "profile {profile:name} [key {key:name}] to {to:name} [as {label:name}]"
 
 FORMS: Final = (
     Form("start platform", StartPlatform),
@@ -220,20 +220,20 @@
     Form("start instance {name:name}", StartInstance),
     *(
         Form(
-            f"profile {{name:name}} {urgency} due {{due:time}} {word} {_PROFILE_TAIL}",
-            _profile(urgency, word == "idempotent"),
+            f"profile {{name:name}} {urgency} due {{due:time}} {idempotency} {_PROFILE_SUFFIX}",
+            _profile(urgency, idempotency == "idempotent"),
         )
         for urgency in ("urgent", "normal", "batch")
-        for word in ("idempotent", "not idempotent")
+        for idempotency in ("idempotent", "not idempotent")
     ),
     Form(
         "race profile {name:name} due {first_due:time} on {first:name}"
         " against due {second_due:time} on {second:name}",
         Race,
     ),
-    Form(f"send {{number:int}} chat {_SEND_TAIL}", _send("chat")),
-    Form(f"send {{number:int}} stream {_SEND_TAIL}", _send("stream")),
-    Form(f"send {{number:int}} call {_SEND_TAIL}", _send("service")),
+    Form(f"send {{number:int}} chat {_SEND_SUFFIX}", _send("chat")),
+    Form(f"send {{number:int}} stream {_SEND_SUFFIX}", _send("stream")),
+    Form(f"send {{number:int}} call {_SEND_SUFFIX}", _send("service")),
     Form(
         "submit job {name:name} {number:int} items profile {profile:name}"
         " [key {key:name}] to {to:name}",
@@ -286,12 +286,12 @@
 
 
 def parse_step(line: str) -> Result[Step, str]:
-    """Make the step that a line states."""
+    """Parse a line into the step that it states."""
     if line.startswith("expect "):
         return _expect(line.removeprefix("expect "), DEFAULT_LIMIT_MS)
     if line.startswith("within "):
-        split = match(line, [Form("within {limit:time} {text:rest}", _Within)])
-        return split.and_then(lambda parts: _expect(parts.text, parts.limit))
+        within = match(line, [Form("within {limit:time} {text:rest}", _Within)])
+        return within.and_then(lambda parts: _expect(parts.text, parts.limit))
     return match(line, FORMS)
 
 
@@ -301,7 +301,7 @@
 
 
 def _expect(text: str, limit_ms: int) -> Result[Step, str]:
-    found = match(text, CONDITIONS)
-    if isinstance(found, Err):
-        return Err(found.err_value.replace("step", "condition"))
-    return Ok(Expect(found.ok_value, limit_ms))
+    matched = match(text, CONDITIONS)
+    if isinstance(matched, Err):
+        return Err(matched.err_value.replace("step", "condition"))
+    return Ok(Expect(matched.ok_value, limit_ms))
--- a/tests/scenario/world.py
+++ b/tests/scenario/world.py
@@ -1,4 +1,4 @@
-"""Hold the processes, requests and jobs of one running case."""
+"""Own the processes, requests and jobs of one running case."""
 
 import os
 import random
@@ -17,27 +17,27 @@
 from papayapier.standin.answers import expected_text
 from tests.scenario.jobs import Job
 from tests.scenario.processes import Child, start
-from tests.scenario.requests import Group
+from tests.scenario.requests import RequestGroup
 from tests.scenario.steps import DefineProfile
 
 T = TypeVar("T")
 
 HOST: Final = "127.0.0.1"
 DATA_CENTRES: Final = ("dc-a", "dc-b", "dc-c")
-GIVE_UP_MS: Final = 120_000
-BROKEN_EVENT: Final = 901
+REQUEST_TIMEOUT_MS: Final = 120_000
+INVARIANT_BROKEN_EVENT: Final = 901
 
-# How much longer a limit of a case may take on a busy machine. A verdict must not depend on
-# speed, so this only decides how long a failing case takes to fail.
-SCALE: Final = float(os.environ.get("PAPAYAPIER_SCENARIO_SCALE", "6"))
+# Factor by which the time limits of a case are extended for a busy machine. Results must not depend
+# on speed, so it only determines how long a failing case takes to fail.
+LIMIT_SCALE: Final = float(os.environ.get("PAPAYAPIER_SCENARIO_SCALE", "6"))
 
 
-class WrongCaseError(Exception):
-    """Report a step that cannot be carried out or a condition that did not come true."""
+class CaseError(Exception):
+    """Raised for a step that cannot be carried out or a condition that does not hold in time."""
 
 
 class Instance:
-    """Hold one entry instance: its settings, its process and its ports."""
+    """Hold one entry instance: its settings with its ports, and its process."""
 
     def __init__(self, name: str, settings: dict[str, Any], file: Path) -> None:
         self.name = name
@@ -45,19 +45,19 @@
         self.file = file
         self.child: Child | None = None
         self.paused = False
-        self.may_end = False
+        self.may_exit = False
 
-    def running(self) -> bool:
-        """Tell whether the instance can be expected to answer."""
+    def is_running(self) -> bool:
+        """Tell whether the process runs and is not paused."""
         return self.child is not None and self.child.exit_code is None and not self.paused
 
-    def address(self, surface: str = "entry") -> str:
-        """Return HOST:PORT of one of its surfaces."""
-        return f"{HOST}:{self.settings[surface]['port']}"
+    def address(self, listener: str = "entry") -> str:
+        """Return HOST:PORT of its entry, operator or peer listener."""
+        return f"{HOST}:{self.settings[listener]['port']}"
 
 
 class World:
-    """Own everything that a case starts."""
+    """Own everything that a case starts, and the state that its steps share."""
 
     def __init__(self, case_id: str) -> None:
         self.case_id = case_id
@@ -65,7 +65,7 @@
         self.rand = random.Random(case_id)
         self.folder = tempfile.TemporaryDirectory()
         self.client: Client = make_client(
-            self.clock, expected_text, GIVE_UP_MS, fresh_connections=True
+            self.clock, expected_text, REQUEST_TIMEOUT_MS, fresh_connections=True
         )
         self.platform = ""
         self.children: list[Child] = []
@@ -73,55 +73,61 @@
         self.engines: set[str] = set()
         self.instances: dict[str, Instance] = {}
         self.profiles: dict[str, DefineProfile] = {}
-        self.groups: dict[str, Group] = {}
+        self.groups: dict[str, RequestGroup] = {}
         self.jobs: dict[str, Job] = {}
         self.marks: dict[str, int] = {}
-        self.race: list[bool] = []
+        self.race_accepted: list[bool] = []
         self.transcript: list[str] = []
 
     async def spawn(self, name: str, *arguments: str) -> Child:
-        """Start a process that belongs to the case."""
+        """Start a process that ends with the case."""
         child = start(name, *arguments)
         self.children.append(child)
         return child
 
     def instance(self, name: str) -> Instance:
         """Return an instance by name."""
-        return _known(self.instances, name, "instance")
+        return _lookup(self.instances, name, "instance")
 
     def replica_address(self, name: str) -> str:
         """Return HOST:PORT of a replica."""
-        replica = _known(self.replicas, name, "replica")
+        replica = _lookup(self.replicas, name, "replica")
         return f"{replica['host']}:{replica['port']}"
 
-    def group(self, label: str) -> Group:
+    def group(self, label: str) -> RequestGroup:
         """Return a group of requests by label."""
-        return _known(self.groups, label, "group of requests")
+        return _lookup(self.groups, label, "group of requests")
 
     def job(self, name: str) -> Job:
         """Return a job by name."""
-        return _known(self.jobs, name, "job")
+        return _lookup(self.jobs, name, "job")
 
     def profile(self, name: str) -> DefineProfile:
         """Return a profile as the case defined it."""
-        return _known(self.profiles, name, "profile")
+        return _lookup(self.profiles, name, "profile")
 
     def any_running(self) -> Instance:
-        """Return the first instance that can be expected to answer."""
-        found = next((one for one in self.instances.values() if one.running()), None)
+        """Return the first instance that runs and is not paused."""
+        found = next(
+            (instance for instance in self.instances.values() if instance.is_running()), None
+        )
         if found is None:
-            raise WrongCaseError("no instance is running")
+            raise CaseError("no instance is running")
         return found
 
     def replicas_of(self, name: str) -> list[str]:
         """Return the replicas of an upstream, or the one replica of that name."""
-        found = [i for i, replica in self.replicas.items() if name in (i, replica["upstream"])]
+        found = [
+            replica_id
+            for replica_id, replica in self.replicas.items()
+            if name in (replica_id, replica["upstream"])
+        ]
         if not found:
-            raise WrongCaseError(f"nothing is named {name}")
+            raise CaseError(f"nothing is named {name}")
         return found
 
     def new_instance(self, name: str) -> Instance:
-        """Write the settings of a new instance."""
+        """Create an instance with default settings; its settings file is not written yet."""
         host, _, port = self.platform.rpartition(":")
         settings: dict[str, Any] = {
             "instance": {
@@ -140,36 +146,36 @@
         self.instances[name] = instance
         return instance
 
-    async def counts(self, name: str) -> list[dict[str, Any]]:
-        """Read the counts of an upstream's stand-ins."""
+    async def read_counts(self, name: str) -> list[dict[str, Any]]:
+        """Read the counts of the replicas of an upstream, or of one replica."""
         found = []
         for replica in self.replicas_of(name):
             found.append(await read_json(f"http://{self.replica_address(replica)}/counts"))
         return found
 
-    async def calls_at(self, name: str) -> dict[str, int]:
-        """Return how often each call was started at an upstream, over all its replicas."""
+    async def starts_by_call(self, name: str) -> dict[str, int]:
+        """Return how often each call was started, by call id, over all replicas of an upstream."""
         total: dict[str, int] = {}
-        for counts in await self.counts(name):
+        for counts in await self.read_counts(name):
             for call_id, times in counts.get("started", counts.get("calls", {})).items():
                 total[call_id] = total.get(call_id, 0) + times
         return total
 
-    def trouble(self) -> list[str]:
-        """Return broken promises, and processes that ended without being told to."""
+    def find_failures(self) -> list[str]:
+        """Return logged invariant violations and processes that ended unexpectedly."""
         found = []
         for instance in self.instances.values():
             child = instance.child
             if child is None:
                 continue
-            if child.logged(BROKEN_EVENT):
-                found.append(f"instance {instance.name} logged a broken promise")
-            if child.exit_code is not None and not instance.may_end:
+            if child.logged(INVARIANT_BROKEN_EVENT):
+                found.append(f"instance {instance.name} logged an invariant violation")
+            if child.exit_code is not None and not instance.may_exit:
                 found.append(f"instance {instance.name} ended with {child.exit_code}")
         return found
 
     async def close(self) -> None:
-        """End every process of the case."""
+        """Kill every process of the case."""
         for child in self.children:
             child.signal(Signals.SIGKILL)
         await DeferredList([child.ended for child in self.children])
@@ -178,19 +184,19 @@
 
 
 async def read_json(url: str) -> Any:
-    """Read a document, or fail the case."""
-    got = await call_json("GET", url)
-    if isinstance(got, Err):
-        raise WrongCaseError(got.err_value)
-    return got.ok_value
+    """Read a JSON document; raise CaseError if that fails."""
+    reply = await call_json("GET", url)
+    if isinstance(reply, Err):
+        raise CaseError(reply.err_value)
+    return reply.ok_value
 
 
 async def read_metric(address: str, name: str, label: str = "") -> float:
-    """Read one sample of an instance's metrics; label is a part of its text."""
-    got = await call("GET", f"http://{address}/metrics")
-    if isinstance(got, Err):
-        raise WrongCaseError(got.err_value)
-    for line in got.ok_value.decode().splitlines():
+    """Read one sample of an instance's metrics, 0 if absent; label is part of its text."""
+    reply = await call("GET", f"http://{address}/metrics")
+    if isinstance(reply, Err):
+        raise CaseError(reply.err_value)
+    for line in reply.ok_value.decode().splitlines():
         sample, _, value = line.rpartition(" ")
         if sample.partition("{")[0] == name and label in sample:
             return float(value)
@@ -202,7 +208,7 @@
     instance.file.write_bytes(msgspec.json.encode(instance.settings))
 
 
-def _known(table: dict[str, T], name: str, what: str) -> T:
-    if name not in table:
-        raise WrongCaseError(f"no {what} is named {name}")
-    return table[name]
+def _lookup(named: dict[str, T], name: str, kind: str) -> T:
+    if name not in named:
+        raise CaseError(f"no {kind} is named {name}")
+    return named[name]
--- a/tests/test_scenario_language.py
+++ b/tests/test_scenario_language.py
@@ -1,4 +1,4 @@
-"""Test the reading of scenario files."""
+"""Test that scenario files are parsed and that errors name the file and the line."""
 
 import pytest
 from result import Err
@@ -16,12 +16,12 @@
 )
 
 
-def one(text: str) -> Case:
+def parse_first_case(text: str) -> Case:
     return parse_cases(text, "x.test").unwrap()[0]
 
 
 def test_reads_steps_and_transcript() -> None:
-    case = one("""
+    case = parse_first_case("""
         # A note.
         [case first one]
         start   engines 3 named lm
@@ -57,25 +57,25 @@
         ("expect job nightly completed", Expect(Condition("job_completed", "nightly"))),
     ],
 )
-def test_steps(line: str, step: object) -> None:
+def test_parses_steps(line: str, step: object) -> None:
     assert parse_step(line).unwrap() == step
 
 
 @pytest.mark.parametrize(
-    ("text", "where"),
+    ("text", "expected"),
     [
         ("start platform", "x.test:1: a [case NAME] line must come first"),
         ("[case a]\nstart platfrom", "x.test:2: no such step: 'start platfrom'; the forms are: "),
         ("[case a]\n\nfly away", "x.test:3: no such step: 'fly away'; a step begins with one of"),
         ("[case a]\nexpect all well", "x.test:2: no such condition: 'all well'"),
         ("[case a]\nwithin soon job x completed", "x.test:2: no such step"),
-        ("[case a]\n[case a]", "x.test:2: a case named 'a' stands above"),
+        ("[case a]\n[case a]", "x.test:2: a case named 'a' already exists"),
         ("[case a]\n[oops]", "x.test:2: unknown section [oops]"),
-        ("[case a]\n[out]\n[out]", "x.test:3: the case has an [out] already"),
-        ("", "x.test:1: there is no case"),
+        ("[case a]\n[out]\n[out]", "x.test:3: the case already has an [out] section"),
+        ("", "x.test:1: the file contains no case"),
     ],
 )
-def test_a_wrong_line_is_named(text: str, where: str) -> None:
+def test_an_invalid_line_is_reported(text: str, expected: str) -> None:
     parsed = parse_cases(text, "x.test")
     assert isinstance(parsed, Err)
-    assert parsed.err_value.startswith(where)
+    assert parsed.err_value.startswith(expected)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Run every case under tests/scenarios against real processes; see docs/SCENARIOS.md."""
+"""Run every case in tests/scenarios against processes; see docs/SCENARIOS.md."""
 
 import re
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 class TestScenarios(TestCase):
     """Hold one test method for each case."""
 
-    # Only a safety net: each step has a limit of its own.
+    # Each step has its own limit; this one only ends a case that hangs regardless.
     timeout = 900
 
 
