--- a/tests/site/soak.py
+++ b/tests/site/soak.py
@@ -210,7 +210,7 @@
                 self.accepted_jobs.append(job_id)
 
     async def _inject_faults(self) -> None:
-        activities: list[Callable[[], Awaitable[None]]] = [
+        injections: list[Callable[[], Awaitable[None]]] = [
             self._store_unavailable,
             self._writes_unanswered,
             self._kill,
@@ -223,7 +223,7 @@
             self._change_keys,
         ]
         while not self.stopping:
-            inject = self.rng.choice(activities)
+            inject = self.rng.choice(injections)
             self.faults[inject.__name__.strip("_")] += 1
             if inject in (self._kill, self._suspend):
                 self.uncounted_faults.append(inject.__name__)
--- a/tests/site/store.py
+++ b/tests/site/store.py
@@ -60,7 +60,7 @@
 
     def names(self, kind: str) -> list[str]:
         """Return the names of the objects of a kind."""
-        return sorted(name for changed_kind, name in self.objects if changed_kind == kind)
+        return sorted(name for stored_kind, name in self.objects if stored_kind == kind)
 
     def render(self, request: Any) -> Any:
         self.request_count += 1
