--- a/tests/keepers_world.py
+++ b/tests/keepers_world.py
@@ -236,6 +236,6 @@
         await self.time.clock.sleep(RUN_MS)
         if replica.id in self.unresponsive or replica.id not in self.listed:
             return Err(Failure(FailureKind.CUT, Sent.MAYBE, "reset", fresh=True))
-        taker._one.texts = ["x"] * EVENTS
+        taker._state.texts = ["x"] * EVENTS
         self.runs[call.request_id] += 1
         return Ok(PassedOn(200))
--- a/tests/test_node_start.py
+++ b/tests/test_node_start.py
@@ -51,9 +51,9 @@
     code = """
 import gc
 from papayapier.node import command
-from papayapier.serve import _shorten_collections
+from papayapier.serve import _limit_gc_pauses
 gc.disable()
-_shorten_collections()
+_limit_gc_pauses()
 print(gc.isenabled(), gc.get_freeze_count() > 1_000)
 """
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
