--- a/papayapier/claims/api.py
+++ b/papayapier/claims/api.py
@@ -43,7 +43,7 @@
 
 
 BeginOutcome = New | Done | Running | Unknown
-Begun = Result[BeginOutcome, Refusal]
+BeginResult = Result[BeginOutcome, Refusal]
 
 
 class RetryBegin(NamedTuple):
--- a/papayapier/claims/service.py
+++ b/papayapier/claims/service.py
@@ -28,7 +28,7 @@
     NO_RECORD,
     RETRY_AFTER_MS,
     RUNNING,
-    Begun,
+    BeginResult,
     Done,
     New,
     QueryWriter,
@@ -79,7 +79,7 @@
     metrics: Metrics
     instance: str
     boot: int
-    ask_writer: QueryWriter
+    query_writer: QueryWriter
 
 
 class _Request(NamedTuple):
@@ -124,7 +124,7 @@
             await self._deps.clock.sleep(DRAIN_POLL_MS)
         return True
 
-    async def begin(self, caller: str, key: str, content: bytes, due_ms: int) -> Begun:
+    async def begin(self, caller: str, key: str, content: bytes, due_ms: int) -> BeginResult:
         """Claim a key before its request is sent, or return the state of an earlier delivery."""
         req = _Request(claim_id(caller, key), content, due_ms)
         begun = await self._begin(req)
@@ -169,8 +169,8 @@
             return ABANDONED
         return DONE if attempt.state is AttemptState.DONE else RUNNING
 
-    async def _begin(self, req: _Request) -> Begun:
-        result: Begun | RetryBegin = RetryBegin(None)
+    async def _begin(self, req: _Request) -> BeginResult:
+        result: BeginResult | RetryBegin = RetryBegin(None)
         while isinstance(result, RetryBegin):
             earlier = self._attempts.by_id(req.id)
             if earlier is not None:
@@ -179,7 +179,7 @@
                 result = await self._claim(req, result.supersedes)
         return result
 
-    async def _join_earlier(self, earlier: Attempt, req: _Request) -> Begun | RetryBegin:
+    async def _join_earlier(self, earlier: Attempt, req: _Request) -> BeginResult | RetryBegin:
         """Wait for the attempt of an earlier delivery of the same request on this instance."""
         if earlier.content != req.content:
             return await self._join_other_request(earlier, req)
@@ -187,7 +187,9 @@
             return Err(still_running())
         return Ok(Done(earlier.answer)) if earlier.state is AttemptState.DONE else RetryBegin(None)
 
-    async def _join_other_request(self, earlier: Attempt, req: _Request) -> Begun | RetryBegin:
+    async def _join_other_request(
+        self, earlier: Attempt, req: _Request
+    ) -> BeginResult | RetryBegin:
         """Refuse a key that an earlier delivery uses for another request, once it has the key.
 
         An earlier delivery that is still claiming may find that the key belongs to the very request
@@ -197,7 +199,7 @@
             return Err(still_running())
         return RetryBegin(None) if earlier.state is AttemptState.ABANDONED else Err(key_conflict())
 
-    async def _claim(self, req: _Request, supersedes: Token | None) -> Begun | RetryBegin:
+    async def _claim(self, req: _Request, supersedes: Token | None) -> BeginResult | RetryBegin:
         """Write a claim for this delivery."""
         if self._deps.clock.now() >= req.due_ms:
             return Err(not_run(ErrorKind.DEADLINE, "no time was left to claim the key"))
@@ -219,7 +221,7 @@
 
     async def _not_claimed(
         self, req: _Request, end: OpResult | None, known: Known
-    ) -> Begun | RetryBegin:
+    ) -> BeginResult | RetryBegin:
         """Return why a delivery could not claim its key; its own attempt is given up already."""
         if isinstance(end, Found) and end.record is not None:
             return await self._decide(req, end.record, may_claim=True)
@@ -259,7 +261,9 @@
         else:
             events.emit(events.CLAIM_ABANDONED, claim=attempt.id.hex())
 
-    async def _decide(self, req: _Request, record: Record, may_claim: bool) -> Begun | RetryBegin:
+    async def _decide(
+        self, req: _Request, record: Record, may_claim: bool
+    ) -> BeginResult | RetryBegin:
         """Decide a delivery from the record of another attempt on its key."""
         if record.state is ClaimState.DONE:
             same = record.content == req.content
@@ -283,7 +287,7 @@
 
     async def _decide_other_request(
         self, req: _Request, record: Record, may_claim: bool
-    ) -> Begun | RetryBegin:
+    ) -> BeginResult | RetryBegin:
         """Refuse a key if it is still claimed for another request.
 
         The record may have been read long ago. If its claim was abandoned since, this very request
@@ -311,9 +315,9 @@
         return state if state is not None else NO_RECORD
 
     async def _request_state(self, record: Record) -> str:
-        return await self._deps.ask_writer(record.writer, record.token.hex())
+        return await self._deps.query_writer(record.writer, record.token.hex())
 
-    def _unknown_outcome(self, record: Record) -> Begun:
+    def _unknown_outcome(self, record: Record) -> BeginResult:
         events.emit(events.CLAIM_UNKNOWN, claim=record.id.hex(), writer=record.writer)
         return Ok(Unknown(record.writer))
 
--- a/papayapier/compose.py
+++ b/papayapier/compose.py
@@ -242,7 +242,7 @@
             metrics=base.metrics,
             instance=base.cfg.instance.id,
             boot=base.boot,
-            ask_writer=query_writer,
+            query_writer=query_writer,
         )
     )
 
--- a/papayapier/dispatch/claimed.py
+++ b/papayapier/dispatch/claimed.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from papayapier.claims.api import Begun, Token
+    from papayapier.claims.api import BeginResult, Token
     from papayapier.claims.service import Claims
     from papayapier.dispatch.api import OnlineRequest, OnToken
     from papayapier.dispatch.online import OnlineDispatch
@@ -121,7 +121,7 @@
         self._claims.finish(token, SavedAnswer(status, REFUSAL_FORM, codec.pack(refusal)))
 
 
-def _earlier_result(begun: "Begun") -> RunResult:
+def _earlier_result(begun: "BeginResult") -> RunResult:
     """Return the answer to a resend: the result or state of the earlier run."""
     if isinstance(begun, Err):
         return begun
--- a/papayapier/entry/job_routes.py
+++ b/papayapier/entry/job_routes.py
@@ -12,7 +12,7 @@
 
     from papayapier.clock import Clock
     from papayapier.config.route_table import Route
-    from papayapier.jobs.desk import JobDesk
+    from papayapier.jobs.job_service import JobService
     from papayapier.jobs.records import JobItem
 
 # Time reserved for sending the answer to a submission after its write is settled.
@@ -39,14 +39,14 @@
     request_id: str
     read_items: "Callable[[bytes], Result[tuple[JobItem, ...], str]]"
     called: "Callable[[Any], Any | None]"
-    perform: "Callable[[JobDesk, Any, Any, str, int], Awaitable[Result[Answer, Refusal]]]"
+    perform: "Callable[[JobService, Any, Any, str, int], Awaitable[Result[Answer, Refusal]]]"
 
 
 class JobRoutes(NamedTuple):
     """Handle requests on jobs; refuse writes a refusal."""
 
     clock: "Clock"
-    desk: "JobDesk"
+    desk: "JobService"
     wire: JobWire
     refuse: "Callable[[Any, str, Refusal], None]"
 
--- a/papayapier/jobs/commits.py
+++ b/papayapier/jobs/commits.py
@@ -16,7 +16,7 @@
 from papayapier import events
 from papayapier.clock import Clock
 from papayapier.jobs.groups import read_groups
-from papayapier.jobs.news import GroupsTold
+from papayapier.jobs.notifications import SentNotifications
 from papayapier.jobs.owned_job import ItemState, OwnedJob
 from papayapier.jobs.records import ItemResult, ResultGroup, encode, group_key
 from papayapier.store.api import Store, StoreError
@@ -32,7 +32,7 @@
 MAX_GROUP_BYTES: Final = 600_000
 
 
-class Written(NamedTuple):
+class WrittenGroup(NamedTuple):
     """Describe a group that this instance created; no later group existed at began_ms."""
 
     number: int
@@ -52,8 +52,8 @@
     rand: random.Random
     store: Store
     on_listed_elsewhere: Callable[[list[ItemState]], None]
-    on_written: Callable[[OwnedJob, Written | None], None]
-    notifications: GroupsTold
+    on_written: Callable[[OwnedJob, WrittenGroup | None], None]
+    notifications: SentNotifications
 
 
 async def load_groups(deps: CommitDeps, job: OwnedJob) -> Result[None, StoreError]:
@@ -102,7 +102,7 @@
             group=number,
             items=[result.id for result in group.results],
         )
-        _notify(deps, job, Written(number, group, began_ms))
+        _notify(deps, job, WrittenGroup(number, group, began_ms))
         return True
     if created.err_value in (StoreError.CONFLICT, StoreError.LOST):
         known = isinstance(await load_groups(deps, job), Ok) and job.groups > number
@@ -114,7 +114,7 @@
     return False
 
 
-def _notify(deps: CommitDeps, job: OwnedJob, written: Written | None) -> None:
+def _notify(deps: CommitDeps, job: OwnedJob, written: WrittenGroup | None) -> None:
     deps.notifications.write_settled(job.job_id)
     deps.on_written(job, written)
 
--- a/papayapier/jobs/expiry.py
+++ b/papayapier/jobs/expiry.py
@@ -11,7 +11,7 @@
 
 from papayapier import events
 from papayapier.clock import MS_PER_S, Clock
-from papayapier.jobs.records import JOBS, groups_prefix, job_key, part_key, read_record
+from papayapier.jobs.records import JOBS_PREFIX, groups_prefix, job_key, part_key, read_record
 from papayapier.store.api import Change, Store
 
 SWEEP_MS: Final = 5_000
@@ -52,7 +52,7 @@
 
     def on_change(self, change: Change) -> None:
         """Handle a change of a job's record."""
-        job_id = change.key.removeprefix(JOBS)
+        job_id = change.key.removeprefix(JOBS_PREFIX)
         read = Err("gone") if change.deleted else read_record(change.value)
         if isinstance(read, Err):
             self._jobs.pop(job_id, None)
--- a/papayapier/jobs/free_slots.py
+++ b/papayapier/jobs/free_slots.py
@@ -21,7 +21,7 @@
 
     rand: random.Random
     instance_id: str
-    loads: LoadBook
+    load_tracker: LoadBook
     outliers: Outliers
     sharing: Sequence[str]
     unreachable: Collection[str]
@@ -35,16 +35,16 @@
     """
     may_use = sharers_of(replica_id, snapshot.sharing)
     sharing = may_use[: parts_among(len(snapshot.sharing))]
-    own = snapshot.loads.own(replica_id).batch
-    slots = snapshot.loads.slots(replica_id)
-    batch = snapshot.loads.batch_at(replica_id)
+    own = snapshot.load_tracker.own(replica_id).batch
+    slots = snapshot.load_tracker.slots(replica_id)
+    batch = snapshot.load_tracker.batch_at(replica_id)
     if not set(snapshot.unreachable).isdisjoint(sharing):
         # The slots that an unreachable instance leaves idle are unknown, so each instance keeps to
         # its fair share.
         batch = own + slots
     return Use(
         slots if snapshot.instance_id in may_use else 0,
-        snapshot.loads.online_at(replica_id),
+        snapshot.load_tracker.online_at(replica_id),
         own,
         batch,
         sharing.index(snapshot.instance_id) if snapshot.instance_id in sharing else NO_PART,
@@ -67,13 +67,13 @@
         the slots, otherwise only the other replicas.
         """
         best: tuple[float, float, Replica] | None = None
-        for replica in self._snapshot.loads.usable(upstream, now):
+        for replica in self._snapshot.load_tracker.usable(upstream, now):
             if self._snapshot.outliers.ejected(replica.id, now):
                 continue
             use = self._use(replica.id)
             if (use.place != NO_PART) is not has_share:
                 continue
-            free_slots = start_limit(use) - self._snapshot.loads.own(replica.id).batch
+            free_slots = start_limit(use) - self._snapshot.load_tracker.own(replica.id).batch
             if free_slots <= 0:
                 continue
             score = free_slots - self._snapshot.outliers.penalty(replica.id, now)
--- a/papayapier/jobs/kept_files.py
+++ b/papayapier/jobs/job_files.py
@@ -17,7 +17,7 @@
 MAX_ID_BYTES: Final = 120
 
 
-class KeptJob(NamedTuple):
+class LocalJob(NamedTuple):
     """Hold a job's id and the encoded record to be created in the store."""
 
     job_id: str
@@ -27,14 +27,14 @@
 class Loaded(NamedTuple):
     """Hold the jobs read from a folder; odd lists the unreadable files with the reason."""
 
-    jobs: list[KeptJob]
+    jobs: list[LocalJob]
     unreadable: list[str]
 
 
-_JOB: Final = msgspec.msgpack.Decoder(KeptJob)
+_JOB: Final = msgspec.msgpack.Decoder(LocalJob)
 
 
-def write(folder: str, job: KeptJob) -> Result[None, str]:
+def write(folder: str, job: LocalJob) -> Result[None, str]:
     """Write a job's file and sync it to disk."""
     if len(job.job_id.encode()) > MAX_ID_BYTES:
         return Err("job id is too long for a file name")
@@ -68,7 +68,7 @@
     return Ok(loaded)
 
 
-def _read(path: Path) -> Result[KeptJob, str]:
+def _read(path: Path) -> Result[LocalJob, str]:
     body = sealed_files.read(path)
     if isinstance(body, Err):
         return body
--- a/papayapier/jobs/desk.py
+++ b/papayapier/jobs/job_service.py
@@ -17,9 +17,9 @@
 from papayapier.clock import Clock
 from papayapier.config.teams import may_use
 from papayapier.errors import ErrorKind, Refusal, not_run, unknown
-from papayapier.jobs.commits import Written
+from papayapier.jobs.commits import WrittenGroup
 from papayapier.jobs.groups import read_groups, read_with_items
-from papayapier.jobs.news import GroupsHeard
+from papayapier.jobs.notifications import ReceivedNotifications
 from papayapier.jobs.records import (
     ItemResult,
     JobItem,
@@ -51,15 +51,15 @@
 UNCERTAIN_ERRORS: Final = frozenset({StoreError.UNAVAILABLE, StoreError.LOST, StoreError.LIMITED})
 
 
-class Page(NamedTuple):
+class ResultsPage(NamedTuple):
     """Hold the number of a job's items, and its results from the requested position on."""
 
     total: int
     results: list[ItemResult]
 
 
-class DeskDeps(NamedTuple):
-    """Group the dependencies of JobDesk.
+class JobServiceDeps(NamedTuple):
+    """Group the dependencies of JobService.
 
     heard decides for how long a read of the store remains valid. keep replicates a job to keepers'
     disks. store_away returns whether the store is known to be unavailable. settled returns whether
@@ -72,12 +72,12 @@
     clock: Clock
     rand: random.Random
     store: Store
-    heard: GroupsHeard
-    keep: Callable[[str, bytes], Awaitable[Copies]]
-    store_away: Callable[[], bool]
-    settled: Callable[[], bool]
-    elsewhere: Callable[[str, int, int, str], Awaitable[Page | None]]
-    known: Callable[[str], JobRecord | None] = lambda _job_id: None
+    notifications: ReceivedNotifications
+    replicate: Callable[[str, bytes], Awaitable[Copies]]
+    is_store_unavailable: Callable[[], bool]
+    is_store_complete: Callable[[], bool]
+    read_remote: Callable[[str, int, int, str], Awaitable[ResultsPage | None]]
+    known_record: Callable[[str], JobRecord | None] = lambda _job_id: None
 
 
 class _View:
@@ -113,10 +113,10 @@
             waiter.callback(None)
 
 
-class JobDesk:
+class JobService:
     """Serve callers' requests on batch jobs."""
 
-    def __init__(self, deps: DeskDeps) -> None:
+    def __init__(self, deps: JobServiceDeps) -> None:
         self._deps = deps
         self._views: OrderedDict[str, _View] = OrderedDict()
         self._text_bytes = 0
@@ -174,23 +174,23 @@
         objective_ms: int,
     ) -> Copies:
         """Replicate a job to keepers' disks if the store does not respond in time."""
-        wait_ms = patience_ms(objective_ms, self._deps.store_away())
+        wait_ms = patience_ms(objective_ms, self._deps.is_store_unavailable())
         created = await creating.within(wait_ms)
         # A definite reply of the store decides; keepers are only requested without one.
         if created is not None and (
             isinstance(created, Ok) or created.err_value not in UNCERTAIN_ERRORS
         ):
             return NOT_ASKED
-        copies = await self._deps.keep(job_id, value)
+        copies = await self._deps.replicate(job_id, value)
         events.emit(events.JOB_SENT_TO_KEEPERS, job=job_id, **copies._asdict())
         return copies
 
     async def results(
         self, job_id: str, after: int, wait_ms: int, team: str = ""
-    ) -> Result[Page, Refusal]:
+    ) -> Result[ResultsPage, Refusal]:
         """Return the results from a position on; wait up to wait_ms if there are none."""
         due_ms = self._deps.clock.now() + wait_ms
-        page = await self._deps.elsewhere(job_id, after, wait_ms, team)
+        page = await self._deps.read_remote(job_id, after, wait_ms, team)
         if page is not None:
             return Ok(page)
         found = await self._view(job_id, team)
@@ -208,19 +208,19 @@
             if left_ms <= 0:
                 break
             await self._wait_for_group(view, left_ms)
-        return Ok(Page(view.record.total, view.results[after:]))
+        return Ok(ResultsPage(view.record.total, view.results[after:]))
 
-    def on_groups(self, job_id: str, groups: int) -> None:
+    def on_group_count(self, job_id: str, groups: int) -> None:
         """Handle a peer's notification of a job's number of groups, and wake waiting readers."""
         view = self._views.get(job_id)
         if view is not None and groups > view.groups:
             view.notify(groups)
 
-    def on_written(self, job_id: str, written: Written) -> None:
+    def on_group_written(self, job_id: str, written: WrittenGroup) -> None:
         """Handle a group written by this instance, which had read all earlier groups."""
         view = self._views.get(job_id)
         if view is None or written.number != view.groups:
-            self.on_groups(job_id, written.number + 1)
+            self.on_group_count(job_id, written.number + 1)
             return
         self._add_group(view, written.group)
         view.read_ms = max(view.read_ms, written.began_ms)
@@ -230,7 +230,7 @@
         now = self._deps.clock.now()
         if now < view.read_ms + READ_VALID_MS:
             return True
-        return self._deps.heard.is_read_current(view.read_ms, now)
+        return self._deps.notifications.is_read_current(view.read_ms, now)
 
     async def _wait_for_group(self, view: _View, wait_ms: int) -> None:
         """Wait until a peer notifies of a new group, or until wait_ms have passed."""
@@ -323,7 +323,7 @@
         if cached is not None:
             self._views.move_to_end(job_id)
             return Ok(cached)
-        followed = self._deps.known(job_id)
+        followed = self._deps.known_record(job_id)
         if followed is not None:
             return Ok(self._cache(job_id, _View(followed)))
         found = await self._deps.store.get(job_key(job_id))
@@ -339,7 +339,7 @@
 
     def _not_found_refusal(self, job_id: str, error: StoreError) -> Refusal:
         """Report a job as not found only if no keeper can still be about to create it."""
-        if error is StoreError.NOT_FOUND and not self._deps.settled():
+        if error is StoreError.NOT_FOUND and not self._deps.is_store_complete():
             reason = f"job {job_id} may be stored by a keeper and not yet in the store"
             return not_run(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_MS)
         return _read_refusal(job_id, error)
--- a/papayapier/jobs/vault.py
+++ b/papayapier/jobs/local_job_store.py
@@ -14,8 +14,8 @@
 
 from papayapier import events
 from papayapier.clock import MS_PER_S, Clock
-from papayapier.jobs import kept_files
-from papayapier.jobs.kept_files import KeptJob
+from papayapier.jobs import job_files
+from papayapier.jobs.job_files import LocalJob
 from papayapier.jobs.records import JobRecord, job_key, read_record
 from papayapier.store.api import Store, StoreError
 from papayapier.store.watch import Pauses, report_failure
@@ -28,7 +28,7 @@
 WRITE_POLL_MS: Final = 10
 
 
-class VaultDeps(NamedTuple):
+class LocalJobStoreDeps(NamedTuple):
     """Group the dependencies of Vault.
 
     in_thread runs a blocking call. held is called for each newly stored job, to run it while the
@@ -48,24 +48,24 @@
     held: Callable[[str, JobRecord], None]
 
 
-class Vault:
+class LocalJobStore:
     """Manage the jobs on this keeper's disk."""
 
-    def __init__(self, deps: VaultDeps) -> None:
+    def __init__(self, deps: LocalJobStoreDeps) -> None:
         self._deps = deps
         self._creating: dict[str, Deferred[None]] = {}
         self._writing: set[str] = set()
         self._loading = True
         self._refusing = False
 
-    def pending(self) -> int:
+    def pending_count(self) -> int:
         """Return how many locally stored jobs may not be in the store yet."""
         return len(self._creating) + self._loading
 
     async def start(self) -> None:
         """Load the jobs that an earlier run of this keeper stored."""
         folder = self._deps.folder
-        loaded = await self._deps.in_thread(lambda: kept_files.load(folder))
+        loaded = await self._deps.in_thread(lambda: job_files.load(folder))
         if isinstance(loaded, Err):
             events.emit(events.JOB_NOT_KEPT, job="", reason=loaded.err_value)
         else:
@@ -75,7 +75,7 @@
                 self._start_creating(job)
         self._loading = False
 
-    async def keep(self, job: KeptJob) -> bool:
+    async def store(self, job: LocalJob) -> bool:
         """Write a job to the disk; return whether its creation in the store is guaranteed."""
         while job.job_id in self._writing:
             # The same job was resent through another entry; two threads must not write one file
@@ -88,7 +88,7 @@
         folder = self._deps.folder
         self._writing.add(job.job_id)
         try:
-            written = await self._deps.in_thread(lambda: kept_files.write(folder, job))
+            written = await self._deps.in_thread(lambda: job_files.write(folder, job))
         finally:
             self._writing.discard(job.job_id)
         if isinstance(written, Err):
@@ -101,7 +101,7 @@
             self._deps.held(job.job_id, record.ok_value)
         return True
 
-    def refuse(self) -> None:
+    def stop_accepting(self) -> None:
         """Reject further jobs, because this machine's disk will be removed."""
         self._refusing = True
 
@@ -110,7 +110,7 @@
         for task in list(self._creating.values()):
             task.cancel()
 
-    def _start_creating(self, job: KeptJob) -> None:
+    def _start_creating(self, job: LocalJob) -> None:
         if job.job_id in self._creating:
             return
         task = Deferred.fromCoroutine(self._create(job))
@@ -119,7 +119,7 @@
             return
         self._creating[job.job_id] = task
 
-    async def _create(self, job: KeptJob) -> None:
+    async def _create(self, job: LocalJob) -> None:
         """Create the job in the store, retrying without limit, and remove its file."""
         pauses = Pauses(self._deps.rand, self._deps.longest_pause_ms)
         reason = self._drop_reason(job)
@@ -132,13 +132,13 @@
         events.emit(events.KEPT_JOB_ENDED, job=job.job_id, reason=reason)
         folder = self._deps.folder
         removed: Result[None, str] = await self._deps.in_thread(
-            lambda: kept_files.remove(folder, job.job_id)
+            lambda: job_files.remove(folder, job.job_id)
         )
         if isinstance(removed, Err):
             events.emit(events.JOB_NOT_KEPT, job=job.job_id, reason=removed.err_value)
         self._creating.pop(job.job_id, None)
 
-    async def _is_created(self, job: KeptJob) -> bool:
+    async def _is_created(self, job: LocalJob) -> bool:
         settling = Settling(self._deps.store, self._deps.clock, self._deps.rand)
         due_ms = self._deps.clock.now() + ATTEMPT_MS
         created = await create_settled(settling, job_key(job.job_id), job.value, due_ms)
@@ -148,7 +148,7 @@
             return False
         return isinstance(await self._deps.store.get(job_key(job.job_id)), Ok)
 
-    def _drop_reason(self, job: KeptJob) -> str:
+    def _drop_reason(self, job: LocalJob) -> str:
         """Return the reason why a job must not be created any more, or an empty string."""
         record = read_record(job.value)
         if isinstance(record, Err):
--- a/papayapier/jobs/news.py
+++ b/papayapier/jobs/notifications.py
@@ -31,7 +31,7 @@
 FORGET_WRITER_MS: Final = 20_000
 
 
-class GroupsTold:
+class SentNotifications:
     """Count the notifications that this instance has sent, and track its unconfirmed writes."""
 
     __slots__ = ("_count", "_recent", "_unconfirmed")
@@ -49,14 +49,14 @@
         """Record that the outcome of a job's write is known."""
         self._unconfirmed.pop(job_id, None)
 
-    def word(self, job_id: str, groups: int, now: int) -> JobWord:
+    def next_notification(self, job_id: str, groups: int, now: int) -> JobWord:
         """Create and count the next notification."""
         self._count += 1
         notification = JobWord(self._count, job_id, groups)
         self._recent.append((now, notification))
         return notification
 
-    def last(self, now: int) -> tuple[JobWord, ...]:
+    def recent(self, now: int) -> tuple[JobWord, ...]:
         """Return recent notifications for a heartbeat; several heartbeats repeat each of them."""
         return tuple(
             notification for sent_ms, notification in self._recent if now - sent_ms <= REPEAT_MS
@@ -82,7 +82,7 @@
     confirmed_ms: int
 
 
-class GroupsHeard:
+class ReceivedNotifications:
     """Decide from the writers' notifications whether a read of the store is still current.
 
     writers returns the instances that may write results, live all instances considered live. A
@@ -97,7 +97,7 @@
         self._states: dict[str, _Writer] = {}
         self._last_received_ms: dict[str, int] = {}
 
-    def on_word(self, writer: str, number: int) -> None:
+    def on_notification(self, writer: str, number: int) -> None:
         """Handle a writer's notification of a new group."""
         state = self._states.get(writer)
         if state is not None and number == state.received + 1:
@@ -111,7 +111,7 @@
         state = self._states.get(writer)
         if state is not None and state.boot == heartbeat.boot:
             for notification in heartbeat.words:
-                self.on_word(writer, notification.number)
+                self.on_notification(writer, notification.number)
             state = self._states[writer]
         if state is None or state.boot != heartbeat.boot or heartbeat.groups_told > state.received:
             # Missed groups are only visible in the store, so only reads begun from now on count.
--- a/papayapier/jobs/owned_job.py
+++ b/papayapier/jobs/owned_job.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from papayapier.jobs.progress import ItemProgress
-from papayapier.jobs.records import ItemEnd, ItemResult, JobItem, JobRecord, ResultGroup
+from papayapier.jobs.records import ItemOutcome, ItemResult, JobItem, JobRecord, ResultGroup
 from papayapier.policy.handing import SILENT_MS, STALLED_MS
 from papayapier.upstream.event_cutter import NO_EVENT
 
@@ -86,7 +86,7 @@
         )
         return now - last_ms >= (SILENT_MS if self.is_running() else STALLED_MS)
 
-    def finish(self, item_id: str, end: ItemEnd) -> None:
+    def finish(self, item_id: str, end: ItemOutcome) -> None:
         """Record the result of an item, which is then to be written."""
         state = self.items.pop(item_id)
         self.unwritten[item_id] = ItemResult(item_id, end, state.text())
--- a/papayapier/jobs/owners.py
+++ b/papayapier/jobs/owners.py
@@ -21,11 +21,11 @@
 
     def __init__(
         self,
-        loads: LoadBook,
+        load_tracker: LoadBook,
         table: Callable[[], RouteTable | None],
         running: Callable[[], Sequence[str]],
     ) -> None:
-        self._loads = loads
+        self._load_tracker = load_tracker
         self._table = table
         self._running = running
         self._fleet_state: tuple[object, ...] = ()
@@ -37,7 +37,7 @@
     def refresh(self) -> bool:
         """Read the state of the fleet; return whether owners may have changed."""
         self._instances = self._running()
-        fleet_state = (self._instances, self._loads.usable_changes, self._table())
+        fleet_state = (self._instances, self._load_tracker.usable_changes, self._table())
         if fleet_state == self._fleet_state:
             return False
         self._fleet_state = fleet_state
@@ -50,7 +50,7 @@
         """Return the instances that may start a job's items."""
         upstream = self.upstream_of(record)
         if upstream not in self._eligible:
-            eligible = able_to_own(self._instances, self._loads.usable_ids(upstream))
+            eligible = able_to_own(self._instances, self._load_tracker.usable_ids(upstream))
             self._eligible[upstream] = eligible
             self._eligible_sets[upstream] = frozenset(eligible)
         return self._eligible[upstream]
@@ -78,10 +78,10 @@
         return route.shares[0].upstream if route is not None else ""
 
 
-def able_now(
-    loads: LoadBook, table: RouteTable | None, running: Collection[str], record: JobRecord
+def eligible_instances(
+    load_tracker: LoadBook, table: RouteTable | None, running: Collection[str], record: JobRecord
 ) -> Sequence[str]:
     """Return which of the given instances may start a job's items."""
-    owners = JobOwners(loads, lambda: table, lambda: sorted(running))
+    owners = JobOwners(load_tracker, lambda: table, lambda: sorted(running))
     owners.refresh()
     return owners.eligible(record)
--- a/papayapier/jobs/progress.py
+++ b/papayapier/jobs/progress.py
@@ -20,7 +20,7 @@
 
 from papayapier import events, sealed_files
 from papayapier.clock import Clock
-from papayapier.jobs.records import ItemEnd
+from papayapier.jobs.records import ItemOutcome
 from papayapier.pending import Pending
 from papayapier.policy.crashes import Loss
 
@@ -45,7 +45,7 @@
     texts: tuple[str, ...]
     ran_ms: int
     failures: int
-    end: ItemEnd | None = None
+    end: ItemOutcome | None = None
 
 
 class Snapshot(NamedTuple):
@@ -77,7 +77,7 @@
     return max(complete, key=lambda snapshot: snapshot.number, default=EMPTY_SNAPSHOT)
 
 
-async def load_soon(deps: SaverDeps) -> Snapshot:
+async def load_with_timeout(deps: SaverDeps) -> Snapshot:
     """Return the latest snapshot, or an empty one if the disk does not respond in time."""
     loading = Pending(deps.clock, deps.in_thread(lambda: load(deps.folder)))
     snapshot: Snapshot | None = await loading.within(LOAD_MS)
--- a/papayapier/jobs/records.py
+++ b/papayapier/jobs/records.py
@@ -8,7 +8,7 @@
 
 T = TypeVar("T")
 
-JOBS: Final = "papayapier-jobs/"
+JOBS_PREFIX: Final = "papayapier-jobs/"
 PARTS_PREFIX: Final = "papayapier-parts/"
 # Each job has a prefix of its own, so that one list call returns all groups after a given one.
 RESULTS_PREFIX: Final = "papayapier-results-"
@@ -45,7 +45,7 @@
     team: str = ""
 
 
-class ItemEnd(Enum):
+class ItemOutcome(Enum):
     """Name the outcomes of an item."""
 
     DONE = "done"
@@ -56,7 +56,7 @@
     """Hold the result of one item."""
 
     id: str
-    end: ItemEnd
+    end: ItemOutcome
     text: str
 
 
@@ -74,7 +74,7 @@
 
 def job_key(job_id: str) -> str:
     """Return the key of a job's record."""
-    return JOBS + job_id
+    return JOBS_PREFIX + job_id
 
 
 def part_key(job_id: str, number: int) -> str:
--- a/papayapier/jobs/runner.py
+++ b/papayapier/jobs/runner.py
@@ -14,15 +14,15 @@
 
 from papayapier import events
 from papayapier.config.route_table import Route, RouteTable
-from papayapier.jobs.commits import CommitDeps, Written, commit, load_groups
+from papayapier.jobs.commits import CommitDeps, WrittenGroup, commit, load_groups
 from papayapier.jobs.groups import read_with_items
-from papayapier.jobs.looks import JobLooks, LookDeps
-from papayapier.jobs.news import GroupsTold
+from papayapier.jobs.notifications import SentNotifications
 from papayapier.jobs.owned_job import ItemState, OwnedJob
 from papayapier.jobs.owners import JobOwners
 from papayapier.jobs.progress import ItemProgress
-from papayapier.jobs.records import JOBS, ItemEnd, JobRecord, read_record
+from papayapier.jobs.records import JOBS_PREFIX, ItemOutcome, JobRecord, read_record
 from papayapier.jobs.runs import RunDeps, Runs
+from papayapier.jobs.takeover import JobTakeover, LookDeps
 from papayapier.policy.ownership import owner
 from papayapier.store.api import Change, Store
 
@@ -48,8 +48,8 @@
     runs: RunDeps
     store: Store
     table: Callable[[], RouteTable | None]
-    tell_groups: Callable[[str, int, Written | None], None]
-    news: GroupsTold
+    notify_groups: Callable[[str, int, WrittenGroup | None], None]
+    notifications: SentNotifications
 
 
 class JobRunner:
@@ -70,17 +70,17 @@
         # Jobs that were completed while this instance owned them.
         self._completed: set[str] = set()
         self._owned: dict[str, OwnedJob] = {}
-        self._owners = JobOwners(deps.runs.book, deps.table, deps.runs.sharing)
-        self.looks = JobLooks(
+        self._owners = JobOwners(deps.runs.load_tracker, deps.table, deps.runs.sharing)
+        self.takeover = JobTakeover(
             LookDeps(
                 self._clock,
-                deps.runs.me,
+                deps.runs.instance_id,
                 self._open,
                 self._owned,
                 self._closed,
                 self._owners,
                 self._runs.has_free_slot,
-                self.review,
+                self.update_owned_jobs,
             )
         )
         self._timer: Timer | None = None
@@ -94,7 +94,7 @@
             deps.store,
             self._runs.cancel_items,
             self._notify_groups,
-            deps.news,
+            deps.notifications,
         )
 
     def start(self) -> None:
@@ -102,7 +102,7 @@
         self._clock.call_later(SAVED_PROGRESS_KEPT_MS, self._saved_progress.clear)
         self._tick()
 
-    def recall(self, items: Sequence[ItemProgress]) -> None:
+    def restore_progress(self, items: Sequence[ItemProgress]) -> None:
         """Keep item progress saved by an earlier run, to be restored when its job is loaded."""
         for saved in items:
             self._saved_progress.setdefault(saved.job_id, []).append(saved)
@@ -116,7 +116,7 @@
     def stop(self) -> None:
         """Cancel every run; results of finished items are still written."""
         self._stopping = True
-        self.looks.stop()
+        self.takeover.stop()
         self._runs.cancel_all()
 
     def close(self) -> None:
@@ -125,32 +125,32 @@
             if timer is not None and timer.active():
                 timer.cancel()
 
-    def unwritten(self) -> int:
+    def unwritten_count(self) -> int:
         """Return the number of results that are not yet in the store."""
         return sum(len(job.unwritten) for job in self._owned.values())
 
-    def running(self) -> int:
+    def running_count(self) -> int:
         """Return the number of running items."""
         return self._runs.count()
 
-    def has_closed(self, job_id: str) -> bool:
+    def owns_closed(self, job_id: str) -> bool:
         """Return whether this instance is responsible for a job that is complete or cancelled.
 
         A cancelled job has no owner; one of all instances that run batch is responsible for it.
         """
         if job_id in self._open or job_id in self._owned:
             return False
-        ended_here = owner(job_id, self._deps.runs.sharing()) == self._deps.runs.me
+        ended_here = owner(job_id, self._deps.runs.sharing()) == self._deps.runs.instance_id
         return job_id in self._completed or ended_here
 
-    def record(self, job_id: str) -> JobRecord | None:
+    def stored_record(self, job_id: str) -> JobRecord | None:
         """Return a job's record if it was read from the store and contains all items."""
         record = self._open.get(job_id)
         return None if record is None or record.parts or job_id in self._local_only else record
 
     def on_change(self, change: Change) -> None:
         """Handle a change of a job's record in the store."""
-        job_id = change.key.removeprefix(JOBS)
+        job_id = change.key.removeprefix(JOBS_PREFIX)
         if change.deleted:
             self._forget(job_id)
             return
@@ -163,9 +163,9 @@
             return
         self._local_only.discard(job_id)
         self._open[job_id] = read.ok_value
-        self.review()
+        self.update_owned_jobs()
 
-    def on_held(self, job_id: str, record: JobRecord) -> None:
+    def on_stored_locally(self, job_id: str, record: JobRecord) -> None:
         """Run a job that was accepted and stored locally while the store is unavailable.
 
         The owner of a job is the first keeper to which it is replicated. Outages last five to nine
@@ -175,13 +175,13 @@
             return
         self._open[job_id] = record
         self._local_only.add(job_id)
-        self.review()
+        self.update_owned_jobs()
 
-    def review(self) -> None:
+    def update_owned_jobs(self) -> None:
         """Recompute which jobs this instance is to run, and take or release jobs accordingly."""
         self._owners.refresh()
         for job_id, record in list(self._open.items()):
-            is_mine = self.looks.runs_here(job_id, self._owners.owner(job_id, record))
+            is_mine = self.takeover.runs_here(job_id, self._owners.owner(job_id, record))
             if is_mine and job_id not in self._owned and not self._stopping:
                 self._own(job_id, record)
             elif not is_mine and job_id in self._owned:
@@ -201,14 +201,14 @@
         self._runs.cancel_job(job)
         if job.loaded:
             # The job may return, for example after another keeper was unreachable for a moment.
-            self.recall(job.progress())
+            self.restore_progress(job.progress())
         if not job.unwritten:
             del self._owned[job_id]
 
     def _end_job(self, job_id: str) -> None:
         self._local_only.discard(job_id)
         self._closed.add(job_id)
-        self.looks.forget(job_id)
+        self.takeover.forget(job_id)
         self._owners.forget(job_id)
         self._saved_progress.pop(job_id, None)
         job = self._owned.pop(job_id, None)
@@ -224,7 +224,7 @@
         self._local_only.discard(job_id)
         self._closed.discard(job_id)
         self._completed.discard(job_id)
-        self.looks.forget(job_id)
+        self.takeover.forget(job_id)
         self._owners.forget(job_id)
         self._saved_progress.pop(job_id, None)
         job = self._owned.pop(job_id, None)
@@ -262,11 +262,11 @@
         # Peers' reports about an unreachable instance also change which instances share replicas,
         # and no event signals that.
         changed = self._owners.refresh()
-        taken_back = self.looks.expire(self._deps.runs.sharing())
+        taken_back = self.takeover.expire(self._deps.runs.sharing())
         if changed or taken_back:
-            self.review()
+            self.update_owned_jobs()
 
-    def pump_soon(self) -> None:
+    def schedule_round(self) -> None:
         """Run one round soon for all triggers until then.
 
         An instance of a large fleet receives hundreds of heartbeats a second, and each of them
@@ -285,7 +285,7 @@
             return
         if self._in_round:
             # Called from the end of a run that this round cancelled; the next round uses its slot.
-            self.pump_soon()
+            self.schedule_round()
             return
         self._in_round = True
         self._last_round_ms = self._clock.now()
@@ -318,11 +318,11 @@
         events.emit(events.ITEMS_LOST, job=job.job_id, items=len(job.items), reason=reason)
         self._runs.cancel_job(job)
         for item_id in list(job.items):
-            job.finish(item_id, ItemEnd.GIVEN_UP)
+            job.finish(item_id, ItemOutcome.GIVEN_UP)
         self._commit(job)
 
-    def _notify_groups(self, job: OwnedJob, written: Written | None) -> None:
-        self._deps.tell_groups(job.job_id, job.groups, written)
+    def _notify_groups(self, job: OwnedJob, written: WrittenGroup | None) -> None:
+        self._deps.notify_groups(job.job_id, job.groups, written)
 
     def _commit(self, job: OwnedJob) -> None:
         self._start_task(self._commit_and_close(job))
--- a/papayapier/jobs/runs.py
+++ b/papayapier/jobs/runs.py
@@ -24,7 +24,7 @@
 from papayapier.jobs.free_slots import ReplicaFinder, SlotSnapshot, replica_use
 from papayapier.jobs.item_run import ItemReceiver
 from papayapier.jobs.owned_job import ItemState, OwnedJob
-from papayapier.jobs.records import ItemEnd
+from papayapier.jobs.records import ItemOutcome
 from papayapier.policy.batch_order import RunTimes, Standing, standing, victims
 from papayapier.policy.batch_room import keep_limit, start_limit
 from papayapier.policy.loads import LoadBook
@@ -51,18 +51,18 @@
 
     clock: Clock
     rand: random.Random
-    me: str
-    book: LoadBook
+    instance_id: str
+    load_tracker: LoadBook
     outliers: Outliers
     crashes: CrashWatch
     send: SendRaw
-    head: Callable[[Headers, Replica, int | None, int], Headers]
-    of_team: Callable[[Headers, str], Headers]
-    body: Callable[[Any], bytes]
+    make_headers: Callable[[Headers, Replica, int | None, int], Headers]
+    with_team: Callable[[Headers, str], Headers]
+    decode_body: Callable[[Any], bytes]
     request_id: bytes
     sharing: Callable[[], Sequence[str]]
-    hidden: Callable[[], Collection[str]]
-    uses_changed: Callable[[], None]
+    unreachable: Callable[[], Collection[str]]
+    on_uses_changed: Callable[[], None]
 
 
 class _Run(NamedTuple):
@@ -199,7 +199,9 @@
                 continue
             # Above the start limit, runs continue but none are started, so cancelling a run there
             # would not free a slot for another item.
-            if slots.loads.own(replica_id).batch <= start_limit(replica_use(slots, replica_id)):
+            if slots.load_tracker.own(replica_id).batch <= start_limit(
+                replica_use(slots, replica_id)
+            ):
                 self._cancel_run(run, "late, and another item can be done in time", 1)
                 return
 
@@ -213,8 +215,8 @@
     ) -> None:
         state.running = True
         now = self._deps.clock.now()
-        self._deps.book.on_sent(replica.id, True, now)
-        self._deps.uses_changed()
+        self._deps.load_tracker.on_sent(replica.id, True, now)
+        self._deps.on_uses_changed()
         events.emit(
             events.ITEM_STARTED,
             job=job.job_id,
@@ -222,8 +224,8 @@
             replica=replica.id,
             after=state.last_event,
             left_ms=_left_ms(job, self._deps.clock),
-            online=self._deps.book.online_at(replica.id),
-            batch=self._deps.book.batch_at(replica.id),
+            online=self._deps.load_tracker.online_at(replica.id),
+            batch=self._deps.load_tracker.batch_at(replica.id),
             part=has_share,
         )
         task = Deferred.fromCoroutine(self._run(job, route, state, replica))
@@ -244,8 +246,8 @@
             state.running = False
             now = self._deps.clock.now()
             state.ran_ms += now - began_ms
-            self._deps.book.on_done(replica.id, True, now)
-            self._deps.uses_changed()
+            self._deps.load_tracker.on_done(replica.id, True, now)
+            self._deps.on_uses_changed()
         if sent is not None:
             fingerprint_of = partial(self._fingerprint, job, state)
             self._deps.crashes.sent(state.item.id, fingerprint_of, replica, sent, began_ms)
@@ -256,13 +258,13 @@
         headers = Headers({name: [value] for name, value in state.item.headers.items()})
         headers.setRawHeaders(b"Host", [job.record.host.encode()])
         headers.setRawHeaders(self._deps.request_id, [state.item.id.encode()])
-        named = self._deps.of_team(headers, job.record.team)
+        named = self._deps.with_team(headers, job.record.team)
         return RawCall(
             state.item.id,
             "POST",
             state.item.path,
-            self._deps.head(named, replica, None, state.last_event),
-            self._deps.body(state.item),
+            self._deps.make_headers(named, replica, None, state.last_event),
+            self._deps.decode_body(state.item),
             self._deps.clock.now() + MAX_RUN_MS,
             fresh=False,
             stream=True,
@@ -271,7 +273,7 @@
     def _fingerprint(self, job: OwnedJob, state: ItemState) -> str:
         """Return an item's request fingerprint; cached, as every round needs that of each item."""
         if not state.fingerprint:
-            body = self._deps.body(state.item)
+            body = self._deps.decode_body(state.item)
             record = job.record
             state.fingerprint = name_work("POST", record.host, state.item.path, body, record.team)
         return state.fingerprint
@@ -333,7 +335,7 @@
                 left_ms=_left_ms(job, self._deps.clock),
             )
             job.last_progress_ms = now
-            job.finish(state.item.id, ItemEnd.DONE)
+            job.finish(state.item.id, ItemOutcome.DONE)
             self._on_result(job)
             return
         state.failures += 1
@@ -346,7 +348,7 @@
                 status=answer.status,
                 failures=state.failures,
             )
-            job.finish(state.item.id, ItemEnd.GIVEN_UP)
+            job.finish(state.item.id, ItemOutcome.GIVEN_UP)
             self._on_result(job)
             return
         self._log_retry(job, state, replica, f"status {answer.status}")
@@ -364,7 +366,12 @@
     def _slot_snapshot(self) -> SlotSnapshot:
         deps = self._deps
         return SlotSnapshot(
-            deps.rand, deps.me, deps.book, deps.outliers, deps.sharing(), deps.hidden()
+            deps.rand,
+            deps.instance_id,
+            deps.load_tracker,
+            deps.outliers,
+            deps.sharing(),
+            deps.unreachable(),
         )
 
     def _yield_slots(self, slots: SlotSnapshot) -> None:
--- a/papayapier/jobs/looks.py
+++ b/papayapier/jobs/takeover.py
@@ -17,7 +17,7 @@
 
 
 class LookDeps(NamedTuple):
-    """Group the dependencies of JobLooks.
+    """Group the dependencies of JobTakeover.
 
     open holds the records of jobs that are not closed, owned the jobs that run here and closed the
     ids of closed jobs. owners computes the owner of a job. has_free_slot returns whether an item of
@@ -35,7 +35,7 @@
     on_change: Callable[[], None]
 
 
-class JobLooks:
+class JobTakeover:
     """Track the jobs that run on an instance other than their owner."""
 
     def __init__(self, deps: LookDeps) -> None:
@@ -63,7 +63,7 @@
         """Drop the state of a closed job."""
         self._handovers.forget(job_id)
 
-    def asks(self) -> dict[str, list[str]]:
+    def due_checks(self) -> dict[str, list[str]]:
         """Return which jobs to check now, by the owner to which the request goes."""
         deps = self._deps
         if self._stopping or not deps.open:
@@ -81,14 +81,14 @@
             owned, lambda job_id: owners.eligible(deps.open[job_id]), deps.clock.now()
         )
 
-    def taken_of(self, job_ids: Sequence[str]) -> list[str]:
+    def taken_over(self, job_ids: Sequence[str]) -> list[str]:
         """Return which of the given jobs this instance runs in place of their owners."""
         return [job_id for job_id in job_ids if self._orphans.taken(job_id)]
 
-    def on_said(self, owner_id: str, asked: Sequence[str], answer: Answered | None) -> None:
+    def on_check_reply(self, owner_id: str, asked: Sequence[str], answer: Answered | None) -> None:
         """Handle an owner's reply about its jobs, or None for no reply; take over orphaned jobs."""
         now = self._deps.clock.now()
-        taken_before = self.taken_of(asked)
+        taken_before = self.taken_over(asked)
         if answer is None:
             taken = self._orphans.on_silence(asked, now)
         else:
@@ -96,10 +96,12 @@
         reason = "silent" if answer is None else "denied"
         for job_id in taken:
             events.emit(events.RUN_ADOPTED, job=job_id, owner=owner_id, reason=reason)
-        if self.taken_of(asked) != taken_before:
+        if self.taken_over(asked) != taken_before:
             self._deps.on_change()
 
-    def on_asked(self, peer_id: str, job_ids: Sequence[str], taken: Collection[str]) -> Answered:
+    def on_check_request(
+        self, peer_id: str, job_ids: Sequence[str], taken: Collection[str]
+    ) -> Answered:
         """Return the reply to a peer that checks jobs of this instance.
 
         taken are the jobs that the peer runs. It keeps those that are not running here or have
@@ -118,7 +120,7 @@
         closed = frozenset(self._deps.closed).intersection(job_ids)
         return Answered(frozenset(here | elsewhere), closed)
 
-    def offers(self) -> dict[str, list[str]]:
+    def due_offers(self) -> dict[str, list[str]]:
         """Return which stalled jobs to offer now, by the peer to which the offer goes."""
         deps = self._deps
         stalled = [
@@ -137,13 +139,13 @@
                 offered.setdefault(peer_id, []).extend(job_ids[:OFFERED_MOST])
         return offered
 
-    def wanted_of(self, job_ids: Sequence[str]) -> str | None:
+    def choose_offered(self, job_ids: Sequence[str]) -> str | None:
         """Return the first of the offered jobs that could be started here."""
         if self._stopping:
             return None
         return next((job_id for job_id in job_ids if self._can_start(job_id)), None)
 
-    def on_claimed(self, owner_id: str, job_id: str, answer: Answered) -> None:
+    def on_claim_reply(self, owner_id: str, job_id: str, answer: Answered) -> None:
         """Handle an owner's reply to the claim of an offered job; run the job if it is free."""
         if job_id in answer.runs or job_id in answer.over or job_id not in self._deps.open:
             return
@@ -161,7 +163,7 @@
 
     def _give_back(self) -> None:
         """Return to their owners the jobs that were taken over and have stalled here too."""
-        stalled = [key for key in self.taken_of(list(self._deps.owned)) if self._is_stalled(key)]
+        stalled = [key for key in self.taken_over(list(self._deps.owned)) if self._is_stalled(key)]
         for job_id in stalled:
             self._orphans.give_back(job_id, self._deps.clock.now())
         if stalled:
--- a/papayapier/node/base.py
+++ b/papayapier/node/base.py
@@ -10,7 +10,7 @@
 from papayapier.clock import Clock
 from papayapier.config.routing_book import RoutingBook
 from papayapier.dispatch.crash_watch import CrashWatch
-from papayapier.jobs.news import GroupsTold
+from papayapier.jobs.notifications import SentNotifications
 from papayapier.metrics import Metrics, make_metrics
 from papayapier.node.large_fleet import LargeFleet
 from papayapier.node.mirrors import MirrorDeps, StoreSource, serve_mirrors, with_hub_mirrors
@@ -77,7 +77,7 @@
     crashes: CrashWatch
     routing: RoutingBook
     replicas: ReplicaList
-    group_notifications: GroupsTold
+    group_notifications: SentNotifications
     outage_tracker: OutageTracker
     nodes: NodeList
     hub: PeerHub
@@ -110,7 +110,7 @@
     load_tracker = LoadBook()
     outliers = Outliers()
     routing = RoutingBook(CONFIG_KEY, read_configuration)
-    group_notifications = GroupsTold()
+    group_notifications = SentNotifications()
     boot = rand.getrandbits(BOOT_BITS)
 
     def make_heartbeat() -> Heartbeat:
@@ -123,9 +123,9 @@
         if hub.plan().full_mesh:
             return message
         if cfg.instance.id not in hub.plan().hubs:
-            return message._replace(words=group_notifications.last(now))
+            return message._replace(words=group_notifications.recent(now))
         totals = totals_of(load_tracker, fleet.hubs(), cfg.instance.id)
-        return message._replace(totals=totals, words=group_notifications.last(now))
+        return message._replace(totals=totals, words=group_notifications.recent(now))
 
     def on_replicas(listed: list[ListedReplica]) -> None:
         replicas = [entry.replica for entry in listed]
--- a/papayapier/node/entry.py
+++ b/papayapier/node/entry.py
@@ -22,9 +22,9 @@
 from papayapier.entry.raw_refusals import RefusalDeps, refuse_raw
 from papayapier.entry.unread import UnreadWatch
 from papayapier.errors import ErrorKind, Refusal, not_run
-from papayapier.jobs.desk import DeskDeps, JobDesk
-from papayapier.jobs.news import GroupsHeard
-from papayapier.jobs.owners import able_now
+from papayapier.jobs.job_service import JobService, JobServiceDeps
+from papayapier.jobs.notifications import ReceivedNotifications
+from papayapier.jobs.owners import eligible_instances
 from papayapier.jobs.records import JobRecord
 from papayapier.listen import BODY_BYTES, Listening, adopt, listen_resource, make_body_limit
 from papayapier.node.allowances import AllowanceDeps, make_allow
@@ -224,36 +224,36 @@
 def _routes(
     base: NodeBase, forward: ForwardDeps, queue: StartQueue, readiness: _Readiness
 ) -> ForwardRoutes:
-    notifications = GroupsHeard(lambda: base.nodes.with_role(Role.KEEPER), base.hub.live)
+    notifications = ReceivedNotifications(lambda: base.nodes.with_role(Role.KEEPER), base.hub.live)
 
     def keepers() -> frozenset[str]:
         return base.nodes.with_role(Role.KEEPER) & frozenset(base.hub.live())
 
     def able_keepers(record: JobRecord, running: Sequence[str]) -> Collection[str]:
-        return able_now(base.load_tracker, base.routing.table(), running, record)
+        return eligible_instances(base.load_tracker, base.routing.table(), running, record)
 
     keeping = KeepingDeps(base.hub, keepers, base.cfg.jobs.copies(), able_keepers)
-    job_service = JobDesk(
-        DeskDeps(
+    job_service = JobService(
+        JobServiceDeps(
             base.clock,
             base.rand,
             base.view(Priority.CLAIM),
             notifications,
-            keep=partial(keep, keeping),
-            store_away=lambda: base.budget.down_since() is not None,
-            settled=partial(_local_jobs_written, base, base.clock.now()),
-            elsewhere=make_job_reader(base.hub, base.clock, keepers),
+            replicate=partial(keep, keeping),
+            is_store_unavailable=lambda: base.budget.down_since() is not None,
+            is_store_complete=partial(_local_jobs_written, base, base.clock.now()),
+            read_remote=make_job_reader(base.hub, base.clock, keepers),
         )
     )
 
     def on_job_changed(peer_id: str, message: JobChanged) -> None:
-        notifications.on_word(peer_id, message.number)
-        job_service.on_groups(message.job_id, message.version)
+        notifications.on_notification(peer_id, message.number)
+        job_service.on_group_count(message.job_id, message.version)
 
     def on_heartbeat(peer_id: str, heartbeat: Heartbeat) -> None:
         notifications.on_heartbeat(peer_id, heartbeat, base.clock.now())
         for notification in heartbeat.words:
-            job_service.on_groups(notification.job_id, notification.groups)
+            job_service.on_group_count(notification.job_id, notification.groups)
 
     base.hub.subscribe(JobChanged, on_job_changed)
     base.hub.subscribe(Heartbeat, on_heartbeat)
--- a/papayapier/node/job_reading.py
+++ b/papayapier/node/job_reading.py
@@ -16,8 +16,8 @@
 from twisted.internet.defer import Deferred
 
 from papayapier.clock import Clock
-from papayapier.jobs.desk import JobDesk, Page
-from papayapier.jobs.records import ItemEnd, ItemResult
+from papayapier.jobs.job_service import JobService, ResultsPage
+from papayapier.jobs.records import ItemOutcome, ItemResult
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.messages import ResultsAsk, ResultsTell, ResultTold
 from papayapier.policy.rendezvous import score
@@ -30,14 +30,14 @@
 # Total length of the texts in one reply, far below the maximum frame; callers read again for more.
 MAX_ANSWER_CHARS: Final = 500_000
 
-Read = Callable[[str, int, int, str], Awaitable[Page | None]]
+Read = Callable[[str, int, int, str], Awaitable[ResultsPage | None]]
 
 
 def make_job_reader(hub: PeerHub, clock: Clock, keepers: Callable[[], Collection[str]]) -> Read:
     """Return the function that reads results through a live keeper; it returns None on failure."""
     skipped_until: dict[str, int] = {}
 
-    async def read(job_id: str, after: int, wait_ms: int, team: str) -> Page | None:
+    async def read(job_id: str, after: int, wait_ms: int, team: str) -> ResultsPage | None:
         if hub.plan().full_mesh:
             return None
         now = clock.now()
@@ -57,20 +57,20 @@
         if not isinstance(results_reply, ResultsTell) or not results_reply.known:
             return None
         results = [
-            ItemResult(result.id, ItemEnd(result.end), result.text)
+            ItemResult(result.id, ItemOutcome(result.end), result.text)
             for result in results_reply.results
         ]
-        return Page(results_reply.total, results)
+        return ResultsPage(results_reply.total, results)
 
     return read
 
 
-async def read_here(_job_id: str, _after: int, _wait_ms: int, _team: str) -> Page | None:
+async def read_here(_job_id: str, _after: int, _wait_ms: int, _team: str) -> ResultsPage | None:
     """Return None, so that results are read from the store directly."""
     return None
 
 
-def serve_reads(hub: PeerHub, job_service: JobDesk) -> None:
+def serve_reads(hub: PeerHub, job_service: JobService) -> None:
     """Answer entries that request results; a failed read is reported as unknown."""
 
     async def answer(peer_id: str, request: ResultsAsk) -> None:
--- a/papayapier/node/keeper.py
+++ b/papayapier/node/keeper.py
@@ -11,14 +11,14 @@
 from papayapier.clock import Clock
 from papayapier.config.teams import Team
 from papayapier.jobs import progress
-from papayapier.jobs.commits import Written
-from papayapier.jobs.desk import DeskDeps, JobDesk
+from papayapier.jobs.commits import WrittenGroup
 from papayapier.jobs.expiry import Expiry, ExpiryDeps
-from papayapier.jobs.news import GroupsHeard
-from papayapier.jobs.records import JOBS, JobRecord
+from papayapier.jobs.job_service import JobService, JobServiceDeps
+from papayapier.jobs.local_job_store import LocalJobStore, LocalJobStoreDeps
+from papayapier.jobs.notifications import ReceivedNotifications
+from papayapier.jobs.records import JOBS_PREFIX, JobRecord
 from papayapier.jobs.runner import JobRunner, RunnerDeps
 from papayapier.jobs.runs import RunDeps
-from papayapier.jobs.vault import Vault, VaultDeps
 from papayapier.node.allowances import GrantDeps, serve_allowances
 from papayapier.node.base import (
     FOLLOW_SLOWLY,
@@ -52,7 +52,7 @@
 class Keeper:
     """Hold a running keeper."""
 
-    def __init__(self, base: NodeBase, runner: JobRunner, local_jobs: Vault | None) -> None:
+    def __init__(self, base: NodeBase, runner: JobRunner, local_jobs: LocalJobStore | None) -> None:
         self._base = base
         self._runner = runner
         self._local_jobs = local_jobs
@@ -60,11 +60,11 @@
     async def leave(self) -> None:
         """Hand over the jobs, write finished results, and stop."""
         base = self._base
-        events.emit(events.PROCESS_LEAVING, running=self._runner.running())
+        events.emit(events.PROCESS_LEAVING, running=self._runner.running_count())
         self._runner.stop()
         base.drain.leave(base.clock.now())
         base.placer.leave()
-        while base.drain.tick(base.clock.now(), self._runner.unwritten()) != "stopped":
+        while base.drain.tick(base.clock.now(), self._runner.unwritten_count()) != "stopped":
             await base.clock.sleep(LEAVE_TICK_MS)
         self._runner.close()
         if self._local_jobs is not None:
@@ -88,15 +88,15 @@
         others = _other_live_keepers(base, reachability)
         return sorted(others if others and base.drain.state() != "serving" else {*others, me})
 
-    job_service = _make_read_service(base, lambda job_id: runner.record(job_id))
+    job_service = _make_read_service(base, lambda job_id: runner.stored_record(job_id))
     serve_reads(base.hub, job_service)
 
-    def publish_groups(job_id: str, groups: int, written: Written | None) -> None:
+    def publish_groups(job_id: str, groups: int, written: WrittenGroup | None) -> None:
         if written is not None:
-            job_service.on_written(job_id, written)
+            job_service.on_group_written(job_id, written)
         else:
-            job_service.on_groups(job_id, groups)
-        notification = base.group_notifications.word(job_id, groups, clock.now())
+            job_service.on_group_count(job_id, groups)
+        notification = base.group_notifications.next_notification(job_id, groups, clock.now())
         # In a large fleet the next heartbeats carry the notification, and readers wait at most half
         # a second for it: a broadcast for each group would be a tenth of all messages.
         if base.hub.plan().full_mesh:
@@ -105,18 +105,18 @@
     runs = RunDeps(
         clock=clock,
         rand=rand,
-        me=me,
-        book=base.load_tracker,
+        instance_id=me,
+        load_tracker=base.load_tracker,
         outliers=base.outliers,
         crashes=base.crashes,
         send=base.send,
-        head=headers.for_replica,
-        of_team=headers.of_team,
-        body=job_calls.item_body,
+        make_headers=headers.for_replica,
+        with_team=headers.of_team,
+        decode_body=job_calls.item_body,
         request_id=headers.REQUEST_ID,
         sharing=live_keepers,
-        hidden=lambda: base.hub.silent() & base.nodes.with_role(Role.KEEPER),
-        uses_changed=base.hub.uses_changed,
+        unreachable=lambda: base.hub.silent() & base.nodes.with_role(Role.KEEPER),
+        on_uses_changed=base.hub.uses_changed,
     )
     store = base.view(Priority.BULK)
     runner = JobRunner(
@@ -124,23 +124,25 @@
     )
     if cfg.jobs.folder:
         await _start_progress(base, runner)
-    base.hub.on_change(runner.review)
+    base.hub.on_change(runner.update_owned_jobs)
     base.hub.subscribe(
         Heartbeat, lambda peer, heartbeat: reachability.on_told(peer, heartbeat.unheard)
     )
     # A peer without open calls takes no slot; slots that it has freed are used in the next round.
     base.hub.subscribe(
-        Heartbeat, lambda _peer, heartbeat: runner.pump_soon() if heartbeat.uses else None
+        Heartbeat, lambda _peer, heartbeat: runner.schedule_round() if heartbeat.uses else None
     )
-    base.hub.subscribe(CallsTold, lambda _peer, _message: runner.pump_soon())
+    base.hub.subscribe(CallsTold, lambda _peer, _message: runner.schedule_round())
     follow_common(base, Role.KEEPER)
-    expiry = Expiry(ExpiryDeps(clock, base.view(Priority.BULK), cfg.jobs.keep_s, runner.has_closed))
+    expiry = Expiry(
+        ExpiryDeps(clock, base.view(Priority.BULK), cfg.jobs.keep_s, runner.owns_closed)
+    )
 
     def on_job(change: Change) -> None:
         runner.on_change(change)
         expiry.on_change(change)
 
-    follow(base, JOBS, on_job, FOLLOW_SOON)
+    follow(base, JOBS_PREFIX, on_job, FOLLOW_SOON)
     expiry_task = Deferred.fromCoroutine(expiry.run())
     expiry_task.addErrback(report_failure, "expiry")
     base.tasks.append(expiry_task)
@@ -150,8 +152,8 @@
     runner.start()
     _serve_allowances(base)
     _mark_lost_keepers(base)
-    serve_run_requests(base.hub, runner.looks)
-    orphan_search = Deferred.fromCoroutine(recover_orphans(base.hub, clock, runner.looks))
+    serve_run_requests(base.hub, runner.takeover)
+    orphan_search = Deferred.fromCoroutine(recover_orphans(base.hub, clock, runner.takeover))
     orphan_search.addErrback(report_failure, "orphans")
     base.tasks.append(orphan_search)
     events.emit(events.PROCESS_STARTED, instance=me, role=Role.KEEPER.value)
@@ -210,7 +212,7 @@
     return live
 
 
-def _make_read_service(base: NodeBase, known: Callable[[str], JobRecord | None]) -> JobDesk:
+def _make_read_service(base: NodeBase, known: Callable[[str], JobRecord | None]) -> JobService:
     """Build the job service that entries of a large fleet read from.
 
     It accepts no jobs: they are submitted at entries only.
@@ -219,18 +221,18 @@
     async def store_nothing(_job_id: str, _value: bytes) -> Copies:
         return NOT_ASKED
 
-    notifications = GroupsHeard(lambda: base.nodes.with_role(Role.KEEPER), base.hub.live)
-    return JobDesk(
-        DeskDeps(
+    notifications = ReceivedNotifications(lambda: base.nodes.with_role(Role.KEEPER), base.hub.live)
+    return JobService(
+        JobServiceDeps(
             base.clock,
             base.rand,
             base.view(Priority.CLAIM),
             notifications,
-            keep=store_nothing,
-            store_away=lambda: base.budget.down_since() is not None,
-            settled=lambda: False,
-            elsewhere=read_here,
-            known=known,
+            replicate=store_nothing,
+            is_store_unavailable=lambda: base.budget.down_since() is not None,
+            is_store_complete=lambda: False,
+            read_remote=read_here,
+            known_record=known,
         )
     )
 
@@ -241,19 +243,19 @@
     deps = progress.SaverDeps(
         base.clock, folder, run_in_threads(base.reactor), runner.progress, base.crashes.snapshot
     )
-    snapshot = await progress.load_soon(deps)
-    runner.recall(snapshot.items)
+    snapshot = await progress.load_with_timeout(deps)
+    runner.restore_progress(snapshot.items)
     base.loss_notifications.recall(snapshot.losses)
     saving = Deferred.fromCoroutine(progress.save_regularly(deps, snapshot.number))
     saving.addErrback(report_failure, "progress")
     base.tasks.append(saving)
 
 
-def _start_local_jobs(base: NodeBase, runner: JobRunner) -> Vault:
+def _start_local_jobs(base: NodeBase, runner: JobRunner) -> LocalJobStore:
     """Start to store jobs locally for entries, beginning with those left by an earlier run."""
     cfg = base.cfg
-    local_jobs = Vault(
-        VaultDeps(
+    local_jobs = LocalJobStore(
+        LocalJobStoreDeps(
             base.clock,
             base.rand,
             base.view(Priority.CLAIM),
@@ -261,7 +263,7 @@
             cfg.jobs.keep_s,
             cfg.store.longest_pause_ms,
             run_in_threads(base.reactor),
-            runner.on_held,
+            runner.on_stored_locally,
         )
     )
     serve_keeping(base.hub, local_jobs)
--- a/papayapier/node/keeping.py
+++ b/papayapier/node/keeping.py
@@ -11,9 +11,9 @@
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.failure import Failure
 
-from papayapier.jobs.kept_files import KeptJob
+from papayapier.jobs.job_files import LocalJob
+from papayapier.jobs.local_job_store import LocalJobStore
 from papayapier.jobs.records import JobRecord, read_record
-from papayapier.jobs.vault import Vault
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.messages import KeepAsk, KeepTell
 from papayapier.policy.job_keeping import NOT_ASKED, Copies, holders
@@ -80,11 +80,11 @@
             self.done.callback(Copies(enough, maybe_held=True, held=self.stored))
 
 
-def serve_keeping(hub: PeerHub, local_jobs: Vault) -> None:
+def serve_keeping(hub: PeerHub, local_jobs: LocalJobStore) -> None:
     """Answer entries that request to store a job on this keeper's disk."""
 
     def on_request(peer_id: str, request: KeepAsk) -> None:
-        done = Deferred.fromCoroutine(local_jobs.keep(KeptJob(request.job_id, request.value)))
+        done = Deferred.fromCoroutine(local_jobs.store(LocalJob(request.job_id, request.value)))
         done.addCallback(lambda kept: hub.tell(peer_id, KeepTell(request.ask_id, kept)))
         done.addErrback(report_failure, "keep")
 
--- a/papayapier/node/orphans.py
+++ b/papayapier/node/orphans.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred
 
 from papayapier.clock import Clock
-from papayapier.jobs.looks import JobLooks
+from papayapier.jobs.takeover import JobTakeover
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.run_messages import RunsAsk, RunsOffer, RunsTell
 from papayapier.policy.orphans import Answered
@@ -18,15 +18,15 @@
 ANSWER_MS: Final = 400
 
 
-def serve_run_requests(hub: PeerHub, job_checks: JobLooks) -> None:
+def serve_run_requests(hub: PeerHub, job_checks: JobTakeover) -> None:
     """Answer peers which jobs this instance runs, and claim one of the jobs that they offer."""
 
     def on_request(peer_id: str, request: RunsAsk) -> None:
-        status = job_checks.on_asked(peer_id, request.job_ids, request.taken)
+        status = job_checks.on_check_request(peer_id, request.job_ids, request.taken)
         hub.tell(peer_id, RunsTell(request.ask_id, tuple(status.runs), tuple(status.over)))
 
     def on_offer(peer_id: str, offer: RunsOffer) -> None:
-        job_id = job_checks.wanted_of(offer.job_ids)
+        job_id = job_checks.choose_offered(offer.job_ids)
         if job_id is not None:
             task = Deferred.fromCoroutine(_claim(hub, job_checks, peer_id, job_id))
             task.addErrback(report_failure, "offered jobs")
@@ -35,28 +35,28 @@
     hub.subscribe(RunsOffer, on_offer)
 
 
-async def recover_orphans(hub: PeerHub, clock: Clock, job_checks: JobLooks) -> None:
+async def recover_orphans(hub: PeerHub, clock: Clock, job_checks: JobTakeover) -> None:
     """Check periodically for jobs that nobody runs, for as long as this instance runs."""
     while True:
         await clock.sleep(CHECK_INTERVAL_MS)
-        for owner, job_ids in job_checks.asks().items():
+        for owner, job_ids in job_checks.due_checks().items():
             task = Deferred.fromCoroutine(_check_owner(hub, job_checks, owner, tuple(job_ids)))
             task.addErrback(report_failure, "orphans")
-        for peer_id, job_ids in job_checks.offers().items():
+        for peer_id, job_ids in job_checks.due_offers().items():
             hub.tell(peer_id, RunsOffer(tuple(job_ids)))
 
 
 async def _check_owner(
-    hub: PeerHub, job_checks: JobLooks, owner: str, job_ids: Sequence[str]
+    hub: PeerHub, job_checks: JobTakeover, owner: str, job_ids: Sequence[str]
 ) -> None:
-    answer = await _request_runs(hub, owner, job_ids, job_checks.taken_of(job_ids))
-    job_checks.on_said(owner, job_ids, answer)
+    answer = await _request_runs(hub, owner, job_ids, job_checks.taken_over(job_ids))
+    job_checks.on_check_reply(owner, job_ids, answer)
 
 
-async def _claim(hub: PeerHub, job_checks: JobLooks, owner: str, job_id: str) -> None:
+async def _claim(hub: PeerHub, job_checks: JobTakeover, owner: str, job_id: str) -> None:
     answer = await _request_runs(hub, owner, (job_id,), (job_id,))
     if answer is not None:
-        job_checks.on_claimed(owner, job_id, answer)
+        job_checks.on_claim_reply(owner, job_id, answer)
 
 
 async def _request_runs(
--- a/papayapier/node/retirement.py
+++ b/papayapier/node/retirement.py
@@ -10,8 +10,8 @@
 from twisted.internet.defer import Deferred
 
 from papayapier import events
+from papayapier.jobs.local_job_store import LocalJobStore
 from papayapier.jobs.runner import JobRunner
-from papayapier.jobs.vault import Vault
 from papayapier.node.base import NodeBase
 from papayapier.platform.retirements import RETIREMENTS_PREFIX, Stage, status_key, write_stage
 from papayapier.store.api import Change
@@ -25,7 +25,7 @@
 class Retirement:
     """Retire this process, at most once."""
 
-    def __init__(self, base: NodeBase, runner: JobRunner, local_jobs: Vault | None) -> None:
+    def __init__(self, base: NodeBase, runner: JobRunner, local_jobs: LocalJobStore | None) -> None:
         self._base = base
         self._runner = runner
         self._local_jobs = local_jobs
@@ -43,20 +43,22 @@
 
     async def _retire(self, node_id: str) -> None:
         base = self._base
-        events.emit(events.RETIRING, instance=node_id, running=self._runner.running())
+        events.emit(events.RETIRING, instance=node_id, running=self._runner.running_count())
         # Runs stop first: the shares of the replicas are then computed for the remaining keepers.
         self._runner.stop()
         if self._local_jobs is not None:
-            self._local_jobs.refuse()
+            self._local_jobs.stop_accepting()
         base.drain.leave(base.clock.now())
         await self._write_status(node_id, Stage.UNDER_WAY)
-        while self._runner.unwritten() or self._runner.running() or self._has_local_jobs():
+        while (
+            self._runner.unwritten_count() or self._runner.running_count() or self._has_local_jobs()
+        ):
             await base.clock.sleep(CHECK_MS)
         await self._write_status(node_id, Stage.DONE)
         events.emit(events.RETIRED, instance=node_id)
 
     def _has_local_jobs(self) -> bool:
-        return self._local_jobs is not None and self._local_jobs.pending() > 0
+        return self._local_jobs is not None and self._local_jobs.pending_count() > 0
 
     async def _write_status(self, node_id: str, stage: Stage) -> None:
         store = self._base.view(Priority.CONFIG)
--- a/papayapier/platform/job_calls.py
+++ b/papayapier/platform/job_calls.py
@@ -10,8 +10,8 @@
 
 from papayapier.entry.job_routes import Answer
 from papayapier.errors import Refusal
-from papayapier.jobs.desk import JobDesk, Page
-from papayapier.jobs.records import ItemEnd, ItemResult, JobItem
+from papayapier.jobs.job_service import JobService, ResultsPage
+from papayapier.jobs.records import ItemOutcome, ItemResult, JobItem
 from papayapier.platform.headers import WAIT_MS
 
 # At most 1 MB of results in one answer.
@@ -19,7 +19,7 @@
 MAX_ITEMS: Final = 200
 _READ: Final = "/v1/lots/"
 _BODY: Final = "/v1/items/"
-_ENDS: Final = {ItemEnd.DONE: "completed", ItemEnd.GIVEN_UP: "dead_lettered"}
+_ENDS: Final = {ItemOutcome.DONE: "completed", ItemOutcome.GIVEN_UP: "dead_lettered"}
 
 
 class _Item(TypedDict):
@@ -102,7 +102,7 @@
     return base64.b64decode(item.body)
 
 
-def write_page(page: Page, after: int) -> bytes:
+def write_page(page: ResultsPage, after: int) -> bytes:
     """Encode results; a long list is truncated, and the caller requests the rest."""
     returned: list[dict[str, str]] = []
     size = 0
@@ -132,7 +132,7 @@
 
 
 def perform(
-    job_service: JobDesk, request: Any, call: JobCall, team: str, due_ms: int
+    job_service: JobService, request: Any, call: JobCall, team: str, due_ms: int
 ) -> Awaitable[Result[Answer, Refusal]]:
     """Run a call on a job for a team."""
     if isinstance(call, EndCall):
@@ -144,18 +144,18 @@
 
 
 async def _end(
-    job_service: JobDesk, call: EndCall, team: str, due_ms: int
+    job_service: JobService, call: EndCall, team: str, due_ms: int
 ) -> Result[Answer, Refusal]:
     return (await job_service.end(call.job_id, due_ms, team)).map(lambda _: Answer(b"{}"))
 
 
-async def _body(job_service: JobDesk, call: BodyCall, team: str) -> Result[Answer, Refusal]:
+async def _body(job_service: JobService, call: BodyCall, team: str) -> Result[Answer, Refusal]:
     found = await job_service.item(call.job_id, call.item_id, team)
     return found.map(lambda item: Answer(item_body(item), b"application/octet-stream"))
 
 
 async def _results(
-    job_service: JobDesk, call: ReadCall, team: str, wait_ms: int
+    job_service: JobService, call: ReadCall, team: str, wait_ms: int
 ) -> Result[Answer, Refusal]:
     page = await job_service.results(call.job_id, call.after, wait_ms, team)
     return page.map(lambda found: Answer(write_page(found, call.after)))
--- a/tests/claims_simulation.py
+++ b/tests/claims_simulation.py
@@ -9,7 +9,7 @@
 from twisted.internet.defer import Deferred
 
 from papayapier import invariants
-from papayapier.claims.api import Begun, New, QueryWriter
+from papayapier.claims.api import BeginResult, New, QueryWriter
 from papayapier.claims.records import SavedAnswer
 from papayapier.claims.service import ClaimDeps, Claims
 from papayapier.clock import MS_PER_S, FakeClock, fake_clock
@@ -87,7 +87,7 @@
     instance: Instance
     key: str
     content: bytes
-    result: list[Begun]
+    result: list[BeginResult]
 
 
 class Fleet:
@@ -142,7 +142,9 @@
         Deferred.fromCoroutine(run())
         return delivery
 
-    def begin(self, name: str, key: str, content: bytes = b"c", due_in_ms: int = 1_000) -> Begun:
+    def begin(
+        self, name: str, key: str, content: bytes = b"c", due_in_ms: int = 1_000
+    ) -> BeginResult:
         """Send a request and advance the clock until begin() has returned."""
         return self.settled(self.deliver(name, key, content, due_in_ms)).result[0]
 
--- a/tests/jobs_run_world.py
+++ b/tests/jobs_run_world.py
@@ -67,18 +67,18 @@
         self.deps = deps = RunDeps(
             clock=self.time.clock,
             rand=random.Random(1),
-            me="a",
-            book=self.book,
+            instance_id="a",
+            load_tracker=self.book,
             outliers=self.outliers,
             crashes=self.crashes,
             send=self._send,
-            head=lambda headers, _replica, _left, _last: headers,
-            of_team=lambda headers, team: self.of_team(headers, team),
-            body=lambda _item: b"",
+            make_headers=lambda headers, _replica, _left, _last: headers,
+            with_team=lambda headers, team: self.of_team(headers, team),
+            decode_body=lambda _item: b"",
             request_id=b"X-Request-Id",
             sharing=lambda: ["a"],
-            hidden=lambda: (),
-            uses_changed=lambda: None,
+            unreachable=lambda: (),
+            on_uses_changed=lambda: None,
         )
         self.runs = Runs(deps, lambda job: self.done.append(job.job_id), lambda: None)
 
--- a/tests/jobs_world.py
+++ b/tests/jobs_world.py
@@ -1,4 +1,4 @@
-"""Run JobDesk and commits against an in-memory store, on a fake clock."""
+"""Run JobService and commits against an in-memory store, on a fake clock."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -8,10 +8,10 @@
 from twisted.internet.defer import Deferred
 
 from papayapier.clock import fake_clock
-from papayapier.jobs.desk import DeskDeps, JobDesk
-from papayapier.jobs.news import GroupsHeard
+from papayapier.jobs.job_service import JobService, JobServiceDeps
+from papayapier.jobs.notifications import ReceivedNotifications
 from papayapier.jobs.records import (
-    ItemEnd,
+    ItemOutcome,
     ItemResult,
     JobItem,
     JobRecord,
@@ -42,7 +42,7 @@
 
 def group(*names: str) -> ResultGroup:
     """Make a group of results with the given item ids."""
-    return ResultGroup("-".join(names), tuple(ItemResult(n, ItemEnd.DONE, n) for n in names))
+    return ResultGroup("-".join(names), tuple(ItemResult(n, ItemOutcome.DONE, n) for n in names))
 
 
 class MemoryStore:
@@ -129,8 +129,8 @@
         return Store(get, create, update, delete, list_, unused, unused, unused, unused)
 
 
-class DeskWorld:
-    """Hold one JobDesk and its store."""
+class JobServiceWorld:
+    """Hold one JobService and its store."""
 
     def __init__(self, memory: MemoryStore | None = None) -> None:
         self.time = fake_clock()
@@ -138,17 +138,17 @@
         self.writers: list[str] = []
         self.settled = True
         self.copies = NOT_ASKED
-        self.heard = GroupsHeard(lambda: self.writers, list)
-        self.desk = JobDesk(
-            DeskDeps(
+        self.heard = ReceivedNotifications(lambda: self.writers, list)
+        self.service = JobService(
+            JobServiceDeps(
                 self.time.clock,
                 random.Random(1),
                 self.memory.store(),
                 self.heard,
                 self._keep,
-                store_away=lambda: False,
-                settled=lambda: self.settled,
-                elsewhere=read_here,
+                is_store_unavailable=lambda: False,
+                is_store_complete=lambda: self.settled,
+                read_remote=read_here,
             )
         )
 
--- a/tests/keepers_world.py
+++ b/tests/keepers_world.py
@@ -14,7 +14,7 @@
 
 from papayapier.clock import fake_clock
 from papayapier.dispatch.crash_watch import CrashWatch
-from papayapier.jobs.news import GroupsTold
+from papayapier.jobs.notifications import SentNotifications
 from papayapier.jobs.records import encode, group_key, job_key, read_group
 from papayapier.jobs.runner import JobRunner, RunnerDeps
 from papayapier.jobs.runs import RunDeps
@@ -105,23 +105,27 @@
         deps = RunDeps(
             clock=world.time.clock,
             rand=random.Random(name),
-            me=name,
-            book=self.load_tracker,
+            instance_id=name,
+            load_tracker=self.load_tracker,
             outliers=self.outliers,
             crashes=crashes,
             send=partial(world.send, name),
-            head=lambda headers, _replica, _left, _last: headers,
-            of_team=lambda headers, _team: headers,
-            body=lambda _item: b"",
+            make_headers=lambda headers, _replica, _left, _last: headers,
+            with_team=lambda headers, _team: headers,
+            decode_body=lambda _item: b"",
             request_id=b"X-Request-Id",
             sharing=lambda: world.live,
-            hidden=lambda: (),
-            uses_changed=partial(world.on_uses, name),
+            unreachable=lambda: (),
+            on_uses_changed=partial(world.on_uses, name),
         )
         table = cast(Any, _Table())
         self.runner = JobRunner(
             RunnerDeps(
-                deps, world.memory.store(), lambda: table, lambda _j, _g, _w: None, GroupsTold()
+                deps,
+                world.memory.store(),
+                lambda: table,
+                lambda _j, _g, _w: None,
+                SentNotifications(),
             )
         )
 
@@ -129,9 +133,9 @@
         """Start to run jobs and to check for orphaned jobs of others."""
         self.runner.start()
         hub = cast(PeerHub, self.hub)
-        serve_run_requests(hub, self.runner.looks)
+        serve_run_requests(hub, self.runner.takeover)
         self._orphan_search = Deferred.fromCoroutine(
-            recover_orphans(hub, self._clock, self.runner.looks)
+            recover_orphans(hub, self._clock, self.runner.takeover)
         )
 
     def close(self) -> None:
@@ -186,7 +190,7 @@
         self.keepers.pop(name).close()
         for keeper in self.keepers.values():
             keeper.load_tracker.on_peer_gone(name)
-            keeper.runner.review()
+            keeper.runner.update_owned_jobs()
 
     def submit(self, job_id: str, items: int) -> None:
         """Accept a job and give its record to every keeper."""
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -10,7 +10,7 @@
 from twisted.internet.defer import CancelledError, Deferred
 
 from papayapier import codec, events, invariants
-from papayapier.claims.api import Begun, New
+from papayapier.claims.api import BeginResult, New
 from papayapier.claims.records import SavedAnswer
 from papayapier.claims.service import Claims
 from papayapier.config.profiles import CallerLimits
@@ -370,7 +370,7 @@
         def __init__(self) -> None:
             """Skip the base class, which needs a store."""
 
-        async def begin(self, caller: str, key: str, content: bytes, due_ms: int) -> Begun:
+        async def begin(self, caller: str, key: str, content: bytes, due_ms: int) -> BeginResult:
             return Ok(New(b"t"))
 
         def finish(self, token: bytes, answer: SavedAnswer) -> None:
--- a/tests/test_job_reading.py
+++ b/tests/test_job_reading.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 from twisted.internet.defer import Deferred
 
-from papayapier.jobs.desk import Page
+from papayapier.jobs.job_service import ResultsPage
 from papayapier.node.job_reading import (
     MAX_ANSWER_CHARS,
     SKIP_SILENT_MS,
@@ -18,7 +18,7 @@
 from papayapier.peer.questions import PeerError
 from papayapier.peer.topology import Plan
 from papayapier.store.api import StoreError
-from tests.jobs_world import JOB, DeskWorld, MemoryStore
+from tests.jobs_world import JOB, JobServiceWorld, MemoryStore
 
 KEEPERS = ["keeper-1", "keeper-2", "keeper-3"]
 
@@ -27,7 +27,7 @@
     """Carry requests of entries to the job services of keepers."""
 
     def __init__(self, memory: MemoryStore) -> None:
-        self.desks = {name: DeskWorld(memory) for name in KEEPERS}
+        self.desks = {name: JobServiceWorld(memory) for name in KEEPERS}
         self.handlers: dict[str, Callable[[str, Any], None]] = {}
         self.silent: set[str] = set()
         self.requested: list[str] = []
@@ -35,7 +35,7 @@
         self._reply: Deferred[Message] | None = None
         for name, world in self.desks.items():
             self._name = name
-            serve_reads(cast(Any, self), world.desk)
+            serve_reads(cast(Any, self), world.service)
 
     def plan(self) -> Plan:
         return Plan(frozenset(), False, self.full_mesh)
@@ -59,16 +59,16 @@
         return Ok(await self._reply)
 
 
-class Entry(DeskWorld):
+class Entry(JobServiceWorld):
     """An entry that reads through the keepers of a network."""
 
     def __init__(self, net: Net, memory: MemoryStore) -> None:
         super().__init__(memory)
         read = make_job_reader(cast(Any, net), self.time.clock, lambda: KEEPERS)
-        self.desk._deps = self.desk._deps._replace(elsewhere=read)
+        self.service._deps = self.service._deps._replace(read_remote=read)
 
-    def read(self, after: int = 0) -> Page:
-        return self.begin(self.desk.results(JOB, after, 0)).end().unwrap()
+    def read(self, after: int = 0) -> ResultsPage:
+        return self.begin(self.service.results(JOB, after, 0)).end().unwrap()
 
 
 def test_reads_at_many_entries_cause_one_poll() -> None:
@@ -153,7 +153,7 @@
     net.tell = lambda _peer, message: replies.append(message) or True  # type: ignore[method-assign,func-returns-value]
     long = MAX_ANSWER_CHARS // 2 + 1
     name = net.requested[0]
-    view = net.desks[name].desk._views[JOB]
+    view = net.desks[name].service._views[JOB]
     view.results = [result._replace(text="x" * long) for result in view.results]
     net.handlers[name]("entry", ResultsAsk(1, JOB, 0, 0))
     assert isinstance(replies[0], ResultsTell)
--- a/tests/test_job_service.py
+++ b/tests/test_job_service.py
@@ -4,11 +4,11 @@
 from result import Err, Ok
 
 from papayapier.errors import ErrorKind, Outcome
-from papayapier.jobs.commits import Written
-from papayapier.jobs.desk import READ_VALID_MS
+from papayapier.jobs.commits import WrittenGroup
+from papayapier.jobs.job_service import READ_VALID_MS
 from papayapier.jobs.records import ItemResult, groups_prefix, job_key, read_record
 from papayapier.store.api import StoreError
-from tests.jobs_world import JOB, DeskWorld, MemoryStore, group, item
+from tests.jobs_world import JOB, JobServiceWorld, MemoryStore, group, item
 
 ITEMS = (item("a"), item("b"))
 
@@ -18,10 +18,10 @@
 
 
 def test_a_job_resubmitted_to_another_instance_is_accepted_and_stored_once() -> None:
-    first = DeskWorld()
-    other = DeskWorld(first.memory)
+    first = JobServiceWorld()
+    other = JobServiceWorld(first.memory)
     for world in (first, other, first):
-        submitted = world.begin(world.desk.submit(JOB, "h", "/j", ITEMS, 1_000))
+        submitted = world.begin(world.service.submit(JOB, "h", "/j", ITEMS, 1_000))
         assert submitted.end() == Ok(None)
     assert [key for key in first.memory.objects if key.startswith("papayapier-jobs")] == [
         job_key(JOB)
@@ -29,21 +29,21 @@
 
 
 def test_a_lost_write_that_took_effect_is_accepted() -> None:
-    world = DeskWorld()
+    world = JobServiceWorld()
     lost = iter([StoreError.LOST])
     world.memory.fault = lambda call, _key: next(lost, None) if call == "create" else None
-    assert world.begin(world.desk.submit(JOB, "h", "/j", ITEMS, 1_000)).end() == Ok(None)
+    assert world.begin(world.service.submit(JOB, "h", "/j", ITEMS, 1_000)).end() == Ok(None)
 
 
 def test_a_write_of_unknown_outcome_is_neither_accepted_nor_refused() -> None:
     # Guards against running a job whose submissions were all refused as "not run". The write of the
     # record is lost, the store does not respond until the due time, and the record appears later,
     # so the refusal must not claim that the job was not accepted.
-    world = DeskWorld()
+    world = JobServiceWorld()
     world.memory.fault = lambda call, _key: (
         StoreError.LOST if call == "create" else StoreError.UNAVAILABLE
     )
-    begun = world.begin(world.desk.submit(JOB, "h", "/j", ITEMS, 1_000))
+    begun = world.begin(world.service.submit(JOB, "h", "/j", ITEMS, 1_000))
     for _ in range(40):
         world.time.advance(100)
     ended = begun.end()
@@ -52,30 +52,30 @@
 
 
 def test_a_job_is_refused_as_not_run_while_the_store_is_unavailable() -> None:
-    world = DeskWorld()
+    world = JobServiceWorld()
     world.memory.fault = lambda _call, _key: StoreError.UNAVAILABLE
-    ended = world.begin(world.desk.submit(JOB, "h", "/j", ITEMS, 1_000)).end()
+    ended = world.begin(world.service.submit(JOB, "h", "/j", ITEMS, 1_000)).end()
     assert isinstance(ended, Err)
     assert ended.err_value.outcome is Outcome.NOT_RUN
     assert ended.err_value.kind is ErrorKind.STORE_UNAVAILABLE
 
 
 def test_large_jobs_are_split_and_read_completely() -> None:
-    world = DeskWorld()
+    world = JobServiceWorld()
     items = tuple(item(f"i{n}", "A" * 200_000) for n in range(9))
-    assert world.begin(world.desk.submit(JOB, "h", "/j", items, 1_000)).end() == Ok(None)
+    assert world.begin(world.service.submit(JOB, "h", "/j", items, 1_000)).end() == Ok(None)
     assert all(len(value) < 1_000_000 for _, value in world.memory.objects.values())
-    other = DeskWorld(world.memory)
-    assert other.begin(other.desk.item(JOB, "i8")).end() == Ok(items[8])
+    other = JobServiceWorld(world.memory)
+    assert other.begin(other.service.item(JOB, "i8")).end() == Ok(items[8])
 
 
 def test_a_job_is_not_found_only_if_the_store_confirms_it() -> None:
-    world = DeskWorld()
-    missing = world.begin(world.desk.results(JOB, 0, 0)).end()
+    world = JobServiceWorld()
+    missing = world.begin(world.service.results(JOB, 0, 0)).end()
     assert isinstance(missing, Err)
     assert missing.err_value.kind is ErrorKind.NOT_FOUND
     world.memory.fault = lambda _call, _key: StoreError.UNAVAILABLE
-    unavailable = world.begin(world.desk.results(JOB, 0, 0)).end()
+    unavailable = world.begin(world.service.results(JOB, 0, 0)).end()
     assert isinstance(unavailable, Err)
     assert unavailable.err_value.kind is ErrorKind.STORE_UNAVAILABLE
 
@@ -84,11 +84,11 @@
     # Guards against reporting a position as empty that another instance showed seconds ago. Several
     # groups are stored and an instance reads the first one. A read that found a group must not be
     # treated like one that found none, or the next read of the same call is deferred.
-    world = DeskWorld()
+    world = JobServiceWorld()
     world.has_job("a", "b", "c", "d")
     for number, name in enumerate("abc"):
         world.has_group(number, name)
-    page = world.begin(world.desk.results(JOB, 2, 0)).end().unwrap()
+    page = world.begin(world.service.results(JOB, 2, 0)).end().unwrap()
     assert names(page.results) == ["c"]
     assert page.total == 4
 
@@ -97,13 +97,13 @@
     # Guards against the same failure when two callers read a job concurrently. While the store read
     # of the first call is in progress, the second call must not reply that there is no result, as
     # happened when the time of the read was recorded before its response.
-    world = DeskWorld()
+    world = JobServiceWorld()
     world.has_job("a", "b")
-    world.begin(world.desk.results(JOB, 0, 0)).end()
+    world.begin(world.service.results(JOB, 0, 0)).end()
     world.time.advance(2_000)
     world.has_group(0, "a")
     world.memory.hold = True
-    reads = [world.begin(world.desk.results(JOB, 0, 0)) for _ in range(2)]
+    reads = [world.begin(world.service.results(JOB, 0, 0)) for _ in range(2)]
     world.memory.hold = False
     world.memory.release()
     for read in reads:
@@ -111,21 +111,21 @@
 
 
 def test_a_waiting_read_ends_when_a_peer_notifies_of_a_group() -> None:
-    world = DeskWorld()
+    world = JobServiceWorld()
     world.has_job("a")
-    waiting = world.begin(world.desk.results(JOB, 0, 1_000))
+    waiting = world.begin(world.service.results(JOB, 0, 1_000))
     world.time.advance(100)
     assert not waiting
     world.has_group(0, "a")
-    world.desk.on_groups(JOB, 1)
+    world.service.on_group_count(JOB, 1)
     assert names(waiting.end().unwrap().results) == ["a"]
 
 
 def test_a_waiting_read_costs_two_store_reads_without_results() -> None:
     # Guards against five store reads per second of waiting, which were most of all store calls.
-    world = DeskWorld()
+    world = JobServiceWorld()
     world.has_job("a")
-    waiting = world.begin(world.desk.results(JOB, 0, 1_000))
+    waiting = world.begin(world.service.results(JOB, 0, 1_000))
     for _ in range(21):
         world.time.advance(50)
     assert waiting.end().unwrap().results == []
@@ -134,20 +134,20 @@
 
 @pytest.mark.parametrize("times", [1, 2])
 def test_an_ended_job_stays_ended(times: int) -> None:
-    world = DeskWorld()
+    world = JobServiceWorld()
     world.has_job("a", "b")
     for _ in range(times):
-        assert world.begin(world.desk.end(JOB, 1_000)).end() == Ok(None)
+        assert world.begin(world.service.end(JOB, 1_000)).end() == Ok(None)
     stored = read_record(world.memory.objects[job_key(JOB)][1]).unwrap()
     assert stored.ended
 
 
 def test_a_concurrent_end_and_resubmission_leave_one_ended_job() -> None:
     memory = MemoryStore()
-    first, other = DeskWorld(memory), DeskWorld(memory)
-    first.begin(first.desk.submit(JOB, "h", "/j", ITEMS, 1_000))
-    ends = [world.begin(world.desk.end(JOB, 1_000)) for world in (first, other)]
-    assert other.begin(other.desk.submit(JOB, "h", "/j", ITEMS, 1_000)).end() == Ok(None)
+    first, other = JobServiceWorld(memory), JobServiceWorld(memory)
+    first.begin(first.service.submit(JOB, "h", "/j", ITEMS, 1_000))
+    ends = [world.begin(world.service.end(JOB, 1_000)) for world in (first, other)]
+    assert other.begin(other.service.submit(JOB, "h", "/j", ITEMS, 1_000)).end() == Ok(None)
     assert [end.end() for end in ends] == [Ok(None), Ok(None)]
     assert read_record(memory.objects[job_key(JOB)][1]).unwrap().ended
 
@@ -156,10 +156,10 @@
     # A caller reads a job twice a second, and no notifications of writers arrive. Guards against a
     # store read for each of the 20 reads in ten seconds, which were two thirds of all store calls;
     # 11 are expected.
-    world = DeskWorld()
+    world = JobServiceWorld()
     world.has_job("a", "b")
     for _ in range(20):
-        reading = world.begin(world.desk.results(JOB, 0, 500))
+        reading = world.begin(world.service.results(JOB, 0, 500))
         for _ in range(11):
             world.time.advance(50)
         assert isinstance(reading.end(), Ok)
@@ -168,7 +168,7 @@
     # A position that another instance showed one second ago is shown here.
     world.has_group(0, "a")
     world.time.advance(1_000)
-    reading = world.begin(world.desk.results(JOB, 0, 0))
+    reading = world.begin(world.service.results(JOB, 0, 0))
     page = reading.end().unwrap()
     assert names(page.results) == ["a"]
 
@@ -176,30 +176,30 @@
 def test_an_instance_does_not_read_back_its_own_group() -> None:
     # Guards against needless store calls: under light load 1,001 of 2,668 calls read results,
     # because an instance that wrote a group read it back from the store before showing it.
-    world = DeskWorld()
+    world = JobServiceWorld()
     world.has_job("a", "b", "c")
-    assert world.begin(world.desk.results(JOB, 0, 0)).end().unwrap().results == []
-    waiting = world.begin(world.desk.results(JOB, 0, 1_000))
+    assert world.begin(world.service.results(JOB, 0, 0)).end().unwrap().results == []
+    waiting = world.begin(world.service.results(JOB, 0, 1_000))
     world.time.advance(500)
     store_reads = world.memory.calls.count(f"list {groups_prefix(JOB)}")
     world.has_group(0, "a")
-    world.desk.on_written(JOB, Written(0, group("a"), world.time.clock.now()))
+    world.service.on_group_written(JOB, WrittenGroup(0, group("a"), world.time.clock.now()))
     assert names(waiting.end().unwrap().results) == ["a"]
     # Like a read, the write proves that no later group existed.
     world.time.advance(READ_VALID_MS - 1)
-    assert world.begin(world.desk.results(JOB, 1, 0)).end().unwrap().results == []
+    assert world.begin(world.service.results(JOB, 1, 0)).end().unwrap().results == []
     assert world.memory.calls.count(f"list {groups_prefix(JOB)}") == store_reads
     # Another instance may write too: its group is found by the next store read.
     world.has_group(1, "b")
     world.time.advance(2)
-    assert names(world.begin(world.desk.results(JOB, 1, 0)).end().unwrap().results) == ["b"]
+    assert names(world.begin(world.service.results(JOB, 1, 0)).end().unwrap().results) == ["b"]
 
 
 def test_a_written_group_after_an_unknown_one_is_read() -> None:
-    world = DeskWorld()
+    world = JobServiceWorld()
     world.has_job("a", "b", "c")
-    world.begin(world.desk.results(JOB, 0, 0)).end()
+    world.begin(world.service.results(JOB, 0, 0)).end()
     world.has_group(0, "a")
     world.has_group(1, "b")
-    world.desk.on_written(JOB, Written(1, group("b"), world.time.clock.now()))
-    assert names(world.begin(world.desk.results(JOB, 0, 0)).end().unwrap().results) == ["a", "b"]
+    world.service.on_group_written(JOB, WrittenGroup(1, group("b"), world.time.clock.now()))
+    assert names(world.begin(world.service.results(JOB, 0, 0)).end().unwrap().results) == ["a", "b"]
--- a/tests/test_jobs_commits.py
+++ b/tests/test_jobs_commits.py
@@ -15,9 +15,9 @@
 
 from papayapier.clock import fake_clock
 from papayapier.jobs.commits import CommitDeps, commit, load_groups
-from papayapier.jobs.news import GroupsTold
+from papayapier.jobs.notifications import SentNotifications
 from papayapier.jobs.owned_job import OwnedJob
-from papayapier.jobs.records import ItemEnd, groups_prefix, read_group
+from papayapier.jobs.records import ItemOutcome, groups_prefix, read_group
 from papayapier.store.api import StoreError
 from tests.jobs_world import JOB, MemoryStore, record
 
@@ -35,7 +35,7 @@
             memory.store(),
             lambda _items: None,
             lambda _job, _written: None,
-            GroupsTold(),
+            SentNotifications(),
         )
 
     def load(self) -> None:
@@ -43,7 +43,7 @@
 
     def finish(self, name: str) -> None:
         if name in self.job.items:
-            self.job.finish(name, ItemEnd.DONE)
+            self.job.finish(name, ItemOutcome.DONE)
             Deferred.fromCoroutine(commit(self.deps, self.job))
 
 
--- a/tests/test_jobs_notifications.py
+++ b/tests/test_jobs_notifications.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from papayapier.jobs.news import (
+from papayapier.jobs.notifications import (
     CONFIRMATION_VALID_MS,
     FORGET_WRITER_MS,
     MAX_WRITE_MS,
-    GroupsHeard,
-    GroupsTold,
+    ReceivedNotifications,
+    SentNotifications,
 )
 from papayapier.peer.messages import NOT_SURE, Heartbeat
-from tests.jobs_world import JOB, DeskWorld
+from tests.jobs_world import JOB, JobServiceWorld
 
 HEARTBEAT_MS = 200
 
@@ -22,16 +22,16 @@
 
     def __init__(self, *writers: str) -> None:
         self.now = 0
-        self.sent = {writer: GroupsTold() for writer in writers}
+        self.sent = {writer: SentNotifications() for writer in writers}
         self.boots = dict.fromkeys(writers, 1)
         self.cut: set[str] = set()
         self.live: set[str] = set()
-        self.received = GroupsHeard(lambda: self.sent, lambda: self.live)
+        self.received = ReceivedNotifications(lambda: self.sent, lambda: self.live)
 
     def word(self, writer: str, lost: bool = False) -> None:
-        word = self.sent[writer].word("job", 1, self.now)
+        word = self.sent[writer].next_notification("job", 1, self.now)
         if not lost:
-            self.received.on_word(writer, word.number)
+            self.received.on_notification(writer, word.number)
 
     def heartbeats(self, times: int = 1) -> None:
         for _ in range(times):
@@ -44,7 +44,7 @@
 
     def restart(self, writer: str) -> None:
         self.boots[writer] += 1
-        self.sent[writer] = GroupsTold()
+        self.sent[writer] = SentNotifications()
 
     def is_read_current(self, read_ms: int) -> bool:
         return self.received.is_read_current(read_ms, self.now)
@@ -81,7 +81,7 @@
 
 
 def add_a_writer(world: World) -> None:
-    world.sent["c"] = GroupsTold()
+    world.sent["c"] = SentNotifications()
     world.boots["c"] = 1
 
 
@@ -125,9 +125,9 @@
     read_ms = world.now
     sent = world.sent["a"]
     for lost in (False, True, False):
-        sent.word("job", 1, world.now)
+        sent.next_notification("job", 1, world.now)
         world.now += HEARTBEAT_MS
-        heartbeat = Heartbeat("a", 1, "serving", 1, words=sent.last(world.now))
+        heartbeat = Heartbeat("a", 1, "serving", 1, words=sent.recent(world.now))
         heartbeat = heartbeat._replace(groups_told=sent.count(world.now))
         if not lost:
             world.received.on_heartbeat("a", heartbeat, world.now)
@@ -135,7 +135,7 @@
 
 
 def test_a_write_of_known_outcome_is_not_unconfirmed() -> None:
-    sent = GroupsTold()
+    sent = SentNotifications()
     sent.write_begun("job", 0)
     assert sent.count(MAX_WRITE_MS) == 0
     sent.write_begun("job", MAX_WRITE_MS)
@@ -161,7 +161,7 @@
 def test_repeated_reads_do_not_call_the_store() -> None:
     # Guards against a store call for each read. A caller reads a job twice a second for 20 s and
     # there are no new results; only the first read may call the store.
-    world = DeskWorld()
+    world = JobServiceWorld()
     world.writers.append("a")
     world.has_job("a", "b")
     for number in range(100):
@@ -169,7 +169,7 @@
         world.heard.on_heartbeat("a", heartbeat, world.time.clock.now())
         world.time.advance(HEARTBEAT_MS)
         if number % 3 == 2:
-            assert world.begin(world.desk.results(JOB, 0, 0)).end().unwrap().results == []
+            assert world.begin(world.service.results(JOB, 0, 0)).end().unwrap().results == []
     assert len(world.memory.calls) <= 3
 
 
--- a/tests/test_jobs_progress.py
+++ b/tests/test_jobs_progress.py
@@ -14,14 +14,14 @@
 from papayapier.jobs import progress
 from papayapier.jobs.owned_job import OwnedJob
 from papayapier.jobs.progress import ItemProgress, SaverDeps, Snapshot
-from papayapier.jobs.records import ItemEnd
+from papayapier.jobs.records import ItemOutcome
 from papayapier.policy.crashes import Loss
 from papayapier.upstream.event_cutter import NO_EVENT
 from tests.jobs_world import JOB, StartedCoroutine, record
 from tests.log_catcher import LogCatcher
 
 BEGUN = ItemProgress(JOB, "a", 2, ("one", "two"), 900, 1)
-DONE = ItemProgress(JOB, "b", NO_EVENT, ("one\ntwo\nthree",), 0, 0, ItemEnd.DONE)
+DONE = ItemProgress(JOB, "b", NO_EVENT, ("one\ntwo\nthree",), 0, 0, ItemOutcome.DONE)
 
 
 def folder_of(tmp_path: Path, *numbers: int) -> str:
@@ -115,7 +115,7 @@
     Deferred.fromCoroutine(progress.save_regularly(disk.deps, 0))
     disk.time.advance(progress.SAVE_MS)
     saved = progress.load(str(tmp_path)).items
-    assert [item.end for item in saved] == [ItemEnd.DONE, ItemEnd.DONE]
+    assert [item.end for item in saved] == [ItemOutcome.DONE, ItemOutcome.DONE]
 
 
 def test_a_failing_disk_is_logged_once(tmp_path: Path) -> None:
@@ -131,7 +131,7 @@
 def test_a_start_does_not_wait_for_a_disk_that_hangs(tmp_path: Path) -> None:
     disk = Disk(folder_of(tmp_path, 1))
     disk.hangs = True
-    begun = StartedCoroutine(progress.load_soon(disk.deps))
+    begun = StartedCoroutine(progress.load_with_timeout(disk.deps))
     disk.time.advance(progress.LOAD_MS + 1)
     assert begun.end() == progress.EMPTY_SNAPSHOT
 
--- a/tests/test_jobs_runner.py
+++ b/tests/test_jobs_runner.py
@@ -5,7 +5,7 @@
 import pytest
 from result import Ok
 
-from papayapier.jobs.news import GroupsTold
+from papayapier.jobs.notifications import SentNotifications
 from papayapier.jobs.progress import ItemProgress
 from papayapier.jobs.records import JobRecord, encode, group_key, job_key, read_group
 from papayapier.jobs.runner import SAVED_PROGRESS_KEPT_MS, JobRunner, RunnerDeps
@@ -34,7 +34,11 @@
         table = cast(Any, Table())
         self.runner = JobRunner(
             RunnerDeps(
-                self.deps, self.memory.store(), lambda: table, lambda _j, _g, _w: None, GroupsTold()
+                self.deps,
+                self.memory.store(),
+                lambda: table,
+                lambda _j, _g, _w: None,
+                SentNotifications(),
             )
         )
         self.runner.start()
@@ -63,7 +67,7 @@
     # its results are late. This happens if a job starts when its record is read from the store.
     world = RunnerWorld()
     world.make_store_unavailable()
-    world.runner.on_held(JOB, world.record("a"))
+    world.runner.on_stored_locally(JOB, world.record("a"))
     world.time.advance(200)
     assert sorted(world.sent) == ["a"]
     world.finish("a")
@@ -72,13 +76,13 @@
     world.memory.put(job_key(JOB), encode(world.record("a")))
     world.time.advance(2_000)
     assert world.listed(0) == ["a"]
-    assert world.runner.has_closed(JOB)
+    assert world.runner.owns_closed(JOB)
 
 
 def test_items_of_a_locally_stored_job_listed_elsewhere_are_listed_once() -> None:
     world = RunnerWorld()
     world.make_store_unavailable()
-    world.runner.on_held(JOB, world.record("a", "b"))
+    world.runner.on_stored_locally(JOB, world.record("a", "b"))
     world.time.advance(200)
     world.finish("a")
     world.make_store_available()
@@ -111,7 +115,7 @@
     world = RunnerWorld()
     ended = encode(world.record("a")._replace(ended=True))
     world.runner.on_change(Change(job_key(JOB), 1, False, ended))
-    world.runner.on_held(JOB, world.record("a"))
+    world.runner.on_stored_locally(JOB, world.record("a"))
     world.time.advance(500)
     assert world.sent == {}
 
@@ -119,7 +123,7 @@
 def test_saved_progress_of_deleted_jobs_is_dropped() -> None:
     # Guards against writing texts of jobs deleted long ago to the disk every second.
     world = RunnerWorld()
-    world.runner.recall([ItemProgress("gone", "a", 7, ("x",), 400, 0)])
+    world.runner.restore_progress([ItemProgress("gone", "a", 7, ("x",), 400, 0)])
     world.time.advance(SAVED_PROGRESS_KEPT_MS - 1)
     assert len(world.runner.progress()) == 1
     world.time.advance(1)
@@ -129,7 +133,7 @@
 def test_a_start_resumes_from_saved_progress() -> None:
     # Guards against items that all start again after a power loss.
     world = RunnerWorld()
-    world.runner.recall([ItemProgress(JOB, "a", 7, ("x",) * 8, 400, 0)])
+    world.runner.restore_progress([ItemProgress(JOB, "a", 7, ("x",) * 8, 400, 0)])
     world.memory.put(job_key(JOB), encode(world.record("a")))
     world.runner.on_change(Change(job_key(JOB), 1, False, encode(world.record("a"))))
     world.time.advance(500)
@@ -147,12 +151,14 @@
     table = cast(Any, Table())
     world.runner.close()
     world.runner = JobRunner(
-        RunnerDeps(deps, world.memory.store(), lambda: table, lambda _j, _g, _w: None, GroupsTold())
+        RunnerDeps(
+            deps, world.memory.store(), lambda: table, lambda _j, _g, _w: None, SentNotifications()
+        )
     )
     jobs = [f"job-{number}" for number in range(8)]
     for job_id in jobs:
-        world.runner.on_held(job_id, world.record(f"{job_id}-a"))
+        world.runner.on_stored_locally(job_id, world.record(f"{job_id}-a"))
     assert len(world.runner._owned) < len(jobs)
     live.remove("b")
-    world.runner.looks.asks()
+    world.runner.takeover.due_checks()
     assert set(world.runner._owned) == set(jobs)
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -28,7 +28,7 @@
     assert set(world.runs.values()) == {1}
     # The keeper that ran a job closes it in the end.
     for job_id in world.jobs:
-        assert any(keeper.runner.has_closed(job_id) for keeper in world.keepers.values())
+        assert any(keeper.runner.owns_closed(job_id) for keeper in world.keepers.values())
 
 
 def test_jobs_continue_while_replicas_are_removed() -> None:
--- a/tests/test_local_job_store.py
+++ b/tests/test_local_job_store.py
@@ -18,12 +18,12 @@
 
 from papayapier.clock import fake_clock
 from papayapier.errors import ErrorKind, Outcome
-from papayapier.jobs import kept_files
-from papayapier.jobs.desk import DeskDeps, JobDesk
-from papayapier.jobs.kept_files import KeptJob
-from papayapier.jobs.news import GroupsHeard
+from papayapier.jobs import job_files
+from papayapier.jobs.job_files import LocalJob
+from papayapier.jobs.job_service import JobService, JobServiceDeps
+from papayapier.jobs.local_job_store import LocalJobStore, LocalJobStoreDeps
+from papayapier.jobs.notifications import ReceivedNotifications
 from papayapier.jobs.records import encode, job_key, read_record
-from papayapier.jobs.vault import Vault, VaultDeps
 from papayapier.node.job_reading import read_here
 from papayapier.node.keeping import KeepingDeps, keep
 from papayapier.peer.hub import PeerHub
@@ -31,7 +31,7 @@
 from papayapier.peer.questions import PeerError
 from papayapier.policy.job_keeping import Copies, holders, patience_ms
 from papayapier.store.api import StoreError
-from tests.jobs_world import JOB, DeskWorld, MemoryStore, StartedCoroutine, item, record
+from tests.jobs_world import JOB, JobServiceWorld, MemoryStore, StartedCoroutine, item, record
 
 KEEP_S = 120
 LONG_MS = 20_000
@@ -49,14 +49,14 @@
         self.time = fake_clock()
         self.memory = MemoryStore()
         self.folders = {f"k{n}": tempfile.TemporaryDirectory() for n in range(count)}
-        self.vaults: dict[str, Vault] = {}
+        self.vaults: dict[str, LocalJobStore] = {}
         self.held: list[str] = []
         for name in self.folders:
             self.start(name)
 
     def start(self, name: str) -> None:
-        vault = Vault(
-            VaultDeps(
+        vault = LocalJobStore(
+            LocalJobStoreDeps(
                 self.time.clock,
                 random.Random(1),
                 self.memory.store(),
@@ -86,7 +86,7 @@
         self.memory.fault = lambda _call, _key: None
 
     def pending(self) -> int:
-        return sum(vault.pending() for vault in self.vaults.values())
+        return sum(vault.pending_count() for vault in self.vaults.values())
 
     def files(self) -> int:
         return sum(len(list(Path(folder.name).iterdir())) for folder in self.folders.values())
@@ -106,10 +106,10 @@
         if peer_id not in self.vaults:
             return Err(PeerError.TIMEOUT)
         return Ok(
-            KeepTell(1, await self.vaults[peer_id].keep(KeptJob(request.job_id, request.value)))
+            KeepTell(1, await self.vaults[peer_id].store(LocalJob(request.job_id, request.value)))
         )
 
-    def desk(self) -> JobDesk:
+    def desk(self) -> JobService:
         deps = KeepingDeps(
             cast(PeerHub, self), lambda: list(self.vaults), 2, lambda _record, keepers: keepers
         )
@@ -117,17 +117,17 @@
         async def keep_job(job_id: str, value: bytes) -> Copies:
             return await keep(deps, job_id, value)
 
-        heard = GroupsHeard(list, list)
-        return JobDesk(
-            DeskDeps(
+        heard = ReceivedNotifications(list, list)
+        return JobService(
+            JobServiceDeps(
                 self.time.clock,
                 random.Random(2),
                 self.memory.store(),
                 heard,
                 keep_job,
-                store_away=lambda: False,
-                settled=lambda: False,
-                elsewhere=read_here,
+                is_store_unavailable=lambda: False,
+                is_store_complete=lambda: False,
+                read_remote=read_here,
             )
         )
 
@@ -150,21 +150,21 @@
 @pytest.mark.parametrize("cut", [0, 10, 40, 60])
 def test_a_torn_file_is_not_read_as_a_job(tmp_path: Path, cut: int) -> None:
     folder = str(tmp_path)
-    assert kept_files.write(folder, KeptJob(JOB, value())) == Ok(None)
-    assert kept_files.load(folder).unwrap().jobs == [KeptJob(JOB, value())]
+    assert job_files.write(folder, LocalJob(JOB, value())) == Ok(None)
+    assert job_files.load(folder).unwrap().jobs == [LocalJob(JOB, value())]
     [path] = tmp_path.iterdir()
     path.write_bytes(path.read_bytes()[:cut])
-    loaded = kept_files.load(folder).unwrap()
+    loaded = job_files.load(folder).unwrap()
     assert (loaded.jobs, len(loaded.unreadable)) == ([], 1)
 
 
 def test_a_failed_write_is_reported(tmp_path: Path) -> None:
-    assert isinstance(kept_files.write(str(tmp_path / "none"), KeptJob(JOB, value())), Err)
+    assert isinstance(job_files.write(str(tmp_path / "none"), LocalJob(JOB, value())), Err)
 
 
 def test_a_job_is_created_when_the_store_is_available_again(keepers: Keepers) -> None:
     keepers.make_store_unavailable()
-    kept = begin(keepers.vaults["k0"].keep(KeptJob(JOB, value())))
+    kept = begin(keepers.vaults["k0"].store(LocalJob(JOB, value())))
     assert (kept.end(), keepers.held) == (True, [JOB])
     keepers.time.advance(5_000)
     assert keepers.memory.objects == {}
@@ -176,7 +176,7 @@
 
 def test_a_restarted_keeper_creates_its_stored_jobs(keepers: Keepers) -> None:
     keepers.make_store_unavailable()
-    begin(keepers.vaults["k0"].keep(KeptJob(JOB, value())))
+    begin(keepers.vaults["k0"].store(LocalJob(JOB, value())))
     keepers.stop("k0")
     keepers.make_store_available()
     keepers.start("k0")
@@ -192,7 +192,7 @@
     # from the store.
     keepers.make_store_unavailable()
     keepers.stop("k0")
-    assert kept_files.write(keepers.folders["k0"].name, KeptJob(JOB, value())) == Ok(None)
+    assert job_files.write(keepers.folders["k0"].name, LocalJob(JOB, value())) == Ok(None)
     keepers.start("k0")
     keepers.time.advance(5_000)
     assert (keepers.held, keepers.pending()) == ([], 1)
@@ -208,7 +208,7 @@
     # This includes a job that its caller has ended: a second record would run its items again.
     ended = encode(record("a")._replace(ended=True))
     keepers.memory.put(job_key(JOB), ended)
-    assert begin(keepers.vaults["k0"].keep(KeptJob(JOB, value()))).end() is True
+    assert begin(keepers.vaults["k0"].store(LocalJob(JOB, value()))).end() is True
     keepers.time.advance(1_000)
     assert keepers.memory.objects[job_key(JOB)][1] == ended
     assert keepers.files() == 0
@@ -216,7 +216,7 @@
 
 def test_a_job_whose_results_may_be_deleted_is_not_created_again(keepers: Keepers) -> None:
     keepers.make_store_unavailable()
-    begin(keepers.vaults["k0"].keep(KeptJob(JOB, value())))
+    begin(keepers.vaults["k0"].store(LocalJob(JOB, value())))
     keepers.time.advance(KEEP_S * 1_000 + 5_000)
     keepers.make_store_available()
     keepers.time.advance(5_000)
@@ -225,8 +225,8 @@
 
 
 def test_a_keeper_that_retires_accepts_no_job(keepers: Keepers) -> None:
-    keepers.vaults["k0"].refuse()
-    assert begin(keepers.vaults["k0"].keep(KeptJob(JOB, value()))).end() is False
+    keepers.vaults["k0"].stop_accepting()
+    assert begin(keepers.vaults["k0"].store(LocalJob(JOB, value()))).end() is False
 
 
 def test_the_keepers_that_store_a_job_and_the_wait_for_the_store() -> None:
@@ -246,7 +246,7 @@
         assert holders(JOB, keepers, 2, {able})[0] == able
 
 
-def submitted(keepers: Keepers, desk: JobDesk, job_id: str = JOB) -> Result[None, Any]:
+def submitted(keepers: Keepers, desk: JobService, job_id: str = JOB) -> Result[None, Any]:
     due_ms = keepers.time.clock.now() + 3_000
     begun = begin(desk.submit(job_id, "h.example", "/jobs/j", (item("a"),), due_ms, 400))
     keepers.time.advance(3_500)
@@ -268,7 +268,7 @@
     keepers.make_store_unavailable()
     desk = keepers.desk()
     for name in ("k0", "k1"):
-        keepers.vaults[name].refuse()
+        keepers.vaults[name].stop_accepting()
     refused = submitted(keepers, desk)
     assert isinstance(refused, Err)
     assert refused.err_value.outcome is Outcome.UNKNOWN
@@ -291,11 +291,11 @@
 
 def test_a_job_that_may_be_stored_by_keepers_is_not_reported_as_not_found() -> None:
     # A caller gives up a job that is reported as not found.
-    world = DeskWorld()
+    world = JobServiceWorld()
     world.settled = False
     results: list[Result[Any, Any]] = [
-        world.begin(world.desk.results(JOB, 0, 0)).end(),
-        world.begin(world.desk.end(JOB, 1_000)).end(),
+        world.begin(world.service.results(JOB, 0, 0)).end(),
+        world.begin(world.service.end(JOB, 1_000)).end(),
     ]
     for result in results:
         assert isinstance(result, Err)
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -9,8 +9,8 @@
 
 from papayapier.config.route_table import RouteTable, WorkKind
 from papayapier.config.routing_book import RoutingBook
-from papayapier.jobs.desk import Page
-from papayapier.jobs.records import ItemEnd, ItemResult
+from papayapier.jobs.job_service import ResultsPage
+from papayapier.jobs.records import ItemOutcome, ItemResult
 from papayapier.platform import headers, job_calls
 from papayapier.platform.configuration import CONFIG_KEY, read_configuration
 from papayapier.platform.replicas import read_replica
@@ -144,8 +144,8 @@
 
 
 def test_a_page_of_results_is_bounded_in_size() -> None:
-    results = [ItemResult(f"i{n}", ItemEnd.DONE, "x" * 400_000) for n in range(4)]
-    page = json.loads(job_calls.write_page(Page(9, results), 3))
+    results = [ItemResult(f"i{n}", ItemOutcome.DONE, "x" * 400_000) for n in range(4)]
+    page = json.loads(job_calls.write_page(ResultsPage(9, results), 3))
     assert (len(page["results"]), page["nextToken"], page["total"]) == (2, 5, 9)
     assert page["results"][0]["state"] == "completed"
 
--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -17,7 +17,7 @@
 from papayapier.platform.configuration import read_configuration
 from papayapier.platform.headers import of_team, shown_keys
 from tests.jobs_run_world import World
-from tests.jobs_world import JOB, DeskWorld, item
+from tests.jobs_world import JOB, JobServiceWorld, item
 from tests.site.world import configuration
 
 KEY = "ftimaj3nr26tta828m82"
@@ -144,18 +144,18 @@
 def test_jobs_are_accessible_to_their_team_only(owner: str, team: str, allowed: bool) -> None:
     """Reading, resubmitting and ending a job require its team, on every instance."""
     assert may_use(owner, team) is allowed
-    world = DeskWorld()
+    world = JobServiceWorld()
     items = (item("a"),)
-    submitted = world.begin(world.desk.submit(JOB, "h", "/j", items, 1_000, 0, owner))
+    submitted = world.begin(world.service.submit(JOB, "h", "/j", items, 1_000, 0, owner))
     assert submitted.end() == Ok(None)
     # The second desk is another instance, which knows the job only from its stored record.
-    for desk in (world.desk, DeskWorld(world.memory).desk):
+    for desk in (world.service, JobServiceWorld(world.memory).service):
         read = world.begin(desk.results(JOB, 0, 0, team)).end()
         body = world.begin(desk.item(JOB, "a", team)).end()
         again = world.begin(desk.submit(JOB, "h", "/j", items, 1_000, 0, team)).end()
         for result in (read, body, again):
             assert isinstance(result, Ok) is allowed
-    ended = world.begin(world.desk.end(JOB, 1_000, team)).end()
+    ended = world.begin(world.service.end(JOB, 1_000, team)).end()
     assert isinstance(ended, Ok) is allowed
     assert (b'"team"' not in world.memory.objects[job_key(JOB)][1]) or not allowed
 
