--- a/papayapier/batch/api.py
+++ b/papayapier/batch/api.py
@@ -8,7 +8,7 @@
 
 from papayapier.clock import Clock
 from papayapier.config.profiles import Profile
-from papayapier.dispatch.lost_sends import name_work
+from papayapier.dispatch.lost_sends import request_fingerprint
 from papayapier.errors import Refusal
 from papayapier.metrics import Metrics
 from papayapier.peer.messages import Message
@@ -35,7 +35,7 @@
 
     def work(self) -> str:
         """Return the request fingerprint, the same on every instance and for every attempt."""
-        return name_work(self.method, self.profile.upstream, self.path, self.body)
+        return request_fingerprint(self.method, self.profile.upstream, self.path, self.body)
 
 
 class BatchDispatch(NamedTuple):
--- a/papayapier/components.py
+++ b/papayapier/components.py
@@ -8,7 +8,7 @@
 from papayapier.clock import Clock
 from papayapier.config.start import Config
 from papayapier.dispatch.crash_watch import CrashWatch
-from papayapier.dispatch.lanes import BatchLanes
+from papayapier.dispatch.item_dispatch import ItemDispatch
 from papayapier.dispatch.online import OnlineDispatch
 from papayapier.fleet_view import FleetView, Policies
 from papayapier.metrics import Metrics
@@ -54,7 +54,7 @@
     loss_exchange: LossNews
     config: Config
     online: OnlineDispatch
-    item_dispatch: BatchLanes
+    item_dispatch: ItemDispatch
     batch: Batch
     claims: Claims
     orders: OrderControl
--- a/papayapier/compose.py
+++ b/papayapier/compose.py
@@ -19,7 +19,7 @@
 from papayapier.config.start import Config, ConfigDeps, start_config
 from papayapier.dispatch.api import DispatchDeps
 from papayapier.dispatch.crash_watch import CrashWatch
-from papayapier.dispatch.lanes import BatchLanes
+from papayapier.dispatch.item_dispatch import ItemDispatch
 from papayapier.dispatch.online import OnlineDispatch
 from papayapier.fleet_view import (
     FleetListeners,
@@ -139,8 +139,8 @@
         LossNewsDeps(base.clock, hub, fleet.crash_watch, cfg.instance.id, lambda: hub.plan().hubs)
     )
     dispatch = _make_dispatch(base, fleet, hub)
-    item_dispatch = BatchLanes(dispatch)
-    online = OnlineDispatch(dispatch, item_dispatch.before_online_send)
+    item_dispatch = ItemDispatch(dispatch)
+    online = OnlineDispatch(dispatch, item_dispatch.preempt_for_online)
     config = _start_config(base, fleet, hub, online)
     batch = _start_batch(base, fleet, hub, item_dispatch, config)
     claims = _make_claims(base, hub)
@@ -169,7 +169,7 @@
         clock=base.clock,
         rand=base.rand,
         data_centre=base.cfg.instance.data_centre,
-        book=fleet.policies.book,
+        load_tracker=fleet.policies.book,
         outliers=fleet.policies.outliers,
         crashes=fleet.crash_watch,
         queue=AdmissionQueue(base.cfg.entry.max_queued),
@@ -178,7 +178,7 @@
         share=fleet.policies.share,
         upstreams=fleet.upstreams,
         metrics=base.metrics,
-        uses_changed=hub.uses_changed,
+        on_uses_changed=hub.uses_changed,
     )
 
 
@@ -196,7 +196,7 @@
             tell=send_to_peer,
             broadcast=hub.tell_all,
             peers=lambda: [view.id for view in hub.views() if view.up],
-            queued_under=online.queued_under,
+            queued_under=online.queued_for_profile,
             upstream_names=lambda: set(fleet.view.upstream_names()),
             plan=hub.plan,
         )
@@ -204,7 +204,7 @@
 
 
 def _start_batch(
-    base: Base, fleet: Fleet, hub: PeerHub, item_dispatch: BatchLanes, config: Config
+    base: Base, fleet: Fleet, hub: PeerHub, item_dispatch: ItemDispatch, config: Config
 ) -> Batch:
     return start_batch(
         BatchDeps(
@@ -212,7 +212,9 @@
             rand=base.rand,
             store=base.budget.view(Priority.BULK),
             lease_store=base.budget.view(Priority.LEASE),
-            dispatch=BatchDispatch(item_dispatch.room, item_dispatch.run, item_dispatch.watch_room),
+            dispatch=BatchDispatch(
+                item_dispatch.free_slots, item_dispatch.run, item_dispatch.watch_capacity
+            ),
             cfg=base.cfg.batch,
             instance=base.cfg.instance.id,
             boot=base.boot,
--- a/papayapier/dispatch/api.py
+++ b/papayapier/dispatch/api.py
@@ -7,7 +7,7 @@
 from papayapier.clock import Clock
 from papayapier.config.profiles import Profile
 from papayapier.dispatch.crash_watch import CrashWatch
-from papayapier.dispatch.lost_sends import name_work
+from papayapier.dispatch.lost_sends import request_fingerprint
 from papayapier.metrics import Metrics
 from papayapier.policy.admission import AdmissionQueue
 from papayapier.policy.batch_share import BatchShare
@@ -39,7 +39,7 @@
 
     def fingerprint(self) -> str:
         """Return the request fingerprint, which is the same when the caller retries."""
-        return name_work(self.method, self.profile.upstream, self.path, self.body)
+        return request_fingerprint(self.method, self.profile.upstream, self.path, self.body)
 
 
 OnToken = Callable[[Token], None]
@@ -54,7 +54,7 @@
     clock: Clock
     rand: random.Random
     data_centre: str
-    book: LoadBook
+    load_tracker: LoadBook
     outliers: Outliers
     crashes: CrashWatch
     queue: AdmissionQueue
@@ -63,4 +63,4 @@
     share: BatchShare
     upstreams: Upstreams
     metrics: Metrics
-    uses_changed: Callable[[], None]
+    on_uses_changed: Callable[[], None]
--- a/papayapier/dispatch/attempts.py
+++ b/papayapier/dispatch/attempts.py
@@ -12,7 +12,7 @@
 from result import Err, Ok, Result
 
 from papayapier import events
-from papayapier.dispatch.blame import blames_replica, rejection
+from papayapier.dispatch.failure_attribution import counts_against_replica, rejection
 from papayapier.dispatch.outcome_checks import check_send, correct_outcome
 from papayapier.dispatch.retrying import (
     SendHistory,
@@ -90,7 +90,7 @@
     route = RouteRequest(
         upstream, req.prefix, deps.data_centre, excluded, idempotent=req.profile.idempotent
     )
-    return pick_replica(deps.book, deps.outliers, route, deps.rand, deps.clock.now())
+    return pick_replica(deps.load_tracker, deps.outliers, route, deps.rand, deps.clock.now())
 
 
 def _no_replica(req: "OnlineRequest") -> Refusal:
@@ -108,25 +108,25 @@
 ) -> Result[Reply, Failure]:
     progress.history.send_count += 1
     started_ms = deps.clock.now()
-    deps.book.on_sent(replica.id, False, started_ms)
+    deps.load_tracker.on_sent(replica.id, False, started_ms)
     deps.outliers.on_start(replica.id, started_ms)
-    deps.uses_changed()
+    deps.on_uses_changed()
     outlier_reported = False
     try:
         # Must follow on_sent: the number of batch streams to cancel depends on the counted calls.
         preempt_batch(replica.id)
         may_run_again = req.profile.idempotent or not progress.history.maybe_sent
-        check_send(deps.book, replica, req.call_id, may_run_again, started_ms)
+        check_send(deps.load_tracker, replica, req.call_id, may_run_again, started_ms)
         call = _call(req, progress, _first_byte_ms(deps, req, progress, started_ms))
         receive = _receiver(deps, req, call, progress, on_token)
         result = await deps.upstreams.send(replica, call, receive)
-        outlier_reported = isinstance(result, Ok) or blames_replica(result.err_value)
+        outlier_reported = isinstance(result, Ok) or counts_against_replica(result.err_value)
     finally:
-        deps.book.on_done(replica.id, False, deps.clock.now())
-        deps.uses_changed()
+        deps.load_tracker.on_done(replica.id, False, deps.clock.now())
+        deps.on_uses_changed()
         if not outlier_reported:
             deps.outliers.on_dropped(replica.id)
-    deps.crashes.sent(req.call_id, req.fingerprint, replica, result, started_ms)
+    deps.crashes.on_send_finished(req.call_id, req.fingerprint, replica, result, started_ms)
     _report_result(deps, req, replica, result, deps.clock.now() - started_ms)
     return result
 
@@ -204,14 +204,14 @@
     if isinstance(result, Err):
         if result.err_value.kind is FailureKind.SILENT:
             deps.first_bytes.observe(upstream, lasted_ms)
-        if blames_replica(result.err_value):
+        if counts_against_replica(result.err_value):
             deps.outliers.on_end(replica.id, False, None, now)
         return
     reply = result.ok_value
     deps.first_bytes.observe(upstream, reply.first_token_ms)
     deps.outliers.on_end(replica.id, True, float(reply.first_token_ms), now)
     if reply.load is not None:
-        deps.book.on_report(replica.id, reply.load)
+        deps.load_tracker.on_report(replica.id, reply.load)
     if reply.tokens > 1:
         gap_ms = (reply.total_ms - reply.first_token_ms) / (reply.tokens - 1)
         deps.share.on_online_signal(replica.id, float(reply.first_token_ms), gap_ms, now)
--- a/papayapier/dispatch/claimed.py
+++ b/papayapier/dispatch/claimed.py
@@ -33,7 +33,7 @@
 RunResult = Result[Reply, Refusal]
 
 
-def make_runner(
+def make_claimed_runner(
     online: "OnlineDispatch", claims: "Claims"
 ) -> "Callable[[OnlineRequest, str, OnToken], Awaitable[RunResult]]":
     """Return the function that runs a request, under a claim where it needs one."""
--- a/papayapier/dispatch/crash_watch.py
+++ b/papayapier/dispatch/crash_watch.py
@@ -25,12 +25,12 @@
 GetFingerprint = Callable[[], str]
 
 
-class Hearers(NamedTuple):
+class CrashListeners(NamedTuple):
     """Hold the callbacks for losses and answers observed here and for new quarantines."""
 
-    lost: Callable[[Loss], None]
-    answered: Callable[[str], None]
-    held: Callable[[str], None]
+    on_loss: Callable[[Loss], None]
+    on_answered: Callable[[str], None]
+    on_quarantined: Callable[[str], None]
 
 
 class CrashWatch:
@@ -45,9 +45,9 @@
         self._quarantined: frozenset[str] = frozenset()
         self._reviewed = 0
         self._timer: Timer | None = None
-        self._listeners: Hearers | None = None
+        self._listeners: CrashListeners | None = None
 
-    def connect(self, listeners: Hearers) -> None:
+    def connect(self, listeners: CrashListeners) -> None:
         """Set the listeners."""
         self._listeners = listeners
 
@@ -79,7 +79,7 @@
         """Return the fingerprints that share replica losses, and send windows, with a request."""
         return self._book.turns.rivals(get_fingerprint())
 
-    def item_hold_ms(self, get_fingerprint: GetFingerprint) -> int:
+    def item_pause_ms(self, get_fingerprint: GetFingerprint) -> int:
         """Return for how long an item may not be sent, in ms; 0 if it may."""
         return (
             0
@@ -89,7 +89,7 @@
 
     def item_refusal(self, item_id: str, get_fingerprint: GetFingerprint) -> Refusal | None:
         """Return the refusal of a quarantined item without attempts left, or None."""
-        hold_ms = self.item_hold_ms(get_fingerprint)
+        hold_ms = self.item_pause_ms(get_fingerprint)
         if not hold_ms or not self._book.item_done_for(get_fingerprint()):
             return None
         return self._refuse(item_id, get_fingerprint())
@@ -110,7 +110,7 @@
         )
         return not_run(ErrorKind.ENDS_REPLICAS, reason, return_ms)
 
-    def sent(
+    def on_send_finished(
         self,
         request_id: str,
         get_fingerprint: GetFingerprint,
@@ -133,7 +133,7 @@
         if failure.closed:
             self._book.on_ended(replica.id)
 
-    def on_told(self, losses: Iterable[Loss], answered: Iterable[str]) -> list[Loss]:
+    def on_reported(self, losses: Iterable[Loss], answered: Iterable[str]) -> list[Loss]:
         """Record what a peer reports or a disk holds; return the losses not known before."""
         new_losses = self._book.on_told(losses, self._clock.now())
         for fingerprint in answered:
@@ -141,15 +141,15 @@
         self._review_if_changed()
         return new_losses
 
-    def is_held(self, fingerprint: str) -> bool:
+    def is_quarantined(self, fingerprint: str) -> bool:
         """Return whether a request is quarantined."""
         return fingerprint in self._quarantined
 
-    def answered_lately(self, fingerprints: Iterable[str]) -> list[str]:
+    def recently_answered(self, fingerprints: Iterable[str]) -> list[str]:
         """Return the fingerprints answered just before their losses, or recently here."""
         return self._book.answered_lately(fingerprints, self._clock.now())
 
-    def take_lately(self, fingerprints: Iterable[str], peer_id: str) -> list[str]:
+    def on_recently_answered(self, fingerprints: Iterable[str], peer_id: str) -> list[str]:
         """Record that a peer answered requests recently; return those whose losses count less."""
         cleared = self._book.take_lately(fingerprints, self._clock.now())
         for fingerprint in cleared:
@@ -165,7 +165,7 @@
         """Return the losses of all requests, or of the given fingerprints."""
         return self._book.snapshot(self._clock.now(), only)
 
-    def stands(self, loss: Loss) -> bool:
+    def still_counts(self, loss: Loss) -> bool:
         """Return whether a loss still counts."""
         return self._book.stands(loss)
 
@@ -178,7 +178,7 @@
         fingerprint = get_fingerprint()
         self._book.note_answered(fingerprint, self._clock.now())
         if self._book.on_answered(fingerprint) and self._listeners is not None:
-            self._listeners.answered(fingerprint)
+            self._listeners.on_answered(fingerprint)
 
     def _record_loss(
         self, request_id: str, fingerprint: str, replica: Replica, failure: Failure
@@ -187,7 +187,7 @@
         self._metrics.sends_lost.labels(failure.kind.value).inc()
         is_new = self._book.on_lost(fingerprint, replica.id, self._clock.now())
         if is_new and self._listeners is not None:
-            self._listeners.lost(Loss(fingerprint, replica.id, 0))
+            self._listeners.on_loss(Loss(fingerprint, replica.id, 0))
 
     def _review_if_changed(self) -> None:
         if self._reviewed != self._book.changes:
@@ -201,7 +201,7 @@
             replicas = self._book.replicas(fingerprint)
             events.emit(events.WORK_HELD, work=fingerprint, replicas=replicas)
             if self._listeners is not None:
-                self._listeners.held(fingerprint)
+                self._listeners.on_quarantined(fingerprint)
         for fingerprint in sorted(before - self._quarantined):
             events.emit(events.WORK_RELEASED, work=fingerprint)
         self._metrics.works_held.set(len(self._quarantined))
--- a/papayapier/dispatch/blame.py
+++ b/papayapier/dispatch/failure_attribution.py
@@ -39,7 +39,7 @@
     return not_run(kind, f"the upstream rejected the request: {failure.reason}")
 
 
-def blames_replica(failure: Failure) -> bool:
+def counts_against_replica(failure: Failure) -> bool:
     """Return whether a failure counts against the replica."""
     if failure.kind is FailureKind.CANCELLED or rejection(failure) is not None:
         return False
--- a/papayapier/dispatch/forward_state.py
+++ b/papayapier/dispatch/forward_state.py
@@ -4,8 +4,8 @@
 
 from twisted.web.http_headers import Headers
 
-from papayapier.dispatch.lost_sends import name_work
-from papayapier.dispatch.passed_streams import CallerStream, PassedStream
+from papayapier.dispatch.lost_sends import request_fingerprint
+from papayapier.dispatch.relayed_stream import CallerStream, RelayedStream
 from papayapier.dispatch.retrying import SendHistory
 from papayapier.upstream.event_cutter import NO_EVENT
 
@@ -61,7 +61,7 @@
     def fingerprint(self) -> str:
         """Return the request fingerprint, which is the same when the caller retries."""
         host = self.headers.getRawHeaders(b"Host", [b""])[0].decode("latin-1")
-        return name_work(self.method, host, self.target, self.body, self.team)
+        return request_fingerprint(self.method, host, self.target, self.body, self.team)
 
 
 class ForwardDeps(NamedTuple):
@@ -77,19 +77,19 @@
     clock: "Clock"
     rand: "random.Random"
     data_centre: str
-    book: "LoadBook"
+    load_tracker: "LoadBook"
     outliers: "Outliers"
     crashes: "CrashWatch"
     queue: "AdmissionQueue"
     budget: "RetryBudget"
     first_bytes: "FirstByteTimes"
     send: "SendRaw"
-    head: "Callable[[Headers, Replica, int | None, int], Headers]"
+    make_headers: "Callable[[Headers, Replica, int | None, int], Headers]"
     metrics: "Metrics"
-    uses_changed: "Callable[[], None]"
+    on_uses_changed: "Callable[[], None]"
     place: "Callable[[RouteRequest, Wanting], Awaitable[Placed]]"
-    unanswered: "Callable[[Replica], None]"
-    fresh: "Callable[[], bool]"
+    on_unanswered: "Callable[[Replica], None]"
+    peer_loads_are_fresh: "Callable[[], bool]"
 
 
 class ForwardProgress:
@@ -123,6 +123,6 @@
         return self.stream is not None and self.stream.started
 
 
-def _relay_stream(req: RawRequest, caller_stream: CallerStream) -> PassedStream:
+def _relay_stream(req: RawRequest, caller_stream: CallerStream) -> RelayedStream:
     # Only resumable streams have an idempotent profile.
-    return PassedStream(caller_stream, req.last_event, resumable=req.profile.idempotent)
+    return RelayedStream(caller_stream, req.last_event, resumable=req.profile.idempotent)
--- a/papayapier/dispatch/forwarding.py
+++ b/papayapier/dispatch/forwarding.py
@@ -10,10 +10,10 @@
 from result import Err, Ok, Result
 
 from papayapier import events
-from papayapier.dispatch.blame import blames_replica
+from papayapier.dispatch.failure_attribution import counts_against_replica
 from papayapier.dispatch.forward_state import ForwardDeps, ForwardProgress, RawRequest
 from papayapier.dispatch.outcome_checks import correct_outcome
-from papayapier.dispatch.passed_streams import CallerStream
+from papayapier.dispatch.relayed_stream import CallerStream
 from papayapier.dispatch.retrying import (
     decide_retry,
     may_send,
@@ -139,7 +139,7 @@
         progress.history.excluded,
         idempotent=req.profile.idempotent,
         told=True,
-        fresh=deps.fresh(),
+        fresh=deps.peer_loads_are_fresh(),
     )
     requested_ms = deps.clock.now()
     placed = await deps.place(route, _placement_times(deps, req, progress, requested_ms))
@@ -147,12 +147,12 @@
     progress.placed_with_capacity = False
     if placed.refusal is not None:
         return Err(placed.refusal)
-    for replica in deps.book.usable(upstream, deps.clock.now()):
+    for replica in deps.load_tracker.usable(upstream, deps.clock.now()):
         if replica.id == placed.replica:
             progress.placed_sends += 1
             progress.placed_with_capacity = placed.has_room
             return Ok(replica)
-    picked = pick_replica(deps.book, deps.outliers, route, deps.rand, deps.clock.now())
+    picked = pick_replica(deps.load_tracker, deps.outliers, route, deps.rand, deps.clock.now())
     return Err(_no_replica(req)) if picked is None else Ok(picked)
 
 
@@ -187,17 +187,17 @@
     progress.history.send_count += 1
     progress.replicas.append(replica.id)
     started_ms = deps.clock.now()
-    deps.book.on_sent(replica.id, False, started_ms)
+    deps.load_tracker.on_sent(replica.id, False, started_ms)
     deps.outliers.on_start(replica.id, started_ms)
-    deps.uses_changed()
+    deps.on_uses_changed()
     outlier_reported = False
     try:
         call = _call(deps, req, replica, progress, started_ms)
         result = await deps.send(replica, call, progress.stream)
-        outlier_reported = isinstance(result, Ok) or blames_replica(result.err_value)
+        outlier_reported = isinstance(result, Ok) or counts_against_replica(result.err_value)
     finally:
-        deps.book.on_done(replica.id, False, deps.clock.now())
-        deps.uses_changed()
+        deps.load_tracker.on_done(replica.id, False, deps.clock.now())
+        deps.on_uses_changed()
         if not outlier_reported:
             deps.outliers.on_dropped(replica.id)
     _report_result(deps, req, replica, result, progress, started_ms)
@@ -243,7 +243,7 @@
         req.request_id,
         req.method,
         req.target,
-        deps.head(req.headers, replica, left_ms, last_event),
+        deps.make_headers(req.headers, replica, left_ms, last_event),
         req.body,
         req.due_ms,
         progress.history.fresh,
@@ -263,7 +263,7 @@
     """Report the result of a send to the outlier detection and the first-byte timer."""
     now = deps.clock.now()
     first_byte_ms = progress.stream.first_data_ms if progress.stream is not None else 0
-    deps.crashes.sent(req.request_id, req.fingerprint, replica, result, started_ms)
+    deps.crashes.on_send_finished(req.request_id, req.fingerprint, replica, result, started_ms)
     if isinstance(result, Ok):
         waited_ms = (first_byte_ms or now) - started_ms
         deps.outliers.on_end(replica.id, result.ok_value.status < 500, float(waited_ms), now)
@@ -271,12 +271,12 @@
         return
     failure = result.err_value
     if failure.kind in NO_ANSWER_KINDS and not first_byte_ms:
-        deps.unanswered(replica)
+        deps.on_unanswered(replica)
     if failure.kind is FailureKind.SILENT and not first_byte_ms:
         deps.first_bytes.observe(req.profile.upstream, now - started_ms)
     if failure.sent is Sent.NO and failure.kind is FailureKind.STATUS:
         return
-    if blames_replica(failure):
+    if counts_against_replica(failure):
         deps.outliers.on_end(replica.id, False, None, now)
 
 
--- a/papayapier/dispatch/lanes.py
+++ b/papayapier/dispatch/item_dispatch.py
@@ -5,7 +5,7 @@
 idempotent streams are preempted; a call that may not be repeated or cannot be resumed is left to
 finish.
 
-BatchLanes owns the waiting and running items of one instance. policy.batch_share decides which
+ItemDispatch owns the waiting and running items of one instance. policy.batch_share decides which
 replica has capacity and how many streams must be preempted.
 """
 
@@ -15,7 +15,7 @@
 from result import Err, Ok, Result
 from twisted.internet.defer import Deferred
 
-from papayapier.dispatch.blame import blames_replica, rejection
+from papayapier.dispatch.failure_attribution import counts_against_replica, rejection
 from papayapier.dispatch.items import Item
 from papayapier.dispatch.outcome_checks import check_send, correct_outcome
 from papayapier.errors import ErrorKind, Refusal, not_run
@@ -34,7 +34,7 @@
 AVOID_FAILED_MS: Final = 1_000
 
 
-class BatchLanes:
+class ItemDispatch:
     """Own the batch items that wait for or run on replicas."""
 
     def __init__(self, deps: "DispatchDeps") -> None:
@@ -48,20 +48,21 @@
         self._starting = False
         self._restart_pending = False
 
-    def room(self, upstream: str) -> int:
+    def free_slots(self, upstream: str) -> int:
         """Return how many more items of an upstream may be passed to run now."""
         deps = self._deps
         now = deps.clock.now()
         free = sum(
-            deps.share.room(replica.id, deps.book, now) for replica in self._usable(upstream, now)
+            deps.share.room(replica.id, deps.load_tracker, now)
+            for replica in self._usable(upstream, now)
         )
         return max(0, free - len(self._waiting.get(upstream, ())))
 
-    def watch_room(self, call: "Callable[[], None]") -> None:
+    def watch_capacity(self, call: "Callable[[], None]") -> None:
         """Register a callback for whenever free capacity may have grown."""
         self._watchers.append(call)
 
-    def under_way(self) -> int:
+    def unfinished_count(self) -> int:
         """Return how many items are waiting, running or pausing before a retry."""
         waiting = sum(len(items) for items in self._waiting.values())
         return waiting + sum(len(items) for items in self._running.values()) + self._paused_count
@@ -93,7 +94,7 @@
     async def _wait_while_quarantined(self, item: Item) -> Refusal | None:
         """Wait while an item is quarantined; return the refusal of one without attempts left."""
         crashes, get_fingerprint = self._deps.crashes, item.call.work
-        while quarantine_ms := crashes.item_hold_ms(get_fingerprint):
+        while quarantine_ms := crashes.item_pause_ms(get_fingerprint):
             refusal = crashes.item_refusal(item.call.call_id, get_fingerprint)
             if refusal is not None:
                 return refusal
@@ -152,9 +153,9 @@
         assert item.waiter is not None
         # Counted as sent here and not in _send, because the waiter's coroutine may run
         # later, and the next item must already find the slot taken.
-        self._deps.book.on_sent(replica.id, True, self._deps.clock.now())
+        self._deps.load_tracker.on_sent(replica.id, True, self._deps.clock.now())
         self._running.setdefault(replica.id, []).append(item)
-        self._deps.uses_changed()
+        self._deps.on_uses_changed()
         item.waiter.callback(replica)
 
     def _replica_for(self, item: Item) -> Replica | None:
@@ -172,20 +173,20 @@
         best: Replica | None = None
         most_free = 0
         for replica in self._usable(upstream, now):
-            free = deps.share.room(replica.id, deps.book, now)
+            free = deps.share.room(replica.id, deps.load_tracker, now)
             if free > most_free and replica.id not in excluded:
                 best, most_free = replica, free
         return best
 
     def _usable(self, upstream: str, now: int) -> list[Replica]:
         outliers = self._deps.outliers
-        usable = self._deps.book.usable(upstream, now)
+        usable = self._deps.load_tracker.usable(upstream, now)
         return [replica for replica in usable if not outliers.ejected(replica.id, now)]
 
     async def _send(self, item: Item, replica: Replica) -> Result[Reply, Failure]:
         now = self._deps.clock.now()
         may_run_again = item.call.profile.idempotent or not item.maybe_sent
-        check_send(self._deps.book, replica, item.call.call_id, may_run_again, now)
+        check_send(self._deps.load_tracker, replica, item.call.call_id, may_run_again, now)
         item.sends += 1
         item.preempted = False
         self._deps.outliers.on_start(replica.id, now)
@@ -201,7 +202,7 @@
                 self._deps.outliers.on_dropped(replica.id)
         if isinstance(result, Err) and rejection(result.err_value) is None:
             item.maybe_sent = item.maybe_sent or result.err_value.sent is Sent.MAYBE
-        self._deps.crashes.sent(item.call.call_id, item.call.work, replica, result, now)
+        self._deps.crashes.on_send_finished(item.call.call_id, item.call.work, replica, result, now)
         self._report_result(item, replica, result)
         return result
 
@@ -210,8 +211,8 @@
         running.remove(item)
         if not running:
             del self._running[replica.id]
-        self._deps.book.on_done(replica.id, True, self._deps.clock.now())
-        self._deps.uses_changed()
+        self._deps.load_tracker.on_done(replica.id, True, self._deps.clock.now())
+        self._deps.on_uses_changed()
         self._on_capacity_grown()
 
     def _call(self, item: Item, now: int) -> Call:
@@ -236,7 +237,7 @@
         if isinstance(result, Ok):
             self._deps.outliers.on_end(replica.id, True, None, now)
             if result.ok_value.load is not None:
-                self._deps.book.on_report(replica.id, result.ok_value.load)
+                self._deps.load_tracker.on_report(replica.id, result.ok_value.load)
             return
         if _counts_against_replica(item, result.err_value):
             self._deps.outliers.on_end(replica.id, False, None, now)
@@ -271,13 +272,13 @@
         if decision.after_ms:
             await self._pause(decision.after_ms)
 
-    def before_online_send(self, replica_id: str) -> None:
+    def preempt_for_online(self, replica_id: str) -> None:
         """Preempt as many batch streams on a replica as its online calls need."""
         items = self._running.get(replica_id)
         if not items:
             return
         now = self._deps.clock.now()
-        count = self._deps.share.to_yield(replica_id, self._deps.book, now)
+        count = self._deps.share.to_yield(replica_id, self._deps.load_tracker, now)
         if count > 0:
             self._preempt(items, count)
 
@@ -304,10 +305,10 @@
     def _tick(self) -> None:
         """Apply changed limits, also when no request starts or finishes."""
         self._timer = None
-        if self.under_way():
+        if self.unfinished_count():
             self._keep_ticking()
         for replica_id in list(self._running):
-            self.before_online_send(replica_id)
+            self.preempt_for_online(replica_id)
         self._on_capacity_grown()
 
     def close(self) -> None:
@@ -322,4 +323,4 @@
 
 
 def _counts_against_replica(item: Item, failure: Failure) -> bool:
-    return not item.preempted and blames_replica(failure)
+    return not item.preempted and counts_against_replica(failure)
--- a/papayapier/dispatch/lost_sends.py
+++ b/papayapier/dispatch/lost_sends.py
@@ -17,7 +17,7 @@
 LOSS_KINDS: Final = frozenset({FailureKind.CUT, FailureKind.SILENT, FailureKind.DUE})
 
 
-def name_work(method: str, host: str, target: str, body: bytes, team: str = "") -> str:
+def request_fingerprint(method: str, host: str, target: str, body: bytes, team: str = "") -> str:
     """Return the fingerprint of a request, which is the same for each retry of it.
 
     Equal requests of two teams differ, so that losses under one team's requests do not quarantine
--- a/papayapier/dispatch/online.py
+++ b/papayapier/dispatch/online.py
@@ -59,13 +59,13 @@
         self._reservations = _ClaimReservations()
         self._queue = StartQueue(deps, self._reservations.count)
 
-    def under_way(self) -> int:
+    def unfinished_count(self) -> int:
         """Return how many requests are queued or running."""
-        return self._queue.under_way()
+        return self._queue.unfinished_count()
 
-    def queued_under(self, profile: str) -> int:
+    def queued_for_profile(self, profile: str) -> int:
         """Return how many queued requests use a profile."""
-        return self._queue.queued_under(profile)
+        return self._queue.queued_for_profile(profile)
 
     async def run(
         self,
--- a/papayapier/dispatch/passed_streams.py
+++ b/papayapier/dispatch/relayed_stream.py
@@ -20,7 +20,7 @@
         """Send a part of the body."""
 
 
-class PassedStream:
+class RelayedStream:
     """Relay one stream; a replica that resumes it must begin after the last event passed on."""
 
     __slots__ = ("_caller_stream", "_cutter", "_resumed", "declared", "first_data_ms", "started")
--- a/papayapier/dispatch/retrying.py
+++ b/papayapier/dispatch/retrying.py
@@ -35,7 +35,7 @@
         """Return the random source that spreads the pauses."""
 
     @property
-    def book(self) -> "LoadBook":
+    def load_tracker(self) -> "LoadBook":
         """Return the known replicas and their slots."""
 
     @property
@@ -108,7 +108,7 @@
         profile.upstream,
         deps.rand,
         earlier,
-        failed_at(deps.book, replica),
+        failed_at(deps.load_tracker, replica),
     )
 
 
--- a/papayapier/dispatch/start_queue.py
+++ b/papayapier/dispatch/start_queue.py
@@ -61,7 +61,7 @@
         """Return the policy that decides the order and the refusals."""
 
     @property
-    def book(self) -> "LoadBook":
+    def load_tracker(self) -> "LoadBook":
         """Return the load of the replicas."""
 
     @property
@@ -91,11 +91,11 @@
         self,
         deps: QueueDeps,
         reserved: "Callable[[str, int], int]" = lambda _upstream, _now: 0,
-        elsewhere: "Callable[[str], bool]" = lambda _upstream: False,
+        queued_at_peer: "Callable[[str], bool]" = lambda _upstream: False,
     ) -> None:
         self._deps = deps
         self._reserved = reserved
-        self._elsewhere = elsewhere
+        self._elsewhere = queued_at_peer
         self._callers = CallerLimits()
         self._waiters: dict[int, _Waiter] = {}
         self._next_ticket = 1
@@ -104,11 +104,11 @@
         self._running = 0
         deps.metrics.queue_depth.set_function(deps.queue.depth)
 
-    def under_way(self) -> int:
+    def unfinished_count(self) -> int:
         """Return how many requests are queued or running."""
         return self._running + len(self._waiters)
 
-    def queued_under(self, profile: str) -> int:
+    def queued_for_profile(self, profile: str) -> int:
         """Return how many queued requests use a profile."""
         return sum(1 for waiter in self._waiters.values() if waiter.profile == profile)
 
@@ -170,7 +170,7 @@
         if now >= request.due_ms:
             return not_run(ErrorKind.DEADLINE, "the due time has passed")
         upstream = request.profile.upstream
-        if not self._deps.book.usable(upstream, now):
+        if not self._deps.load_tracker.usable(upstream, now):
             # Waiting for a replica that is not listed would only use up the time until due_ms.
             reason = f"upstream {upstream} has no usable replica"
             return not_run(ErrorKind.NO_UPSTREAM, reason, NO_REPLICA_RETRY_MS)
@@ -231,7 +231,7 @@
         if self._elsewhere(upstream):
             return True
         now = self._deps.clock.now()
-        free = free_calls(self._deps.book, self._deps.outliers, upstream, now)
+        free = free_calls(self._deps.load_tracker, self._deps.outliers, upstream, now)
         return free >= self._reserved(upstream, now) + REQUEST_COST
 
     def _keep_ticking(self) -> None:
--- a/papayapier/entry/answers.py
+++ b/papayapier/entry/answers.py
@@ -51,10 +51,10 @@
     """Set the status and headers of a JSON answer and return its body."""
     request.setResponseCode(status)
     request.setHeader(b"Content-Type", JSON_TYPE)
-    return whole_body(request, codec.to_json(value))
+    return with_content_length(request, codec.to_json(value))
 
 
-def whole_body(request: "WebRequest", body: bytes) -> bytes:
+def with_content_length(request: "WebRequest", body: bytes) -> bytes:
     """Set the Content-Length of a body, so that its reader detects truncation; return the body."""
     request.setHeader(b"Content-Length", str(len(body)).encode())
     return body
--- a/papayapier/entry/batch_routes.py
+++ b/papayapier/entry/batch_routes.py
@@ -38,10 +38,10 @@
     app: Klein,
     batch: Batch,
     auth: "CallerAuth",
-    refusing: Callable[[], Refusal | None] = lambda: None,
+    get_refusal: Callable[[], Refusal | None] = lambda: None,
 ) -> None:
     """Add the callers' routes for files and batch jobs to an app."""
-    routes = _Routes(batch, auth, refusing)
+    routes = _Routes(batch, auth, get_refusal)
     _add_file_routes(app, routes)
     _add_job_routes(app, routes)
 
--- a/papayapier/entry/chat.py
+++ b/papayapier/entry/chat.py
@@ -11,7 +11,7 @@
 from zope.interface import implementer
 
 from papayapier import events
-from papayapier.entry.answers import JSON_TYPE, refusal_body, whole_body
+from papayapier.entry.answers import JSON_TYPE, refusal_body, with_content_length
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -145,7 +145,7 @@
         """Return the last bytes of the answer; [DONE] marks a stream as complete."""
         if not self._stream:
             self._request.setHeader(b"Content-Type", JSON_TYPE)
-            return whole_body(
+            return with_content_length(
                 self._request, msgspec.json.encode(self._complete_answer(call_id, reply))
             )
         if self._caller_stream is None:
--- a/papayapier/entry/raw_refusals.py
+++ b/papayapier/entry/forward_refusals.py
@@ -27,7 +27,7 @@
     retry_after: bytes
 
 
-def refuse_raw(
+def refuse_forwarded(
     deps: RefusalDeps, request: Any, profile: str, refusal: Refusal, due_ms: int | None = None
 ) -> None:
     """Write a refusal, with a status that states correctly whether the request may have run."""
@@ -35,7 +35,7 @@
         return
     request_id = request.getHeader(deps.request_id) or ""
     count_refusal(deps, request_id, profile, refusal)
-    status = raw_status(refusal)
+    status = refusal_status(refusal)
     request.setResponseCode(status)
     request.setHeader(b"Content-Type", TEXT_TYPE)
     if status == 429:
@@ -57,7 +57,7 @@
     request.setHeader(deps.retry_after, f"{after_ms / MS_PER_S:.3f}".encode())
 
 
-def raw_status(refusal: Refusal) -> int:
+def refusal_status(refusal: Refusal) -> int:
     """Return the status of a refusal; 503 promises that the request did not and will not run."""
     status = ANSWERS[refusal.kind].status
     if refusal.outcome is Outcome.UNKNOWN:
--- a/papayapier/entry/forward_routes.py
+++ b/papayapier/entry/forward_routes.py
@@ -15,7 +15,7 @@
 from papayapier.dispatch.forward_state import RawRequest
 from papayapier.dispatch.forwarding import forward
 from papayapier.dispatch.start_queue import StartQueue, StartRequest
-from papayapier.entry.raw_refusals import RefusalDeps, count_refusal, refuse_raw
+from papayapier.entry.forward_refusals import RefusalDeps, count_refusal, refuse_forwarded
 from papayapier.errors import ErrorKind, Refusal, not_run
 from papayapier.invariants import Promise, check
 from papayapier.policy.waiting import has_returned, wait_limit_ms
@@ -42,7 +42,7 @@
 GRANT_RETRY_MS: Final = 50
 
 
-class Names(NamedTuple):
+class HeaderNames(NamedTuple):
     """Define the platform's names of the request headers.
 
     shown_keys returns the headers in which a caller may send its key; of_team replaces them by the
@@ -54,22 +54,22 @@
     prompt: str
     last_event: str
     end_to_end: "Callable[[Headers], Headers]"
-    shown_keys: "Callable[[Headers], Sequence[bytes]]"
-    of_team: "Callable[[Headers, str], Headers]"
+    presented_keys: "Callable[[Headers], Sequence[bytes]]"
+    with_team: "Callable[[Headers, str], Headers]"
 
 
-class JobCalls(NamedTuple):
+class JobHandlers(NamedTuple):
     """Hold the handlers of batch jobs; submit accepts a job from a team on a job route.
 
     called parses a request on any path as a call on a job, or returns None; perform runs the call.
     """
 
     submit: "Callable[[Any, Route, str], Awaitable[None]]"
-    called: "Callable[[Any], Any | None]"
+    parse_call: "Callable[[Any], Any | None]"
     perform: "Callable[[Any, Any, str], Awaitable[None]]"
 
 
-class ForwardRoutes(NamedTuple):
+class ForwardRouteDeps(NamedTuple):
     """Group the dependencies of the routes; table returns None while there is no configuration.
 
     known waits, just after a start, until requests can be routed. allow returns whether a team may
@@ -81,15 +81,15 @@
     rand: "random.Random"
     metrics: "Metrics"
     refusals: RefusalDeps
-    names: Names
+    names: HeaderNames
     table: "Callable[[], RouteTable | None]"
-    refusing: "Callable[[], Refusal | None]"
-    known: "Callable[[], Awaitable[None]]"
+    get_refusal: "Callable[[], Refusal | None]"
+    wait_until_routable: "Callable[[], Awaitable[None]]"
     queue: StartQueue
     forward: "ForwardDeps"
     allow: "Callable[[Team, bool], Awaitable[Result[None, Refusal]]]"
     starting_until_ms: int
-    jobs: JobCalls
+    jobs: JobHandlers
 
 
 class ForwardResource(_Resource):  # type: ignore[misc]
@@ -97,7 +97,7 @@
 
     isLeaf = True  # noqa: N815
 
-    def __init__(self, routes: ForwardRoutes) -> None:
+    def __init__(self, routes: ForwardRouteDeps) -> None:
         super().__init__()
         self._routes = routes
 
@@ -139,23 +139,25 @@
         request.channel.transport.abortConnection()
 
 
-async def _serve(routes: ForwardRoutes, request: Any) -> None:
-    refusal = routes.refusing()
+async def _serve(routes: ForwardRouteDeps, request: Any) -> None:
+    refusal = routes.get_refusal()
     if refusal is not None:
-        refuse_raw(routes.refusals, request, "", refusal)
+        refuse_forwarded(routes.refusals, request, "", refusal)
         return
-    await routes.known()
+    await routes.wait_until_routable()
     table = routes.table()
     if table is None:
         reason = "no configuration is known yet"
-        refuse_raw(routes.refusals, request, "", not_run(ErrorKind.NO_UPSTREAM, reason, MS_PER_S))
+        refuse_forwarded(
+            routes.refusals, request, "", not_run(ErrorKind.NO_UPSTREAM, reason, MS_PER_S)
+        )
         return
     host = request.getHeader("host") or ""
-    call = routes.jobs.called(request)
+    call = routes.jobs.parse_call(request)
     if call is not None:
         team_result = table.asker(table.has_public_jobs(host), _presented_keys(routes, request))
         if isinstance(team_result, Err):
-            refuse_raw(routes.refusals, request, "", team_result.err_value)
+            refuse_forwarded(routes.refusals, request, "", team_result.err_value)
             return
         request.detached = True
         await routes.jobs.perform(request, call, name_of(team_result.ok_value))
@@ -163,11 +165,11 @@
     route = table.find(host, request.path.decode("latin-1"))
     if route is None:
         reason = f"no route for host {host}, configuration {table.cfg.version}"
-        refuse_raw(routes.refusals, request, "", not_run(ErrorKind.NOT_FOUND, reason))
+        refuse_forwarded(routes.refusals, request, "", not_run(ErrorKind.NOT_FOUND, reason))
         return
     team_result = table.asker(route.public, _presented_keys(routes, request))
     if isinstance(team_result, Err):
-        refuse_raw(routes.refusals, request, route.name, team_result.err_value)
+        refuse_forwarded(routes.refusals, request, route.name, team_result.err_value)
     elif route.kind is WorkKind.JOB:
         request.detached = True
         await routes.jobs.submit(request, route, name_of(team_result.ok_value))
@@ -175,20 +177,20 @@
         await _forward(routes, request, route, team_result.ok_value)
 
 
-def _presented_keys(routes: ForwardRoutes, request: Any) -> "Sequence[bytes]":
-    return routes.names.shown_keys(request.requestHeaders)
+def _presented_keys(routes: ForwardRouteDeps, request: Any) -> "Sequence[bytes]":
+    return routes.names.presented_keys(request.requestHeaders)
 
 
-async def _forward(routes: ForwardRoutes, request: Any, route: Route, team: Team | None) -> None:
+async def _forward(routes: ForwardRouteDeps, request: Any, route: Route, team: Team | None) -> None:
     now = routes.clock.now()
     parsed = _read_request(routes, request, route, team, now)
     if isinstance(parsed, Err):
-        refuse_raw(routes.refusals, request, route.name, parsed.err_value)
+        refuse_forwarded(routes.refusals, request, route.name, parsed.err_value)
         return
     req = parsed.ok_value
     quarantine_refusal = routes.forward.crashes.refusal(req.request_id, req.fingerprint)
     if quarantine_refusal is not None:
-        refuse_raw(routes.refusals, request, route.name, quarantine_refusal, req.due_ms)
+        refuse_forwarded(routes.refusals, request, route.name, quarantine_refusal, req.due_ms)
         return
     caller_stream = _CallerStream(routes, request, req) if req.stream else None
 
@@ -205,7 +207,7 @@
 
 
 async def _run(
-    routes: ForwardRoutes,
+    routes: ForwardRouteDeps,
     req: RawRequest,
     team: Team | None,
     send: "Callable[[], Awaitable[Result[Answered, Refusal]]]",
@@ -221,7 +223,7 @@
 
 
 async def _request_allowance(
-    routes: ForwardRoutes, req: RawRequest, team: Team
+    routes: ForwardRouteDeps, req: RawRequest, team: Team
 ) -> Result[None, Refusal]:
     """Request a team's allowance; retry where a refusal would be final or is unconfirmed."""
     while True:
@@ -234,7 +236,7 @@
         await routes.clock.sleep(wait_ms)
 
 
-def _allowance_retry_ms(routes: ForwardRoutes, req: RawRequest, refusal: Refusal) -> int:
+def _allowance_retry_ms(routes: ForwardRouteDeps, req: RawRequest, refusal: Refusal) -> int:
     """Return the delay before an allowance is requested again, in ms; 0 if the refusal is final.
 
     While no granter answers, a request whose caller may not retry waits. Just after a start,
@@ -250,7 +252,7 @@
 
 
 def _read_request(
-    routes: ForwardRoutes, request: Any, route: Route, team: Team | None, now: int
+    routes: ForwardRouteDeps, request: Any, route: Route, team: Team | None, now: int
 ) -> Result[RawRequest, Refusal]:
     names = routes.names
     request_id = request.getHeader(names.request_id) or ""
@@ -267,7 +269,7 @@
     rank = route.rank if team is None or team.rank is None else team.rank
     headers = names.end_to_end(request.requestHeaders)
     if team is not None:
-        headers = names.of_team(headers, team.name)
+        headers = names.with_team(headers, team.name)
     return Ok(
         RawRequest(
             request_id=request_id,
@@ -304,7 +306,7 @@
 class _CallerStream:
     """Write a stream to its caller as it arrives."""
 
-    def __init__(self, routes: ForwardRoutes, request: Any, req: RawRequest) -> None:
+    def __init__(self, routes: ForwardRouteDeps, request: Any, req: RawRequest) -> None:
         self._routes = routes
         self._request = request
         self._req = req
@@ -316,19 +318,22 @@
 
     def write(self, data: bytes) -> None:
         self._request.write_now(data)
-        if self._request.channel is not None and self._request.channel.unsent() > MAX_UNREAD_BYTES:
+        if (
+            self._request.channel is not None
+            and self._request.channel.unsent_bytes() > MAX_UNREAD_BYTES
+        ):
             events.emit(events.CALLER_SLOW, request=self._req.request_id)
             self._request.channel.transport.abortConnection()
 
 
-def _write_head(routes: ForwardRoutes, request: Any, status: int, headers: "Headers") -> None:
+def _write_head(routes: ForwardRouteDeps, request: Any, status: int, headers: "Headers") -> None:
     request.setResponseCode(status)
     for name, values in routes.names.end_to_end(headers).getAllRawHeaders():
         request.responseHeaders.setRawHeaders(name, values)
 
 
 def _finish(
-    routes: ForwardRoutes,
+    routes: ForwardRouteDeps,
     request: Any,
     req: RawRequest,
     result: Result[Answered, Refusal],
@@ -347,11 +352,11 @@
         count_refusal(routes.refusals, req.request_id, name, result.err_value)
         request.channel.transport.abortConnection()
     else:
-        refuse_raw(routes.refusals, request, name, result.err_value, req.due_ms)
+        refuse_forwarded(routes.refusals, request, name, result.err_value, req.due_ms)
 
 
 def _finish_answer(
-    routes: ForwardRoutes,
+    routes: ForwardRouteDeps,
     request: Any,
     req: RawRequest,
     answer: Answered,
@@ -372,7 +377,7 @@
     request.finish()
 
 
-def _write_answer(routes: ForwardRoutes, request: Any, answer: RawAnswer) -> None:
+def _write_answer(routes: ForwardRouteDeps, request: Any, answer: RawAnswer) -> None:
     _write_head(routes, request, answer.status, answer.headers)
     request.setHeader(b"Content-Length", str(len(answer.body)).encode())
     request.write(answer.body)
--- a/papayapier/entry/job_routes.py
+++ b/papayapier/entry/job_routes.py
@@ -22,7 +22,7 @@
 ACCEPTED: Final = 202
 
 
-class Answer(NamedTuple):
+class JobAnswer(NamedTuple):
     """Hold a successful answer."""
 
     body: bytes
@@ -30,7 +30,7 @@
     status: int = 200
 
 
-class JobWire(NamedTuple):
+class JobCallFormat(NamedTuple):
     """Group the functions that parse and run the platform's calls on jobs.
 
     called parses a request as a call on a job, or returns None; perform runs a call for a team.
@@ -38,16 +38,16 @@
 
     request_id: str
     read_items: "Callable[[bytes], Result[tuple[JobItem, ...], str]]"
-    called: "Callable[[Any], Any | None]"
-    perform: "Callable[[JobService, Any, Any, str, int], Awaitable[Result[Answer, Refusal]]]"
+    parse_call: "Callable[[Any], Any | None]"
+    perform: "Callable[[JobService, Any, Any, str, int], Awaitable[Result[JobAnswer, Refusal]]]"
 
 
 class JobRoutes(NamedTuple):
     """Handle requests on jobs; refuse writes a refusal."""
 
     clock: "Clock"
-    desk: "JobService"
-    wire: JobWire
+    job_service: "JobService"
+    wire: JobCallFormat
     refuse: "Callable[[Any, str, Refusal], None]"
 
     async def submit(self, request: Any, route: "Route", team: str) -> None:
@@ -61,23 +61,23 @@
         due_ms = self.clock.now() + max(ANSWER_RESERVE_MS, limit_ms - ANSWER_RESERVE_MS)
         host = request.getHeader("host") or ""
         path = request.path.decode("latin-1")
-        result = await self.desk.submit(
+        result = await self.job_service.submit(
             job_id, host, path, items.ok_value, due_ms, route.objective_ms, team
         )
         if isinstance(result, Err):
             return self.refuse(request, route.name, result.err_value)
-        return _write_answer(request, Answer(b"{}", status=ACCEPTED))
+        return _write_answer(request, JobAnswer(b"{}", status=ACCEPTED))
 
     async def perform(self, request: Any, call: Any, team: str) -> None:
         """Run a call on a job for a team."""
         due_ms = self.clock.now() + CALL_TIMEOUT_MS
-        result = await self.wire.perform(self.desk, request, call, team, due_ms)
+        result = await self.wire.perform(self.job_service, request, call, team, due_ms)
         if isinstance(result, Err):
             return self.refuse(request, "", result.err_value)
         return _write_answer(request, result.ok_value)
 
 
-def _write_answer(request: Any, answer: Answer) -> None:
+def _write_answer(request: Any, answer: JobAnswer) -> None:
     if request.is_disconnected:
         return
     request.setResponseCode(answer.status)
--- a/papayapier/entry/online_routes.py
+++ b/papayapier/entry/online_routes.py
@@ -16,7 +16,7 @@
 from papayapier import events
 from papayapier.clock import MS_PER_S
 from papayapier.dispatch.api import OnlineRequest
-from papayapier.entry.answers import refuse, reply_json, whole_body
+from papayapier.entry.answers import refuse, reply_json, with_content_length
 from papayapier.entry.chat import CHAT_PATH, COMPLETIONS_PATH, ChatAnswer
 from papayapier.errors import ErrorKind, Refusal, not_run
 from papayapier.upstream.engine_calls import parse_generation
@@ -46,7 +46,7 @@
     profile: "Callable[[str], Profile | None]"
     upstream_names: "Callable[[], list[str]]"
     run: "Callable[[OnlineRequest, str, OnToken], Awaitable[Result[Reply, Refusal]]]"
-    refusing: "Callable[[], Refusal | None]"
+    get_refusal: "Callable[[], Refusal | None]"
 
 
 class _ParsedHeaders(NamedTuple):
@@ -149,7 +149,7 @@
     reply = result.ok_value
     request.setResponseCode(reply.status)
     request.setHeader(b"Content-Type", reply.content_type.encode())
-    return whole_body(request, reply.body)
+    return with_content_length(request, reply.body)
 
 
 def _service_path(request: "WebRequest", name: str) -> str:
@@ -177,7 +177,7 @@
 
 
 def _parse_headers(deps: OnlineDeps, request: "WebRequest") -> Result[_ParsedHeaders, Refusal]:
-    refusal = deps.refusing()
+    refusal = deps.get_refusal()
     if refusal is not None:
         return Err(refusal)
     length = request.getHeader("content-length") or "0"
@@ -271,7 +271,7 @@
         _count_refusal(deps, profile, refusal)
     if answer is not None and answer.started():
         return answer.end_incomplete(refusal)
-    return whole_body(request, refuse(request, refusal))
+    return with_content_length(request, refuse(request, refusal))
 
 
 def _count_refusal(deps: OnlineDeps, profile: str, refusal: Refusal) -> None:
--- a/papayapier/entry/operator_auth.py
+++ b/papayapier/entry/operator_auth.py
@@ -56,7 +56,7 @@
     return authenticated_caller
 
 
-def no_new_work() -> Refusal:
+def refuse_new_work() -> Refusal:
     """Refuse new files and jobs on the operators' address."""
     return not_run(
         ErrorKind.BAD_REQUEST, "new files and jobs are accepted only on the callers' address"
--- a/papayapier/entry/site.py
+++ b/papayapier/entry/site.py
@@ -19,7 +19,7 @@
 
 from papayapier import events
 from papayapier.clock import MS_PER_S
-from papayapier.entry.answers import refusal_body, refuse, whole_body
+from papayapier.entry.answers import refusal_body, refuse, with_content_length
 from papayapier.errors import ErrorKind, Refusal, not_run, unknown
 from papayapier.policy.held_bytes import UNBOUNDED, HeldBytes
 from papayapier.sockets import is_quiet
@@ -68,7 +68,7 @@
             self.requestHeaders.removeHeader(b"Expect")
             self._refuse_body(self._too_large())
             return
-        if length is not None and not self._site.held.takes(length):
+        if length is not None and not self._site.buffered_bytes.takes(length):
             self.requestHeaders.removeHeader(b"Expect")
             self._refuse_body(_no_memory())
             return
@@ -85,7 +85,7 @@
         if self._received_bytes > self._limit:
             self._refuse_body(self._too_large())
             return
-        if not self._site.held.takes(len(data)):
+        if not self._site.buffered_bytes.takes(len(data)):
             self._refuse_body(_no_memory())
             return
         self._count(len(data))
@@ -156,7 +156,7 @@
     def _count(self, body_bytes: int) -> None:
         if body_bytes:
             self._counted_bytes += body_bytes
-            self._site.held.on_body(body_bytes)
+            self._site.buffered_bytes.on_body(body_bytes)
 
     def _too_large(self) -> Refusal:
         return not_run(ErrorKind.TOO_LARGE, f"the body is over {self._limit} bytes")
@@ -167,7 +167,7 @@
         self._write_refusal(refusal)
 
     def _write_refusal(self, refusal: Refusal) -> None:
-        self.write(whole_body(self, refuse(self, refusal)))
+        self.write(with_content_length(self, refuse(self, refusal)))
         self.finish()
 
 
@@ -203,7 +203,7 @@
         # The requests are notified first, so that they are cleaned up before this is not counted.
         super().connectionLost(reason)
         self.site.connections.discard(self)
-        self.site.held.on_gone(id(self))
+        self.site.buffered_bytes.on_gone(id(self))
 
     def discard_rest(self, request: BoundedRequest) -> None:
         """Discard what the caller still sends; the next answer is the last on this connection.
@@ -246,7 +246,7 @@
         rest = data[sent:] if isinstance(sent, int) and sent > 0 else data
         transport.write(rest)
 
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Return how many bytes are buffered here until the caller reads them."""
         transport = self.transport
         return int(len(transport.dataBuffer) + transport._tempDataLen)
@@ -302,7 +302,7 @@
             parsePOSTFormSubmission=False,
         )
         self.body_limit = body_limit
-        self.held = HeldBytes(UNBOUNDED)
+        self.buffered_bytes = HeldBytes(UNBOUNDED)
         self.leaving = False
         self.header_bytes = MAX_HEADER_BYTES
         self.connections: set[Connection] = set()
--- a/papayapier/entry/unread.py
+++ b/papayapier/entry/unread_watch.py
@@ -26,7 +26,7 @@
 
     def start(self) -> None:
         """Start the checks."""
-        self._site.held = self._buffered
+        self._site.buffered_bytes = self._buffered
         self._timer = self._clock.call_later(REVIEW_MS, self._review)
 
     def close(self) -> None:
@@ -40,7 +40,7 @@
         unsent_bytes = {
             connection: size
             for connection in self._site.connections
-            if (size := connection.unsent())
+            if (size := connection.unsent_bytes())
         }
         self._unread_since_ms = {
             connection: self._unread_since_ms.get(connection, now) for connection in unsent_bytes
--- a/papayapier/http_apis.py
+++ b/papayapier/http_apis.py
@@ -6,12 +6,12 @@
 from result import Err, Ok, Result
 
 from papayapier.components import Base, Fleet, Services
-from papayapier.dispatch.claimed import make_runner
+from papayapier.dispatch.claimed import make_claimed_runner
 from papayapier.entry.batch_routes import add_batch_routes
 from papayapier.entry.callers import caller_auth
 from papayapier.entry.health_routes import add_health_routes
 from papayapier.entry.online_routes import OnlineDeps, add_online_routes
-from papayapier.entry.operator_auth import job_auth, no_new_work
+from papayapier.entry.operator_auth import job_auth, refuse_new_work
 from papayapier.entry.operator_routes import OperatorDeps, add_operator_routes
 from papayapier.instance import Ports, Readiness
 from papayapier.listen import Listening, make_body_limit
@@ -48,14 +48,14 @@
             max_body_bytes=cfg.entry.max_body_bytes,
             profile=services.config.book.profile,
             upstream_names=fleet.view.upstream_names,
-            run=make_runner(services.online, services.claims),
-            refusing=readiness.get_refusal,
+            run=make_claimed_runner(services.online, services.claims),
+            get_refusal=readiness.get_refusal,
         ),
     )
     add_batch_routes(entry, services.batch, auth, readiness.get_refusal)
     operator = Klein()
     add_health_routes(operator, readiness.not_ready_reason, base.metrics)
-    add_batch_routes(operator, services.batch, job_auth(cfg.operator.operators), no_new_work)
+    add_batch_routes(operator, services.batch, job_auth(cfg.operator.operators), refuse_new_work)
     status = FleetStatus(cfg.instance, services.config.book, services.hub, readiness)
     add_operator_routes(
         operator,
--- a/papayapier/instance.py
+++ b/papayapier/instance.py
@@ -15,7 +15,7 @@
     from papayapier.claims.service import Claims
     from papayapier.clock import Clock, Timer
     from papayapier.config.start import Config
-    from papayapier.dispatch.lanes import BatchLanes
+    from papayapier.dispatch.item_dispatch import ItemDispatch
     from papayapier.dispatch.online import OnlineDispatch
     from papayapier.fleet_view import FleetView
     from papayapier.listen import Listening
@@ -53,7 +53,7 @@
     loss_exchange: "LossNews"
     config: "Config"
     online: "OnlineDispatch"
-    item_dispatch: "BatchLanes"
+    item_dispatch: "ItemDispatch"
     batch: "Batch"
     claims: "Claims"
     orders: "OrderControl"
@@ -152,8 +152,8 @@
                 clock=components.clock,
                 drain=components.drain,
                 listening=self._listening,
-                online=components.online.under_way,
-                items=components.item_dispatch.under_way,
+                online=components.online.unfinished_count,
+                items=components.item_dispatch.unfinished_count,
                 hand_over=components.batch.stop,
             )
         )
--- a/papayapier/jobs/runs.py
+++ b/papayapier/jobs/runs.py
@@ -18,9 +18,9 @@
 from papayapier import events
 from papayapier.clock import Clock
 from papayapier.config.route_table import Route
-from papayapier.dispatch.blame import blames_replica
 from papayapier.dispatch.crash_watch import CrashWatch
-from papayapier.dispatch.lost_sends import name_work
+from papayapier.dispatch.failure_attribution import counts_against_replica
+from papayapier.dispatch.lost_sends import request_fingerprint
 from papayapier.jobs.free_slots import ReplicaFinder, SlotSnapshot, replica_use
 from papayapier.jobs.item_run import ItemReceiver
 from papayapier.jobs.owned_job import ItemState, OwnedJob
@@ -250,7 +250,9 @@
             self._deps.on_uses_changed()
         if sent is not None:
             fingerprint_of = partial(self._fingerprint, job, state)
-            self._deps.crashes.sent(state.item.id, fingerprint_of, replica, sent, began_ms)
+            self._deps.crashes.on_send_finished(
+                state.item.id, fingerprint_of, replica, sent, began_ms
+            )
             self._on_run_result(job, route, state, replica, sent)
         self._on_slot_freed()
 
@@ -275,7 +277,9 @@
         if not state.fingerprint:
             body = self._deps.decode_body(state.item)
             record = job.record
-            state.fingerprint = name_work("POST", record.host, state.item.path, body, record.team)
+            state.fingerprint = request_fingerprint(
+                "POST", record.host, state.item.path, body, record.team
+            )
         return state.fingerprint
 
     def _is_quarantined(self, job: OwnedJob, state: ItemState) -> bool:
@@ -283,14 +287,14 @@
 
         The delay is bounded, because the quarantine ends early if the replica proves to be alive.
         """
-        hold_ms = self._deps.crashes.item_hold_ms(partial(self._fingerprint, job, state))
+        hold_ms = self._deps.crashes.item_pause_ms(partial(self._fingerprint, job, state))
         state.quarantined = hold_ms > 0
         if hold_ms:
             state.not_before_ms = self._deps.clock.now() + min(hold_ms, QUARANTINE_CHECK_MS)
         return state.quarantined
 
     def _log_quarantine(self, job: OwnedJob, state: ItemState) -> None:
-        hold_ms = self._deps.crashes.item_hold_ms(partial(self._fingerprint, job, state))
+        hold_ms = self._deps.crashes.item_pause_ms(partial(self._fingerprint, job, state))
         if hold_ms:
             events.emit(
                 events.ITEM_HELD,
@@ -410,7 +414,7 @@
     """
     if failure.kind is FailureKind.CONNECT:
         return True
-    return failure.sent is Sent.MAYBE and blames_replica(failure)
+    return failure.sent is Sent.MAYBE and counts_against_replica(failure)
 
 
 def _left_ms(job: OwnedJob, clock: Clock) -> int:
--- a/papayapier/listen_app.py
+++ b/papayapier/listen_app.py
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 from werkzeug.exceptions import HTTPException
 
-from papayapier.entry.answers import refuse, whole_body
+from papayapier.entry.answers import refuse, with_content_length
 from papayapier.entry.site import BodyLimit
 from papayapier.entry.web import WebRequest
 from papayapier.errors import ErrorKind, not_run
@@ -42,4 +42,4 @@
         method = request.method.decode("ascii", "replace")
         path = request.path.decode("ascii", "replace")
         refusal = not_run(ErrorKind.NOT_FOUND, f"no route takes {method} {path}")
-        return whole_body(request, refuse(request, refusal))
+        return with_content_length(request, refuse(request, refusal))
--- a/papayapier/node/entry.py
+++ b/papayapier/node/entry.py
@@ -12,15 +12,15 @@
 from papayapier.config.route_table import RouteTable
 from papayapier.dispatch.forward_state import ForwardDeps
 from papayapier.dispatch.start_queue import StartQueue
+from papayapier.entry.forward_refusals import RefusalDeps, refuse_forwarded
 from papayapier.entry.forward_routes import (
     ForwardResource,
-    ForwardRoutes,
-    JobCalls,
-    Names,
+    ForwardRouteDeps,
+    HeaderNames,
+    JobHandlers,
 )
-from papayapier.entry.job_routes import JobRoutes, JobWire
-from papayapier.entry.raw_refusals import RefusalDeps, refuse_raw
-from papayapier.entry.unread import UnreadWatch
+from papayapier.entry.job_routes import JobCallFormat, JobRoutes
+from papayapier.entry.unread_watch import UnreadWatch
 from papayapier.errors import ErrorKind, Refusal, not_run
 from papayapier.jobs.job_service import JobService, JobServiceDeps
 from papayapier.jobs.notifications import ReceivedNotifications
@@ -73,7 +73,12 @@
         self._unread = unread
         self._stop = PlannedStop(
             StopDeps(
-                base.clock, base.drain, listening, queue.under_way, lambda: 0, _nothing_to_hand_over
+                base.clock,
+                base.drain,
+                listening,
+                queue.unfinished_count,
+                lambda: 0,
+                _nothing_to_hand_over,
             )
         )
 
@@ -170,7 +175,7 @@
     followed = follow_common(base, Role.ENTRY)
     readiness = _Readiness(base, followed)
     forward = _forward_deps(base)
-    queue = StartQueue(forward, elsewhere=partial(queues_at_hub, base.placement_deps))
+    queue = StartQueue(forward, queued_at_peer=partial(queues_at_hub, base.placement_deps))
     routes = _routes(base, forward, queue, readiness)
     health = HealthResource(readiness.not_ready_reason, base.metrics)
     callers_address = split_address(cfg.listen.callers)
@@ -205,25 +210,25 @@
         clock=base.clock,
         rand=base.rand,
         data_centre=base.cfg.instance.data_centre,
-        book=base.load_tracker,
+        load_tracker=base.load_tracker,
         outliers=base.outliers,
         crashes=base.crashes,
         queue=AdmissionQueue(base.cfg.max_queued),
         budget=RetryBudget(),
         first_bytes=FirstByteTimes(),
         send=base.send,
-        head=headers.for_replica,
+        make_headers=headers.for_replica,
         metrics=base.metrics,
-        uses_changed=base.hub.uses_changed,
+        on_uses_changed=base.hub.uses_changed,
         place=make_place(base.placement_deps),
-        unanswered=make_report_unanswered(base.placement_deps),
-        fresh=lambda: base.hub.plan().full_mesh,
+        on_unanswered=make_report_unanswered(base.placement_deps),
+        peer_loads_are_fresh=lambda: base.hub.plan().full_mesh,
     )
 
 
 def _routes(
     base: NodeBase, forward: ForwardDeps, queue: StartQueue, readiness: _Readiness
-) -> ForwardRoutes:
+) -> ForwardRouteDeps:
     notifications = ReceivedNotifications(lambda: base.nodes.with_role(Role.KEEPER), base.hub.live)
 
     def keepers() -> frozenset[str]:
@@ -257,7 +262,7 @@
 
     base.hub.subscribe(JobChanged, on_job_changed)
     base.hub.subscribe(Heartbeat, on_heartbeat)
-    wire = JobWire(
+    wire = JobCallFormat(
         headers.REQUEST_ID.decode(), job_calls.read_items, job_calls.called, job_calls.perform
     )
     request_id = headers.REQUEST_ID.decode()
@@ -266,26 +271,26 @@
         base.clock,
         job_service,
         wire,
-        partial(refuse_raw, refusals),
+        partial(refuse_forwarded, refusals),
     )
-    return ForwardRoutes(
+    return ForwardRouteDeps(
         clock=base.clock,
         rand=base.rand,
         metrics=base.metrics,
         refusals=refusals,
-        names=Names(
+        names=HeaderNames(
             request_id=request_id,
             time_left=headers.TIME_LEFT.decode(),
             prompt=headers.PROMPT_PARTS.decode(),
             last_event=headers.LAST_EVENT.decode(),
             end_to_end=headers.end_to_end,
-            shown_keys=headers.shown_keys,
-            of_team=headers.of_team,
+            presented_keys=headers.shown_keys,
+            with_team=headers.of_team,
         ),
         table=base.routing.table,
-        refusing=readiness.current_refusal,
+        get_refusal=readiness.current_refusal,
         starting_until_ms=base.clock.now() + STARTING_MS,
-        known=readiness.wait_until_routable,
+        wait_until_routable=readiness.wait_until_routable,
         queue=queue,
         forward=forward,
         allow=make_allow(
@@ -295,7 +300,7 @@
                 lambda: base.nodes.with_role(Role.KEEPER) & base.hub.vouched(),
             )
         ),
-        jobs=JobCalls(jobs.submit, job_calls.called, jobs.perform),
+        jobs=JobHandlers(jobs.submit, job_calls.called, jobs.perform),
     )
 
 
--- a/papayapier/node/health.py
+++ b/papayapier/node/health.py
@@ -9,7 +9,7 @@
 
 from twisted.web.resource import Resource
 
-from papayapier.entry.answers import refuse, reply_json, whole_body
+from papayapier.entry.answers import refuse, reply_json, with_content_length
 from papayapier.errors import ErrorKind, not_run
 from papayapier.health import METRICS_TYPE, Health, metrics_text
 from papayapier.metrics import Metrics
@@ -43,7 +43,7 @@
             return reply_json(request, Health(not reason, reason), 503 if reason else 200)
         if request.path == METRICS_PATH:
             request.setHeader(b"Content-Type", METRICS_TYPE)
-            return whole_body(request, metrics_text(self._metrics))
+            return with_content_length(request, metrics_text(self._metrics))
         path = request.path.decode("ascii", "replace")
         refusal = not_run(ErrorKind.NOT_FOUND, f"nothing is served at {path}")
-        return whole_body(request, refuse(request, refusal))
+        return with_content_length(request, refuse(request, refusal))
--- a/papayapier/peer/loss_news.py
+++ b/papayapier/peer/loss_news.py
@@ -20,7 +20,7 @@
 from typing import Final, NamedTuple, TypeVar
 
 from papayapier.clock import Clock, Timer
-from papayapier.dispatch.crash_watch import CrashWatch, Hearers
+from papayapier.dispatch.crash_watch import CrashListeners, CrashWatch
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.loss_messages import LatelyAsk, LossesAsk, LossesTold, NoLosses
 from papayapier.policy.crashes import Loss
@@ -67,7 +67,9 @@
         self._has_reply = False
         self._timer: Timer | None = None
         self._resend_timer: Timer | None = None
-        deps.watch.connect(Hearers(self._on_replica_lost, self._on_answered, self._on_quarantined))
+        deps.watch.connect(
+            CrashListeners(self._on_replica_lost, self._on_answered, self._on_quarantined)
+        )
         deps.hub.subscribe(LossesTold, self._on_losses_told)
         deps.hub.subscribe(LossesAsk, self._on_losses_ask)
         deps.hub.subscribe(NoLosses, self._on_no_losses)
@@ -76,7 +78,7 @@
 
     def recall(self, losses: Sequence[Loss]) -> None:
         """Restore losses saved by an earlier run and report them, as all may have restarted."""
-        new_losses = self._deps.watch.on_told(losses, ())
+        new_losses = self._deps.watch.on_reported(losses, ())
         if new_losses:
             self._send_to_recipients(LossesTold(tuple(new_losses)))
 
@@ -111,7 +113,7 @@
         self._send_standing(losses, tuple(_pop_batch(self._answered)))
         fingerprints = {loss.work for loss, _ in losses}
         self._query_recent_answers(
-            fingerprints.difference(self._deps.watch.answered_lately(fingerprints))
+            fingerprints.difference(self._deps.watch.recently_answered(fingerprints))
         )
         if self._losses or self._answered:
             self._schedule_send()
@@ -130,11 +132,11 @@
         """Report losses that still stand; a loss is withdrawn if another attempt was answered."""
         now = self._deps.clock.now()
         watch = self._deps.watch
-        recent = set(watch.answered_lately({loss.work for loss, _ in losses}))
+        recent = set(watch.recently_answered({loss.work for loss, _ in losses}))
         standing = tuple(
             loss._replace(age_ms=now - at, lately=loss.work in recent)
             for loss, at in losses
-            if watch.stands(loss)
+            if watch.still_counts(loss)
         )
         if standing or answered:
             self._send_to_recipients(LossesTold(standing, answered))
@@ -170,13 +172,13 @@
             *(loss.work for loss in message.losses if loss.lately),
         }
         quarantined = {
-            fingerprint for fingerprint in answered_recently if watch.is_held(fingerprint)
+            fingerprint for fingerprint in answered_recently if watch.is_quarantined(fingerprint)
         }
-        cleared = watch.take_lately(answered_recently, peer_id)
-        new_losses = watch.on_told(message.losses, message.answered)
+        cleared = watch.on_recently_answered(answered_recently, peer_id)
+        new_losses = watch.on_reported(message.losses, message.answered)
         # Also for losses that are reported again: the first reply may have been lost.
         fingerprints = {loss.work for loss in message.losses if not loss.lately}
-        recent = set(watch.answered_lately(fingerprints))
+        recent = set(watch.recently_answered(fingerprints))
         if self._has_hubs():
             self._query_recent_answers(fingerprints - recent)
             self._report_cleared({*cleared, *recent}, quarantined)
@@ -202,7 +204,7 @@
             self._deps.hub.tell_all(LatelyAsk(tuple(sorted(own))))
 
     def _on_recent_query(self, peer_id: str, ask: LatelyAsk) -> None:
-        recent = self._deps.watch.answered_lately(ask.works)
+        recent = self._deps.watch.recently_answered(ask.works)
         if recent:
             self._deps.hub.tell(peer_id, LossesTold((), (), tuple(recent)))
 
--- a/papayapier/platform/job_calls.py
+++ b/papayapier/platform/job_calls.py
@@ -8,7 +8,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from papayapier.entry.job_routes import Answer
+from papayapier.entry.job_routes import JobAnswer
 from papayapier.errors import Refusal
 from papayapier.jobs.job_service import JobService, ResultsPage
 from papayapier.jobs.records import ItemOutcome, ItemResult, JobItem
@@ -133,7 +133,7 @@
 
 def perform(
     job_service: JobService, request: Any, call: JobCall, team: str, due_ms: int
-) -> Awaitable[Result[Answer, Refusal]]:
+) -> Awaitable[Result[JobAnswer, Refusal]]:
     """Run a call on a job for a team."""
     if isinstance(call, EndCall):
         return _end(job_service, call, team, due_ms)
@@ -145,17 +145,17 @@
 
 async def _end(
     job_service: JobService, call: EndCall, team: str, due_ms: int
-) -> Result[Answer, Refusal]:
-    return (await job_service.end(call.job_id, due_ms, team)).map(lambda _: Answer(b"{}"))
+) -> Result[JobAnswer, Refusal]:
+    return (await job_service.end(call.job_id, due_ms, team)).map(lambda _: JobAnswer(b"{}"))
 
 
-async def _body(job_service: JobService, call: BodyCall, team: str) -> Result[Answer, Refusal]:
+async def _body(job_service: JobService, call: BodyCall, team: str) -> Result[JobAnswer, Refusal]:
     found = await job_service.item(call.job_id, call.item_id, team)
-    return found.map(lambda item: Answer(item_body(item), b"application/octet-stream"))
+    return found.map(lambda item: JobAnswer(item_body(item), b"application/octet-stream"))
 
 
 async def _results(
     job_service: JobService, call: ReadCall, team: str, wait_ms: int
-) -> Result[Answer, Refusal]:
+) -> Result[JobAnswer, Refusal]:
     page = await job_service.results(call.job_id, call.after, wait_ms, team)
-    return page.map(lambda found: Answer(write_page(found, call.after)))
+    return page.map(lambda found: JobAnswer(write_page(found, call.after)))
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -17,7 +17,7 @@
 from papayapier.config.profiles import Profile, RetryRule
 from papayapier.dispatch.api import DispatchDeps, OnlineRequest
 from papayapier.dispatch.crash_watch import CrashWatch
-from papayapier.dispatch.lanes import BatchLanes
+from papayapier.dispatch.item_dispatch import ItemDispatch
 from papayapier.dispatch.online import OnlineDispatch
 from papayapier.errors import Outcome, Refusal
 from papayapier.metrics import make_metrics
@@ -50,7 +50,7 @@
 PASSES = Profile("passes", "gate", "batch", 3_600_000, False, retry=RetryRule(attempts=3))
 
 
-WORLDS: "list[World]" = []
+WORLDS: "list[DispatchWorld]" = []
 
 
 class Send:
@@ -94,7 +94,7 @@
         return max(0, book.slots(replica_id) - book.own(replica_id).online)
 
 
-class World:
+class DispatchWorld:
     """Own the dispatch, and record its sends."""
 
     def __init__(self, lm: int = 1, gate: int = 0, slots: int = 1, queued: int = 100) -> None:
@@ -117,7 +117,7 @@
             clock=self.time.clock,
             rand=random.Random(1),
             data_centre="dc",
-            book=self.book,
+            load_tracker=self.book,
             outliers=self.outliers,
             crashes=self.crashes,
             queue=self.queue,
@@ -126,10 +126,10 @@
             share=SlotShare("entry-1"),
             upstreams=Upstreams(self._send, _never, _never, _never),
             metrics=self.metrics,
-            uses_changed=lambda: None,
+            on_uses_changed=lambda: None,
         )
-        self.lanes = BatchLanes(self.deps)
-        self.online = OnlineDispatch(self.deps, self.lanes.before_online_send)
+        self.lanes = ItemDispatch(self.deps)
+        self.online = OnlineDispatch(self.deps, self.lanes.preempt_for_online)
 
     async def _send(
         self, replica: Replica, call: Call, on_token: OnToken
@@ -171,7 +171,7 @@
         for _ in range(delay_ms // step_ms):
             self.time.advance(step_ms)
 
-    def ask(
+    def send_request(
         self,
         profile: Profile = QUESTIONS,
         call_id: str = "call",
@@ -188,7 +188,7 @@
         )
         return self._started(Deferred.fromCoroutine(self.online.run(req, on_token, claim)))
 
-    def item(
+    def run_item(
         self,
         profile: Profile = NOTES,
         call_id: str = "item",
@@ -219,7 +219,7 @@
 
     def is_idle(self) -> bool:
         """Return whether nothing is queued, running or counted as open."""
-        left = self.online.under_way() + self.lanes.under_way() + self.queue.depth()
+        left = self.online.unfinished_count() + self.lanes.unfinished_count() + self.queue.depth()
         return left == 0 and self.book.uses() == []
 
 
--- a/tests/entry_world.py
+++ b/tests/entry_world.py
@@ -22,8 +22,8 @@
 from tests.log_catcher import LogCatcher
 from tests.raw_client import RawClient, connect
 
-Ended = Result[Reply, Refusal]
-Work = Callable[[OnlineRequest, OnToken], Awaitable[Ended]]
+RunResult = Result[Reply, Refusal]
+RequestHandler = Callable[[OnlineRequest, OnToken], Awaitable[RunResult]]
 
 BODY_LIMIT = 20_000
 CHAT = "X-Papayapier-Profile: chat"
@@ -47,7 +47,7 @@
     return Token(text, json.dumps({"id": "x", "choices": [choice]}).encode(), 0)
 
 
-async def answer(_req: OnlineRequest, _on_token: OnToken) -> Ended:
+async def answer(_req: OnlineRequest, _on_token: OnToken) -> RunResult:
     """Answer at once."""
     return ANSWER
 
@@ -56,7 +56,7 @@
     """Own the open port, and record the received requests and the logged events."""
 
     def __init__(self) -> None:
-        self.work: Work = answer
+        self.handler: RequestHandler = answer
         self.requests: list[OnlineRequest] = []
         self.refusing: Callable[[], Refusal | None] = lambda: None
         app = Klein()
@@ -70,7 +70,7 @@
                 profile=PROFILES.get,
                 upstream_names=lambda: ["gate", "lm"],
                 run=self._run,
-                refusing=lambda: self.refusing(),
+                get_refusal=lambda: self.refusing(),
             ),
         )
         net: Any = reactor
@@ -95,9 +95,9 @@
         while self.site.connections:
             await real_clock().sleep(1)
 
-    async def _run(self, req: OnlineRequest, _key: str, on_token: OnToken) -> Ended:
+    async def _run(self, req: OnlineRequest, _key: str, on_token: OnToken) -> RunResult:
         self.requests.append(req)
-        return await self.work(req, on_token)
+        return await self.handler(req, on_token)
 
     async def connect(self) -> RawClient:
         """Open a connection."""
--- a/tests/forward_world.py
+++ b/tests/forward_world.py
@@ -26,7 +26,7 @@
 from papayapier.upstream.exchange import Head
 from papayapier.upstream.raw import Answered, PassedOn, RawAnswer, RawCall, StreamTaker, is_good
 
-Ended = Result[Answered, Refusal]
+ForwardResult = Result[Answered, Refusal]
 
 
 class Send:
@@ -94,19 +94,19 @@
             clock=self.time.clock,
             rand=random.Random(seed),
             data_centre="dc",
-            book=self.book,
+            load_tracker=self.book,
             outliers=self.outliers,
             crashes=self.crashes,
             queue=AdmissionQueue(100),
             budget=RetryBudget(),
             first_bytes=FirstByteTimes(),
             send=self._send,
-            head=lambda headers, _replica, _left, _last: headers,
+            make_headers=lambda headers, _replica, _left, _last: headers,
             metrics=make_metrics(),
-            uses_changed=lambda: None,
+            on_uses_changed=lambda: None,
             place=self._place,
-            unanswered=self.unanswered.append,
-            fresh=lambda: True,
+            on_unanswered=self.unanswered.append,
+            peer_loads_are_fresh=lambda: True,
         )
         # The decision of the placer, if there is one.
         self.placed = NOT_PLACED
@@ -123,7 +123,7 @@
         self.sends.append(send)
         return await send.done
 
-    def begin(
+    def start_request(
         self,
         idempotent: bool,
         caller: Caller | None = None,
@@ -131,14 +131,14 @@
         body: bytes = b"",
         due_ms: int = 5_000,
         last_event: int = NO_EVENT,
-    ) -> list[Ended]:
+    ) -> list[ForwardResult]:
         """Forward a request; its result is appended to the returned list."""
         profile = Profile("p", "lm", "urgent", 5_000, idempotent, retry=RetryRule(attempts))
         due = self.time.clock.now() + due_ms
         req = RawRequest(
             "id-1", profile, "POST", "/a", Headers(), body, caller is not None, "", due, last_event
         )
-        results: list[Ended] = []
+        results: list[ForwardResult] = []
         forwarding: Any = Deferred.fromCoroutine(forward(self.deps, req, caller))
         forwarding.addCallback(results.append)
         return results
--- a/tests/raw_client.py
+++ b/tests/raw_client.py
@@ -42,12 +42,12 @@
         transport: Any = self.transport
         transport.pauseProducing()
 
-    def shrink(self) -> None:
+    def shrink_receive_buffer(self) -> None:
         """Make the kernel's receive buffer of this connection small."""
         transport: Any = self.transport
         transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
 
-    def go_on_reading(self) -> None:
+    def resume_reading(self) -> None:
         transport: Any = self.transport
         transport.resumeProducing()
 
--- a/tests/raw_server.py
+++ b/tests/raw_server.py
@@ -36,7 +36,7 @@
     def take(self, conn: "RawConnection", head: bytes) -> None:
         if head.startswith(b"POST /cancel "):
             self.cancels += 1
-            conn.write(framed(b'{"cancelled":true}') if self.answers_cancels else b"")
+            conn.write(with_length(b'{"cancelled":true}') if self.answers_cancels else b"")
             return
         self.requests.append(head)
         self.carriers.add(conn)
@@ -89,13 +89,13 @@
         self.closed.callback(None)
 
 
-def framed(body: bytes, request_id: str = "r1", status: int = 200) -> bytes:
+def with_length(body: bytes, request_id: str = "r1", status: int = 200) -> bytes:
     """Return an answer with a Content-Length."""
     head = f"HTTP/1.1 {status} Fine\r\nX-Request-Id: {request_id}\r\nX-Load: 1/2/3\r\n"
     return f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-def whole(request_id: str = "r1") -> bytes:
+def complete_body(request_id: str = "r1") -> bytes:
     """Return the body of a complete chat answer."""
     choice = '{"index":0,"message":{"role":"assistant","content":"a b"},"finish_reason":"stop"}'
     usage = '{"prompt_tokens":1,"completion_tokens":2}'
@@ -110,13 +110,13 @@
     return head + b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts) + end
 
 
-def piece(text: str, finish: str = "null", request_id: str = "r1") -> bytes:
+def stream_event(text: str, finish: str = "null", request_id: str = "r1") -> bytes:
     """Return one event of a stream."""
     choice = f'{{"index":0,"delta":{{"content":"{text}"}},"finish_reason":{finish}}}'
     return f'data: {{"id":"{request_id}","choices":[{choice}]}}\n\n'.encode()
 
 
-LAST = piece("b", '"stop"')
+LAST_EVENT = stream_event("b", '"stop"')
 DONE = b"data: [DONE]\n\n"
 
 
--- a/tests/test_config_operate.py
+++ b/tests/test_config_operate.py
@@ -23,7 +23,7 @@
 from papayapier.clock import real_clock
 from papayapier.config.start import ConfigDeps, start_config
 from papayapier.entry.batch_routes import add_batch_routes
-from papayapier.entry.operator_auth import job_auth, no_new_work
+from papayapier.entry.operator_auth import job_auth, refuse_new_work
 from papayapier.entry.operator_bodies import InstanceStatus, Status
 from papayapier.entry.operator_routes import OperatorDeps, add_operator_routes
 from papayapier.main import make_parser
@@ -209,7 +209,7 @@
         batch = world.start("a")
         self.addCleanup(lambda: Deferred.fromCoroutine(_stop(batch)))
         app = Klein()
-        add_batch_routes(app, batch, job_auth((ANA,)), no_new_work)
+        add_batch_routes(app, batch, job_auth((ANA,)), refuse_new_work)
         port = self._serve(app)
         item = {"custom_id": "van/1", "url": URL, "body": {"n": 1}}
         intake = batch.new_file("yard", "notes.jsonl", "batch")
--- a/tests/test_crashing_work.py
+++ b/tests/test_crashing_work.py
@@ -16,7 +16,7 @@
 
 from papayapier.errors import ErrorKind, Outcome
 from papayapier.upstream.api import FailureKind, Sent
-from tests.dispatch_world import World, result
+from tests.dispatch_world import DispatchWorld, result
 from tests.forward_world import ForwardWorld
 from tests.jobs_run_world import World as RunWorld
 from tests.site.world import SiteWorld, new_id, pause
@@ -36,7 +36,7 @@
 def _send_until_refused(idempotent: bool) -> None:
     world = ForwardWorld(replicas=4)
     for _ in range(6):
-        results = world.begin(idempotent, body=b"crash")
+        results = world.start_request(idempotent, body=b"crash")
         while not results:
             world.end_replica(world.sends[-1])
             world.time.advance(1_000)
@@ -123,10 +123,10 @@
 
 def test_a_crashing_request_to_the_openai_api_is_quarantined() -> None:
     """Guard against sending a crashing OpenAI-style request to one replica after the other."""
-    world = World(lm=8, slots=4)
+    world = DispatchWorld(lm=8, slots=4)
     pending = None
     for number in range(6):
-        pending = world.ask(call_id=f"call-{number}")
+        pending = world.send_request(call_id=f"call-{number}")
         while not pending.called:
             world.end_replica(world.sends[-1])
             world.advance(1_000)
@@ -141,9 +141,9 @@
 
     Only the owner of its job sends an item, one run at a time, with three sends for each run.
     """
-    world = World(lm=8, slots=1)
+    world = DispatchWorld(lm=8, slots=1)
     for number in range(4):
-        pending = world.item(call_id=f"item-{number}")
+        pending = world.run_item(call_id=f"item-{number}")
         while not pending.called:
             for send in [send for send in world.sends if not send.done.called]:
                 world.end_replica(send)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -15,7 +15,7 @@
 from papayapier.claims.service import Claims
 from papayapier.config.profiles import CallerLimits
 from papayapier.dispatch.api import OnlineRequest
-from papayapier.dispatch.claimed import make_runner
+from papayapier.dispatch.claimed import make_claimed_runner
 from papayapier.dispatch.online import OnlineDispatch
 from papayapier.errors import ErrorKind, Outcome, Refusal, not_run
 from papayapier.fleet_view import FleetView, Place, Policies
@@ -32,8 +32,8 @@
     PASSES,
     QUESTIONS,
     WORLDS,
+    DispatchWorld,
     RunResult,
-    World,
     outcome,
     result,
 )
@@ -79,11 +79,11 @@
     failures: list[tuple[FailureKind, Sent]], online: bool, safe: bool
 ) -> None:
     """Guard against a refusal as not_run although one of the sends may have run."""
-    world = World(lm=3, gate=3)
+    world = DispatchWorld(lm=3, gate=3)
     if online:
-        pending = world.ask(QUESTIONS if safe else GATE)
+        pending = world.send_request(QUESTIONS if safe else GATE)
     else:
-        pending = world.item(NOTES if safe else PASSES)
+        pending = world.run_item(NOTES if safe else PASSES)
     for number, (kind, sent) in enumerate(failures):
         if len(world.sends) == number:
             break
@@ -102,8 +102,8 @@
     The first send breaks off after some tokens; the second is refused with 400, because the engine
     does not support resume_text. The rejection was passed on without regard to earlier sends.
     """
-    for begin in (World.ask, World.item):
-        world = World(lm=2)
+    for begin in (DispatchWorld.send_request, DispatchWorld.run_item):
+        world = DispatchWorld(lm=2)
         pending = begin(world)
         world.sends[0].token("we ")
         world.sends[0].fail(FailureKind.CUT)
@@ -118,10 +118,10 @@
     every further connection is refused. The preempted send was not counted among those that may
     have run.
     """
-    world = World()
+    world = DispatchWorld()
     allowed = [True]
-    pending = world.item(allowed=lambda: allowed[0])
-    world.ask()
+    pending = world.run_item(allowed=lambda: allowed[0])
+    world.send_request()
     allowed[0] = False
     world.sends[1].answer()
     world.advance(20)
@@ -130,8 +130,8 @@
 
 def test_non_idempotent_call_is_retried_only_if_it_cannot_have_run() -> None:
     """Guard against running a call twice that may run only once."""
-    world = World(gate=2)
-    pending = world.ask(GATE)
+    world = DispatchWorld(gate=2)
+    pending = world.send_request(GATE)
     world.sends[0].fail(FailureKind.CONNECT, Sent.NO)
     assert world.sends[1].replica != world.sends[0].replica
     assert all(send.call.fresh for send in world.sends)
@@ -147,9 +147,9 @@
 
 def test_broken_stream_resumes_on_another_replica_as_one_stream() -> None:
     """Guard against lost, repeated or mislabelled tokens when a replica breaks off a stream."""
-    world = World(lm=2)
+    world = DispatchWorld(lm=2)
     seen: list[Token] = []
-    pending = world.ask(call_id="abc", on_token=seen.append)
+    pending = world.send_request(call_id="abc", on_token=seen.append)
     world.advance(30)
     world.sends[0].token("we ", "open ")
     world.sends[0].fail(FailureKind.CUT)
@@ -168,8 +168,8 @@
 
 def test_broken_stream_that_may_not_be_repeated_is_unknown() -> None:
     """Guard against resuming a stream of a profile that is not idempotent."""
-    world = World(lm=2)
-    pending = world.ask(QUESTIONS._replace(idempotent=False))
+    world = DispatchWorld(lm=2)
+    pending = world.send_request(QUESTIONS._replace(idempotent=False))
     world.sends[0].token("we ")
     world.sends[0].fail(FailureKind.CUT)
     assert outcome(pending) is Outcome.UNKNOWN
@@ -181,9 +181,9 @@
 
 def test_disconnect_while_queued_removes_the_ticket() -> None:
     """Guard against starting a queued request whose caller has disconnected."""
-    world = World()
-    running = world.ask(call_id="first")
-    queued = world.ask(call_id="second")
+    world = DispatchWorld()
+    running = world.send_request(call_id="first")
+    queued = world.send_request(call_id="second")
     assert world.queue.depth() == 1
     disconnect(queued)
     assert world.queue.depth() == 0
@@ -195,9 +195,9 @@
 
 def test_disconnect_while_running_frees_the_replica() -> None:
     """Guard against a slot that stays taken after the caller has disconnected."""
-    world = World()
-    dropped = world.ask(call_id="first")
-    waiting = world.ask(call_id="second")
+    world = DispatchWorld()
+    dropped = world.send_request(call_id="first")
+    waiting = world.send_request(call_id="second")
     disconnect(dropped)
     assert world.sends[0].cancelled
     assert world.sends[1].call.call_id == "second"
@@ -208,10 +208,10 @@
 
 def test_disconnect_before_a_retry_prevents_the_retry() -> None:
     """Guard against retries for a caller that has disconnected."""
-    world = World(lm=2)
-    dropped = world.ask()
+    world = DispatchWorld(lm=2)
+    dropped = world.send_request()
     world.sends[0].fail(FailureKind.STATUS, status=503)
-    assert world.online.under_way() == 1
+    assert world.online.unfinished_count() == 1
     disconnect(dropped)
     world.advance(1_000)
     assert len(world.sends) == 1
@@ -220,15 +220,15 @@
 
 def test_refused_request_has_left_the_queue() -> None:
     """Guard against starting a request after it was refused as not_run."""
-    world = World()
-    running = world.ask(call_id="first")
+    world = DispatchWorld()
+    running = world.send_request(call_id="first")
     depths: list[int] = []
 
     def note(finished: RunResult) -> RunResult:
         depths.append(world.queue.depth())
         return finished
 
-    late = world.ask(call_id="second", due_ms=100)
+    late = world.send_request(call_id="second", due_ms=100)
     late.addCallback(note)
     world.advance(300)
     assert depths == [0]
@@ -242,12 +242,12 @@
 
 def test_upstreams_do_not_wait_for_each_other() -> None:
     """Guard against a busy upstream that delays requests of an idle one."""
-    world = World(lm=1, gate=1)
+    world = DispatchWorld(lm=1, gate=1)
     for number in range(5):
-        world.ask(call_id=f"chat-{number}")
-        world.item(call_id=f"note-{number}")
-    checked = world.ask(GATE, call_id="gate")
-    passed = world.item(PASSES, call_id="pass")
+        world.send_request(call_id=f"chat-{number}")
+        world.run_item(call_id=f"note-{number}")
+    checked = world.send_request(GATE, call_id="gate")
+    passed = world.run_item(PASSES, call_id="pass")
     assert [send.call.call_id for send in world.sends if send.replica.upstream == "gate"] == [
         "gate"
     ]
@@ -261,8 +261,8 @@
 
 def test_upstream_without_replicas_is_refused_at_once() -> None:
     """Guard against queueing a request until its due time although no replica is listed."""
-    world = World(gate=0)
-    refusal = result(world.ask(GATE)).unwrap_err()
+    world = DispatchWorld(gate=0)
+    refusal = result(world.send_request(GATE)).unwrap_err()
     assert (refusal.kind, refusal.outcome) == (ErrorKind.NO_UPSTREAM, Outcome.NOT_RUN)
 
 
@@ -272,17 +272,17 @@
     Requests of a profile take 500 ms each, and one with 300 ms left is queued. The durations were
     recorded without the profile, so the estimate ignored them.
     """
-    world = World(slots=4)
+    world = DispatchWorld(slots=4)
     for turn in range(10):
-        running = [world.ask(call_id=f"slow-{turn}-{number}") for number in range(4)]
+        running = [world.send_request(call_id=f"slow-{turn}-{number}") for number in range(4)]
         world.advance(500)
         world.report()
         for send in world.sends[-4:]:
             send.answer(total_ms=500)
         assert all(result(pending).is_ok() for pending in running)
     for number in range(4):
-        world.ask(call_id=f"running-{number}")
-    hurried = world.ask(call_id="hurried", due_ms=300)
+        world.send_request(call_id=f"running-{number}")
+    hurried = world.send_request(call_id="hurried", due_ms=300)
     world.advance(100)
     assert outcome(hurried) is Outcome.NOT_RUN
 
@@ -293,14 +293,14 @@
     Each was admitted while the claims of those before it were being written, because a request
     counted at its replica only when it was sent. Urgent requests then waited in the engine.
     """
-    world = World(gate=1, lm=0)
+    world = DispatchWorld(gate=1, lm=0)
     claims: list[Deferred[Result[None, Refusal]]] = []
 
     async def claim() -> Result[None, Refusal]:
         claims.append(Deferred())
         return await claims[-1]
 
-    runs = [world.ask(GATE, call_id=f"pass-{n}", claim=claim) for n in range(3)]
+    runs = [world.send_request(GATE, call_id=f"pass-{n}", claim=claim) for n in range(3)]
     assert len(claims) == 1
     claims[0].callback(Err(not_run(ErrorKind.STORE_UNAVAILABLE, "the store is down")))
     assert outcome(runs[0]) is Outcome.NOT_RUN
@@ -319,14 +319,14 @@
 
     A claim must not reserve its slot for as long as the store takes to write it.
     """
-    world = World(gate=1, lm=0)
+    world = DispatchWorld(gate=1, lm=0)
     never: Deferred[Result[None, Refusal]] = Deferred()
 
     async def claim() -> Result[None, Refusal]:
         return await never
 
-    world.ask(GATE, call_id="keyed", claim=claim)
-    world.ask(GATE, call_id="plain")
+    world.send_request(GATE, call_id="keyed", claim=claim)
+    world.send_request(GATE, call_id="plain")
     assert world.sends == []
     world.advance(60)
     assert [send.call.call_id for send in world.sends] == ["plain"]
@@ -338,21 +338,21 @@
 def test_caller_limits_apply_to_each_caller_and_are_released() -> None:
     """Guard against caller limits that are accepted with a profile but not enforced."""
     bound = QUESTIONS._replace(callers=CallerLimits(in_flight=3, queued=1))
-    world = World(slots=1)
-    asked = [world.ask(bound, call_id=f"chat-{number}") for number in range(3)]
+    world = DispatchWorld(slots=1)
+    asked = [world.send_request(bound, call_id=f"chat-{number}") for number in range(3)]
     refusal = result(asked[2]).unwrap_err()
     assert (refusal.kind, refusal.outcome) == (ErrorKind.CALLER_LIMIT, Outcome.NOT_RUN)
     assert "queued" in refusal.reason
     disconnect(asked[1])
-    queued = world.ask(bound, call_id="after")
+    queued = world.send_request(bound, call_id="after")
     world.sends[0].answer()
     assert result(asked[0]).is_ok()
     world.sends[1].answer()
     assert result(queued).is_ok()
     assert world.is_idle()
     tight = QUESTIONS._replace(callers=CallerLimits(in_flight=1))
-    running = world.ask(tight, call_id="running")
-    assert "under way" in result(world.ask(tight, call_id="more")).unwrap_err().reason
+    running = world.send_request(tight, call_id="running")
+    assert "under way" in result(world.send_request(tight, call_id="more")).unwrap_err().reason
     world.sends[-1].answer()
     assert result(running).is_ok()
 
@@ -363,7 +363,7 @@
     A keyed request is claimed and sent, its caller disconnects, then an exception is raised. Only a
     run that returned finished its claim, and the exception was dropped.
     """
-    world = World(lm=0, gate=1)
+    world = DispatchWorld(lm=0, gate=1)
     kept: list[SavedAnswer] = []
 
     class Scripted(Claims):
@@ -377,7 +377,7 @@
             kept.append(answer)
 
     logs = LogCatcher()
-    run = make_runner(world.online, Scripted())
+    run = make_claimed_runner(world.online, Scripted())
     now = world.time.clock.now()
     req = OnlineRequest("abc", "a", GATE, "POST", "/x", b"", "", False, "", now + 1_000)
     with logs.applicationbound():
@@ -402,8 +402,8 @@
     With a first-byte timeout as long as the due time, 23 of 1,065 requests were refused as late and
     unknown although eight of nine replicas were idle.
     """
-    world = World(lm=2, gate=1)
-    asked = world.ask(due_ms=9_000)
+    world = DispatchWorld(lm=2, gate=1)
+    asked = world.send_request(due_ms=9_000)
     assert world.sends[0].call.first_byte_ms == 3_000
     world.advance(3_000)
     world.sends[0].fail(FailureKind.SILENT)
@@ -411,7 +411,7 @@
     assert 0 < world.sends[1].call.first_byte_ms <= 3_000
     world.sends[1].answer()
     assert result(asked).is_ok()
-    passed = world.ask(GATE, call_id="pass")
+    passed = world.send_request(GATE, call_id="pass")
     assert world.sends[2].call.first_byte_ms == 0
     world.sends[2].answer()
     assert result(passed).is_ok()
@@ -423,9 +423,9 @@
 
 def test_leaving_replica_gets_no_new_sends() -> None:
     """Guard against online sends, retries and items on a replica that is leaving."""
-    world = World(lm=2, slots=2)
-    online = [world.ask(call_id=f"chat-{number}") for number in range(2)]
-    item = world.item()
+    world = DispatchWorld(lm=2, slots=2)
+    online = [world.send_request(call_id=f"chat-{number}") for number in range(2)]
+    item = world.run_item()
     world.list_replicas(leaving=["lm-0"])
     for send in list(world.sends):
         if not send.done.called:
@@ -433,8 +433,8 @@
     world.advance(100)
     assert {send.replica.id for send in world.sends[3:]} == {"lm-1"}
     world.list_replicas(leaving=["lm-0", "lm-1"])
-    queued = world.ask(call_id="late", due_ms=500)
-    waiting = world.item(call_id="waiting")
+    queued = world.send_request(call_id="late", due_ms=500)
+    waiting = world.run_item(call_id="waiting")
     for send in world.sends:
         if not send.done.called:
             send.answer()
@@ -451,10 +451,10 @@
 
     If the replica is listed as leaving in between, it would continue to receive requests.
     """
-    world = World()
+    world = DispatchWorld()
     world.online = OnlineDispatch(world.deps, lambda _: world.list_replicas(["lm-0"]))
     broken: list[Any] = []
-    world.ask().addErrback(broken.append)
+    world.send_request().addErrback(broken.append)
     assert broken[0].check(invariants.BrokenPromiseError)
     assert "leaving" in broken[0].getErrorMessage()
 
@@ -485,11 +485,11 @@
 
     The number of streams to preempt was computed before the online call was counted.
     """
-    world = World(slots=3)
-    items = [world.item(call_id=f"note-{number}") for number in range(3)]
+    world = DispatchWorld(slots=3)
+    items = [world.run_item(call_id=f"note-{number}") for number in range(3)]
     for send, tokens in zip(world.sends, (2, 1, 3), strict=True):
         send.token(*["x "] * tokens)
-    online = world.ask()
+    online = world.send_request()
     assert [send.cancelled for send in world.sends] == [False, True, False, False]
     world.sends[3].answer()
     assert result(online).is_ok()
@@ -506,11 +506,11 @@
 
 def test_items_that_may_not_be_repeated_are_not_preempted() -> None:
     """Guard against cancelling a send that cannot be resumed."""
-    world = World(lm=1, slots=2)
-    safe = world.item(call_id="note")
-    once = world.item(NOTES._replace(idempotent=False), call_id="once")
-    world.ask(call_id="a")
-    world.ask(call_id="b")
+    world = DispatchWorld(lm=1, slots=2)
+    safe = world.run_item(call_id="note")
+    once = world.run_item(NOTES._replace(idempotent=False), call_id="once")
+    world.send_request(call_id="a")
+    world.send_request(call_id="b")
     assert {send.call.call_id: send.cancelled for send in world.sends}["once"] is False
     world.sends[1].answer()
     assert result(once).is_ok()
@@ -527,33 +527,33 @@
 
     A cancelled stream that has not finished by the next tick still counts as open.
     """
-    world = World(slots=3)
+    world = DispatchWorld(slots=3)
     world.slow_cancels = True
     for number in range(3):
-        world.item(call_id=f"note-{number}")
-    world.ask()
+        world.run_item(call_id=f"note-{number}")
+    world.send_request()
     for _ in range(3):
         for send in world.sends:
             send.token(*["x "] * send.cancelled)
-        world.lanes.before_online_send("lm-0")
+        world.lanes.preempt_for_online("lm-0")
     assert sum(send.cancelled for send in world.sends) == 1
 
 
 def test_each_send_checks_whether_it_is_still_allowed() -> None:
     """Guard against sending an item after its job may no longer run."""
-    world = World()
+    world = DispatchWorld()
     asked: list[int] = []
 
     def allowed() -> bool:
         asked.append(len(world.sends))
         return len(asked) < 4
 
-    pending = world.item(allowed=allowed)
+    pending = world.run_item(allowed=allowed)
     world.sends[0].fail(FailureKind.CUT)
     world.sends[1].fail(FailureKind.STATUS, status=503)
     world.advance(100)
     assert (asked, len(world.sends)) == ([0, 1, 2], 3)
-    world.ask()
+    world.send_request()
     assert [send.cancelled for send in world.sends] == [False, False, True, False]
     world.sends[3].answer()
     world.advance(100)
@@ -564,15 +564,15 @@
 @pytest.mark.parametrize("slow", [False, True])
 def test_cancelled_items_release_everything(slow: bool) -> None:
     """Guard against slots or queue entries that stay taken after a cancel."""
-    world = World(lm=1, slots=1)
+    world = DispatchWorld(lm=1, slots=1)
     world.slow_cancels = slow
-    items = [world.item(call_id=f"note-{number}") for number in range(3)]
+    items = [world.run_item(call_id=f"note-{number}") for number in range(3)]
     disconnect(items[1])
     disconnect(items[0])
     assert world.sends[1].call.call_id == "note-2"
     disconnect(items[2])
     assert world.is_idle()
-    assert world.lanes.room("lm") == 1
+    assert world.lanes.free_slots("lm") == 1
 
 
 def test_cancel_of_an_item_being_preempted_is_final() -> None:
@@ -581,10 +581,10 @@
     A job is cancelled while one of its streams is being preempted. Both raise the same
     CancelledError, and the item was resumed.
     """
-    world = World()
+    world = DispatchWorld()
     world.slow_cancels = True
-    item = world.item()
-    world.ask()
+    item = world.run_item()
+    world.send_request()
     disconnect(item)
     world.slow_cancels = False
     world.sends[1].answer()
@@ -599,8 +599,8 @@
     A replica that refuses every connection at once always has the most free slots, and retries did
     not avoid it.
     """
-    world = World(lm=2, slots=2)
-    pending = world.item()
+    world = DispatchWorld(lm=2, slots=2)
+    pending = world.run_item()
     world.sends[0].fail(FailureKind.CONNECT, Sent.NO)
     world.advance(1_500)
     assert [send.replica.id for send in world.sends] == ["lm-0", "lm-1"]
@@ -613,11 +613,11 @@
 
     The slots of ejected replicas, on which nothing is started, were counted as free.
     """
-    world = World(lm=3, slots=4)
-    assert world.lanes.room("lm") == 12
+    world = DispatchWorld(lm=3, slots=4)
+    assert world.lanes.free_slots("lm") == 12
     for _ in range(5):
         world.outliers.on_end("lm-0", False, None, 0)
-    assert world.lanes.room("lm") == 8
+    assert world.lanes.free_slots("lm") == 8
 
 
 def test_many_cancelled_items_finish_without_recursion() -> None:
@@ -626,9 +626,9 @@
     Hundreds of items wait, their job is cancelled, and one slot becomes free. Each finished item
     started the next one from within its own completion.
     """
-    world = World()
+    world = DispatchWorld()
     allowed = [True]
-    items = [world.item(call_id=f"note-{n}", allowed=lambda: allowed[0]) for n in range(500)]
+    items = [world.run_item(call_id=f"note-{n}", allowed=lambda: allowed[0]) for n in range(500)]
     allowed[0] = False
     world.sends[0].answer()
     assert all(outcome(item) is Outcome.NOT_RUN for item in items[1:])
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -12,7 +12,7 @@
 from papayapier.dispatch.api import OnlineRequest, OnToken
 from papayapier.entry import chat
 from papayapier.errors import ErrorKind, not_run, unknown
-from tests.entry_world import ANSWER, BODY_LIMIT, CHAT, GATE, Ended, EntryWorld, question, token
+from tests.entry_world import ANSWER, BODY_LIMIT, CHAT, GATE, EntryWorld, RunResult, question, token
 from tests.raw_client import post
 
 
@@ -121,13 +121,13 @@
         is raised before or after the stream to the caller has begun.
         """
 
-        async def crash(_req: OnlineRequest, on_token: OnToken) -> Ended:
+        async def crash(_req: OnlineRequest, on_token: OnToken) -> RunResult:
             if started:
                 on_token(token("a"))
             raise ZeroDivisionError
 
         async def run() -> None:
-            self.world.work = crash
+            self.world.handler = crash
             status, error = await self.world.refused(post("/services/gate/x", b"", GATE))
             assert (status, error["kind"], error["outcome"]) == (500, "internal", "unknown")
             started.append(True)
@@ -143,15 +143,15 @@
 
     def test_stream_has_its_end_mark_only_when_complete(self) -> Deferred[None]:
         """Guard against a truncated stream that looks complete."""
-        results: list[Ended] = [ANSWER, Err(unknown(ErrorKind.UPSTREAM_FAILED, "it broke off"))]
+        results: list[RunResult] = [ANSWER, Err(unknown(ErrorKind.UPSTREAM_FAILED, "it broke off"))]
 
-        async def stream(_req: OnlineRequest, on_token: OnToken) -> Ended:
+        async def stream(_req: OnlineRequest, on_token: OnToken) -> RunResult:
             on_token(token("a"))
             on_token(token(" b"))
             return results.pop(0)
 
         async def run() -> None:
-            self.world.work = stream
+            self.world.handler = stream
             request = post("/v1/chat/completions", question(stream=True), CHAT)
             complete = await self.world.send(request, b"0\r\n\r\n")
             assert b"text/event-stream" in complete.received
@@ -168,12 +168,12 @@
     def test_finish_reason_is_not_sent_twice(self) -> Deferred[None]:
         """Guard against a second finish event after that of the engine."""
 
-        async def stream(_req: OnlineRequest, on_token: OnToken) -> Ended:
+        async def stream(_req: OnlineRequest, on_token: OnToken) -> RunResult:
             on_token(token("a", "stop"))
             return ANSWER
 
         async def run() -> None:
-            self.world.work = stream
+            self.world.handler = stream
             request = post("/v1/chat/completions", question(stream=True), CHAT)
             complete = await self.world.send(request, b"0\r\n\r\n")
             assert complete.received.count(b'"stop"') == 1
@@ -186,7 +186,7 @@
         text = token("x" * 1_000)
         written = [0]
 
-        async def stream(_req: OnlineRequest, on_token: OnToken) -> Ended:
+        async def stream(_req: OnlineRequest, on_token: OnToken) -> RunResult:
             try:
                 while True:
                     on_token(text)
@@ -196,7 +196,7 @@
                 finished.callback(None)
 
         async def run() -> None:
-            self.world.work = stream
+            self.world.handler = stream
             client = await self.world.send(
                 post("/v1/chat/completions", question(stream=True), CHAT), b"data:"
             )
@@ -218,7 +218,7 @@
         count = 1_500
         paused: Deferred[None] = Deferred()
 
-        async def stream(_req: OnlineRequest, on_token: OnToken) -> Ended:
+        async def stream(_req: OnlineRequest, on_token: OnToken) -> RunResult:
             (conn,) = self.world.site.connections
             conn.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
             on_token(token("<0>"))
@@ -229,14 +229,14 @@
             return ANSWER
 
         async def run() -> None:
-            self.world.work = stream
+            self.world.handler = stream
             client = await self.world.connect()
-            client.shrink()
+            client.shrink_receive_buffer()
             client.write(post("/v1/chat/completions", question(stream=True), CHAT))
             await client.until(b"<0>")
             client.stop_reading()
             paused.callback(None)
-            client.go_on_reading()
+            client.resume_reading()
             await client.until(b"0\r\n\r\n")
             seen = [int(part) for part in re.findall(rb"<(\d+)>", client.received)]
             assert seen == list(range(count))
@@ -249,13 +249,13 @@
         begun: Deferred[None] = Deferred()
         cancelled: Deferred[None] = Deferred()
 
-        async def wait(_req: OnlineRequest, _on_token: OnToken) -> Ended:
+        async def wait(_req: OnlineRequest, _on_token: OnToken) -> RunResult:
             begun.callback(None)
             await Deferred(lambda _: cancelled.callback(None))
             return ANSWER
 
         async def run() -> None:
-            self.world.work = wait
+            self.world.handler = wait
             client = await self.world.connect()
             client.write(post("/services/gate/x", b"", GATE))
             await begun
--- a/tests/test_forward_routes.py
+++ b/tests/test_forward_routes.py
@@ -63,7 +63,7 @@
     """
     request = Request(is_disconnected=True, started=started)
     world = ForwardWorld()
-    world.begin(idempotent=False)
+    world.start_request(idempotent=False)
     refusal = Err(unknown(ErrorKind.UPSTREAM_FAILED, "cut"))
     _finish(cast(Any, None), request, _req(), cast(Any, refusal), cast(Any, CallerStream()))
     assert not request.failed
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -6,7 +6,7 @@
 from twisted.web.http_headers import Headers
 
 from papayapier import events
-from papayapier.dispatch.lost_sends import name_work
+from papayapier.dispatch.lost_sends import request_fingerprint
 from papayapier.errors import ErrorKind, Outcome
 from papayapier.policy.crashes import LOSSES_MOST, Loss
 from papayapier.policy.loads import ReplicaUse
@@ -14,7 +14,7 @@
 from papayapier.policy.routing import RouteRequest
 from papayapier.upstream.api import FailureKind, Sent
 from papayapier.upstream.raw import RawAnswer
-from tests.forward_world import Caller, Ended, ForwardWorld
+from tests.forward_world import Caller, ForwardResult, ForwardWorld
 from tests.log_catcher import LogCatcher
 
 LOST = [
@@ -30,7 +30,7 @@
     """Guard against ignoring the decision of the placer."""
     world = ForwardWorld()
     world.placed = Placed(replica)
-    world.begin(idempotent=True)
+    world.start_request(idempotent=True)
     assert world.sends[0].replica.id == replica
 
 
@@ -38,7 +38,7 @@
     """Guard against a send to a removed replica; the placer's list may be older."""
     world = ForwardWorld()
     world.placed = Placed("gone")
-    world.begin(idempotent=True)
+    world.start_request(idempotent=True)
     assert world.sends[0].replica in world.replicas
 
 
@@ -51,9 +51,9 @@
         return await waiting
 
     world.deps = world.deps._replace(place=place)
-    results = world.begin(idempotent=True, body=b"crash")
-    work = name_work("POST", "", "/a", b"crash")
-    world.crashes.on_told([Loss(work, f"gone{n}", 0) for n in range(LOSSES_MOST)], ())
+    results = world.start_request(idempotent=True, body=b"crash")
+    work = request_fingerprint("POST", "", "/a", b"crash")
+    world.crashes.on_reported([Loss(work, f"gone{n}", 0) for n in range(LOSSES_MOST)], ())
     waiting.callback(Placed("r0"))
     assert not world.sends
     result = results[0]
@@ -68,7 +68,7 @@
 def test_a_request_that_may_run_once_is_sent_once(kind: FailureKind, sent: Sent) -> None:
     """Guard against retrying a send that may have run, where the route is not idempotent."""
     world = ForwardWorld()
-    results = world.begin(idempotent=False)
+    results = world.start_request(idempotent=False)
     world.sends[0].fail(kind, sent)
     assert len(world.sends) == 1
     result = results[0]
@@ -84,7 +84,7 @@
     answer was counted as a run.
     """
     world = ForwardWorld()
-    results = world.begin(idempotent, attempts=1)
+    results = world.start_request(idempotent, attempts=1)
     world.sends[0].fail(FailureKind.STATUS, Sent.NO, 503)
     world.time.advance(100)
     assert len(world.sends) == 2
@@ -96,7 +96,7 @@
 def test_when_all_replicas_reject_the_refusal_is_not_run() -> None:
     """Guard against an unknown outcome, or endless sends, where no replica ran the request."""
     world = ForwardWorld()
-    results = world.begin(idempotent=False)
+    results = world.start_request(idempotent=False)
     while not results:
         world.sends[-1].fail(FailureKind.STATUS, Sent.NO, 503)
         world.time.advance(1_000)
@@ -109,7 +109,7 @@
 def test_one_send_with_unknown_outcome_makes_the_request_unknown() -> None:
     """Guard against a refusal as not_run although an earlier send may have run."""
     world = ForwardWorld()
-    results = world.begin(idempotent=True, attempts=2)
+    results = world.start_request(idempotent=True, attempts=2)
     world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
     world.time.advance(1_000)
     for _ in range(6):
@@ -125,7 +125,7 @@
 def test_an_error_answer_is_passed_on_when_no_other_replica_succeeds() -> None:
     """Guard against replacing a replica's own answer by a refusal."""
     world = ForwardWorld()
-    results = world.begin(idempotent=True, attempts=2)
+    results = world.start_request(idempotent=True, attempts=2)
     world.sends[0].answer(500, b"first")
     world.time.advance(1_000)
     world.sends[1].fail(FailureKind.CUT, Sent.MAYBE)
@@ -137,7 +137,7 @@
     """Guard against a missing log line where the answer is that of an earlier replica."""
     world = ForwardWorld()
     with LogCatcher().applicationbound() as logs:
-        world.begin(idempotent=True, attempts=2)
+        world.start_request(idempotent=True, attempts=2)
         world.sends[0].answer(500)
         world.time.advance(1_000)
         world.sends[1].fail(FailureKind.CUT, Sent.MAYBE)
@@ -149,7 +149,7 @@
     """Guard against logs that do not show how far a stream got before its replica broke off."""
     world = ForwardWorld()
     with LogCatcher().applicationbound() as logs:
-        world.begin(idempotent=True, caller=Caller())
+        world.start_request(idempotent=True, caller=Caller())
         world.sends[0].events(1, 2)
         world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
         world.time.advance(100)
@@ -160,7 +160,7 @@
 def test_an_error_answer_to_a_request_that_may_run_once_is_final() -> None:
     """Guard against retrying a request that ran and failed, where it may run only once."""
     world = ForwardWorld()
-    results = world.begin(idempotent=False)
+    results = world.start_request(idempotent=False)
     world.sends[0].answer(500, b"failed")
     assert results[0] == Ok(RawAnswer(500, Headers(), b"failed"))
     assert len(world.sends) == 1
@@ -173,7 +173,7 @@
     """
     world = ForwardWorld()
     caller = Caller()
-    results = world.begin(idempotent=True, caller=caller)
+    results = world.start_request(idempotent=True, caller=caller)
     world.sends[0].events(1, 2)
     world.sends[0].data(b"id: 3\nda")
     world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
@@ -190,7 +190,7 @@
 def test_a_begun_stream_does_not_end_with_an_earlier_answer(given_up_for: str) -> None:
     """Guard against a broken stream that looks complete because an earlier error ended it."""
     world = ForwardWorld()
-    results = world.begin(idempotent=True, caller=Caller(), attempts=3)
+    results = world.start_request(idempotent=True, caller=Caller(), attempts=3)
     world.sends[0].answer(500, b"failed")
     world.time.advance(1_000)
     world.sends[1].events(1, 2)
@@ -210,7 +210,7 @@
 def test_a_begun_stream_does_not_end_with_the_error_of_the_resuming_replica(status: int) -> None:
     """Guard against a broken stream that looks complete because resuming it failed."""
     world = ForwardWorld()
-    results = world.begin(idempotent=True, caller=Caller(), attempts=2)
+    results = world.start_request(idempotent=True, caller=Caller(), attempts=2)
     world.sends[0].events(1, 2)
     world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
     world.time.advance(1_000)
@@ -223,7 +223,7 @@
     """Guard against giving up a stream while a third replica could resume it."""
     world = ForwardWorld()
     caller = Caller()
-    results = world.begin(idempotent=True, caller=caller)
+    results = world.start_request(idempotent=True, caller=caller)
     world.sends[0].events(1)
     world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
     world.time.advance(1_000)
@@ -240,7 +240,7 @@
     """Guard against repeated or missing events when a replica resumes at another event."""
     world = ForwardWorld()
     caller = Caller()
-    world.begin(idempotent=True, caller=caller)
+    world.start_request(idempotent=True, caller=caller)
     world.sends[0].events(1, 2)
     world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
     world.time.advance(1_000)
@@ -261,7 +261,7 @@
 ) -> None:
     """Guard against refusing an answer on a route that ignores the caller's last event."""
     world = ForwardWorld()
-    world.begin(idempotent=resumable, caller=Caller(), last_event=4)
+    world.start_request(idempotent=resumable, caller=Caller(), last_event=4)
     taker = world.sends[0].taker
     assert taker is not None
     assert (taker.on_data(b"id: 1\ndata: 1\n\n", 1) is None) is not resumable
@@ -285,12 +285,12 @@
     """
     world = ForwardWorld(replicas=2, seed=seed)
     began: dict[int, int] = {}
-    sound: list[list[Ended]] = []
+    sound: list[list[ForwardResult]] = []
     for now in range(0, 2_000, STEP_MS):
         if now % SOUND_GAP_MS == 0:
-            sound.append(world.begin(idempotent=True, body=b"sound"))
+            sound.append(world.start_request(idempotent=True, body=b"sound"))
         if now == crashing_ms:
-            world.begin(idempotent=True, body=b"crash")
+            world.start_request(idempotent=True, body=b"crash")
         world.time.advance(STEP_MS)
         for number, send in enumerate(list(world.sends)):
             open_ms = now - began.setdefault(number, now)
@@ -309,19 +309,19 @@
 def test_a_recently_answered_request_is_not_quarantined_when_three_replicas_end() -> None:
     """Guard against quarantining a request that was open beside a crashing one."""
     world = ForwardWorld(replicas=3)
-    world.begin(idempotent=True, body=b"sound")
+    world.start_request(idempotent=True, body=b"sound")
     world.sends[0].answer()
     for replica in list(world.replicas):
         world.placed = Placed(replica.id)
-        world.begin(idempotent=False, body=b"sound")
-        world.begin(idempotent=False, body=b"crash")
+        world.start_request(idempotent=False, body=b"sound")
+        world.start_request(idempotent=False, body=b"crash")
     for send in world.sends[1::2]:
         world.end_replica(send)
     world.placed = Placed("")
     held = [
         isinstance(result, Err) and result.err_value.kind is ErrorKind.ENDS_REPLICAS
         for body in (b"sound", b"crash")
-        for result in world.begin(idempotent=False, body=body)
+        for result in world.start_request(idempotent=False, body=body)
     ]
     assert held == [True], held
 
@@ -329,7 +329,7 @@
 def test_some_time_is_left_for_a_send_after_the_pause() -> None:
     """Guard against spending all of the remaining time on the pause before a retry."""
     world = ForwardWorld()
-    results = world.begin(idempotent=True, due_ms=600)
+    results = world.start_request(idempotent=True, due_ms=600)
     for _ in range(LOSSES_MOST - 1):
         world.end_replica(world.sends[-1])
         world.time.advance(100)
@@ -342,7 +342,7 @@
     """Guard against resuming a stream whose route is not idempotent."""
     world = ForwardWorld()
     caller = Caller()
-    results = world.begin(idempotent=False, caller=caller)
+    results = world.start_request(idempotent=False, caller=caller)
     world.sends[0].events(1)
     world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
     assert isinstance(results[0], Err)
@@ -352,7 +352,7 @@
 def test_calls_are_counted_as_long_as_they_are_open() -> None:
     """Guard against a wrong count of open calls, on which placement depends."""
     world = ForwardWorld()
-    world.begin(idempotent=True)
+    world.start_request(idempotent=True)
     assert world.open_calls() == 1
     world.sends[0].answer()
     assert world.open_calls() == 0
@@ -364,7 +364,7 @@
     uses = [ReplicaUse("r0", 6, 0), ReplicaUse("r1", 1, 0), ReplicaUse("r2", 6, 0)]
     world.book.on_peer_uses("peer", uses, world.time.clock.now())
     for _ in range(4):
-        world.begin(idempotent=True)
+        world.start_request(idempotent=True)
     assert {send.replica.id for send in world.sends} == {"r1"}
 
 
@@ -387,7 +387,7 @@
     A replica that resets each connection looks idle to the placer.
     """
     world = ForwardWorld()
-    world.begin(idempotent=True, caller=Caller())
+    world.start_request(idempotent=True, caller=Caller())
     replica = world.sends[0].replica
     if began:
         world.sends[0].events(1)
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -13,7 +13,7 @@
 
 from papayapier import events
 from papayapier.clock import real_clock
-from papayapier.entry.unread import REVIEW_MS, UnreadWatch
+from papayapier.entry.unread_watch import REVIEW_MS, UnreadWatch
 from papayapier.listen import listen_resource
 from papayapier.metrics import make_metrics
 from papayapier.policy.held_bytes import COPIES_PER_BODY, UNBOUNDED, HeldBytes, Unread
@@ -152,7 +152,7 @@
         return sorted(durations_ms)
 
     def _unread(self) -> int:
-        return sum(connection.unsent() for connection in self.listening.site.connections)
+        return sum(connection.unsent_bytes() for connection in self.listening.site.connections)
 
     def test_slow_readers_are_closed_and_others_are_served(self) -> Any:
         """Guard against unread answers that exhaust a machine with 200 MB and end its process."""
@@ -161,7 +161,7 @@
             before_ms = await self._response_ms(60)
             slow = await self._connect_many(SLOW_READERS)
             for client in slow:
-                client.shrink()
+                client.shrink_receive_buffer()
                 client.stop_reading()
                 client.write(b"GET /stream HTTP/1.1\r\nHost: x\r\n\r\n")
             await self.clock.sleep(200)
@@ -209,7 +209,7 @@
         async def run() -> None:
             slow = await self._connect_many(SLOW_READERS)
             for client in slow:
-                client.shrink()
+                client.shrink_receive_buffer()
                 client.stop_reading()
                 client.write(b"GET /stream HTTP/1.1\r\nHost: x\r\n\r\n")
             while not self.held.held():
--- a/tests/test_instance.py
+++ b/tests/test_instance.py
@@ -21,7 +21,7 @@
 from papayapier.standin.run import Fleet, FleetParams, run_fleet
 from papayapier.standin.switches import Mode
 from papayapier.stopping import PlannedStop, StopDeps
-from tests.entry_world import ANSWER, CHAT, GATE, Ended, EntryWorld
+from tests.entry_world import ANSWER, CHAT, GATE, EntryWorld, RunResult
 from tests.raw_client import connect, post
 from tests.scenario.processes import Child, start
 
@@ -44,7 +44,7 @@
     def setUp(self) -> None:
         self.world = EntryWorld()
         self.addCleanup(lambda: Deferred.fromCoroutine(self.world.stop()))
-        self.world.work = self.hang
+        self.world.handler = self.hang
         self.hanging: list[Deferred[None]] = []
         self.time = fake_clock()
         self.drain = Drain(DrainPlan(LAG_MS, LIMIT_MS))
@@ -65,7 +65,7 @@
     async def hand_over(self) -> None:
         await self.handed_over
 
-    async def hang(self, _req: OnlineRequest, _on_token: OnToken) -> Ended:
+    async def hang(self, _req: OnlineRequest, _on_token: OnToken) -> RunResult:
         done: Deferred[None] = Deferred()
         self.hanging.append(done)
         try:
@@ -143,17 +143,17 @@
             size = 30_000_000
             big = ANSWER.unwrap()._replace(body=b"x" * size)
 
-            async def answer(_req: OnlineRequest, _on_token: OnToken) -> Ended:
+            async def answer(_req: OnlineRequest, _on_token: OnToken) -> RunResult:
                 return ANSWER.map(lambda _: big)
 
-            self.world.work = answer
+            self.world.handler = answer
             slow = await self.world.send(GATE_CALL, b"\r\n\r\n")
             slow.stop_reading()
             stopped = Deferred.fromCoroutine(self.stop.run())
             self.handed_over.callback(None)
             await self.pass_time(LAG_MS + 1_000)
             assert (self.world.site.open_requests(), stopped.called) == (0, False)
-            slow.go_on_reading()
+            slow.resume_reading()
             await slow.closed
             assert len(slow.received.partition(b"\r\n\r\n")[2]) == size
             await self.pass_time(100)
--- a/tests/test_loss_news.py
+++ b/tests/test_loss_news.py
@@ -96,7 +96,7 @@
 
     def lose(self, replica: str, fingerprint: str = "w") -> None:
         at = Replica(replica, "lm", "h", 1, "dc")
-        self.watch.sent("r", lambda: fingerprint, at, Err(CONNECTION_CUT), 0)
+        self.watch.on_send_finished("r", lambda: fingerprint, at, Err(CONNECTION_CUT), 0)
 
     def refuses(self, fingerprint: str = "w") -> bool:
         return self.watch.refusal("r", lambda: fingerprint) is not None
@@ -132,7 +132,7 @@
     one, other = net.start("a", "b")
     one.lose("r0")
     at = Replica("r1", "lm", "h", 1, "dc")
-    one.watch.sent("r", lambda: "w", at, Ok(None), 0)
+    one.watch.on_send_finished("r", lambda: "w", at, Ok(None), 0)
     net.time.advance(COLLECT_MS + RESEND_MS)
     assert not other.watch.snapshot()
 
@@ -217,7 +217,7 @@
     one.lose("r0")
     net.time.advance(COLLECT_MS)
     at = Replica("r1", "lm", "h", 1, "dc")
-    other.watch.sent("r", lambda: "w", at, Ok(None), 0)
+    other.watch.on_send_finished("r", lambda: "w", at, Ok(None), 0)
     net.time.advance(COLLECT_MS)
     assert one.watch.snapshot() == other.watch.snapshot() == []
 
@@ -242,10 +242,10 @@
     cut = Failure(FailureKind.CONNECT, Sent.NO, "no way there", fresh=True, closed=closed)
     for replica in at:
         node.lose(replica.id)
-        node.watch.sent("r", lambda: "w", replica, Err(cut), 0)
+        node.watch.on_send_finished("r", lambda: "w", replica, Err(cut), 0)
     assert node.refuses()
     later = net.time.clock.now() + 1
-    node.watch.sent("r", lambda: "other", at[0], Ok(None), later)
+    node.watch.on_send_finished("r", lambda: "other", at[0], Ok(None), later)
     assert node.refuses() is closed
 
 
@@ -265,7 +265,9 @@
 
 
 def answer(node: Node, fingerprint: str = "w") -> None:
-    node.watch.sent("r", lambda: fingerprint, Replica("r9", "lm", "h", 1, "dc"), Ok(None), 0)
+    node.watch.on_send_finished(
+        "r", lambda: fingerprint, Replica("r9", "lm", "h", 1, "dc"), Ok(None), 0
+    )
 
 
 def lose_to_quarantine(net: Net, node: Node) -> None:
@@ -345,7 +347,7 @@
         net.time.advance(COLLECT_MS)
         for node in nodes:
             at = Replica("r0", "lm", "h", 1, "dc")
-            node.watch.sent("r", lambda: "other", at, Ok(None), net.time.clock.now())
+            node.watch.on_send_finished("r", lambda: "other", at, Ok(None), net.time.clock.now())
     lose_to_quarantine(net, nodes[1])
     assert all(node.refuses() for node in nodes)
 
--- a/tests/test_lost_sends.py
+++ b/tests/test_lost_sends.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from papayapier.dispatch.lost_sends import is_lost, name_work
+from papayapier.dispatch.lost_sends import is_lost, request_fingerprint
 from papayapier.upstream.api import Failure, FailureKind, Sent
 
 REQUEST = ("POST", "site.example", "/ask/1", b"body")
@@ -10,7 +10,7 @@
 
 def test_a_retry_has_the_same_fingerprint() -> None:
     """Guard against retries that are not recognised as the same request."""
-    assert name_work(*REQUEST) == name_work(*REQUEST)
+    assert request_fingerprint(*REQUEST) == request_fingerprint(*REQUEST)
 
 
 @pytest.mark.parametrize(
@@ -24,7 +24,7 @@
 )
 def test_another_request_has_another_fingerprint(other: tuple[str, str, str, bytes]) -> None:
     """Guard against quarantining a request for the losses of another."""
-    assert name_work(*other) != name_work(*REQUEST)
+    assert request_fingerprint(*other) != request_fingerprint(*REQUEST)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_send_windows.py
+++ b/tests/test_send_windows.py
@@ -13,13 +13,13 @@
 import pytest
 
 from papayapier.clock import fake_clock
-from papayapier.dispatch.crash_watch import CrashWatch, Hearers
-from papayapier.dispatch.lost_sends import name_work
+from papayapier.dispatch.crash_watch import CrashListeners, CrashWatch
+from papayapier.dispatch.lost_sends import request_fingerprint
 from papayapier.policy.crashes import ITEM_PAUSE_MS, LOSSES_MOST, CrashBook, Loss
 from papayapier.policy.send_windows import MAX_WINDOWS, SEND_PERIOD_MS, WINDOW_MS, ms_to_window
 from papayapier.upstream.api import FailureKind, Replica, Sent
-from tests.dispatch_world import BODY, CHAT, World
-from tests.forward_world import Ended, ForwardWorld, Send
+from tests.dispatch_world import BODY, CHAT, DispatchWorld
+from tests.forward_world import ForwardResult, ForwardWorld, Send
 
 STEP_MS = 10
 REPORT_DELAY_MS = 100
@@ -150,9 +150,9 @@
 
 def test_chat_requests_wait_for_their_window() -> None:
     """Guard against requests of the chat endpoint that are sent outside their window."""
-    world = World(lm=4, slots=4)
-    world.crashes.on_told(losses_of(name_work("POST", "lm", CHAT, BODY), "rival"), ())
-    world.ask()
+    world = DispatchWorld(lm=4, slots=4)
+    world.crashes.on_reported(losses_of(request_fingerprint("POST", "lm", CHAT, BODY), "rival"), ())
+    world.send_request()
     assert not world.sends
     world.advance(3 * WINDOW_MS)
     assert len(world.sends) == 1
@@ -162,8 +162,10 @@
 def test_request_waits_at_most_half_its_time(due_ms: int) -> None:
     """Guard against requests that wait for a window until their due time."""
     world = ForwardWorld()
-    world.crashes.on_told(losses_of(name_work("POST", "", "/a", FREQUENT), "rival"), ())
-    world.begin(idempotent=True, body=FREQUENT, due_ms=due_ms)
+    world.crashes.on_reported(
+        losses_of(request_fingerprint("POST", "", "/a", FREQUENT), "rival"), ()
+    )
+    world.start_request(idempotent=True, body=FREQUENT, due_ms=due_ms)
     waited_ms = 0
     while not world.sends:
         world.time.advance(STEP_MS)
@@ -180,13 +182,13 @@
         self._rand = random.Random(seed)
         self.entries = [ForwardWorld(replicas, seed + n, self.time) for n in range(entries)]
         self._seen: dict[int, int] = {}
-        self.ends: dict[bytes, list[list[Ended]]] = {FREQUENT: [], CRASH: []}
+        self.ends: dict[bytes, list[list[ForwardResult]]] = {FREQUENT: [], CRASH: []}
         self.lost = 0
         for entry in self.entries:
             others = [other.crashes for other in self.entries if other is not entry]
             entry.crashes.connect(self._hearers(entry.crashes, others))
 
-    def _hearers(self, watch: CrashWatch, others: list[CrashWatch]) -> Hearers:
+    def _hearers(self, watch: CrashWatch, others: list[CrashWatch]) -> CrashListeners:
         def on_lost(loss: Loss) -> None:
             self.time.clock.call_later(
                 REPORT_DELAY_MS, lambda: reported([loss._replace(age_ms=REPORT_DELAY_MS)], ())
@@ -194,9 +196,9 @@
 
         def reported(losses: list[Loss], answered: Any) -> None:
             for other in others:
-                other.on_told(losses, answered)
+                other.on_reported(losses, answered)
 
-        return Hearers(
+        return CrashListeners(
             on_lost,
             lambda fingerprint: reported([], [fingerprint]),
             lambda fingerprint: reported(watch.snapshot([fingerprint]), ()),
@@ -204,7 +206,7 @@
 
     def ask(self, body: bytes) -> None:
         entry = self._rand.choice(self.entries)
-        self.ends[body].append(entry.begin(idempotent=True, body=body))
+        self.ends[body].append(entry.start_request(idempotent=True, body=body))
 
     def step(self) -> None:
         """Answer frequent requests that have run, and end the replicas of crashing ones."""
@@ -239,7 +241,7 @@
             entry.list_replicas()
 
     def held(self, body: bytes) -> list[bool]:
-        fingerprint = name_work("POST", "", "/a", body)
+        fingerprint = request_fingerprint("POST", "", "/a", body)
         return [
             entry.crashes.refusal("r", lambda: fingerprint) is not None for entry in self.entries
         ]
--- a/tests/test_site_slow_callers.py
+++ b/tests/test_site_slow_callers.py
@@ -38,7 +38,7 @@
 
     async def _begin_reader(self) -> RawClient:
         client = await connect(self.port())
-        client.shrink()
+        client.shrink_receive_buffer()
         client.stop_reading()
         client.write(_request_head("GET", LARGE_PATH.decode()) + b"\r\n")
         return client
--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -10,8 +10,8 @@
 from papayapier.config.keys import MAX_KEY_BYTES, KeyRing, bearer_key, digest_of
 from papayapier.config.route_table import RouteTable, pick_profile
 from papayapier.config.teams import ANYBODY, Team, may_use
-from papayapier.dispatch.lost_sends import name_work
-from papayapier.entry.raw_refusals import raw_status
+from papayapier.dispatch.lost_sends import request_fingerprint
+from papayapier.entry.forward_refusals import refusal_status
 from papayapier.errors import ErrorKind, not_run
 from papayapier.jobs.records import job_key
 from papayapier.platform.configuration import read_configuration
@@ -54,7 +54,7 @@
     asker = table(*TEAMS).asker(False, shown)
     assert isinstance(asker, Err)
     assert asker.err_value.kind is ErrorKind.UNAUTHORIZED
-    assert raw_status(asker.err_value) == 401
+    assert refusal_status(asker.err_value) == 401
     assert KEY not in asker.err_value.reason
 
 
@@ -133,7 +133,7 @@
 
 def test_equal_requests_of_two_teams_have_different_fingerprints() -> None:
     """A team's request must not be quarantined for replica losses under another team's."""
-    names = {name_work("POST", "h", "/a", b"x", team) for team in ("", "yard", "depot")}
+    names = {request_fingerprint("POST", "h", "/a", b"x", team) for team in ("", "yard", "depot")}
     assert len(names) == 3
 
 
@@ -177,6 +177,6 @@
 
 def test_refusals_have_the_status_for_their_kind() -> None:
     """Callers decide by the status whether to retry."""
-    assert raw_status(not_run(ErrorKind.OVER_ALLOWANCE, "")) == 429
-    assert raw_status(not_run(ErrorKind.NOT_GRANTED, "")) == 503
-    assert raw_status(not_run(ErrorKind.KEY_CONFLICT, "")) == 409
+    assert refusal_status(not_run(ErrorKind.OVER_ALLOWANCE, "")) == 429
+    assert refusal_status(not_run(ErrorKind.NOT_GRANTED, "")) == 503
+    assert refusal_status(not_run(ErrorKind.KEY_CONFLICT, "")) == 409
--- a/tests/test_unframed_answers.py
+++ b/tests/test_unframed_answers.py
@@ -9,7 +9,7 @@
 from twisted.web.http_headers import Headers
 
 from papayapier.clock import real_clock
-from papayapier.dispatch.passed_streams import PassedStream
+from papayapier.dispatch.relayed_stream import RelayedStream
 from papayapier.metrics import make_metrics
 from papayapier.platform.headers import read_facts
 from papayapier.settings import UpstreamSettings
@@ -101,7 +101,7 @@
 
     async def _stream(self, body: bytes) -> tuple[Any, bytes]:
         caller = Caller()
-        consumer = PassedStream(caller, NO_EVENT, resumable=True)
+        consumer = RelayedStream(caller, NO_EVENT, resumable=True)
         result = await self._answer(RawConnection.close, body=body, consumer=consumer)
         return result, caller.body
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -20,7 +20,15 @@
 from papayapier.upstream.api import Call, Failure, FailureKind, Replica, Reply, Sent, Token
 from papayapier.upstream.cancels import MAX_IN_FLIGHT
 from papayapier.upstream.client import make_upstreams
-from tests.raw_server import DONE, LAST, RawServer, chunked, framed, piece, whole
+from tests.raw_server import (
+    DONE,
+    LAST_EVENT,
+    RawServer,
+    chunked,
+    complete_body,
+    stream_event,
+    with_length,
+)
 
 reactor = cast(Any, installed_reactor)
 
@@ -78,7 +86,7 @@
 
     async def leave_idle_connection(self) -> None:
         """Leave one idle connection in the pool that may be reused."""
-        self.server.answer_with(framed(whole()))
+        self.server.answer_with(with_length(complete_body()))
         await self.reply(stream=False)
         self.fake.elapse(1)
 
@@ -88,14 +96,14 @@
 
     async def test_json(self) -> None:
         """Text, token count, finish reason and load of a JSON answer are parsed."""
-        self.server.answer_with(framed(whole()))
+        self.server.answer_with(with_length(complete_body()))
         reply = await self.reply(stream=False)
         equal((reply.text, reply.tokens, reply.finish_reason), ("a b", 2, "stop"))
         equal(reply.load and reply.load[:3], (1, 2, 3))
 
     async def test_stream(self) -> None:
         """Tokens of a stream are reported one by one and joined in the reply."""
-        self.server.answer_with(chunked(piece("a "), LAST, DONE))
+        self.server.answer_with(chunked(stream_event("a "), LAST_EVENT, DONE))
         reply = await self.reply()
         equal((reply.text, reply.tokens, reply.finish_reason), ("a b", 2, "stop"))
         equal([token.text for token in self.tokens], ["a ", "b"])
@@ -103,14 +111,16 @@
 
     async def test_plain_answer_is_passed_on_whatever_its_status(self) -> None:
         """A plain service's error status must not become a failure of the call."""
-        self.server.answer_with(framed(b"no such pass", status=404))
+        self.server.answer_with(with_length(b"no such pass", status=404))
         reply = await self.reply(method="DELETE", path="/calls/pass", stream=False)
         equal((reply.status, reply.body, reply.text), (404, b"no such pass", ""))
         equal(self.server.requests[0].split(b"\r\n")[0], b"DELETE /calls/pass HTTP/1.1")
 
     async def test_engine_refusal_has_its_reason_and_keeps_the_connection(self) -> None:
         """A refusal must contain the engine's reason, and its connection must be reused."""
-        self.server.answer_with(framed(b"no such model", status=400), framed(whole()))
+        self.server.answer_with(
+            with_length(b"no such model", status=400), with_length(complete_body())
+        )
         failure = await self.failure()
         equal((failure.kind, failure.status), (FailureKind.STATUS, 400))
         assert "no such model" in failure.reason
@@ -119,7 +129,7 @@
 
     async def test_load(self) -> None:
         """The load report of GET /load is parsed."""
-        self.server.answer_with(framed(b'{"running":1,"waiting":2,"slots":3,"step_ms":4.5}'))
+        self.server.answer_with(with_length(b'{"running":1,"waiting":2,"slots":3,"step_ms":4.5}'))
         load = (await self.ups.load(self.replica)).unwrap()
         equal(load[:4], (1, 2, 3, 4.5))
 
@@ -167,14 +177,14 @@
         """
         await self.leave_idle_connection()
         self.server.connections[0].close_at_once()
-        self.server.answer_with(framed(whole()))
+        self.server.answer_with(with_length(complete_body()))
         await self.reply(stream=False)
         equal(len(self.server.carriers), 2)
 
     async def test_fresh_call_uses_no_idle_connection(self) -> None:
         """A call with fresh must open a new connection."""
         await self.leave_idle_connection()
-        self.server.answer_with(framed(whole()))
+        self.server.answer_with(with_length(complete_body()))
         await self.reply(stream=False, fresh=True)
         equal(len(self.server.carriers), 2)
 
@@ -205,12 +215,12 @@
         conn = await self.server.next_request()
         await deferLater(reactor, 0.01)
         self.fake.elapse(CFG.progress_ms + 1)
-        conn.write(chunked(LAST, DONE, head=b""))
+        conn.write(chunked(LAST_EVENT, DONE, head=b""))
         equal((await sending).unwrap().text, "b")
 
     async def test_within_a_stream(self) -> None:
         """A stream that stops after some tokens must end when the progress limit has passed."""
-        self.server.answer_with(chunked(piece("a "), end=b""))
+        self.server.answer_with(chunked(stream_event("a "), end=b""))
         sending = self.send()
         await self.server.next_request()
         while not self.tokens:
@@ -229,9 +239,9 @@
         """
         sending = self.send(stream=False)
         conn = await self.server.next_request()
-        conn.write_at_once(framed(whole()))
+        conn.write_at_once(with_length(complete_body()))
         self.fake.advance(CFG.first_byte_ms)
-        equal((await sending).unwrap().body, whole())
+        equal((await sending).unwrap().body, complete_body())
 
     async def time_out_on_one_of_two(self, limit_ms: int, due_ms: int) -> Failure:
         """Leave two idle connections, let a call time out on one, and send another call."""
@@ -240,7 +250,7 @@
         while len(self.server.requests) < 2:
             await self.server.next_request()
         for conn in self.server.connections:
-            conn.write(framed(b""))
+            conn.write(with_length(b""))
         await first
         await second
         self.fake.elapse(1)
@@ -249,7 +259,7 @@
         self.fake.elapse(limit_ms)
         failure = (await sending).err_value
         await conn.closed
-        self.server.answer_with(framed(b""))
+        self.server.answer_with(with_length(b""))
         await self.reply(**plain)
         equal(len(self.server.carriers), 3)
         return cast(Failure, failure)
@@ -287,10 +297,10 @@
         conn = await self.server.next_request()
         self.fake.elapse(100)
         await sending
-        conn.write(framed(whole()))
-        self.server.answer_with(framed(whole("r2"), "r2"))
+        conn.write(with_length(complete_body()))
+        self.server.answer_with(with_length(complete_body("r2"), "r2"))
         reply = await self.reply(stream=False, request_id="r2")
-        equal(reply.body, whole("r2"))
+        equal(reply.body, complete_body("r2"))
         equal(len(self.server.carriers), 2)
 
 
@@ -314,12 +324,12 @@
 
         The replica crashes while it sends the body.
         """
-        await self.check_broken(framed(whole())[:-5], FailureKind.CUT, stream=False)
+        await self.check_broken(with_length(complete_body())[:-5], FailureKind.CUT, stream=False)
 
     async def test_truncated_stream(self) -> None:
         """A stream without its last HTTP chunk is incomplete, even after [DONE]."""
-        await self.check_broken(chunked(piece("a "), end=b""), FailureKind.CUT)
-        await self.check_broken(chunked(LAST, DONE, end=b""), FailureKind.CUT)
+        await self.check_broken(chunked(stream_event("a "), end=b""), FailureKind.CUT)
+        await self.check_broken(chunked(LAST_EVENT, DONE, end=b""), FailureKind.CUT)
 
     async def test_connection_lost_before_an_answer(self) -> None:
         """A connection that closes before the answer must be reported as possibly sent."""
@@ -330,22 +340,22 @@
 
         The engine aborts the generation but ends the HTTP body in order.
         """
-        await self.check_broken(chunked(piece("a "), LAST), FailureKind.CUT)
-        await self.check_broken(chunked(piece("a "), DONE), FailureKind.BROKEN)
+        await self.check_broken(chunked(stream_event("a "), LAST_EVENT), FailureKind.CUT)
+        await self.check_broken(chunked(stream_event("a "), DONE), FailureKind.BROKEN)
 
     async def test_wrong_id(self) -> None:
         """An answer to another request must not reach the caller.
 
         The replica mixes up two requests, in the header, in the body or within a stream.
         """
-        crossed = piece("x", request_id="r2")
+        crossed = stream_event("x", request_id="r2")
         wrong = FailureKind.WRONG_ID
-        await self.check_broken(framed(whole(), "r2"), wrong, stream=False)
-        await self.check_broken(framed(whole("r2")), wrong, stream=False)
-        await self.check_broken(chunked(piece("a"), crossed, LAST, DONE), wrong)
+        await self.check_broken(with_length(complete_body(), "r2"), wrong, stream=False)
+        await self.check_broken(with_length(complete_body("r2")), wrong, stream=False)
+        await self.check_broken(chunked(stream_event("a"), crossed, LAST_EVENT, DONE), wrong)
         equal([token.text for token in self.tokens], ["a"])
-        await self.check_broken(framed(b"pass 7", "r2"), wrong, stream=False, path="/calls/a")
-        await self.check_broken(framed(b"busy", "r2", 503), wrong)
+        await self.check_broken(with_length(b"pass 7", "r2"), wrong, stream=False, path="/calls/a")
+        await self.check_broken(with_length(b"busy", "r2", 503), wrong)
 
     async def test_connection_with_a_wrong_answer_is_not_reused(self) -> None:
         """A connection that carried an answer with a wrong id must not be reused.
@@ -354,20 +364,20 @@
         reactor iteration, before a normal close takes effect.
         """
         plain: dict[str, Any] = {"path": "/calls/a", "stream": False}
-        self.server.answer_with(framed(b"", "r2"), framed(b""))
+        self.server.answer_with(with_length(b"", "r2"), with_length(b""))
         second = await self.send(**plain).addCallback(lambda _: self.send(**plain))
         equal((second.unwrap().status, len(self.server.carriers)), (200, 2))
 
     async def test_no_id(self) -> None:
         """An answer without a request id must not be passed on."""
-        answer = framed(whole()).replace(b"X-Request-Id: r1\r\n", b"")
+        answer = with_length(complete_body()).replace(b"X-Request-Id: r1\r\n", b"")
         await self.check_broken(answer, FailureKind.WRONG_ID, stream=False)
 
     async def test_malformed(self) -> None:
         """Answers with missing fields, and data after the end of a stream, must be rejected."""
-        await self.check_broken(framed(b'{"id":"r1"}'), FailureKind.BROKEN, stream=False)
+        await self.check_broken(with_length(b'{"id":"r1"}'), FailureKind.BROKEN, stream=False)
         await self.check_broken(chunked(b"data: {}\n\n"), FailureKind.BROKEN)
-        await self.check_broken(chunked(LAST, DONE, piece("more")), FailureKind.BROKEN)
+        await self.check_broken(chunked(LAST_EVENT, DONE, stream_event("more")), FailureKind.BROKEN)
 
     def bound(self, module: object, name: str, value: int) -> None:
         cast(Any, self).patch(module, name, value)
@@ -376,16 +386,16 @@
         """An endless answer must not exhaust the instance's memory."""
         self.bound(replies, "MAX_BODY_BYTES", 10)
         self.bound(sse, "MAX_EVENT_BYTES", 10)
-        await self.check_broken(framed(whole()), FailureKind.BROKEN, stream=False)
+        await self.check_broken(with_length(complete_body()), FailureKind.BROKEN, stream=False)
         await self.check_broken(chunked(b"data: 0123456789"), FailureKind.BROKEN)
         self.bound(sse, "MAX_TEXT_CHARS", 3)
-        await self.check_broken(chunked(piece("abcd")), FailureKind.BROKEN)
+        await self.check_broken(chunked(stream_event("abcd")), FailureKind.BROKEN)
 
     async def test_unsolicited_bytes(self) -> None:
         """A second answer on an idle connection must not be read as the answer to the next call."""
         await self.leave_idle_connection()
-        self.server.connections[0].write_at_once(framed(whole()))
-        self.server.answer_with(framed(whole()))
+        self.server.connections[0].write_at_once(with_length(complete_body()))
+        self.server.answer_with(with_length(complete_body()))
         await self.reply(stream=False)
         equal(len(self.server.carriers), 2)
 
--- a/tests/test_upstream_parts.py
+++ b/tests/test_upstream_parts.py
@@ -21,7 +21,7 @@
 from papayapier.upstream.orders import Order, OrderAnswer, OrderKind, make_orders
 from papayapier.upstream.reports import OnReport, make_reports
 from papayapier.upstream.sse import StreamReader
-from tests.raw_server import DONE, LAST, framed, piece
+from tests.raw_server import DONE, LAST_EVENT, stream_event, with_length
 from tests.test_upstream import CFG, UpstreamTestCase, equal, reactor
 
 
@@ -29,7 +29,7 @@
 @given(st.lists(st.integers(0, 400), max_size=6), st.booleans())
 def test_stream_parses_the_same_however_it_is_split(cuts: list[int], crlf: bool) -> None:
     """The tokens must not depend on how the network splits the bytes."""
-    stream = b": a comment\n\n" + piece("a ") + piece("\u00e9") + LAST + DONE
+    stream = b": a comment\n\n" + stream_event("a ") + stream_event("\u00e9") + LAST_EVENT + DONE
     stream = stream.replace(b"\n", b"\r\n") if crlf else stream
     tokens: list[Token] = []
     reader = StreamReader("r1", tokens.append)
@@ -171,13 +171,13 @@
 
     async def test_order(self) -> None:
         """Acceptance, refusal, error status and a malformed answer are told apart."""
-        accepted = await self.send_order(framed(b'{"accepted":true}'))
+        accepted = await self.send_order(with_length(b'{"accepted":true}'))
         equal(accepted, Ok(OrderAnswer(True, 0)))
-        refused = await self.send_order(framed(b'{"accepted":false,"fence":9}', status=409))
+        refused = await self.send_order(with_length(b'{"accepted":false,"fence":9}', status=409))
         equal(refused, Ok(OrderAnswer(False, 9)))
-        failed = await self.send_order(framed(b"oh", status=500))
+        failed = await self.send_order(with_length(b"oh", status=500))
         equal((failed.err_value.kind, failed.err_value.status), (FailureKind.STATUS, 500))
-        broken = await self.send_order(framed(b"[]"))
+        broken = await self.send_order(with_length(b"[]"))
         equal(broken.err_value.kind, FailureKind.BROKEN)
 
     async def test_reads(self) -> None:
@@ -187,9 +187,9 @@
             b'"orders":["o1"],"later":"key"}'
         )
         self.server.answer_with(
-            framed(state),
-            framed(b'{"object":"list","data":[{"id":"m","object":"model"}]}'),
-            framed(b'{"events":[{"seq":3,"kind":"evicted","prefix":"p"}],"next":4}'),
+            with_length(state),
+            with_length(b'{"object":"list","data":[{"id":"m","object":"model"}]}'),
+            with_length(b'{"events":[{"seq":3,"kind":"evicted","prefix":"p"}],"next":4}'),
         )
         found = (await self.engine_control.read_state(self.replica)).unwrap()
         equal(found, (("m",), (), "mixed", "1", 7, ("o1",)))
