--- a/papayapier/node/base.py
+++ b/papayapier/node/base.py
@@ -85,7 +85,7 @@
     send: SendRaw
     # Returns the store, called directly or relayed through a peer.
     view: Callable[[Priority], Store]
-    loss_notifications: LossNews
+    loss_exchange: LossNews
     mirror_deps: MirrorDeps
     placement_deps: PlacementDeps
     placer: Placer
@@ -214,7 +214,7 @@
         links=links,
         send=make_raw_send(send),
         view=lambda priority: with_relay(budget.view(priority), relay),
-        loss_notifications=loss_notifications,
+        loss_exchange=loss_notifications,
         mirror_deps=MirrorDeps(
             hub, own.id, fleet.hubs, outage_tracker.on_reported, clock, nodes.count
         ),
@@ -357,7 +357,7 @@
         task.cancel()
     for follower in base.followers:
         follower.stop()
-    base.loss_notifications.close()
+    base.loss_exchange.close()
     base.placer.close()
     base.hub.close()
     await base.links.close()
--- a/papayapier/node/entry.py
+++ b/papayapier/node/entry.py
@@ -31,8 +31,8 @@
 from papayapier.node.base import Followed, NodeBase, close_base, follow_common, make_base
 from papayapier.node.caller_socket import CallerSocket
 from papayapier.node.health import HealthResource
+from papayapier.node.job_copies import JobCopiesDeps, replicate
 from papayapier.node.job_reading import make_job_reader
-from papayapier.node.keeping import KeepingDeps, keep
 from papayapier.node.placement import make_place, make_report_unanswered, queues_at_hub
 from papayapier.node.processes import Role
 from papayapier.node.settings import NodeSettings, split_address
@@ -54,7 +54,7 @@
 STARTING_MS: Final = 2_500
 # Keepers write stored jobs back every half second at most, one call each, and start in about half
 # a second.
-BRINGING_MS: Final = 2_000
+LOCAL_JOBS_WRITTEN_MS: Final = 2_000
 
 
 class Entry:
@@ -137,7 +137,7 @@
     def _losses_known(self) -> bool:
         """Return whether earlier replica losses are known, or no other process can know of any."""
         processes = self._base.nodes.count()
-        return processes == 1 or (bool(processes) and self._base.loss_notifications.caught_up())
+        return processes == 1 or (bool(processes) and self._base.loss_exchange.caught_up())
 
     def _placer_known(self) -> bool:
         """Return whether a hub is known that places calls, or each instance places its own."""
@@ -237,14 +237,14 @@
     def able_keepers(record: JobRecord, running: Sequence[str]) -> Collection[str]:
         return eligible_instances(base.load_tracker, base.routing.table(), running, record)
 
-    keeping = KeepingDeps(base.hub, keepers, base.cfg.jobs.copies(), able_keepers)
+    keeping = JobCopiesDeps(base.hub, keepers, base.cfg.jobs.copies(), able_keepers)
     job_service = JobService(
         JobServiceDeps(
             base.clock,
             base.rand,
             base.view(Priority.CLAIM),
             notifications,
-            replicate=partial(keep, keeping),
+            replicate=partial(replicate, keeping),
             is_store_unavailable=lambda: base.budget.down_since() is not None,
             is_store_complete=partial(_local_jobs_written, base, base.clock.now()),
             read_remote=make_job_reader(base.hub, base.clock, keepers),
@@ -311,7 +311,9 @@
     own start counts like a return of the store.
     """
     back_ms = base.outage_tracker.last_return_ms()
-    return back_ms is not None and base.clock.now() >= max(back_ms, began_ms) + BRINGING_MS
+    return (
+        back_ms is not None and base.clock.now() >= max(back_ms, began_ms) + LOCAL_JOBS_WRITTEN_MS
+    )
 
 
 def _body_limit(base: NodeBase) -> Any:
--- a/papayapier/node/keeping.py
+++ b/papayapier/node/job_copies.py
@@ -25,7 +25,7 @@
 MAX_JOB_BYTES: Final = 1_000_000
 
 
-class KeepingDeps(NamedTuple):
+class JobCopiesDeps(NamedTuple):
     """Hold the dependencies of an entry.
 
     keepers returns the reachable keepers, able those of them that can run a job's items. copies is
@@ -35,15 +35,15 @@
     hub: PeerHub
     keepers: Callable[[], Collection[str]]
     copies: int
-    able: Callable[[JobRecord, Sequence[str]], Collection[str]]
+    able_keepers: Callable[[JobRecord, Sequence[str]], Collection[str]]
 
 
-async def keep(deps: KeepingDeps, job_id: str, value: bytes) -> Copies:
+async def replicate(deps: JobCopiesDeps, job_id: str, value: bytes) -> Copies:
     """Request keepers to store a job; return as soon as enough of them have confirmed it."""
     if len(value) > MAX_JOB_BYTES:
         return NOT_ASKED
     keepers = sorted(deps.keepers())
-    able = read_record(value).map(lambda record: deps.able(record, keepers)).unwrap_or(())
+    able = read_record(value).map(lambda record: deps.able_keepers(record, keepers)).unwrap_or(())
     chosen = holders(job_id, keepers, deps.copies, able)
     if not chosen:
         return NOT_ASKED
--- a/papayapier/node/job_reading.py
+++ b/papayapier/node/job_reading.py
@@ -65,7 +65,9 @@
     return read
 
 
-async def read_here(_job_id: str, _after: int, _wait_ms: int, _team: str) -> ResultsPage | None:
+async def read_from_store(
+    _job_id: str, _after: int, _wait_ms: int, _team: str
+) -> ResultsPage | None:
     """Return None, so that results are read from the store directly."""
     return None
 
--- a/papayapier/node/keeper.py
+++ b/papayapier/node/keeper.py
@@ -29,8 +29,8 @@
     follow_common,
     make_base,
 )
-from papayapier.node.job_reading import read_here, serve_reads
-from papayapier.node.keeping import run_in_threads, serve_keeping
+from papayapier.node.job_copies import run_in_threads, serve_keeping
+from papayapier.node.job_reading import read_from_store, serve_reads
 from papayapier.node.lost_keepers import mark_lost_keepers
 from papayapier.node.orphans import recover_orphans, serve_run_requests
 from papayapier.node.processes import Role
@@ -231,7 +231,7 @@
             replicate=store_nothing,
             is_store_unavailable=lambda: base.budget.down_since() is not None,
             is_store_complete=lambda: False,
-            read_remote=read_here,
+            read_remote=read_from_store,
             known_record=known,
         )
     )
@@ -245,7 +245,7 @@
     )
     snapshot = await progress.load_with_timeout(deps)
     runner.restore_progress(snapshot.items)
-    base.loss_notifications.recall(snapshot.losses)
+    base.loss_exchange.recall(snapshot.losses)
     saving = Deferred.fromCoroutine(progress.save_regularly(deps, snapshot.number))
     saving.addErrback(report_failure, "progress")
     base.tasks.append(saving)
--- a/tests/allowance_world.py
+++ b/tests/allowance_world.py
@@ -27,7 +27,7 @@
 RETURN_SEEN_MS: Final = (50, 1_200)
 
 
-def most(limit: Limit) -> float:
+def max_granted(limit: Limit) -> float:
     """Return how many requests may be sent in any window."""
     window_s = BOUND.window_ms / 1_000
     return (limit.rate_per_s * window_s + limit.burst) * (1 + BOUND.overrun) + BOUND.slack
@@ -53,14 +53,14 @@
         self.granted: dict[str, deque[int]] = {}
         self.refused: dict[str, int] = {}
         # Requests that a single bucket for the fleet would have granted, and refusals of these.
-        self.inside = 0
-        self.inside_refused = 0
+        self.within_limit = 0
+        self.within_limit_refused = 0
         self._buckets: dict[str, tuple[float, int]] = {}
-        self.highest: dict[str, int] = {}
+        self.max_per_window: dict[str, int] = {}
         for keeper in self.keepers:
             self._update_view(keeper)
 
-    def lose(self, keeper: str) -> None:
+    def crash(self, keeper: str) -> None:
         """Crash a keeper."""
         self.grants.pop(keeper, None)
         self._announce(keeper, False)
@@ -83,7 +83,7 @@
         for entry in self.entries:
             self.believed_granters[entry] = set(self.listed)
 
-    def cut(self, names: set[str]) -> None:
+    def partition(self, names: set[str]) -> None:
         """Partition the fleet; each side detects the loss of the other after a delay."""
         self.side = dict.fromkeys(names, 1)
         for name in self.believed_granters:
@@ -91,7 +91,7 @@
                 if not self._reaches(name, keeper):
                     self._schedule(name, keeper, False, LOSS_SEEN_MS)
 
-    def join(self) -> None:
+    def heal_partition(self) -> None:
         """Let all instances reach each other again."""
         self.side = {}
         self._pending_changes = [change for change in self._pending_changes if change[3]]
@@ -113,8 +113,8 @@
         """Send a request as an entry does; return whether it was granted."""
         inside = self._is_within_limit(team, limit)
         granted = self._try_granters(entry, team, limit)
-        self.inside += inside
-        self.inside_refused += inside and not granted
+        self.within_limit += inside
+        self.within_limit_refused += inside and not granted
         return granted
 
     def _is_within_limit(self, team: str, limit: Limit) -> bool:
@@ -161,7 +161,7 @@
         times.append(self.now)
         while times[0] <= self.now - BOUND.window_ms:
             times.popleft()
-        self.highest[team] = max(self.highest.get(team, 0), len(times))
+        self.max_per_window[team] = max(self.max_per_window.get(team, 0), len(times))
 
     def _reaches(self, name: str, keeper: str) -> bool:
         return keeper in self.grants and self.side.get(name, 0) == self.side.get(keeper, 0)
--- a/tests/jobs_world.py
+++ b/tests/jobs_world.py
@@ -20,7 +20,7 @@
     group_key,
     job_key,
 )
-from papayapier.node.job_reading import read_here
+from papayapier.node.job_reading import read_from_store
 from papayapier.policy.job_keeping import NOT_ASKED, Copies
 from papayapier.store.api import Entry, Listing, Store, Stored, StoreError
 
@@ -148,7 +148,7 @@
                 self._keep,
                 is_store_unavailable=lambda: False,
                 is_store_complete=lambda: self.settled,
-                read_remote=read_here,
+                read_remote=read_from_store,
             )
         )
 
--- a/tests/keepers_world.py
+++ b/tests/keepers_world.py
@@ -50,7 +50,7 @@
         return _Route(path.rpartition("/")[2])
 
 
-def names(rand: random.Random, prefix: str, count: int) -> list[str]:
+def instance_names(rand: random.Random, prefix: str, count: int) -> list[str]:
     """Draw random names for a number of instances."""
     return [f"{prefix}-{rand.getrandbits(48):012x}" for _ in range(count)]
 
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -7,12 +7,14 @@
 from papayapier.policy.job_owners import able_to_own
 from papayapier.policy.ownership import owner
 from papayapier.policy.totals import first_sharers
-from tests.keepers_world import DUE_MS, SLOTS, KeepersWorld, names
+from tests.keepers_world import DUE_MS, SLOTS, KeepersWorld, instance_names
 
 
 def make_world(seed: int, keepers: int, replicas: int) -> KeepersWorld:
     rand = random.Random(seed)
-    return KeepersWorld(names(rand, "keeper", keepers), names(rand, "i", replicas))
+    return KeepersWorld(
+        instance_names(rand, "keeper", keepers), instance_names(rand, "i", replicas)
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_local_job_store.py
+++ b/tests/test_local_job_store.py
@@ -24,8 +24,8 @@
 from papayapier.jobs.local_job_store import LocalJobStore, LocalJobStoreDeps
 from papayapier.jobs.notifications import ReceivedNotifications
 from papayapier.jobs.records import encode, job_key, read_record
-from papayapier.node.job_reading import read_here
-from papayapier.node.keeping import KeepingDeps, keep
+from papayapier.node.job_copies import JobCopiesDeps, replicate
+from papayapier.node.job_reading import read_from_store
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.messages import KeepAsk, KeepTell, Message
 from papayapier.peer.questions import PeerError
@@ -110,12 +110,12 @@
         )
 
     def desk(self) -> JobService:
-        deps = KeepingDeps(
+        deps = JobCopiesDeps(
             cast(PeerHub, self), lambda: list(self.vaults), 2, lambda _record, keepers: keepers
         )
 
         async def keep_job(job_id: str, value: bytes) -> Copies:
-            return await keep(deps, job_id, value)
+            return await replicate(deps, job_id, value)
 
         heard = ReceivedNotifications(list, list)
         return JobService(
@@ -127,7 +127,7 @@
                 keep_job,
                 is_store_unavailable=lambda: False,
                 is_store_complete=lambda: False,
-                read_remote=read_here,
+                read_remote=read_from_store,
             )
         )
 
--- a/tests/test_node_entry.py
+++ b/tests/test_node_entry.py
@@ -6,7 +6,12 @@
 from twisted.internet.defer import Deferred
 
 from papayapier.clock import Clock, fake_clock
-from papayapier.node.entry import BRINGING_MS, MAX_STARTUP_WAIT_MS, _local_jobs_written, _Readiness
+from papayapier.node.entry import (
+    LOCAL_JOBS_WRITTEN_MS,
+    MAX_STARTUP_WAIT_MS,
+    _local_jobs_written,
+    _Readiness,
+)
 
 STARTED_MS = 50_000
 
@@ -30,11 +35,11 @@
         # The store is unreachable: keepers may have stored the job.
         (None, 60_000, False),
         # No outage is known, but the process has just started.
-        (0, BRINGING_MS - 1, False),
-        (0, BRINGING_MS, True),
+        (0, LOCAL_JOBS_WRITTEN_MS - 1, False),
+        (0, LOCAL_JOBS_WRITTEN_MS, True),
         # The store has returned just now, and long enough ago.
-        (STARTED_MS + 9_000, 9_000 + BRINGING_MS - 1, False),
-        (STARTED_MS + 9_000, 9_000 + BRINGING_MS, True),
+        (STARTED_MS + 9_000, 9_000 + LOCAL_JOBS_WRITTEN_MS - 1, False),
+        (STARTED_MS + 9_000, 9_000 + LOCAL_JOBS_WRITTEN_MS, True),
     ],
 )
 def test_job_is_missing_only_if_no_disk_can_store_it(
--- a/tests/test_policy_allowances.py
+++ b/tests/test_policy_allowances.py
@@ -19,7 +19,7 @@
 )
 
 from papayapier.policy.allowances import Bound, Grants, Limit, Said, View
-from tests.allowance_world import BOUND, Fleet, most
+from tests.allowance_world import BOUND, Fleet, max_granted
 
 SMALL, LARGE = Limit(5, 5), Limit(106, 106)
 SIZES = [(3, 6), (12, 61), (30, 165)]
@@ -34,7 +34,7 @@
 
 def assert_within_bound(fleet: Fleet, demand: dict[str, tuple[Limit, float]]) -> None:
     for team, (limit, _) in demand.items():
-        assert fleet.highest.get(team, 0) <= most(limit), (team, fleet.highest)
+        assert fleet.max_per_window.get(team, 0) <= max_granted(limit), (team, fleet.max_per_window)
 
 
 @pytest.mark.parametrize(("keepers", "entries"), SIZES)
@@ -44,7 +44,7 @@
     fleet.run(10_000, {})
     fleet.run(20_000, demand_at(0.6))
     fleet.run(20_000, demand_at(2))
-    assert fleet.inside_refused <= fleet.inside / 1_000
+    assert fleet.within_limit_refused <= fleet.within_limit / 1_000
 
 
 @pytest.mark.parametrize(("keepers", "entries"), SIZES)
@@ -65,7 +65,7 @@
     fleet = Fleet(12, 61)
     fleet.run(10_000, demand_at(0.3))
     for number in range(5):
-        fleet.lose(f"keeper-{number}")
+        fleet.crash(f"keeper-{number}")
         fleet.run(2_700, demand_at(2))
     assert_within_bound(fleet, demand_at(1))
 
@@ -90,9 +90,9 @@
     fleet = Fleet(12, 61, seed)
     fleet.run(10_000, demand_at(0.5))
     minority = {name for n, name in enumerate([*fleet.keepers, *fleet.entries]) if n % 3 == 0}
-    fleet.cut(minority)
+    fleet.partition(minority)
     fleet.run(12_000, demand_at(3))
-    fleet.join()
+    fleet.heal_partition()
     fleet.run(8_000, demand_at(3))
     assert_within_bound(fleet, demand_at(1))
 
@@ -107,9 +107,9 @@
     fleet = Fleet(12, 61, seed)
     fleet.run(10_000, demand_at(0.5))
     names = [*fleet.keepers, *fleet.entries]
-    fleet.cut(set(fleet.rand.sample(names, len(names) * 35 // 100)))
+    fleet.partition(set(fleet.rand.sample(names, len(names) * 35 // 100)))
     fleet.run(8_000, demand_at(2.5))
-    fleet.join()
+    fleet.heal_partition()
     fleet.run(6_000, demand_at(2.5))
     assert_within_bound(fleet, demand_at(1))
 
@@ -120,7 +120,7 @@
     fleet = Fleet(12, 61, seed)
     fleet.run(10_000, demand_at(0.5))
     for number in range(4):
-        fleet.lose(f"keeper-{number}")
+        fleet.crash(f"keeper-{number}")
         fleet.run(1_000, demand_at(3))
         fleet.start(f"new-{number}" if number % 2 else f"keeper-{number}")
         fleet.run(1_500, demand_at(3))
@@ -132,12 +132,12 @@
     """Guard against refusing many requests within the allowance after a keeper is lost."""
     fleet = Fleet(12, 61)
     fleet.run(10_000, demand_at(0.33))
-    fleet.inside = 0
-    fleet.lose("keeper-3")
+    fleet.within_limit = 0
+    fleet.crash("keeper-3")
     fleet.run(6_000, demand_at(0.33))
     # For the seconds until the loss is settled, only the teams of one keeper in twelve are
     # affected.
-    assert fleet.inside_refused <= fleet.inside / 10
+    assert fleet.within_limit_refused <= fleet.within_limit / 10
 
 
 def test_lowered_rate_applies_at_once() -> None:
@@ -145,10 +145,10 @@
     low = Limit(10, 10)
     fleet = Fleet(12, 61)
     fleet.run(10_000, {"team": (LARGE, 60)})
-    fleet.highest.clear()
+    fleet.max_per_window.clear()
     fleet.granted.clear()
     fleet.run(12_000, {"team": (low, 60)})
-    assert fleet.highest["team"] <= most(low)
+    assert fleet.max_per_window["team"] <= max_granted(low)
 
 
 def test_unlisted_instance_grants_nothing() -> None:
@@ -194,7 +194,7 @@
     def lose(self, pick: int) -> None:
         alive = sorted(self.fleet.grants)
         if len(alive) > 1:
-            self.fleet.lose(alive[pick % len(alive)])
+            self.fleet.crash(alive[pick % len(alive)])
 
     @rule(pick=st.integers(0, 59), new=st.booleans())
     def start(self, pick: int, new: bool) -> None:
@@ -208,11 +208,11 @@
     @rule(third=st.integers(0, 2))
     def cut(self, third: int) -> None:
         names = [*self.fleet.keepers, *self.fleet.entries]
-        self.fleet.cut({name for n, name in enumerate(names) if n % 3 == third})
+        self.fleet.partition({name for n, name in enumerate(names) if n % 3 == third})
 
     @rule()
     def join(self) -> None:
-        self.fleet.join()
+        self.fleet.heal_partition()
 
     @rule()
     def restart(self) -> None:
--- a/tests/test_policy_job_owners.py
+++ b/tests/test_policy_job_owners.py
@@ -9,7 +9,7 @@
 from papayapier.policy.job_owners import able_to_own
 from papayapier.policy.ownership import owner
 from papayapier.policy.totals import sharers_of
-from tests.keepers_world import names
+from tests.keepers_world import instance_names
 
 FLEETS = 40
 JOBS = 50
@@ -31,8 +31,8 @@
     """Guard against a job that never starts as its owner shares no replica of the upstream."""
     rand = random.Random(7)
     for _ in range(FLEETS):
-        running = sorted(names(rand, "keeper", keepers))
-        assert jobs_never_started(running, names(rand, "i", replicas)) == []
+        running = sorted(instance_names(rand, "keeper", keepers))
+        assert jobs_never_started(running, instance_names(rand, "i", replicas)) == []
 
 
 @settings(deadline=None)
@@ -42,7 +42,9 @@
 ) -> None:
     """Guard against an owner that keeps its jobs but shares none of the remaining replicas."""
     rand = random.Random(seed)
-    running, listed = sorted(names(rand, "keeper", keepers)), names(rand, "i", replicas)
+    running, listed = sorted(instance_names(rand, "keeper", keepers)), instance_names(
+        rand, "i", replicas
+    )
     while running and listed:
         assert jobs_never_started(running, listed) == []
         shrinking = rand.choice([running, listed])
@@ -57,5 +59,5 @@
 def test_departed_replica_moves_no_owner_in_large_fleet() -> None:
     """Guard against moving jobs in a large fleet whenever a replica departs."""
     rand = random.Random(7)
-    running, listed = sorted(names(rand, "keeper", 30)), names(rand, "i", 300)
+    running, listed = sorted(instance_names(rand, "keeper", 30)), instance_names(rand, "i", 300)
     assert able_to_own(running, listed) == able_to_own(running, listed[1:]) == tuple(running)
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -7,7 +7,7 @@
 from twisted.web.client import PartialDownloadError, ResponseFailed
 
 from papayapier import events
-from papayapier.node.entry import BRINGING_MS
+from papayapier.node.entry import LOCAL_JOBS_WRITTEN_MS
 from tests.site.case import SiteCase
 from tests.site.replicas import EVENTS_PER_STREAM
 from tests.site.soak import run_soak
@@ -34,7 +34,7 @@
         assert {(result["state"], result["text"]) for result in results} == {("completed", TEXT)}
         assert (await world.get(self.port(), "/nowhere/1")).status == 404
         # An entry that has just started cannot deny a job yet: keepers may still have a copy of it.
-        await pause(BRINGING_MS / 1_000)
+        await pause(LOCAL_JOBS_WRITTEN_MS / 1_000)
         assert (await world.get(self.port(), "/v1/lots/no-such-job")).status == 404
         body = await world.get(self.port(2), "/v1/items/job-1?id=job-1-0")
         assert body.body == b"ask"
