--- a/misc/capacity/crowd.py
+++ b/misc/capacity/crowd.py
@@ -20,7 +20,7 @@
 from papayapier.metrics import make_metrics
 from papayapier.peer.hub import Identity, PeerHub
 from papayapier.peer.messages import Heartbeat
-from papayapier.peer.topology import Limits, Place, make_plan
+from papayapier.peer.topology import InstanceLocation, LinkLimits, make_plan
 from papayapier.settings import PeerSettings
 from papayapier.store.api import ENTRY, LIVE, Member
 
@@ -33,13 +33,15 @@
 def main(args: list[str]) -> None:
     """Register the peers and run those that are neighbours of the measured instance."""
     platform, peer_port, count = args[0], int(args[1]), int(args[2])
-    measured_place = Place(MEASURED_INSTANCE, DATA_CENTRES[0], _region(0))
+    measured_place = InstanceLocation(MEASURED_INSTANCE, DATA_CENTRES[0], _region(0))
     places = [
-        Place(f"listed-{i}", DATA_CENTRES[i % len(DATA_CENTRES)], _region(i % len(DATA_CENTRES)))
+        InstanceLocation(
+            f"listed-{i}", DATA_CENTRES[i % len(DATA_CENTRES)], _region(i % len(DATA_CENTRES))
+        )
         for i in range(count)
     ]
     cfg = PeerSettings(port=0)
-    plan = make_plan(measured_place, places, Limits(cfg.full_mesh, cfg.picks, cfg.relays))
+    plan = make_plan(measured_place, places, LinkLimits(cfg.full_mesh, cfg.picks, cfg.relays))
     measured = _make_member(measured_place, peer_port)
     for place in places:
         port = CLOSED_PORT
@@ -51,7 +53,7 @@
     cast(Any, reactor).run()
 
 
-def _start_hub(place: Place, cfg: PeerSettings, measured: Member) -> int:
+def _start_hub(place: InstanceLocation, cfg: PeerSettings, measured: Member) -> int:
     """Start the hub of one neighbour and return its port."""
     identity = Identity(place.id, 1, fleets.HOST, place.data_centre, place.region)
 
@@ -65,7 +67,7 @@
     return port
 
 
-def _make_member(place: Place, port: int) -> Member:
+def _make_member(place: InstanceLocation, port: int) -> Member:
     return Member(
         place.id, ENTRY, "", fleets.HOST, port, port, place.data_centre, place.region, LIVE, True
     )
--- a/misc/capacity/spread_paths.py
+++ b/misc/capacity/spread_paths.py
@@ -9,7 +9,7 @@
 from collections import deque
 from typing import Final, NamedTuple
 
-from papayapier.peer.topology import Limits, Place, make_plan
+from papayapier.peer.topology import InstanceLocation, LinkLimits, make_plan
 
 GOSSIP_FANOUT: Final = 4
 GOSSIP_ROUND_MS: Final = 200
@@ -47,7 +47,7 @@
 
 
 def compare_methods(
-    fleet: FleetSize, limits: Limits, hop_times: HopTimes, store_ms: float
+    fleet: FleetSize, limits: LinkLimits, hop_times: HopTimes, store_ms: float
 ) -> list[MethodCost]:
     """Return the cost of every propagation method."""
     places = _make_places(fleet)
@@ -61,23 +61,25 @@
     ]
 
 
-def neighbour_counts(fleet: FleetSize, limits: Limits) -> tuple[float, int]:
+def neighbour_counts(fleet: FleetSize, limits: LinkLimits) -> tuple[float, int]:
     """Return the mean and the largest number of neighbours."""
     links = _make_links(_make_places(fleet), limits)
     counts = [len(names) for names in links.values()]
     return sum(counts) / len(counts), max(counts)
 
 
-def _make_places(fleet: FleetSize) -> dict[str, Place]:
+def _make_places(fleet: FleetSize) -> dict[str, InstanceLocation]:
     places = {}
     for index in range(fleet.instances):
         data_centre = index % fleet.data_centres
         name = f"i{index}"
-        places[name] = Place(name, f"dc-{data_centre}", f"region-{data_centre % fleet.regions}")
+        places[name] = InstanceLocation(
+            name, f"dc-{data_centre}", f"region-{data_centre % fleet.regions}"
+        )
     return places
 
 
-def _make_links(places: dict[str, Place], limits: Limits) -> dict[str, set[str]]:
+def _make_links(places: dict[str, InstanceLocation], limits: LinkLimits) -> dict[str, set[str]]:
     links: dict[str, set[str]] = {name: set() for name in places}
     for name, place in places.items():
         others = [other for other in places.values() if other is not place]
@@ -98,7 +100,7 @@
 
 
 def _relays_only(
-    fleet: FleetSize, limits: Limits, hop_times: HopTimes, store_ms: float
+    fleet: FleetSize, limits: LinkLimits, hop_times: HopTimes, store_ms: float
 ) -> MethodCost:
     """Let relays watch the store and send changes to all instances of their data centre."""
     relays = fleet.data_centres * limits.relays
@@ -111,7 +113,10 @@
 
 
 def _flood(
-    fleet: FleetSize, links: dict[str, set[str]], places: dict[str, Place], hop_times: HopTimes
+    fleet: FleetSize,
+    links: dict[str, set[str]],
+    places: dict[str, InstanceLocation],
+    hop_times: HopTimes,
 ) -> MethodCost:
     """Forward a change on every link except the one that it arrived on."""
     copies = (sum(len(names) - 1 for names in links.values()) + 1) / fleet.instances
@@ -119,7 +124,10 @@
 
 
 def _tree(
-    fleet: FleetSize, links: dict[str, set[str]], places: dict[str, Place], hop_times: HopTimes
+    fleet: FleetSize,
+    links: dict[str, set[str]],
+    places: dict[str, InstanceLocation],
+    hop_times: HopTimes,
 ) -> MethodCost:
     """Forward a change on the links that were not pruned, one copy for each instance."""
     copies = (fleet.instances - 1) / fleet.instances
@@ -131,7 +139,7 @@
     copies: float,
     fleet: FleetSize,
     links: dict[str, set[str]],
-    places: dict[str, Place],
+    places: dict[str, InstanceLocation],
     hop_times: HopTimes,
 ) -> MethodCost:
     # Factor 2: each copy counts as sent by one instance and as received by another.
@@ -144,7 +152,10 @@
 
 
 def _arrival_times(
-    links: dict[str, set[str]], places: dict[str, Place], hop_times: HopTimes, origin: str
+    links: dict[str, set[str]],
+    places: dict[str, InstanceLocation],
+    hop_times: HopTimes,
+    origin: str,
 ) -> dict[str, float]:
     """Return the time at which each instance first receives the change."""
     arrivals_ms = {origin: 0.0}
--- a/misc/measure_capacity.py
+++ b/misc/measure_capacity.py
@@ -23,7 +23,7 @@
 from misc.capacity.measures import MEASUREMENTS, Measurement, Point
 from misc.capacity.spread_paths import FleetSize, HopTimes, compare_methods, neighbour_counts
 from papayapier import codec
-from papayapier.peer.topology import Limits
+from papayapier.peer.topology import LinkLimits
 from papayapier.settings import PeerSettings
 
 IDLE_S: Final = 20.0
@@ -80,7 +80,7 @@
 
 def _compare_spreading(hop_ms: float) -> str:
     cfg = PeerSettings()
-    limits = Limits(cfg.full_mesh, cfg.picks, cfg.relays)
+    limits = LinkLimits(cfg.full_mesh, cfg.picks, cfg.relays)
     mean, largest = neighbour_counts(TARGET_SIZE, limits)
     hop_times = HopTimes(IN_REGION_HOP_MS + hop_ms, CROSS_REGION_HOP_MS + hop_ms)
     comparison = tables.format_methods(
--- a/papayapier/batch/commits.py
+++ b/papayapier/batch/commits.py
@@ -20,7 +20,7 @@
 from papayapier.batch.records import SPILL_THRESHOLD_BYTES, JobState, Tally
 from papayapier.invariants import Promise, check
 from papayapier.store.api import StoreError
-from papayapier.store.watch import Pauses
+from papayapier.store.watch import Backoff
 
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
@@ -168,7 +168,7 @@
         self, task: OpenTask, key: str, value: bytes, version: int
     ) -> Result[int, StoreError]:
         """Repeat the same write until the store accepts or rejects it, or the task is dropped."""
-        pauses = Pauses(self._deps.rand)
+        pauses = Backoff(self._deps.rand)
         maybe_stored = False
         while True:
             if not self._may_write(task):
--- a/papayapier/batch/registry.py
+++ b/papayapier/batch/registry.py
@@ -14,12 +14,12 @@
 from papayapier.batch.active_jobs import ActiveJob
 from papayapier.batch.records import JobRecord
 from papayapier.store.api import Change, StoreError
-from papayapier.store.watch import Follower, FollowPace, Pauses
+from papayapier.store.watch import Backoff, Follower, FollowIntervals
 
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
 
-FOLLOW_PACE: Final = FollowPace(watch_ms=20_000, poll_ms=60_000)
+FOLLOW_PACE: Final = FollowIntervals(watch_ms=20_000, poll_ms=60_000)
 
 
 class JobListeners(NamedTuple):
@@ -55,7 +55,7 @@
 
     def is_complete(self) -> bool:
         """Return whether every job that was recently active is known here."""
-        listed = self._follower.listed_ms
+        listed = self._follower.last_listed_ms
         recent = listed is not None and self._deps.clock.now() - listed <= 2 * FOLLOW_PACE.poll_ms
         return recent and not self._unread
 
@@ -101,7 +101,7 @@
             background.start(self._read_all(), "reading of jobs")
 
     async def _read_all(self) -> None:
-        pauses = Pauses(self._deps.rand)
+        pauses = Backoff(self._deps.rand)
         try:
             while self._unread and not self._stopped:
                 job_id, version = next(iter(self._unread.items()))
--- a/papayapier/batch/start.py
+++ b/papayapier/batch/start.py
@@ -21,7 +21,7 @@
 from papayapier.batch.view import JobReader
 from papayapier.errors import Refusal
 from papayapier.peer.messages import JobChanged, Message, ShardsReleased
-from papayapier.store.watch import Pauses
+from papayapier.store.watch import Backoff
 
 EXPIRY_SHARD: Final = 0
 
@@ -219,7 +219,7 @@
             background.start(self._adopt(), "adoption of jobs")
 
     async def _adopt(self) -> None:
-        pauses = Pauses(self._deps.rand)
+        pauses = Backoff(self._deps.rand)
         try:
             while self._to_adopt:
                 job_id = next(iter(self._to_adopt))
--- a/papayapier/batch/store_access.py
+++ b/papayapier/batch/store_access.py
@@ -12,8 +12,8 @@
 
 from papayapier.batch import keys
 from papayapier.store.api import Listing, StoreError
-from papayapier.store.watch import Pauses
-from papayapier.store.writes import Settling, create_settled, delete_settled, update_settled
+from papayapier.store.watch import Backoff
+from papayapier.store.writes import SettleDeps, create_settled, delete_settled, update_settled
 
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
@@ -28,7 +28,7 @@
 
 async def create(deps: "BatchDeps", key: str, value: bytes) -> Result[int, StoreError]:
     """Create an object; CONFLICT means that a different value exists."""
-    settling = Settling(deps.store, deps.clock, deps.rand)
+    settling = SettleDeps(deps.store, deps.clock, deps.rand)
     return await create_settled(settling, key, value, deps.clock.now() + MAX_SETTLE_MS)
 
 
@@ -36,13 +36,13 @@
     deps: "BatchDeps", key: str, value: bytes, version: int
 ) -> Result[int, StoreError]:
     """Update an object at a known version; CONFLICT means that another writer was faster."""
-    settling = Settling(deps.store, deps.clock, deps.rand)
+    settling = SettleDeps(deps.store, deps.clock, deps.rand)
     return await update_settled(settling, key, value, version, deps.clock.now() + MAX_SETTLE_MS)
 
 
 async def delete(deps: "BatchDeps", key: str, version: int) -> Result[int, StoreError]:
     """Delete an object at a known version."""
-    settling = Settling(deps.store, deps.clock, deps.rand)
+    settling = SettleDeps(deps.store, deps.clock, deps.rand)
     return await delete_settled(settling, key, version, deps.clock.now() + MAX_SETTLE_MS)
 
 
@@ -69,7 +69,7 @@
     deps: "BatchDeps", limit_ms: int, call: Callable[[], Awaitable[Result[T, E]]]
 ) -> Result[T, E]:
     """Repeat a call with growing pauses, for a limited time, while the store is unavailable."""
-    pauses = Pauses(deps.rand)
+    pauses = Backoff(deps.rand)
     deadline_ms = deps.clock.now() + limit_ms
     while True:
         outcome = await call()
--- a/papayapier/batch/task_opener.py
+++ b/papayapier/batch/task_opener.py
@@ -13,7 +13,7 @@
 from papayapier.batch.opening import Grant, OpenError, Unreadable, open_task
 from papayapier.batch.records import MAX_CHUNK_BYTES
 from papayapier.store.api import StoreError
-from papayapier.store.watch import Pauses
+from papayapier.store.watch import Backoff
 
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
@@ -47,7 +47,7 @@
         self._profile_of = profile_of
         self._on_opened = on_opened
         self._submit_soon = submit_soon
-        self._pauses = Pauses(deps.rand)
+        self._pauses = Backoff(deps.rand)
 
     def open_ahead(
         self, jobs: list[ActiveJob], limits: dict[str, int], min_items: int, capacity: InputCapacity
--- a/papayapier/claims/group.py
+++ b/papayapier/claims/group.py
@@ -51,8 +51,8 @@
 from papayapier.metrics import Metrics
 from papayapier.settings import ClaimSettings
 from papayapier.store.api import MAX_VALUE_BYTES, Store, StoreError
-from papayapier.store.bucket import Bucket
-from papayapier.store.watch import Pauses, report_failure
+from papayapier.store.bucket import TokenBucket
+from papayapier.store.watch import Backoff, log_failure
 
 MAX_STORE_FAILURES: Final = 2
 MAX_FREE_RETRIES: Final = 2
@@ -70,7 +70,7 @@
     cfg: ClaimSettings
     metrics: Metrics
     writer: Writer
-    permits: Bucket
+    permits: TokenBucket
 
 
 class ShardWriter:
@@ -92,7 +92,7 @@
         self._stale = self._stale or op.kind is OpKind.LOOKUP
         if self._task is None:
             self._task = Deferred.fromCoroutine(self._run())
-            self._task.addErrback(report_failure, f"claims of shard {self._view.shard}")
+            self._task.addErrback(log_failure, f"claims of shard {self._view.shard}")
 
     def withdraw(self, op: Op) -> bool:
         """Withdraw an op; return False if it may have taken effect, and turn it into an abandon."""
@@ -113,7 +113,7 @@
             self._task.cancel()
 
     async def _run(self) -> None:
-        pauses = Pauses(self._deps.rng)
+        pauses = Backoff(self._deps.rng)
         try:
             while self._ops:
                 window_ms = self._deps.cfg.window_ms * self._deps.rng.uniform(0.5, 1.5)
--- a/papayapier/claims/service.py
+++ b/papayapier/claims/service.py
@@ -59,8 +59,8 @@
 from papayapier.metrics import Metrics
 from papayapier.settings import ClaimSettings
 from papayapier.store.api import Store
-from papayapier.store.bucket import Bucket
-from papayapier.store.watch import report_failure
+from papayapier.store.bucket import TokenBucket
+from papayapier.store.watch import log_failure
 
 DRAIN_POLL_MS: Final = 10
 
@@ -98,7 +98,7 @@
         self._attempts = Attempts()
         self._tokens = 0
         writer = Writer(deps.instance, deps.boot, self._attempts.gave_up)
-        permits = Bucket(deps.clock, deps.cfg.writes_per_s)
+        permits = TokenBucket(deps.clock, deps.cfg.writes_per_s)
         group = GroupDeps(deps.store, deps.clock, deps.rng, deps.cfg, deps.metrics, writer, permits)
         self._shards = [ShardWriter(group, shard) for shard in range(SHARDS)]
 
@@ -249,7 +249,7 @@
     def _write_outcome(self, attempt: Attempt, op: Op) -> None:
         """Write the outcome of an attempt, retrying for as long as the store is unavailable."""
         op.done.addCallback(self._on_outcome_written, attempt, op)
-        op.done.addErrback(report_failure, "end of a claim")
+        op.done.addErrback(log_failure, "end of a claim")
         self._shard(attempt.id).submit(op)
 
     def _on_outcome_written(self, _: None, attempt: Attempt, op: Op) -> None:
@@ -311,7 +311,7 @@
             return self.state(record.token.hex())
         requested = Deferred.fromCoroutine(self._request_state(record))
         state = await wait_until(self._deps.clock, requested, req.due_ms)
-        requested.addErrback(report_failure, "request to the writer of a claim")
+        requested.addErrback(log_failure, "request to the writer of a claim")
         return state if state is not None else NO_RECORD
 
     async def _request_state(self, record: Record) -> str:
--- a/papayapier/components.py
+++ b/papayapier/components.py
@@ -14,7 +14,7 @@
 from papayapier.metrics import Metrics
 from papayapier.orders.controller import OrderControl
 from papayapier.peer.hub import PeerHub
-from papayapier.peer.loss_news import LossNews
+from papayapier.peer.loss_exchange import LossExchange
 from papayapier.policy.drain import Drain
 from papayapier.settings import Settings
 from papayapier.store.api import Store
@@ -51,7 +51,7 @@
     """Group the components that run requests and jobs and exchange messages with peers."""
 
     hub: PeerHub
-    loss_exchange: LossNews
+    loss_exchange: LossExchange
     config: Config
     online: OnlineDispatch
     item_dispatch: ItemDispatch
--- a/papayapier/compose.py
+++ b/papayapier/compose.py
@@ -35,7 +35,7 @@
 from papayapier.metrics import make_metrics
 from papayapier.orders.controller import OrderControl, OrdersDeps, start_orders
 from papayapier.peer.hub import Identity, PeerHub
-from papayapier.peer.loss_news import LossNews, LossNewsDeps
+from papayapier.peer.loss_exchange import LossExchange, LossExchangeDeps
 from papayapier.peer.messages import (
     ClaimAsk,
     ClaimTell,
@@ -135,8 +135,10 @@
         )
 
     hub = _make_hub(base, make_heartbeat)
-    loss_exchange = LossNews(
-        LossNewsDeps(base.clock, hub, fleet.crash_watch, cfg.instance.id, lambda: hub.plan().hubs)
+    loss_exchange = LossExchange(
+        LossExchangeDeps(
+            base.clock, hub, fleet.crash_watch, cfg.instance.id, lambda: hub.plan().hubs
+        )
     )
     dispatch = _make_dispatch(base, fleet, hub)
     item_dispatch = ItemDispatch(dispatch)
@@ -178,13 +180,13 @@
         share=fleet.policies.share,
         upstreams=fleet.upstreams,
         metrics=base.metrics,
-        on_uses_changed=hub.uses_changed,
+        on_uses_changed=hub.on_uses_changed,
     )
 
 
 def _start_config(base: Base, fleet: Fleet, hub: PeerHub, online: OnlineDispatch) -> Config:
     def send_to_peer(peer_id: str, message: Message) -> None:
-        hub.tell(peer_id, message)
+        hub.send(peer_id, message)
 
     return start_config(
         ConfigDeps(
@@ -194,7 +196,7 @@
             settings=base.cfg.config,
             metrics=base.metrics,
             tell=send_to_peer,
-            broadcast=hub.tell_all,
+            broadcast=hub.broadcast,
             peers=lambda: [view.id for view in hub.views() if view.up],
             queued_under=online.queued_for_profile,
             upstream_names=lambda: set(fleet.view.upstream_names()),
@@ -220,7 +222,7 @@
             boot=base.boot,
             profile=config.book.profile,
             live_instances=fleet.view.live_entries,
-            tell_peers=hub.tell_all,
+            tell_peers=hub.broadcast,
             metrics=base.metrics,
         )
     )
@@ -228,8 +230,10 @@
 
 def _make_claims(base: Base, hub: PeerHub) -> Claims:
     async def query_writer(writer: str, reference: str) -> str:
-        reply = await hub.ask(
-            writer, lambda ask_id: ClaimAsk(ask_id, reference), CLAIM_WRITER_TIMEOUT_MS
+        reply = await hub.send_request(
+            writer,
+            lambda correlation_id: ClaimAsk(correlation_id, reference),
+            CLAIM_WRITER_TIMEOUT_MS,
         )
         if isinstance(reply, Ok) and isinstance(reply.ok_value, ClaimTell):
             return reply.ok_value.state
@@ -278,7 +282,7 @@
     def on_claim_request(peer_id: str, message: Message) -> None:
         assert isinstance(message, ClaimAsk)
         state = services.claims.state(message.key)
-        hub.tell(peer_id, ClaimTell(message.ask_id, message.key, state))
+        hub.send(peer_id, ClaimTell(message.correlation_id, message.key, state))
 
     def on_peers_changed() -> None:
         silent = [view.id for view in hub.views() if not view.up]
--- a/papayapier/config/accept.py
+++ b/papayapier/config/accept.py
@@ -21,7 +21,7 @@
 from papayapier.config.records import AuditEntry, Document, FieldChange, Record, Subject
 from papayapier.errors import ErrorKind, Refusal, not_run, unknown
 from papayapier.store.api import Store, Stored, StoreError
-from papayapier.store.writes import Settling, create_settled, update_settled
+from papayapier.store.writes import SettleDeps, create_settled, update_settled
 
 SETTLE_MS: Final = 10_000
 RETRY_AFTER_MS: Final = 1_000
@@ -244,7 +244,7 @@
 
     async def _update_store(self, stored: _StoredObject, value: bytes) -> Result[int, StoreError]:
         key = self._change.subject.key
-        settling = Settling(self._deps.store, self._deps.clock, self._deps.rand)
+        settling = SettleDeps(self._deps.store, self._deps.clock, self._deps.rand)
         due_ms = self._deps.clock.now() + SETTLE_MS
         if stored.version == 0:
             return await create_settled(settling, key, value, due_ms)
--- a/papayapier/config/fetch.py
+++ b/papayapier/config/fetch.py
@@ -18,7 +18,7 @@
 from papayapier.clock import Clock
 from papayapier.config.book import ProfileBook
 from papayapier.store.api import Store, StoreError
-from papayapier.store.watch import Pauses
+from papayapier.store.watch import Backoff
 
 MAX_CONCURRENT_READS: Final = 8
 PUSH_WAIT_MS: Final = 50
@@ -68,7 +68,7 @@
             self._task.cancel()
 
     async def _run(self) -> None:
-        pauses = Pauses(self._deps.rand)
+        pauses = Backoff(self._deps.rand)
         # Sleep even for 0 ms, so that this does not run inside the follower's listing.
         await self._deps.clock.sleep(0 if self._deps.is_urgent() else PUSH_WAIT_MS)
         while self._drop_applied():
--- a/papayapier/config/start.py
+++ b/papayapier/config/start.py
@@ -16,11 +16,11 @@
 from papayapier.config.trail import AuditFilter, AuditLine
 from papayapier.metrics import Metrics
 from papayapier.peer.messages import Message
-from papayapier.peer.topology import Plan
+from papayapier.peer.topology import LinkPlan
 from papayapier.settings import ConfigSettings
 from papayapier.store.api import Store, StoreError
 
-FOLLOW_EVERYWHERE: Final = Plan(frozenset(), relay=True, full_mesh=True)
+FOLLOW_EVERYWHERE: Final = LinkPlan(frozenset(), relay=True, full_mesh=True)
 
 
 class ConfigDeps(NamedTuple):
@@ -41,7 +41,7 @@
     peers: Callable[[], Sequence[str]]
     queued_under: Callable[[str], int]
     upstream_names: Callable[[], set[str]]
-    plan: Callable[[], Plan] = lambda: FOLLOW_EVERYWHERE
+    plan: Callable[[], LinkPlan] = lambda: FOLLOW_EVERYWHERE
 
 
 class Config(NamedTuple):
--- a/papayapier/config/store_follower.py
+++ b/papayapier/config/store_follower.py
@@ -17,7 +17,7 @@
 from papayapier.config.records import CONFIG_PREFIX
 from papayapier.settings import ConfigSettings
 from papayapier.store.api import Change, Store
-from papayapier.store.watch import Follower, FollowPace
+from papayapier.store.watch import Follower, FollowIntervals
 
 UPDATE_MS: Final = 1_000
 KEYS_PER_PAGE: Final = 1_000
@@ -71,7 +71,7 @@
 
     def is_complete(self) -> bool:
         """Return whether all objects of one listing of the store have been read; stays True."""
-        listed = self._follower is not None and self._follower.listed_ms is not None
+        listed = self._follower is not None and self._follower.last_listed_ms is not None
         if listed and self._fetcher.is_idle():
             self._complete = True
         return self._complete
@@ -79,7 +79,7 @@
     def last_success_ms(self) -> int:
         """Return the start time of the last listing that succeeded."""
         if self._follower is not None:
-            self._last_success_ms = max(self._last_success_ms, self._follower.listed_ms or 0)
+            self._last_success_ms = max(self._last_success_ms, self._follower.last_listed_ms or 0)
         return self._last_success_ms
 
     def _update(self) -> None:
@@ -99,7 +99,7 @@
             self._deps.rand,
             CONFIG_PREFIX,
             self._on_change,
-            FollowPace(cfg.watch_ms, cfg.poll_ms * pages),
+            FollowIntervals(cfg.watch_ms, cfg.poll_ms * pages),
         )
         self._follower.start()
 
--- a/papayapier/config/sync.py
+++ b/papayapier/config/sync.py
@@ -21,8 +21,8 @@
 from papayapier.config.store_follower import FollowDeps, StoreFollower
 from papayapier.metrics import Metrics
 from papayapier.peer.messages import ConfigAsk, ConfigPush, ConfigTell, Heartbeat, Message
-from papayapier.peer.parts import cut_parts
-from papayapier.peer.topology import Plan
+from papayapier.peer.parts import split_parts
+from papayapier.peer.topology import LinkPlan
 from papayapier.settings import ConfigSettings
 from papayapier.store.api import Store
 
@@ -44,7 +44,7 @@
     notify: Callable[[str, Message], object]
     broadcast: Callable[[Message], object]
     peers: Callable[[], Sequence[str]]
-    plan: Callable[[], Plan]
+    plan: Callable[[], LinkPlan]
 
 
 class ConfigSync:
@@ -127,21 +127,23 @@
         objects = self._registry.objects(request.newer_than)
         if request.buckets:
             objects = self._registry.objects_differing(request.buckets)
-        parts = cut_parts(objects, _size)
+        parts = split_parts(objects, _size)
         for number, part in enumerate(parts, 1):
             more = number < len(parts)
-            reply = ConfigTell(request.ask_id, part, more, self._is_complete(), len(objects))
+            reply = ConfigTell(
+                request.correlation_id, part, more, self._is_complete(), len(objects)
+            )
             self._deps.notify(peer, reply)
 
     def _apply_reply(self, reply: ConfigTell) -> None:
         for item in reply.objects:
             self._registry.apply(item.key, item.version, item.value)
-        if reply.ask_id not in self._received_counts:
+        if reply.correlation_id not in self._received_counts:
             return
         # A part can be lost when the link is replaced between two parts. Without the count, the
         # last part alone would make this instance ready with an incomplete configuration.
-        self._received_counts[reply.ask_id] += len(reply.objects)
-        if reply.complete and self._received_counts[reply.ask_id] >= reply.total:
+        self._received_counts[reply.correlation_id] += len(reply.objects)
+        if reply.complete and self._received_counts[reply.correlation_id] >= reply.total:
             self._complete = True
 
     def _is_complete(self) -> bool:
--- a/papayapier/fleet_view.py
+++ b/papayapier/fleet_view.py
@@ -154,7 +154,7 @@
         for member in change.changed:
             self._log_replica(member)
             self._members[member.id] = member
-        for removed in change.gone:
+        for removed in change.removed:
             if self._members.pop(removed).kind == REPLICA:
                 events.emit(events.REPLICA_REMOVED, replica=removed)
         self._update_policies()
--- a/papayapier/instance.py
+++ b/papayapier/instance.py
@@ -22,11 +22,11 @@
     from papayapier.metrics import Metrics
     from papayapier.orders.controller import OrderControl
     from papayapier.peer.hub import PeerHub
-    from papayapier.peer.loss_news import LossNews
+    from papayapier.peer.loss_exchange import LossExchange
     from papayapier.policy.drain import Drain
     from papayapier.store.api import Store
-    from papayapier.store.members import MemberFollower, Reporter
-    from papayapier.store.members_folder import MembersFolder
+    from papayapier.store.members import MemberFollower, MemberReporter
+    from papayapier.store.members_file import MembersFile
     from papayapier.upstream.api import Upstreams
     from papayapier.upstream.reports import Reports
 
@@ -50,7 +50,7 @@
     clock: "Clock"
     drain: "Drain"
     hub: "PeerHub"
-    loss_exchange: "LossNews"
+    loss_exchange: "LossExchange"
     config: "Config"
     online: "OnlineDispatch"
     item_dispatch: "ItemDispatch"
@@ -60,10 +60,10 @@
     reports: "Reports"
     upstreams: "Upstreams"
     follower: "MemberFollower"
-    reporter: "Reporter"
+    reporter: "MemberReporter"
     store: "Store"
     publish: "Callable[[int], None]"
-    members_file: "MembersFolder"
+    members_file: "MembersFile"
 
 
 class Readiness:
--- a/papayapier/jobs/commits.py
+++ b/papayapier/jobs/commits.py
@@ -20,7 +20,7 @@
 from papayapier.jobs.owned_job import ItemState, OwnedJob
 from papayapier.jobs.records import ItemResult, ResultGroup, encode, group_key
 from papayapier.store.api import Store, StoreError
-from papayapier.store.writes import Settling, create_settled
+from papayapier.store.writes import SettleDeps, create_settled
 
 WRITE_ID_BITS: Final = 64
 # Items that finish within this time are written with one call. The delay is small against the
@@ -89,7 +89,7 @@
     """Try to create the next group; return False if the next attempt must be delayed."""
     number = job.groups
     group = _gather(deps, job)
-    settling = Settling(deps.store, deps.clock, deps.rand)
+    settling = SettleDeps(deps.store, deps.clock, deps.rand)
     began_ms = deps.clock.now()
     due_ms = began_ms + SETTLE_MS
     deps.notifications.write_begun(job.job_id, began_ms)
--- a/papayapier/jobs/job_service.py
+++ b/papayapier/jobs/job_service.py
@@ -34,7 +34,7 @@
 from papayapier.pending import Pending
 from papayapier.policy.job_keeping import NOT_ASKED, Copies, patience_ms
 from papayapier.store.api import Store, StoreError
-from papayapier.store.writes import Settling, create_settled, update_settled
+from papayapier.store.writes import SettleDeps, create_settled, update_settled
 
 WRITE_ID_BITS: Final = 64
 # How long a read of the store that found no new group remains valid. A position shown by one
@@ -144,7 +144,7 @@
             if isinstance(stored, Err):
                 return stored
             record = record._replace(items=(), parts=len(parts))
-        settling = Settling(self._deps.store, self._deps.clock, self._deps.rand)
+        settling = SettleDeps(self._deps.store, self._deps.clock, self._deps.rand)
         value = encode(record)
         work = create_settled(settling, job_key(job_id), value, due_ms)
         creating = Pending(self._deps.clock, work)
@@ -255,7 +255,7 @@
 
     async def end(self, job_id: str, due_ms: int, team: str = "") -> Result[None, Refusal]:
         """End a job; results that are already listed remain."""
-        settling = Settling(self._deps.store, self._deps.clock, self._deps.rand)
+        settling = SettleDeps(self._deps.store, self._deps.clock, self._deps.rand)
         for _ in range(MAX_END_ATTEMPTS):
             found = await self._deps.store.get(job_key(job_id))
             if isinstance(found, Err):
@@ -281,7 +281,7 @@
     async def _store_parts(
         self, job_id: str, parts: list[tuple[JobItem, ...]], due_ms: int
     ) -> Result[None, Refusal]:
-        settling = Settling(self._deps.store, self._deps.clock, self._deps.rand)
+        settling = SettleDeps(self._deps.store, self._deps.clock, self._deps.rand)
         for number, part in enumerate(parts):
             value = encode(part)
             created = await create_settled(settling, part_key(job_id, number), value, due_ms)
--- a/papayapier/jobs/local_job_store.py
+++ b/papayapier/jobs/local_job_store.py
@@ -18,8 +18,8 @@
 from papayapier.jobs.job_files import LocalJob
 from papayapier.jobs.records import JobRecord, job_key, read_record
 from papayapier.store.api import Store, StoreError
-from papayapier.store.watch import Pauses, report_failure
-from papayapier.store.writes import Settling, create_settled
+from papayapier.store.watch import Backoff, log_failure
+from papayapier.store.writes import SettleDeps, create_settled
 
 T = TypeVar("T")
 
@@ -114,14 +114,14 @@
         if job.job_id in self._creating:
             return
         task = Deferred.fromCoroutine(self._create(job))
-        task.addErrback(report_failure, "locally stored job")
+        task.addErrback(log_failure, "locally stored job")
         if task.called:
             return
         self._creating[job.job_id] = task
 
     async def _create(self, job: LocalJob) -> None:
         """Create the job in the store, retrying without limit, and remove its file."""
-        pauses = Pauses(self._deps.rand, self._deps.longest_pause_ms)
+        pauses = Backoff(self._deps.rand, self._deps.longest_pause_ms)
         reason = self._drop_reason(job)
         while not reason:
             if await self._is_created(job):
@@ -139,7 +139,7 @@
         self._creating.pop(job.job_id, None)
 
     async def _is_created(self, job: LocalJob) -> bool:
-        settling = Settling(self._deps.store, self._deps.clock, self._deps.rand)
+        settling = SettleDeps(self._deps.store, self._deps.clock, self._deps.rand)
         due_ms = self._deps.clock.now() + ATTEMPT_MS
         created = await create_settled(settling, job_key(job.job_id), job.value, due_ms)
         if isinstance(created, Ok) or created == Err(StoreError.CONFLICT):
--- a/papayapier/jobs/notifications.py
+++ b/papayapier/jobs/notifications.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Collection
 from typing import Final, NamedTuple
 
-from papayapier.peer.messages import NOT_SURE, Heartbeat, JobWord
+from papayapier.peer.messages import UNCONFIRMED, Heartbeat, JobNotification
 
 # A write that takes longer counts as unconfirmed; the store usually responds in 4 ms. A heartbeat
 # covers all writes begun at least this long before it.
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self._count = 0
-        self._recent: deque[tuple[int, JobWord]] = deque(maxlen=MAX_REPEATED)
+        self._recent: deque[tuple[int, JobNotification]] = deque(maxlen=MAX_REPEATED)
         self._unconfirmed: dict[str, int] = {}
 
     def write_begun(self, job_id: str, now: int) -> None:
@@ -49,14 +49,14 @@
         """Record that the outcome of a job's write is known."""
         self._unconfirmed.pop(job_id, None)
 
-    def next_notification(self, job_id: str, groups: int, now: int) -> JobWord:
+    def next_notification(self, job_id: str, groups: int, now: int) -> JobNotification:
         """Create and count the next notification."""
         self._count += 1
-        notification = JobWord(self._count, job_id, groups)
+        notification = JobNotification(self._count, job_id, groups)
         self._recent.append((now, notification))
         return notification
 
-    def recent(self, now: int) -> tuple[JobWord, ...]:
+    def recent(self, now: int) -> tuple[JobNotification, ...]:
         """Return recent notifications for a heartbeat; several heartbeats repeat each of them."""
         return tuple(
             notification for sent_ms, notification in self._recent if now - sent_ms <= REPEAT_MS
@@ -65,7 +65,7 @@
     def count(self, now: int) -> int:
         """Return the number of notifications, or NOT_SURE while a write is overdue."""
         if any(now - begun_ms > MAX_WRITE_MS for begun_ms in self._unconfirmed.values()):
-            return NOT_SURE
+            return UNCONFIRMED
         return self._count
 
 
@@ -106,16 +106,20 @@
     def on_heartbeat(self, writer: str, heartbeat: Heartbeat, now: int) -> None:
         """Handle a writer's heartbeat."""
         self._last_received_ms[writer] = now
-        if heartbeat.groups_told == NOT_SURE:
+        if heartbeat.notification_count == UNCONFIRMED:
             return
         state = self._states.get(writer)
         if state is not None and state.boot == heartbeat.boot:
-            for notification in heartbeat.words:
+            for notification in heartbeat.notifications:
                 self.on_notification(writer, notification.number)
             state = self._states[writer]
-        if state is None or state.boot != heartbeat.boot or heartbeat.groups_told > state.received:
+        if (
+            state is None
+            or state.boot != heartbeat.boot
+            or heartbeat.notification_count > state.received
+        ):
             # Missed groups are only visible in the store, so only reads begun from now on count.
-            self._states[writer] = _Writer(heartbeat.boot, heartbeat.groups_told, now, now)
+            self._states[writer] = _Writer(heartbeat.boot, heartbeat.notification_count, now, now)
             return
         self._states[writer] = state._replace(confirmed_ms=now)
 
--- a/papayapier/membership.py
+++ b/papayapier/membership.py
@@ -12,8 +12,8 @@
 from papayapier.peer.messages import Heartbeat, MembersAsk, MembersTell
 from papayapier.settings import Contact, Settings
 from papayapier.store.api import ENTRY, LIVE, Member, Store
-from papayapier.store.members import MemberFollower, MembersChanged, OnMembers, Reporter
-from papayapier.store.members_folder import AgedMembers, MembersFolder
+from papayapier.store.members import MemberFollower, MemberReporter, MembersChanged, OnMembers
+from papayapier.store.members_file import AgedMembers, MembersFile
 
 MAX_START_ATTEMPTS: Final = 5
 START_RETRY_PAUSE_MS: Final = 300
@@ -35,8 +35,8 @@
     """Group the components that follow, save and report the instance list."""
 
     follower: MemberFollower
-    file: MembersFolder
-    reporter: Reporter
+    file: MembersFile
+    reporter: MemberReporter
 
 
 async def reach_platform(store: Store, clock: Clock, cfg: Settings) -> Result[None, str]:
@@ -62,7 +62,7 @@
 
     def on_members(change: MembersChanged) -> None:
         deps.on_members(change)
-        members_file.changed()
+        members_file.save_soon()
 
     def on_read_failed() -> None:
         fallback.use()
@@ -71,12 +71,12 @@
         return AgedMembers(list(follower.known.values()), follower.age_ms() or 0)
 
     follower = MemberFollower(deps.reads, deps.clock, deps.rand, on_members, on_read_failed)
-    members_file = MembersFolder(deps.cfg.config.data_folder, deps.clock, current_list)
+    members_file = MembersFile(deps.cfg.config.data_folder, deps.clock, current_list)
     fallback = _Fallback(deps, follower, members_file)
-    exchange = MembersExchange(MembersDeps(deps.clock, deps.rand, deps.hub.tell, follower))
+    exchange = MembersExchange(MembersDeps(deps.clock, deps.rand, deps.hub.send, follower))
     for kind in (Heartbeat, MembersAsk, MembersTell):
         deps.hub.subscribe(kind, exchange.on_peer)
-    reporter = Reporter(deps.reports, deps.clock, deps.rand, _own_record(deps.cfg, ports))
+    reporter = MemberReporter(deps.reports, deps.clock, deps.rand, _own_record(deps.cfg, ports))
     return Membership(follower, members_file, reporter)
 
 
@@ -84,7 +84,7 @@
     """Use the saved list and the contacts once, when the first read of the platform fails."""
 
     def __init__(
-        self, deps: MembershipDeps, follower: MemberFollower, members_file: MembersFolder
+        self, deps: MembershipDeps, follower: MemberFollower, members_file: MembersFile
     ) -> None:
         self._deps = deps
         self._follower = follower
@@ -98,9 +98,9 @@
         self._used = True
         saved = self._members_file.load()
         if saved is not None:
-            self._follower.learn(saved.members, self._deps.clock.now() - saved.age_ms)
+            self._follower.use_list(saved.members, self._deps.clock.now() - saved.age_ms)
         # After the saved list, so that the address in the settings wins if both have one.
-        self._deps.hub.introduce([_as_member(c) for c in _other_contacts(self._deps.cfg)])
+        self._deps.hub.dial_unlisted([_as_member(c) for c in _other_contacts(self._deps.cfg)])
 
 
 def _other_contacts(cfg: Settings) -> list[Contact]:
--- a/papayapier/node/allowances.py
+++ b/papayapier/node/allowances.py
@@ -28,7 +28,7 @@
     View,
     granters,
 )
-from papayapier.store.watch import report_failure
+from papayapier.store.watch import log_failure
 
 # A round trip between data centres takes 3 ms; a busy granter needs a few more to answer.
 ANSWER_MS: Final = 40
@@ -83,9 +83,11 @@
 
     async def request_grant(self, granter: str, team: Team, retried: bool) -> AllowTell | None:
         """Request a grant from one granter; None means that it did not answer."""
-        reply = await self._deps.hub.ask(
+        reply = await self._deps.hub.send_request(
             granter,
-            lambda ask_id: AllowAsk(ask_id, team.name, team.rate_per_s, team.burst, retried),
+            lambda correlation_id: AllowAsk(
+                correlation_id, team.name, team.rate_per_s, team.burst, retried
+            ),
             ANSWER_MS,
         )
         if isinstance(reply, Ok) and isinstance(reply.ok_value, AllowTell):
@@ -112,15 +114,22 @@
             reply = await client.request_grant(granter, team, retried)
             if reply is None:
                 continue
-            if reply.said == Said.NOT_HERE.value:
+            if reply.outcome == Said.NOT_HERE.value:
                 # That keeper may know the current set of granters better than this instance.
-                if reply.ask and reply.ask not in requested and client.may_request(reply.ask):
-                    candidates = [reply.ask, *(other for other in candidates if other != reply.ask)]
+                if (
+                    reply.granter
+                    and reply.granter not in requested
+                    and client.may_request(reply.granter)
+                ):
+                    candidates = [
+                        reply.granter,
+                        *(other for other in candidates if other != reply.granter),
+                    ]
                 continue
-            if reply.said == Said.GRANTED.value:
+            if reply.outcome == Said.GRANTED.value:
                 return Ok(None)
             reason = f"team {team.name} has reached its limit of {team.rate_per_s:g} requests/s"
-            return Err(not_run(ErrorKind.OVER_ALLOWANCE, reason, reply.after_ms))
+            return Err(not_run(ErrorKind.OVER_ALLOWANCE, reason, reply.retry_after_ms))
         reason = f"no granter of the allowance of team {team.name} is reachable"
         return Err(not_run(ErrorKind.NOT_GRANTED, reason, SILENT_RETRY_MS))
 
@@ -168,8 +177,9 @@
             )
 
     def reply_to(peer_id: str, request: AllowAsk, decision: Answer) -> None:
-        deps.hub.tell(
-            peer_id, AllowTell(request.ask_id, decision.said.value, decision.after_ms, decision.ask)
+        deps.hub.send(
+            peer_id,
+            AllowTell(request.correlation_id, decision.said.value, decision.after_ms, decision.ask),
         )
         now = deps.clock.now()
         if decision.said is Said.OVER and next_log_ms.get(request.team, 0) <= now:
@@ -179,20 +189,22 @@
             events.emit(events.ALLOWANCE_BINDS, team=request.team, rate_per_s=request.rate_per_s)
 
     async def take_over(peer_id: str, request: AllowAsk, limit: Limit, after: str) -> None:
-        reply = await deps.hub.ask(
+        reply = await deps.hub.send_request(
             after,
-            lambda ask_id: TakeOverAsk(ask_id, request.team, request.rate_per_s, request.burst),
+            lambda correlation_id: TakeOverAsk(
+                correlation_id, request.team, request.rate_per_s, request.burst
+            ),
             ANSWER_MS // 2,
         )
         left = None
         if isinstance(reply, Ok) and isinstance(reply.ok_value, TakeOverTell):
-            left = Left(reply.ok_value.was_first, reply.ok_value.tokens)
+            left = Left(reply.ok_value.was_granter, reply.ok_value.tokens)
         now = deps.clock.now()
         if deps.grants.took_over(request.team, left, limit, now):
             events.emit(
                 events.ALLOWANCE_TAKEN, team=request.team, after=after, heard=left is not None
             )
-        decision = deps.grants.ask(request.team, limit, now, request.returned)
+        decision = deps.grants.ask(request.team, limit, now, request.is_retry)
         reply_to(
             peer_id,
             request,
@@ -202,18 +214,18 @@
     def on_ask(peer_id: str, request: AllowAsk) -> None:
         update_view()
         limit = _limit_of(deps, request)
-        decision = deps.grants.ask(request.team, limit, deps.clock.now(), request.returned)
+        decision = deps.grants.ask(request.team, limit, deps.clock.now(), request.is_retry)
         if decision.said is not Said.TAKE_OVER:
             reply_to(peer_id, request, decision)
             return
         task = Deferred.fromCoroutine(take_over(peer_id, request, limit, decision.ask))
-        task.addErrback(report_failure, "allowance")
+        task.addErrback(log_failure, "allowance")
 
     def on_take_over(peer_id: str, request: TakeOverAsk) -> None:
         update_view()
         limit = _limit_of(deps, request)
         left = deps.grants.give_up(request.team, peer_id, limit, deps.clock.now())
-        deps.hub.tell(peer_id, TakeOverTell(request.ask_id, left.was_first, left.tokens))
+        deps.hub.send(peer_id, TakeOverTell(request.correlation_id, left.was_first, left.tokens))
 
     deps.hub.on_change(update_view)
     deps.hub.subscribe(AllowAsk, on_ask)
--- a/papayapier/node/base.py
+++ b/papayapier/node/base.py
@@ -35,11 +35,11 @@
 from papayapier.node.settings import NodeSettings
 from papayapier.node.store_relay import RelayDeps, serve_store_calls, with_relay
 from papayapier.peer.hub import Identity, PeerHub
-from papayapier.peer.loss_news import LossNews, LossNewsDeps
+from papayapier.peer.loss_exchange import LossExchange, LossExchangeDeps
 from papayapier.peer.messages import CallsTold, ConfigPush, Heartbeat, Message
 from papayapier.platform.configuration import CONFIG_KEY, CONFIG_PREFIX, read_configuration
-from papayapier.platform.headers import read_facts
-from papayapier.platform.replicas import REPLICAS_PREFIX, read_replica, says_other
+from papayapier.platform.headers import decode_facts
+from papayapier.platform.replicas import REPLICAS_PREFIX, decodes_differently, read_replica
 from papayapier.platform.store import platform_store
 from papayapier.policy.drain import Drain, DrainPlan
 from papayapier.policy.loads import LoadBook
@@ -47,8 +47,8 @@
 from papayapier.policy.totals import totals_of
 from papayapier.store.api import Change, Store
 from papayapier.store.budget import Budget, Priority, make_budget
-from papayapier.store.mirror import Matters, Mirror, always
-from papayapier.store.watch import Follower, FollowPace, report_failure
+from papayapier.store.mirror import IsRelevant, Mirror, always_relevant
+from papayapier.store.watch import Follower, FollowIntervals, log_failure
 from papayapier.upstream.links import Links
 from papayapier.upstream.raw import RawDeps, SendRaw, make_raw_send
 
@@ -85,7 +85,7 @@
     send: SendRaw
     # Returns the store, called directly or relayed through a peer.
     view: Callable[[Priority], Store]
-    loss_exchange: LossNews
+    loss_exchange: LossExchange
     mirror_deps: MirrorDeps
     placement_deps: PlacementDeps
     placer: Placer
@@ -119,13 +119,13 @@
         if role is Role.ENTRY:
             return message
         now = clock.now()
-        message = message._replace(groups_told=group_notifications.count(now))
+        message = message._replace(notification_count=group_notifications.count(now))
         if hub.plan().full_mesh:
             return message
         if cfg.instance.id not in hub.plan().hubs:
-            return message._replace(words=group_notifications.recent(now))
+            return message._replace(notifications=group_notifications.recent(now))
         totals = totals_of(load_tracker, fleet.hubs(), cfg.instance.id)
-        return message._replace(totals=totals, words=group_notifications.recent(now))
+        return message._replace(totals=totals, notifications=group_notifications.recent(now))
 
     def on_replicas(listed: list[ListedReplica]) -> None:
         replicas = [entry.replica for entry in listed]
@@ -151,7 +151,7 @@
     me = Identity(own.id, boot, own.host, own.data_centre, own.region, role is Role.KEEPER)
     hub = PeerHub(reactor, clock, cfg.peer, me, make_heartbeat, metrics, rand, concerned_keepers)
     nodes = NodeList(hub.set_members, defer, own.id, lambda: _register(base))
-    fleet = LargeFleet(nodes, hub.live, lambda: hub.plan().hubs, hub.vouched, routing.table)
+    fleet = LargeFleet(nodes, hub.live, lambda: hub.plan().hubs, hub.agreed_live, routing.table)
     listening = hub.start()
     if isinstance(listening, Err):
         return listening
@@ -165,7 +165,7 @@
             clock, REPLICAS_PREFIX, read_replica, outage_tracker.last_return_ms, on_replicas, defer
         )
     )
-    send = RawDeps(links, read_facts, load_tracker.on_report, replicas.on_moved, metrics)
+    send = RawDeps(links, decode_facts, load_tracker.on_report, replicas.on_moved, metrics)
     relay = RelayDeps(clock, rand, hub, lambda: budget.down_since() is not None)
     placement_deps = PlacementDeps(
         clock,
@@ -190,7 +190,7 @@
             turnaround_ms,
         )
     )
-    loss_notifications = LossNews(LossNewsDeps(clock, hub, crashes, own.id, fleet.hubs))
+    loss_exchange = LossExchange(LossExchangeDeps(clock, hub, crashes, own.id, fleet.hubs))
     mirrors: dict[str, Mirror] = {}
     base = NodeBase(
         reactor=reactor,
@@ -214,7 +214,7 @@
         links=links,
         send=make_raw_send(send),
         view=lambda priority: with_relay(budget.view(priority), relay),
-        loss_exchange=loss_notifications,
+        loss_exchange=loss_exchange,
         mirror_deps=MirrorDeps(
             hub, own.id, fleet.hubs, outage_tracker.on_reported, clock, nodes.count
         ),
@@ -259,14 +259,14 @@
     prefix: str,
     on_change: Callable[[Change], None],
     urgency: FollowUrgency,
-    is_relevant: Matters = always,
+    is_relevant: IsRelevant = always_relevant,
 ) -> Follower:
     """Start to follow the objects under a prefix.
 
     On a keeper a mirror serves them to other processes; is_relevant selects what it passes on.
     """
     cfg = base.cfg
-    pace = FollowPace(
+    pace = FollowIntervals(
         cfg.follow.watch_ms * urgency.slowness,
         cfg.follow.poll_ms * urgency.slowness,
         cfg.store.longest_pause_ms,
@@ -276,7 +276,7 @@
     wait_for_watcher = prefix == REPLICAS_PREFIX
     store = with_hub_mirrors(base.view(Priority.CONFIG), base.mirror_deps, source, wait_for_watcher)
     if base.role is Role.KEEPER:
-        valid_ms = pace.watch_ms + pace.gather_ms + MIRROR_MARGIN_MS
+        valid_ms = pace.watch_ms + pace.collect_ms + MIRROR_MARGIN_MS
         mirror = Mirror(base.clock, valid_ms, is_relevant)
         base.mirrors[prefix] = mirror
         notify_both = _call_both(on_change, mirror.on_change)
@@ -317,12 +317,18 @@
     """Follow configuration, replicas and processes, and register this process in the store."""
     followed = Followed(
         follow(base, CONFIG_PREFIX, base.routing.on_change, FOLLOW_IMMEDIATELY),
-        follow(base, REPLICAS_PREFIX, base.replicas.on_change, FOLLOW_WITHIN_A_SECOND, says_other),
+        follow(
+            base,
+            REPLICAS_PREFIX,
+            base.replicas.on_change,
+            FOLLOW_WITHIN_A_SECOND,
+            decodes_differently,
+        ),
     )
     listed = follow(base, NODES_PREFIX, base.nodes.on_change, FOLLOW_SLOWLY)
-    _register(base, lambda: listed.listed_ms is not None)
+    _register(base, lambda: listed.last_listed_ms is not None)
     probe = Deferred.fromCoroutine(_probe_store(base))
-    probe.addErrback(report_failure, "probe")
+    probe.addErrback(log_failure, "probe")
     base.tasks.append(probe)
     return followed
 
@@ -338,7 +344,7 @@
             await register_node(store, base.clock, base.rand, own.id, record)
 
     task = Deferred.fromCoroutine(write())
-    task.addErrback(report_failure, "write down")
+    task.addErrback(log_failure, "write down")
     base.tasks.append(task)
 
 
@@ -401,7 +407,7 @@
     hub.on_change(on_peers)
     hub.subscribe(ConfigPush, on_push)
     base.routing.watch(
-        lambda _table: hub.tell_all(
+        lambda _table: hub.broadcast(
             ConfigPush(base.routing.key, base.routing.revision, base.routing.value)
         )
     )
--- a/papayapier/node/entry.py
+++ b/papayapier/node/entry.py
@@ -137,7 +137,7 @@
     def _losses_known(self) -> bool:
         """Return whether earlier replica losses are known, or no other process can know of any."""
         processes = self._base.nodes.count()
-        return processes == 1 or (bool(processes) and self._base.loss_exchange.caught_up())
+        return processes == 1 or (bool(processes) and self._base.loss_exchange.has_known_losses())
 
     def _placer_known(self) -> bool:
         """Return whether a hub is known that places calls, or each instance places its own."""
@@ -217,9 +217,9 @@
         budget=RetryBudget(),
         first_bytes=FirstByteTimes(),
         send=base.send,
-        make_headers=headers.for_replica,
+        make_headers=headers.with_replica,
         metrics=base.metrics,
-        on_uses_changed=base.hub.uses_changed,
+        on_uses_changed=base.hub.on_uses_changed,
         place=make_place(base.placement_deps),
         on_unanswered=make_report_unanswered(base.placement_deps),
         peer_loads_are_fresh=lambda: base.hub.plan().full_mesh,
@@ -257,13 +257,13 @@
 
     def on_heartbeat(peer_id: str, heartbeat: Heartbeat) -> None:
         notifications.on_heartbeat(peer_id, heartbeat, base.clock.now())
-        for notification in heartbeat.words:
+        for notification in heartbeat.notifications:
             job_service.on_group_count(notification.job_id, notification.groups)
 
     base.hub.subscribe(JobChanged, on_job_changed)
     base.hub.subscribe(Heartbeat, on_heartbeat)
     wire = JobCallFormat(
-        headers.REQUEST_ID.decode(), job_calls.read_items, job_calls.called, job_calls.perform
+        headers.REQUEST_ID.decode(), job_calls.read_items, job_calls.parse_call, job_calls.perform
     )
     request_id = headers.REQUEST_ID.decode()
     refusals = RefusalDeps(base.clock, base.rand, base.metrics, request_id, headers.RETRY_AFTER)
@@ -284,8 +284,8 @@
             prompt=headers.PROMPT_PARTS.decode(),
             last_event=headers.LAST_EVENT.decode(),
             end_to_end=headers.end_to_end,
-            presented_keys=headers.shown_keys,
-            with_team=headers.of_team,
+            presented_keys=headers.presented_keys,
+            with_team=headers.with_team,
         ),
         table=base.routing.table,
         get_refusal=readiness.current_refusal,
@@ -297,10 +297,10 @@
             AllowanceDeps(
                 base.hub,
                 base.clock,
-                lambda: base.nodes.with_role(Role.KEEPER) & base.hub.vouched(),
+                lambda: base.nodes.with_role(Role.KEEPER) & base.hub.agreed_live(),
             )
         ),
-        jobs=JobHandlers(jobs.submit, job_calls.called, jobs.perform),
+        jobs=JobHandlers(jobs.submit, job_calls.parse_call, jobs.perform),
     )
 
 
--- a/papayapier/node/job_copies.py
+++ b/papayapier/node/job_copies.py
@@ -17,7 +17,7 @@
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.messages import KeepAsk, KeepTell
 from papayapier.policy.job_keeping import NOT_ASKED, Copies, holders
-from papayapier.store.watch import report_failure
+from papayapier.store.watch import log_failure
 
 # A healthy disk syncs in a few ms; a hanging disk blocks for seconds.
 REQUEST_TIMEOUT_MS: Final = 1_000
@@ -55,8 +55,10 @@
 
 
 async def _request_copy(hub: PeerHub, keeper: str, job_id: str, value: bytes) -> bool:
-    reply = await hub.ask(keeper, lambda ask_id: KeepAsk(ask_id, job_id, value), REQUEST_TIMEOUT_MS)
-    return isinstance(reply, Ok) and isinstance(reply.ok_value, KeepTell) and reply.ok_value.kept
+    reply = await hub.send_request(
+        keeper, lambda correlation_id: KeepAsk(correlation_id, job_id, value), REQUEST_TIMEOUT_MS
+    )
+    return isinstance(reply, Ok) and isinstance(reply.ok_value, KeepTell) and reply.ok_value.stored
 
 
 class _CopyCounter:
@@ -71,7 +73,7 @@
     def on_outcome(self, outcome: "bool | Failure") -> None:
         self._pending -= 1
         if isinstance(outcome, Failure):
-            report_failure(outcome, "keep")
+            log_failure(outcome, "keep")
         elif outcome:
             self.stored += 1
         enough = self.stored >= self._needed
@@ -85,8 +87,8 @@
 
     def on_request(peer_id: str, request: KeepAsk) -> None:
         done = Deferred.fromCoroutine(local_jobs.store(LocalJob(request.job_id, request.value)))
-        done.addCallback(lambda kept: hub.tell(peer_id, KeepTell(request.ask_id, kept)))
-        done.addErrback(report_failure, "keep")
+        done.addCallback(lambda kept: hub.send(peer_id, KeepTell(request.correlation_id, kept)))
+        done.addErrback(log_failure, "keep")
 
     hub.subscribe(KeepAsk, on_request)
 
--- a/papayapier/node/job_reading.py
+++ b/papayapier/node/job_reading.py
@@ -19,9 +19,9 @@
 from papayapier.jobs.job_service import JobService, ResultsPage
 from papayapier.jobs.records import ItemOutcome, ItemResult
 from papayapier.peer.hub import PeerHub
-from papayapier.peer.messages import ResultsAsk, ResultsTell, ResultTold
+from papayapier.peer.messages import ResultItem, ResultsAsk, ResultsTell
 from papayapier.policy.rendezvous import score
-from papayapier.store.watch import report_failure
+from papayapier.store.watch import log_failure
 
 # Beyond the requested wait: a round trip to the keeper and one read of the store.
 ANSWER_MS: Final = 300
@@ -45,19 +45,19 @@
         if not candidates:
             return None
         keeper = max(candidates, key=lambda name: score(job_id, name))
-        reply = await hub.ask(
+        reply = await hub.send_request(
             keeper,
-            lambda ask_id: ResultsAsk(ask_id, job_id, after, wait_ms, team),
+            lambda correlation_id: ResultsAsk(correlation_id, job_id, after, wait_ms, team),
             wait_ms + ANSWER_MS,
         )
         if isinstance(reply, Err):
             skipped_until[keeper] = clock.now() + SKIP_SILENT_MS
             return None
         results_reply = reply.ok_value
-        if not isinstance(results_reply, ResultsTell) or not results_reply.known:
+        if not isinstance(results_reply, ResultsTell) or not results_reply.job_known:
             return None
         results = [
-            ItemResult(result.id, ItemOutcome(result.end), result.text)
+            ItemResult(result.id, ItemOutcome(result.outcome), result.text)
             for result in results_reply.results
         ]
         return ResultsPage(results_reply.total, results)
@@ -81,23 +81,25 @@
         )
         if isinstance(page, Ok):
             total, results = page.ok_value
-            hub.tell(peer_id, ResultsTell(request.ask_id, True, total, _first_results(results)))
+            hub.send(
+                peer_id, ResultsTell(request.correlation_id, True, total, _first_results(results))
+            )
         else:
-            hub.tell(peer_id, ResultsTell(request.ask_id, False))
+            hub.send(peer_id, ResultsTell(request.correlation_id, False))
 
     def on_request(peer_id: str, request: ResultsAsk) -> None:
         done = Deferred.fromCoroutine(answer(peer_id, request))
-        done.addErrback(report_failure, "job reading")
+        done.addErrback(log_failure, "job reading")
 
     hub.subscribe(ResultsAsk, on_request)
 
 
-def _first_results(results: list[ItemResult]) -> tuple[ResultTold, ...]:
-    page: list[ResultTold] = []
+def _first_results(results: list[ItemResult]) -> tuple[ResultItem, ...]:
+    page: list[ResultItem] = []
     chars = 0
     for result in results:
         chars += len(result.text)
         if page and chars > MAX_ANSWER_CHARS:
             break
-        page.append(ResultTold(result.id, result.end.value, result.text))
+        page.append(ResultItem(result.id, result.end.value, result.text))
     return tuple(page)
--- a/papayapier/node/keeper.py
+++ b/papayapier/node/keeper.py
@@ -44,7 +44,7 @@
 from papayapier.policy.witnesses import Witnesses
 from papayapier.store.api import Change
 from papayapier.store.budget import Priority
-from papayapier.store.watch import report_failure
+from papayapier.store.watch import log_failure
 
 LEAVE_TICK_MS: Final = 50
 
@@ -100,7 +100,7 @@
         # In a large fleet the next heartbeats carry the notification, and readers wait at most half
         # a second for it: a broadcast for each group would be a tenth of all messages.
         if base.hub.plan().full_mesh:
-            base.hub.tell_all(JobChanged(job_id, groups, notification.number))
+            base.hub.broadcast(JobChanged(job_id, groups, notification.number))
 
     runs = RunDeps(
         clock=clock,
@@ -110,13 +110,13 @@
         outliers=base.outliers,
         crashes=base.crashes,
         send=base.send,
-        make_headers=headers.for_replica,
-        with_team=headers.of_team,
+        make_headers=headers.with_replica,
+        with_team=headers.with_team,
         decode_body=job_calls.item_body,
         request_id=headers.REQUEST_ID,
         sharing=live_keepers,
         unreachable=lambda: base.hub.silent() & base.nodes.with_role(Role.KEEPER),
-        on_uses_changed=base.hub.uses_changed,
+        on_uses_changed=base.hub.on_uses_changed,
     )
     store = base.view(Priority.BULK)
     runner = JobRunner(
@@ -144,7 +144,7 @@
 
     follow(base, JOBS_PREFIX, on_job, FOLLOW_SOON)
     expiry_task = Deferred.fromCoroutine(expiry.run())
-    expiry_task.addErrback(report_failure, "expiry")
+    expiry_task.addErrback(log_failure, "expiry")
     base.tasks.append(expiry_task)
     local_jobs = _start_local_jobs(base, runner) if cfg.jobs.folder else None
     retirement = Retirement(base, runner, local_jobs)
@@ -154,7 +154,7 @@
     _mark_lost_keepers(base)
     serve_run_requests(base.hub, runner.takeover)
     orphan_search = Deferred.fromCoroutine(recover_orphans(base.hub, clock, runner.takeover))
-    orphan_search.addErrback(report_failure, "orphans")
+    orphan_search.addErrback(log_failure, "orphans")
     base.tasks.append(orphan_search)
     events.emit(events.PROCESS_STARTED, instance=me, role=Role.KEEPER.value)
     return Ok(Keeper(base, runner, local_jobs))
@@ -164,7 +164,7 @@
     store, me = base.view(Priority.LEASE), base.cfg.instance.id
     writing = mark_lost_keepers(base.hub, base.clock, base.nodes, store, me)
     task = Deferred.fromCoroutine(writing)
-    task.addErrback(report_failure, "lost keepers")
+    task.addErrback(log_failure, "lost keepers")
     base.tasks.append(task)
 
 
@@ -186,7 +186,7 @@
             clock,
             me,
             Grants(me, base.cfg.allowance.bound(), clock.now()),
-            granting=lambda: listed() & base.hub.vouched(),
+            granting=lambda: listed() & base.hub.agreed_live(),
             listed=listed,
             leaving=lambda: base.drain.state() != "serving",
             team=team,
@@ -200,7 +200,7 @@
     if not base.hub.plan().full_mesh:
         # Only hubs are connected to all instances. An entry without a connection to a keeper does
         # not notice its loss, so its reachability reports are of no use.
-        return keepers & base.hub.vouched()
+        return keepers & base.hub.agreed_live()
     reachable = frozenset(base.hub.live())
     unreachable = keepers - reachable
     live = keepers & reachable
@@ -245,9 +245,9 @@
     )
     snapshot = await progress.load_with_timeout(deps)
     runner.restore_progress(snapshot.items)
-    base.loss_exchange.recall(snapshot.losses)
+    base.loss_exchange.restore(snapshot.losses)
     saving = Deferred.fromCoroutine(progress.save_regularly(deps, snapshot.number))
-    saving.addErrback(report_failure, "progress")
+    saving.addErrback(log_failure, "progress")
     base.tasks.append(saving)
 
 
@@ -268,6 +268,6 @@
     )
     serve_keeping(base.hub, local_jobs)
     loading = Deferred.fromCoroutine(local_jobs.start())
-    loading.addErrback(report_failure, "vault")
+    loading.addErrback(log_failure, "vault")
     base.tasks.append(loading)
     return local_jobs
--- a/papayapier/node/lost_keepers.py
+++ b/papayapier/node/lost_keepers.py
@@ -54,10 +54,15 @@
     lost = LostKeepers()
     while True:
         await clock.sleep(CHECK_INTERVAL_MS)
-        due = lost.due(hub.lost_hubs(), clock.now())
+        due = lost.due(hub.silent_hub_candidates(), clock.now())
         hubs = hub.plan().hubs
         listed = nodes.with_role(Role.KEEPER)
-        if not due or not hubs or hubs[0] != me or 2 * len(listed & hub.vouched()) <= len(listed):
+        if (
+            not due
+            or not hubs
+            or hubs[0] != me
+            or 2 * len(listed & hub.agreed_live()) <= len(listed)
+        ):
             continue
         for keeper in due:
             stored = nodes.stored(keeper)
--- a/papayapier/node/mirrors.py
+++ b/papayapier/node/mirrors.py
@@ -26,11 +26,11 @@
     encode_listing,
 )
 from papayapier.peer.hub import PeerHub
-from papayapier.peer.messages import NEVER_AWAY, WHOLE, MirrorAsk, StoreTell
+from papayapier.peer.messages import FULL_LISTING, NO_OUTAGE, MirrorAsk, StoreTell
 from papayapier.policy.rendezvous import score
 from papayapier.store.api import Changes, Listing, Store, StoreError
 from papayapier.store.mirror import Mirror
-from papayapier.store.watch import report_failure
+from papayapier.store.watch import log_failure
 
 # With one hub lost and another disconnected, the third still serves; more would only add watches.
 WATCHER_COUNT: Final = 3
@@ -102,7 +102,7 @@
             reply = await (
                 client.list_at_start(prefix)
                 if wait_for_watcher
-                else client.request_state(prefix, WHOLE, 0)
+                else client.request_state(prefix, FULL_LISTING, 0)
             )
             if isinstance(reply, Ok):
                 source.record(False, prefix)
@@ -142,10 +142,10 @@
             if clock.now() >= self._started_ms + MAX_SIZE_WAIT_MS:
                 break
             await clock.sleep(POLL_MS)
-        reply = await self.request_state(prefix, WHOLE, 0)
+        reply = await self.request_state(prefix, FULL_LISTING, 0)
         while clock is not None and isinstance(reply, Err) and self._waits_for_watcher(clock.now()):
             await clock.sleep(LIST_RETRY_MS)
-            reply = await self.request_state(prefix, WHOLE, 0)
+            reply = await self.request_state(prefix, FULL_LISTING, 0)
         return reply
 
     def _waits_for_watcher(self, now: int) -> bool:
@@ -171,9 +171,9 @@
         if hub_id is None:
             return Err(StoreError.UNAVAILABLE)
         pending = Deferred.fromCoroutine(
-            self._deps.hub.ask(
+            self._deps.hub.send_request(
                 hub_id,
-                lambda ask_id: MirrorAsk(ask_id, prefix, since, wait_ms),
+                lambda correlation_id: MirrorAsk(correlation_id, prefix, since, wait_ms),
                 wait_ms + ANSWER_MS,
             )
         )
@@ -188,8 +188,8 @@
             if not pending.called:
                 pending.cancel()
         if isinstance(reply, Ok) and isinstance(reply.ok_value, StoreTell):
-            if reply.ok_value.back_ms_ago != NEVER_AWAY:
-                self._deps.on_store_return(reply.ok_value.back_ms_ago)
+            if reply.ok_value.recovered_ms_ago != NO_OUTAGE:
+                self._deps.on_store_return(reply.ok_value.recovered_ms_ago)
             return check_reply(reply.ok_value)
         return Err(StoreError.UNAVAILABLE)
 
@@ -232,16 +232,18 @@
     def on_request(peer_id: str, request: MirrorAsk) -> None:
         done = Deferred.fromCoroutine(_answer(mirrors.get(request.prefix), request))
         done.addCallback(
-            lambda reply: hub.tell(peer_id, reply._replace(back_ms_ago=ms_since_return()))
+            lambda reply: hub.send(peer_id, reply._replace(recovered_ms_ago=ms_since_return()))
         )
-        done.addErrback(report_failure, "mirror")
+        done.addErrback(log_failure, "mirror")
 
     hub.subscribe(MirrorAsk, on_request)
 
 
 async def _answer(mirror: Mirror | None, request: MirrorAsk) -> StoreTell:
     if mirror is None:
-        return StoreTell(request.ask_id, StoreError.UNAVAILABLE.value)
-    if request.since == WHOLE:
-        return encode_listing(request.ask_id, mirror.whole())
-    return encode_changes(request.ask_id, await mirror.watch(request.since, request.wait_ms))
+        return StoreTell(request.correlation_id, StoreError.UNAVAILABLE.value)
+    if request.since == FULL_LISTING:
+        return encode_listing(request.correlation_id, mirror.list_all())
+    return encode_changes(
+        request.correlation_id, await mirror.watch(request.since, request.wait_ms)
+    )
--- a/papayapier/node/orphans.py
+++ b/papayapier/node/orphans.py
@@ -11,7 +11,7 @@
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.run_messages import RunsAsk, RunsOffer, RunsTell
 from papayapier.policy.orphans import Answered
-from papayapier.store.watch import report_failure
+from papayapier.store.watch import log_failure
 
 CHECK_INTERVAL_MS: Final = 500
 # A live owner answers within a few ms; an owner that is busy for longer gets a second request.
@@ -22,14 +22,14 @@
     """Answer peers which jobs this instance runs, and claim one of the jobs that they offer."""
 
     def on_request(peer_id: str, request: RunsAsk) -> None:
-        status = job_checks.on_check_request(peer_id, request.job_ids, request.taken)
-        hub.tell(peer_id, RunsTell(request.ask_id, tuple(status.runs), tuple(status.over)))
+        status = job_checks.on_check_request(peer_id, request.job_ids, request.adopted)
+        hub.send(peer_id, RunsTell(request.correlation_id, tuple(status.runs), tuple(status.over)))
 
     def on_offer(peer_id: str, offer: RunsOffer) -> None:
         job_id = job_checks.choose_offered(offer.job_ids)
         if job_id is not None:
             task = Deferred.fromCoroutine(_claim(hub, job_checks, peer_id, job_id))
-            task.addErrback(report_failure, "offered jobs")
+            task.addErrback(log_failure, "offered jobs")
 
     hub.subscribe(RunsAsk, on_request)
     hub.subscribe(RunsOffer, on_offer)
@@ -41,9 +41,9 @@
         await clock.sleep(CHECK_INTERVAL_MS)
         for owner, job_ids in job_checks.due_checks().items():
             task = Deferred.fromCoroutine(_check_owner(hub, job_checks, owner, tuple(job_ids)))
-            task.addErrback(report_failure, "orphans")
+            task.addErrback(log_failure, "orphans")
         for peer_id, job_ids in job_checks.due_offers().items():
-            hub.tell(peer_id, RunsOffer(tuple(job_ids)))
+            hub.send(peer_id, RunsOffer(tuple(job_ids)))
 
 
 async def _check_owner(
@@ -63,9 +63,11 @@
     hub: PeerHub, owner: str, job_ids: Sequence[str], taken: Sequence[str]
 ) -> Answered | None:
     """Return an owner's answer about jobs, or None if it does not answer in time."""
-    reply = await hub.ask(
-        owner, lambda ask_id: RunsAsk(ask_id, tuple(job_ids), tuple(taken)), ANSWER_MS
+    reply = await hub.send_request(
+        owner,
+        lambda correlation_id: RunsAsk(correlation_id, tuple(job_ids), tuple(taken)),
+        ANSWER_MS,
     )
     if not isinstance(reply, Ok) or not isinstance(reply.ok_value, RunsTell):
         return None
-    return Answered(frozenset(reply.ok_value.runs), frozenset(reply.ok_value.over))
+    return Answered(frozenset(reply.ok_value.running), frozenset(reply.ok_value.finished))
--- a/papayapier/node/outage_tracker.py
+++ b/papayapier/node/outage_tracker.py
@@ -5,7 +5,7 @@
 """
 
 from papayapier.clock import Clock, Millis
-from papayapier.peer.messages import NEVER_AWAY
+from papayapier.peer.messages import NO_OUTAGE
 from papayapier.store.budget import Budget
 
 NEVER: Millis = Millis(0)
@@ -23,14 +23,14 @@
         """Return when the store last returned, 0 if it never failed, None while unreachable."""
         if self._budget.down_since() is not None:
             return None
-        return max(self._budget.back_ms() or NEVER, self._reported_ms)
+        return max(self._budget.recovered_ms() or NEVER, self._reported_ms)
 
     def ms_since_return(self) -> int:
         """Return how many ms ago the store returned, to report to others; 0 while unreachable."""
         returned_ms = self.last_return_ms()
         if returned_ms is None:
             return 0
-        return self._clock.now() - returned_ms if returned_ms else NEVER_AWAY
+        return self._clock.now() - returned_ms if returned_ms else NO_OUTAGE
 
     def on_reported(self, ms_since_return: int) -> None:
         """Record a hub's report that the store returned this many ms ago."""
--- a/papayapier/node/peer_calls.py
+++ b/papayapier/node/peer_calls.py
@@ -14,7 +14,7 @@
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.messages import CallsTold, Heartbeat
 from papayapier.policy.loads import LoadBook
-from papayapier.store.watch import report_failure
+from papayapier.store.watch import log_failure
 
 # Open calls are reported again each second. After three missing reports the sender has crashed or
 # has no open calls there.
@@ -45,7 +45,7 @@
     hub.subscribe(CallsTold, on_calls)
     hub.subscribe(Heartbeat, on_heartbeat)
     task = Deferred.fromCoroutine(expire())
-    task.addErrback(report_failure, "peer calls")
+    task.addErrback(log_failure, "peer calls")
     return task
 
 
--- a/papayapier/node/placement.py
+++ b/papayapier/node/placement.py
@@ -15,7 +15,7 @@
 from papayapier.clock import Clock, Millis
 from papayapier.errors import ErrorKind, not_run
 from papayapier.peer.hub import PeerHub
-from papayapier.peer.placing_messages import PlaceAsk, PlaceLeft, PlaceTell, Unanswered
+from papayapier.peer.placement_messages import PlaceAsk, PlaceLeft, PlaceTell, Unanswered
 from papayapier.policy.loads import LoadBook
 from papayapier.policy.outliers import Outliers
 from papayapier.policy.placers import NOT_PLACED, Parts, Placed, Wanting, placer_of
@@ -98,7 +98,7 @@
                 return _placed(reply, key, deps.queue)
             # Either list of replicas is outdated; the resent request excludes the replica.
             events.emit(events.PLACED_UNKNOWN, hub=hub_id, part=key, replica=reply.replica)
-            deps.hub.tell(hub_id, Unanswered(reply.replica))
+            deps.hub.send(hub_id, Unanswered(reply.replica))
             req = req._replace(exclude=req.exclude | {reply.replica})
         return NOT_PLACED
 
@@ -128,33 +128,33 @@
         """Return the final answer, or None if the hub became silent."""
         unfinished = True
         try:
-            reply = await self._deps.hub.ask(self._hub_id, self._message, ANSWER_MS)
+            reply = await self._deps.hub.send_request(self._hub_id, self._message, ANSWER_MS)
             while isinstance(reply, Ok) and isinstance(reply.ok_value, PlaceTell):
-                if not reply.ok_value.held_ms:
+                if not reply.ok_value.queued_ms:
                     unfinished = False
                     return reply.ok_value
                 self.queued = True
-                wait_ms = reply.ok_value.held_ms + ANSWER_MS
-                reply = await self._deps.hub.ask_on(self._hub_id, self._ask_id, wait_ms)
+                wait_ms = reply.ok_value.queued_ms + ANSWER_MS
+                reply = await self._deps.hub.wait_further_reply(self._hub_id, self._ask_id, wait_ms)
             return None
         finally:
             # The caller has left, or the request goes to another hub.
             if unfinished and self._wanting is not None:
-                self._deps.hub.tell(self._hub_id, PlaceLeft(self._ask_id))
+                self._deps.hub.send(self._hub_id, PlaceLeft(self._ask_id))
 
-    def _message(self, ask_id: int) -> PlaceAsk:
-        self._ask_id = ask_id
+    def _message(self, correlation_id: int) -> PlaceAsk:
+        self._ask_id = correlation_id
         req, wanting = self._req, self._wanting
         shunned = tuple(_shunned(self._deps, req))
-        message = PlaceAsk(ask_id, self._key, req.prefix, req.data_centre, shunned)
+        message = PlaceAsk(correlation_id, self._key, req.prefix, req.data_centre, shunned)
         if wanting is None:
             return message
         return message._replace(
             caller=wanting.caller,
             rank=wanting.rank,
-            aim_ms=wanting.aim_ms,
-            left_ms=wanting.left_ms,
-            return_ms=wanting.return_ms,
+            objective_ms=wanting.aim_ms,
+            timeout_ms=wanting.left_ms,
+            retry_within_ms=wanting.return_ms,
         )
 
 
@@ -179,9 +179,9 @@
 
 
 def _placed(reply: PlaceTell, key: str, has_capacity: bool) -> Placed:
-    if reply.after_ms:
+    if reply.retry_after_ms:
         reason = f"no replica of {key} has free capacity in time"
-        return Placed(refusal=not_run(ErrorKind.NO_ROOM, reason, reply.after_ms))
+        return Placed(refusal=not_run(ErrorKind.NO_ROOM, reason, reply.retry_after_ms))
     return Placed(reply.replica, has_room=has_capacity and bool(reply.replica))
 
 
@@ -194,6 +194,6 @@
             return
         hub_id = placer_of(key, deps.hubs())
         if hub_id is not None:
-            deps.hub.tell(hub_id, Unanswered(replica.id))
+            deps.hub.send(hub_id, Unanswered(replica.id))
 
     return report
--- a/papayapier/node/placer.py
+++ b/papayapier/node/placer.py
@@ -16,7 +16,7 @@
 from papayapier.clock import Clock, Timer
 from papayapier.metrics import Metrics
 from papayapier.peer.hub import PeerHub
-from papayapier.peer.placing_messages import PlaceAsk, PlaceLeft, PlaceTell, Unanswered
+from papayapier.peer.placement_messages import PlaceAsk, PlaceLeft, PlaceTell, Unanswered
 from papayapier.policy.loads import LoadBook
 from papayapier.policy.outliers import Outliers
 from papayapier.policy.place_queue import Asked, Decided, Given, PlaceQueue
@@ -60,7 +60,7 @@
     """Identify the requester of a placement, and when the request arrived."""
 
     peer: str
-    ask_id: int
+    correlation_id: int
     requested_ms: int
 
 
@@ -124,8 +124,8 @@
         for ticket, requester in list(self._requesters.items()):
             self._queue.leave(ticket)
             self._remove(ticket)
-            self._deps.hub.tell(
-                requester.peer, PlaceTell(requester.ask_id, NO_REPLICA, leaving=True)
+            self._deps.hub.send(
+                requester.peer, PlaceTell(requester.correlation_id, NO_REPLICA, leaving=True)
             )
 
     def close(self) -> None:
@@ -136,34 +136,38 @@
         self.leave()
 
     def _on_request(self, peer_id: str, request: PlaceAsk) -> None:
-        members = self._deps.parts().members.get(request.part, frozenset())
+        members = self._deps.parts().members.get(request.partition, frozenset())
         now = self._deps.clock.now()
         placement = _to_placement(request, next(self._tickets))
-        if not members or not request.aim_ms:
+        if not members or not request.objective_ms:
             chosen = self._choose(placement, members, now) if members else None
-            self._assign(peer_id, request.ask_id, chosen or NO_REPLICA, now)
+            self._assign(peer_id, request.correlation_id, chosen or NO_REPLICA, now)
             return
         if self._leaving:
-            self._deps.hub.tell(peer_id, PlaceTell(request.ask_id, NO_REPLICA, leaving=True))
+            self._deps.hub.send(
+                peer_id, PlaceTell(request.correlation_id, NO_REPLICA, leaving=True)
+            )
             return
-        others_wait = self._queue.waiting(request.part) > 0
+        others_wait = self._queue.waiting(request.partition) > 0
         refused = self._queue.offer(placement, now)
         if refused is not None:
-            self._refuse(_Requester(peer_id, request.ask_id, now), placement, refused.after_ms, 0)
+            self._refuse(
+                _Requester(peer_id, request.correlation_id, now), placement, refused.after_ms, 0
+            )
             return
-        requester = _Requester(peer_id, request.ask_id, now)
+        requester = _Requester(peer_id, request.correlation_id, now)
         self._requesters[placement.ticket] = requester
-        self._ticket_of[peer_id, request.ask_id] = placement.ticket
+        self._ticket_of[peer_id, request.correlation_id] = placement.ticket
         if not others_wait:
             # Otherwise the last check found no capacity, and the next is due within a few ms.
             self._answer()
         if self._queue.held(placement.ticket):
             heapq.heappush(self._next_notifications, (now + NOTIFY_AFTER_MS, placement.ticket))
-            self._log_full(request.part, now)
+            self._log_full(request.partition, now)
             self._keep_ticking()
 
     def _on_left(self, peer_id: str, message: PlaceLeft) -> None:
-        ticket = self._ticket_of.get((peer_id, message.ask_id))
+        ticket = self._ticket_of.get((peer_id, message.correlation_id))
         if ticket is not None:
             self._queue.leave(ticket)
             self._remove(ticket)
@@ -192,16 +196,16 @@
         requester = self._requesters[ticket]
         self._remove(ticket)
         if isinstance(decided, Given):
-            self._assign(requester.peer, requester.ask_id, decided.replica, now)
+            self._assign(requester.peer, requester.correlation_id, decided.replica, now)
         else:
             self._refuse(requester, decided.asked, decided.after_ms, decided.waited_ms)
 
-    def _assign(self, peer_id: str, ask_id: int, replica: str, now: int) -> None:
+    def _assign(self, peer_id: str, correlation_id: int, replica: str, now: int) -> None:
         if replica:
             self._deps.load_tracker.on_placed(peer_id, replica, now)
             self._replica_capacity.on_given(replica, now)
             self._unanswered_reports.on_given(replica, now)
-        self._deps.hub.tell(peer_id, PlaceTell(ask_id, replica))
+        self._deps.hub.send(peer_id, PlaceTell(correlation_id, replica))
 
     def _refuse(
         self, requester: _Requester, placement: Asked, after_ms: int, waited_ms: int
@@ -217,11 +221,13 @@
             waiting=self._queue.waiting(placement.part),
             after_ms=after_ms,
         )
-        self._deps.hub.tell(requester.peer, PlaceTell(requester.ask_id, NO_REPLICA, 0, after_ms))
+        self._deps.hub.send(
+            requester.peer, PlaceTell(requester.correlation_id, NO_REPLICA, 0, after_ms)
+        )
 
     def _remove(self, ticket: int) -> None:
         requester = self._requesters.pop(ticket)
-        del self._ticket_of[requester.peer, requester.ask_id]
+        del self._ticket_of[requester.peer, requester.correlation_id]
 
     def _usable_replicas(self, partition: str, now: int) -> frozenset[str]:
         members = self._deps.parts().members.get(partition, frozenset())
@@ -286,7 +292,9 @@
                 continue
             # The interval doubles, so that a long queue does not cause ever more messages.
             within_ms = max(MIN_NOTIFY_INTERVAL_MS, 2 * (now - requester.requested_ms))
-            self._deps.hub.tell(requester.peer, PlaceTell(requester.ask_id, NO_REPLICA, within_ms))
+            self._deps.hub.send(
+                requester.peer, PlaceTell(requester.correlation_id, NO_REPLICA, within_ms)
+            )
             heapq.heappush(self._next_notifications, (now + within_ms // 2, ticket))
 
     def _log_full(self, partition: str, now: int) -> None:
@@ -305,13 +313,17 @@
 
 def _to_placement(request: PlaceAsk, ticket: int) -> Asked:
     wanting = Wanting(
-        request.caller, request.rank, request.aim_ms, request.left_ms, request.return_ms
+        request.caller,
+        request.rank,
+        request.objective_ms,
+        request.timeout_ms,
+        request.retry_within_ms,
     )
     return Asked(
         ticket,
-        request.part,
+        request.partition,
         request.prompt,
         request.data_centre,
-        frozenset(request.shunned),
+        frozenset(request.excluded),
         wanting,
     )
--- a/papayapier/node/processes.py
+++ b/papayapier/node/processes.py
@@ -17,7 +17,7 @@
 from papayapier import events
 from papayapier.clock import Clock
 from papayapier.store.api import ENTRY, LIVE, LOST, Change, Member, Store, StoreError
-from papayapier.store.watch import Pauses
+from papayapier.store.watch import Backoff
 
 NODES_PREFIX: Final = "papayapier-nodes/"
 ANY_VERSION: Final = 0
@@ -162,7 +162,7 @@
 ) -> None:
     """Write this process's object, retrying for as long as the store is unreachable."""
     value = msgspec.json.encode(record)
-    pauses = Pauses(rand)
+    pauses = Backoff(rand)
     while True:
         done = await store.create(NODES_PREFIX + node_id, value)
         if done == Err(StoreError.CONFLICT):
--- a/papayapier/node/retirement.py
+++ b/papayapier/node/retirement.py
@@ -13,10 +13,10 @@
 from papayapier.jobs.local_job_store import LocalJobStore
 from papayapier.jobs.runner import JobRunner
 from papayapier.node.base import NodeBase
-from papayapier.platform.retirements import RETIREMENTS_PREFIX, Stage, status_key, write_stage
+from papayapier.platform.retirements import RETIREMENTS_PREFIX, Stage, encode_stage, status_key
 from papayapier.store.api import Change
 from papayapier.store.budget import Priority
-from papayapier.store.watch import Pauses, report_failure
+from papayapier.store.watch import Backoff, log_failure
 
 CHECK_MS: Final = 100
 ANY_VERSION: Final = 0
@@ -38,7 +38,7 @@
             return
         self._begun = True
         task = Deferred.fromCoroutine(self._retire(node_id))
-        task.addErrback(report_failure, "retirement")
+        task.addErrback(log_failure, "retirement")
         self._base.tasks.append(task)
 
     async def _retire(self, node_id: str) -> None:
@@ -62,9 +62,9 @@
 
     async def _write_status(self, node_id: str, stage: Stage) -> None:
         store = self._base.view(Priority.CONFIG)
-        pauses = Pauses(self._base.rand)
+        pauses = Backoff(self._base.rand)
         while True:
-            done = await store.update(status_key(node_id), write_stage(stage), ANY_VERSION)
+            done = await store.update(status_key(node_id), encode_stage(stage), ANY_VERSION)
             if isinstance(done, Ok):
                 return
             await self._base.clock.sleep(pauses.next_ms())
--- a/papayapier/node/store_messages.py
+++ b/papayapier/node/store_messages.py
@@ -20,29 +20,31 @@
 _CHANGES: Final = msgspec.msgpack.Decoder(tuple[StoreChange, ...])
 
 
-def encode_listing(ask_id: int, found: Result[Listing, StoreError]) -> StoreTell:
+def encode_listing(correlation_id: int, found: Result[Listing, StoreError]) -> StoreTell:
     """Return the message that carries a listing."""
     if isinstance(found, Err):
-        return StoreTell(ask_id, found.err_value.value)
+        return StoreTell(correlation_id, found.err_value.value)
     page = found.ok_value
     objects = tuple(
         StoreChange(entry.key, entry.version, False, entry.value) for entry in page.objects
     )
-    return _with_changes(StoreTell(ask_id, "", version=page.revision, more=page.more), objects)
+    return _with_changes(
+        StoreTell(correlation_id, "", version=page.revision, more=page.more), objects
+    )
 
 
-def encode_changes(ask_id: int, found: Result[Changes, StoreError]) -> StoreTell:
+def encode_changes(correlation_id: int, found: Result[Changes, StoreError]) -> StoreTell:
     """Return the message that carries the changes of a watch."""
     if isinstance(found, Err):
-        return StoreTell(ask_id, found.err_value.value)
+        return StoreTell(correlation_id, found.err_value.value)
     changes = tuple(StoreChange(*change) for change in found.ok_value.changes)
-    return _with_changes(StoreTell(ask_id, "", version=found.ok_value.revision), changes)
+    return _with_changes(StoreTell(correlation_id, "", version=found.ok_value.revision), changes)
 
 
 def _with_changes(reply: StoreTell, changes: tuple[StoreChange, ...]) -> StoreTell:
     if sum(len(change.key) + len(change.value) for change in changes) < MIN_COMPRESSED_BYTES:
         return reply._replace(changes=changes)
-    return reply._replace(packed=_packed(changes))
+    return reply._replace(compressed_changes=_packed(changes))
 
 
 @lru_cache(4)
@@ -52,7 +54,11 @@
 
 
 def _changes(reply: StoreTell) -> tuple[StoreChange, ...]:
-    return _CHANGES.decode(zlib.decompress(reply.packed)) if reply.packed else reply.changes
+    return (
+        _CHANGES.decode(zlib.decompress(reply.compressed_changes))
+        if reply.compressed_changes
+        else reply.changes
+    )
 
 
 def check_reply(reply: StoreTell) -> Result[StoreTell, StoreError]:
--- a/papayapier/node/store_relay.py
+++ b/papayapier/node/store_relay.py
@@ -30,7 +30,7 @@
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.messages import Message, StoreAsk, StoreTell
 from papayapier.store.api import Changes, Listing, Store, Stored, StoreError
-from papayapier.store.watch import report_failure
+from papayapier.store.watch import log_failure
 
 T = TypeVar("T")
 
@@ -133,8 +133,10 @@
         last_reply = NO_PEER_REPLY
         uncertain = False
         for peer_id in self._peers():
-            answer = await self._deps.hub.ask(
-                peer_id, lambda ask_id: call._replace(ask_id=ask_id), REQUEST_TIMEOUT_MS + wait_ms
+            answer = await self._deps.hub.send_request(
+                peer_id,
+                lambda correlation_id: call._replace(correlation_id=correlation_id),
+                REQUEST_TIMEOUT_MS + wait_ms,
             )
             if isinstance(answer, Ok) and isinstance(answer.ok_value, StoreTell):
                 last_reply = answer.ok_value
@@ -223,24 +225,24 @@
 
     def on_request(peer_id: str, request: StoreAsk) -> None:
         done = Deferred.fromCoroutine(_perform(own, request))
-        done.addCallback(lambda reply: hub.tell(peer_id, reply))
-        done.addErrback(report_failure, "relay")
+        done.addCallback(lambda reply: hub.send(peer_id, reply))
+        done.addErrback(log_failure, "relay")
 
     hub.subscribe(StoreAsk, on_request)
 
 
 async def _perform(own: Store, request: StoreAsk) -> Message:
-    reply = StoreTell(request.ask_id, "")
+    reply = StoreTell(request.correlation_id, "")
     if request.call == GET:
         stored = await own.get(request.key)
         if isinstance(stored, Ok):
             return reply._replace(version=stored.ok_value.version, value=stored.ok_value.value)
         return reply._replace(error=stored.err_value.value)
     if request.call == LIST:
-        return encode_listing(request.ask_id, await own.list(request.key, request.after, 0))
+        return encode_listing(request.correlation_id, await own.list(request.key, request.after, 0))
     if request.call == WATCH:
         return encode_changes(
-            request.ask_id, await own.watch(request.key, request.version, request.wait_ms)
+            request.correlation_id, await own.watch(request.key, request.version, request.wait_ms)
         )
     if request.call == CREATE:
         written = await own.create(request.key, request.value)
--- a/papayapier/peer/hub.py
+++ b/papayapier/peer/hub.py
@@ -30,6 +30,7 @@
     Message,
     Prune,
 )
+from papayapier.peer.open_requests import MakeRequest, OpenRequests, PeerError
 from papayapier.peer.pacing import (
     ByteBudget,
     bound_uses,
@@ -37,10 +38,9 @@
     wire_bytes,
 )
 from papayapier.peer.peer_state import Change, Disconnect, PeerChange, PeerView, Redial, Step
-from papayapier.peer.questions import MakeRequest, PeerError, Questions
 from papayapier.peer.roster import Roster
 from papayapier.peer.signing import NO_SIGNER, load_signer
-from papayapier.peer.topology import Limits, Place, Plan
+from papayapier.peer.topology import InstanceLocation, LinkLimits, LinkPlan
 from papayapier.settings import PeerSettings
 from papayapier.store.api import Member
 
@@ -83,13 +83,13 @@
         self._metrics = metrics
         self._rand = rand
         self._signer = NO_SIGNER
-        place = Place(me.instance, me.data_centre, me.region, me.hub)
-        limits = Limits(cfg.full_mesh, cfg.picks, cfg.relays)
+        place = InstanceLocation(me.instance, me.data_centre, me.region, me.hub)
+        limits = LinkLimits(cfg.full_mesh, cfg.picks, cfg.relays)
         self._roster = Roster(place, limits, cfg.silent_after_ms)
         self._budget = ByteBudget(cfg.early_bytes_per_s, clock.now())
         self._inbox = Inbox(reactor, self._receive)
         self._links = Links(lambda address: Outbox(reactor, address.host, address.port))
-        self._open_requests = Questions(clock, rand)
+        self._open_requests = OpenRequests(clock, rand)
         self._forwarder = Forwarder()
         self._port = 0
         self._handlers: dict[type[Message], list[Handler]] = defaultdict(list)
@@ -97,7 +97,7 @@
         self._live: list[str] = [me.instance]
         self._hubs: tuple[str, ...] = ()
         self._vouched = frozenset({me.instance} if me.hub else ())
-        self._call_notifier = CallNotifier(me.instance, early_recipients, self.tell)
+        self._call_notifier = CallNotifier(me.instance, early_recipients, self.send)
         self._counts = MessageCounts(metrics)
         self._last_sent: Heartbeat | None = None
         self._last_sent_at = clock.now()
@@ -135,10 +135,10 @@
             self._apply(self._roster.set_members(members, self._clock.now()))
             self._notify_listeners()
 
-    def introduce(self, members: Sequence[Member]) -> None:
+    def dial_unlisted(self, members: Sequence[Member]) -> None:
         """Dial instances that no list has contained, to find out whether they exist."""
         if not self._closed:
-            self._apply(self._roster.introduce(members, self._clock.now()))
+            self._apply(self._roster.add_unlisted(members, self._clock.now()))
 
     def live(self) -> list[str]:
         """Return the sorted ids of this instance and of the live peers that are not leaving."""
@@ -152,15 +152,15 @@
         """Return the neighbours that are unreachable and have not reported that they leave."""
         return self._roster.silent()
 
-    def lost_hubs(self) -> frozenset[str]:
+    def silent_hub_candidates(self) -> frozenset[str]:
         """Return the neighbours that may be hubs and are silent, but are not listed as lost."""
-        return self._roster.lost_hubs()
+        return self._roster.silent_hub_candidates()
 
-    def vouched(self) -> frozenset[str]:
+    def agreed_live(self) -> frozenset[str]:
         """Return which of the instances that may be hubs are live by a majority of the hubs."""
         return self._vouched
 
-    def plan(self) -> Plan:
+    def plan(self) -> LinkPlan:
         """Return the current plan of links; a relay watches the store for its data centre."""
         return self._roster.plan()
 
@@ -172,20 +172,20 @@
         """Register a handler that is called with the sender and each message of a kind."""
         self._handlers[kind].append(handler)
 
-    def tell(self, peer_id: str, message: Message) -> bool:
+    def send(self, peer_id: str, message: Message) -> bool:
         """Send a message to one peer; return False only if it certainly was not sent."""
         now = self._clock.now()
         if not self._links.has(peer_id) and not self._connect_temporary(peer_id, now):
             return False
         return self._send(peer_id, self._encode(message), message, now)
 
-    def tell_all(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         """Send a message to every neighbour; neighbours forward changes further."""
         if isinstance(message, ConfigPush | JobChanged):
             self._forwarder.record(message)
         self._broadcast(self._links.neighbours(), message)
 
-    async def ask(
+    async def send_request(
         self, peer_id: str, make_request: MakeRequest, timeout_ms: int
     ) -> Result[Message, PeerError]:
         """Send a request built with a new request id, and wait for its reply."""
@@ -193,20 +193,20 @@
             return Err(PeerError.CLOSED)
         if self._roster.get(peer_id) is None:
             return Err(PeerError.NO_PEER)
-        ask_id = self._open_requests.next_id()
-        if not self.tell(peer_id, make_request(ask_id)):
+        correlation_id = self._open_requests.next_id()
+        if not self.send(peer_id, make_request(correlation_id)):
             return Err(PeerError.BUSY)
-        return await self._open_requests.wait(ask_id, peer_id, timeout_ms)
+        return await self._open_requests.wait_reply(correlation_id, peer_id, timeout_ms)
 
-    async def ask_on(
-        self, peer_id: str, ask_id: int, timeout_ms: int
+    async def wait_further_reply(
+        self, peer_id: str, correlation_id: int, timeout_ms: int
     ) -> Result[Message, PeerError]:
         """Wait for a further reply to a request whose earlier reply announced it."""
         if self._closed:
             return Err(PeerError.CLOSED)
-        return await self._open_requests.wait(ask_id, peer_id, timeout_ms)
+        return await self._open_requests.wait_reply(correlation_id, peer_id, timeout_ms)
 
-    def uses_changed(self) -> None:
+    def on_uses_changed(self) -> None:
         """Schedule an early heartbeat if needed, as this instance's open calls have changed."""
         if "early" in self._timers or self._closed:
             return
@@ -270,9 +270,11 @@
         return not plan.full_mesh and self._me.instance in plan.hubs
 
     def _with_link_state(self, heartbeat: Heartbeat, now: Millis) -> Heartbeat:
-        gone = self._roster.gone(now) if self._is_hub() else ()
-        unheard = self._roster.unheard(now)
-        return heartbeat._replace(unheard=unheard, every_ms=self._interval_ms, gone=gone)
+        gone = self._roster.unavailable(now) if self._is_hub() else ()
+        unheard = self._roster.unreachable(now)
+        return heartbeat._replace(
+            unreachable=unheard, interval_ms=self._interval_ms, unavailable=gone
+        )
 
     def _send_heartbeat_to(self, peer_ids: Sequence[str], heartbeat: Heartbeat) -> int:
         """Send a heartbeat and return its size; picked is set for each peer."""
@@ -307,7 +309,7 @@
         sender, message = opened.ok_value
         self._counts.count(message, "received", len(data))
         self._process(sender, message, self._clock.now())
-        if self._open_requests.settle(sender, message):
+        if self._open_requests.complete(sender, message):
             return None
         for handler in self._handlers[type(message)]:
             handler(sender, message)
@@ -316,9 +318,9 @@
     def _process(self, sender: str, message: Message, now: Millis) -> None:
         """Process what the hub itself needs of a message."""
         if isinstance(message, Heartbeat):
-            self._apply(self._roster.heard(sender, message, now))
+            self._apply(self._roster.on_heartbeat(sender, message, now))
         elif isinstance(message, Hello):
-            self._apply(self._roster.hello(message, now))
+            self._apply(self._roster.on_hello(message, now))
         elif isinstance(message, ConfigPush | JobChanged):
             if not (isinstance(message, JobChanged) and message.number):
                 self._forward(sender, message)
@@ -332,7 +334,7 @@
             return
         if self._forwarder.record(message) is Novelty.DUPLICATE:
             self._forwarder.prune(sender)
-            self.tell(sender, Prune())
+            self.send(sender, Prune())
             return
         self._broadcast(self._forwarder.targets(self._links.neighbours(), sender), message)
 
@@ -353,7 +355,7 @@
         now = self._clock.now()
         if address is not None:
             self._links.connect(peer_id, address, True, now)
-            self.tell(peer_id, self._hello(self._roster.picks(peer_id)))
+            self.send(peer_id, self._hello(self._roster.picks(peer_id)))
             self._send_heartbeat_to([peer_id], self._with_link_state(self._own_heartbeat(), now))
 
     def _connect_temporary(self, peer_id: str, now: Millis) -> bool:
@@ -385,7 +387,7 @@
     def _notify_listeners(self) -> None:
         live = self._roster.live()
         hubs = self._roster.plan().hubs
-        vouched = self._roster.vouched(self._clock.now())
+        vouched = self._roster.agreed_live(self._clock.now())
         if (live, hubs, vouched) == (self._live, self._hubs, self._vouched):
             return
         self._vouched = vouched
--- a/papayapier/peer/kinds.py
+++ b/papayapier/peer/kinds.py
@@ -31,7 +31,7 @@
     TakeOverAsk,
     TakeOverTell,
 )
-from papayapier.peer.placing_messages import PlaceAsk, PlaceLeft, PlaceTell, Unanswered
+from papayapier.peer.placement_messages import PlaceAsk, PlaceLeft, PlaceTell, Unanswered
 from papayapier.peer.run_messages import RunsAsk, RunsOffer, RunsTell
 
 KINDS: Final[dict[int, type[Message]]] = {
--- a/papayapier/peer/loss_news.py
+++ b/papayapier/peer/loss_exchange.py
@@ -43,7 +43,7 @@
 T = TypeVar("T")
 
 
-class LossNewsDeps(NamedTuple):
+class LossExchangeDeps(NamedTuple):
     """Group what the exchange of losses needs; hubs returns the live hubs of a large fleet."""
 
     clock: Clock
@@ -53,10 +53,10 @@
     hubs: Callable[[], Collection[str]]
 
 
-class LossNews:
+class LossExchange:
     """Queue losses and answered fingerprints for the other instances, and process theirs."""
 
-    def __init__(self, deps: LossNewsDeps) -> None:
+    def __init__(self, deps: LossExchangeDeps) -> None:
         self._deps = deps
         # Each loss with the time at which it was observed.
         self._losses: deque[tuple[Loss, int]] = deque(maxlen=MAX_QUEUED)
@@ -76,13 +76,13 @@
         deps.hub.subscribe(LatelyAsk, self._on_recent_query)
         deps.hub.on_change(self._request_losses)
 
-    def recall(self, losses: Sequence[Loss]) -> None:
+    def restore(self, losses: Sequence[Loss]) -> None:
         """Restore losses saved by an earlier run and report them, as all may have restarted."""
         new_losses = self._deps.watch.on_reported(losses, ())
         if new_losses:
             self._send_to_recipients(LossesTold(tuple(new_losses)))
 
-    def caught_up(self) -> bool:
+    def has_known_losses(self) -> bool:
         """Return whether a peer has reported the losses known before this process started."""
         return self._has_reply
 
@@ -143,11 +143,11 @@
 
     def _send_to_recipients(self, message: LossesTold) -> None:
         if not self._has_hubs():
-            self._deps.hub.tell_all(message)
+            self._deps.hub.broadcast(message)
             return
         for hub_id in self._deps.hubs():
             if hub_id != self._deps.me:
-                self._deps.hub.tell(hub_id, message)
+                self._deps.hub.send(hub_id, message)
 
     def _has_hubs(self) -> bool:
         plan = self._deps.hub.plan()
@@ -158,8 +158,8 @@
 
     def _on_quarantined(self, fingerprint: str) -> None:
         if self._is_hub():
-            self._deps.hub.tell_all(LossesTold(tuple(self._deps.watch.snapshot({fingerprint}))))
-            self._deps.hub.tell_all(LatelyAsk((fingerprint,)))
+            self._deps.hub.broadcast(LossesTold(tuple(self._deps.watch.snapshot({fingerprint}))))
+            self._deps.hub.broadcast(LatelyAsk((fingerprint,)))
         elif self._losses:
             # An instance that answered it recently can report that only once it has the losses.
             self._schedule_send(0)
@@ -168,7 +168,7 @@
         self._has_reply = self._has_reply or peer_id in self._queried
         watch = self._deps.watch
         answered_recently = {
-            *message.lately,
+            *message.recently_answered,
             *(loss.work for loss in message.losses if loss.lately),
         }
         quarantined = {
@@ -201,12 +201,12 @@
             if max(hubs, key=lambda hub: score(fingerprint, hub)) == self._deps.me
         ]
         if own:
-            self._deps.hub.tell_all(LatelyAsk(tuple(sorted(own))))
+            self._deps.hub.broadcast(LatelyAsk(tuple(sorted(own))))
 
     def _on_recent_query(self, peer_id: str, ask: LatelyAsk) -> None:
-        recent = self._deps.watch.recently_answered(ask.works)
+        recent = self._deps.watch.recently_answered(ask.fingerprints)
         if recent:
-            self._deps.hub.tell(peer_id, LossesTold((), (), tuple(recent)))
+            self._deps.hub.send(peer_id, LossesTold((), (), tuple(recent)))
 
     def _report_cleared(self, fingerprints: Collection[str], quarantined: Collection[str]) -> None:
         """Report cleared fingerprints to the other hubs, and those quarantined to everybody.
@@ -229,14 +229,14 @@
 
     def _report_recent(self, losses: tuple[Loss, ...], fingerprints: tuple[str, ...]) -> None:
         if losses or fingerprints:
-            self._deps.hub.tell_all(LossesTold(losses, (), fingerprints))
+            self._deps.hub.broadcast(LossesTold(losses, (), fingerprints))
 
     def _on_no_losses(self, _peer_id: str, _message: NoLosses) -> None:
         self._has_reply = True
 
     def _on_losses_ask(self, peer_id: str, _ask: LossesAsk) -> None:
         losses = self._deps.watch.snapshot()
-        self._deps.hub.tell(peer_id, LossesTold(tuple(losses)) if losses else NoLosses())
+        self._deps.hub.send(peer_id, LossesTold(tuple(losses)) if losses else NoLosses())
 
     def _request_losses(self) -> None:
         """Request the known losses from peers that have become live and may know of others."""
@@ -248,7 +248,7 @@
         self._queried.intersection_update(self._deps.hub.live())
         for peer_id in sorted(self._peers_to_query() - self._queried):
             self._queried.add(peer_id)
-            if not self._deps.hub.tell(peer_id, LossesAsk()):
+            if not self._deps.hub.send(peer_id, LossesAsk()):
                 self._queried.discard(peer_id)
 
     def _peers_to_query(self) -> set[str]:
--- a/papayapier/peer/loss_messages.py
+++ b/papayapier/peer/loss_messages.py
@@ -13,7 +13,7 @@
 
     losses: tuple[Loss, ...]
     answered: tuple[str, ...] = ()
-    lately: tuple[str, ...] = ()
+    recently_answered: tuple[str, ...] = ()
 
 
 class LatelyAsk(NamedTuple):
@@ -22,7 +22,7 @@
     The reply is a LossesTold with only those; there is none where no fingerprint was answered.
     """
 
-    works: tuple[str, ...]
+    fingerprints: tuple[str, ...]
 
 
 class LossesAsk(NamedTuple):
--- a/papayapier/peer/members.py
+++ b/papayapier/peer/members.py
@@ -20,7 +20,7 @@
 from papayapier import codec, events
 from papayapier.clock import Clock
 from papayapier.peer.messages import Heartbeat, MembersAsk, MembersTell, Message
-from papayapier.peer.parts import cut_parts
+from papayapier.peer.parts import split_parts
 from papayapier.store.api import Member
 from papayapier.store.members import MemberFollower
 
@@ -36,14 +36,14 @@
 
     clock: Clock
     rand: random.Random
-    tell: Callable[[str, Message], bool]
+    send: Callable[[str, Message], bool]
     follower: MemberFollower
 
 
 class _OpenRequest(NamedTuple):
     """Hold the open request and the parts of its reply received so far."""
 
-    ask_id: int
+    correlation_id: int
     peer: str
     at_ms: int
     parts: list[Member]
@@ -70,7 +70,7 @@
 
     def _request_if_needed(self, peer: str) -> None:
         """Request the list from a peer, one at a time, until the platform has been read."""
-        if self._deps.follower.read_ms is not None:
+        if self._deps.follower.last_read_ms is not None:
             self._open_request = None
             self._last_requested_ms.clear()
             return
@@ -80,15 +80,15 @@
         if peer in self._last_requested_ms and now - self._last_requested_ms[peer] < RETRY_MS:
             return
         self._last_request_id += 1
-        if self._deps.tell(peer, MembersAsk(self._last_request_id, self._age_ms(), self._digest())):
+        if self._deps.send(peer, MembersAsk(self._last_request_id, self._age_ms(), self._digest())):
             self._open_request = _OpenRequest(self._last_request_id, peer, now, [])
             self._last_requested_ms[peer] = now
 
     def _answer(self, peer: str, request: MembersAsk) -> None:
         age_ms = self._age_ms()
         members = self._members() if self._is_newer(request, age_ms) else []
-        for part in cut_parts(members, lambda member: len(codec.pack(member))):
-            self._deps.tell(peer, MembersTell(request.ask_id, part, len(members), age_ms))
+        for part in split_parts(members, lambda member: len(codec.pack(member))):
+            self._deps.send(peer, MembersTell(request.correlation_id, part, len(members), age_ms))
 
     def _is_newer(self, request: MembersAsk, age_ms: int) -> bool:
         if age_ms == NO_LIST:
@@ -98,7 +98,10 @@
 
     def _on_reply(self, peer: str, reply: MembersTell) -> None:
         open_request = self._open_request
-        if open_request is None or (open_request.ask_id, open_request.peer) != (reply.ask_id, peer):
+        if open_request is None or (open_request.correlation_id, open_request.peer) != (
+            reply.correlation_id,
+            peer,
+        ):
             return
         open_request.parts.extend(reply.members)
         count = len(open_request.parts)
@@ -110,7 +113,7 @@
         if not 0 < reply.total == count:
             return
         now = self._deps.clock.now()
-        if self._deps.follower.learn(open_request.parts, now - reply.age_ms):
+        if self._deps.follower.use_list(open_request.parts, now - reply.age_ms):
             events.emit(events.MEMBERS_FROM_PEER, peer=peer, members=count, age_ms=reply.age_ms)
 
     def _members(self) -> list[Member]:
--- a/papayapier/peer/messages.py
+++ b/papayapier/peer/messages.py
@@ -8,13 +8,13 @@
 from typing import Final, NamedTuple
 
 from papayapier.peer.loss_messages import LatelyAsk, LossesAsk, LossesTold, NoLosses
-from papayapier.peer.placing_messages import PlaceAsk, PlaceLeft, PlaceTell, Unanswered
+from papayapier.peer.placement_messages import PlaceAsk, PlaceLeft, PlaceTell, Unanswered
 from papayapier.peer.run_messages import RunsAsk, RunsOffer, RunsTell
 from papayapier.policy.loads import ReplicaUse
 from papayapier.store.api import Member
 
 
-class JobWord(NamedTuple):
+class JobNotification(NamedTuple):
     """Notify how many groups of results a job has; number counts the sender's notifications."""
 
     number: int
@@ -43,17 +43,17 @@
     config_version: int
     uses: tuple[ReplicaUse, ...] = ()
     config_digest: int = 0
-    unheard: tuple[str, ...] = ()
-    every_ms: int = 0
+    unreachable: tuple[str, ...] = ()
+    interval_ms: int = 0
     totals: tuple[ReplicaUse, ...] = ()
-    groups_told: int = -1
-    words: tuple[JobWord, ...] = ()
-    gone: tuple[str, ...] = ()
+    notification_count: int = -1
+    notifications: tuple[JobNotification, ...] = ()
+    unavailable: tuple[str, ...] = ()
     picked: bool = True
 
 
 # In place of a count of notifications: it is uncertain whether a write took effect.
-NOT_SURE: Final = -1
+UNCONFIRMED: Final = -1
 
 
 class Hello(NamedTuple):
@@ -86,7 +86,7 @@
     buckets holds the requester's digest of each bucket of keys; if empty, newer_than applies.
     """
 
-    ask_id: int
+    correlation_id: int
     newer_than: int
     buckets: tuple[int, ...] = ()
 
@@ -98,7 +98,7 @@
     the number of objects in all parts.
     """
 
-    ask_id: int
+    correlation_id: int
     objects: list[ConfigPush]
     more: bool = False
     complete: bool = False
@@ -108,14 +108,14 @@
 class ClaimAsk(NamedTuple):
     """Request the state of a claim from the instance that wrote it."""
 
-    ask_id: int
+    correlation_id: int
     key: str
 
 
 class ClaimTell(NamedTuple):
     """Answer ClaimAsk; state is "running", "done", "abandoned" or "no_record"."""
 
-    ask_id: int
+    correlation_id: int
     key: str
     state: str
 
@@ -154,7 +154,7 @@
 class MembersAsk(NamedTuple):
     """Request an instance list newer than the requester's; age_ms is -1 if it has none."""
 
-    ask_id: int
+    correlation_id: int
     age_ms: int
     digest: int
 
@@ -165,7 +165,7 @@
     age_ms is the time since any instance read this list from the platform.
     """
 
-    ask_id: int
+    correlation_id: int
     members: list[Member]
     total: int
     age_ms: int
@@ -178,7 +178,7 @@
     is the revision and wait_ms the time to wait for changes.
     """
 
-    ask_id: int
+    correlation_id: int
     call: str
     key: str
     value: bytes = b""
@@ -193,13 +193,13 @@
     since is WHOLE for a listing, otherwise the revision after which changes are wanted.
     """
 
-    ask_id: int
+    correlation_id: int
     prefix: str
     since: int
     wait_ms: int = 0
 
 
-WHOLE: Final = -1
+FULL_LISTING: Final = -1
 
 
 class CallsTold(NamedTuple):
@@ -224,45 +224,45 @@
     since the store became reachable again for the sender, or NEVER_AWAY.
     """
 
-    ask_id: int
+    correlation_id: int
     error: str
     version: int = 0
     value: bytes = b""
     changes: tuple[StoreChange, ...] = ()
     more: bool = False
-    back_ms_ago: int = -1
+    recovered_ms_ago: int = -1
     # The compressed changes of a long answer; changes is empty then.
-    packed: bytes = b""
+    compressed_changes: bytes = b""
 
 
-NEVER_AWAY: Final = -1
+NO_OUTAGE: Final = -1
 
 
 class ResultsAsk(NamedTuple):
     """Request a job's results after a position; the keeper waits if there are none yet."""
 
-    ask_id: int
+    correlation_id: int
     job_id: str
     after: int
     wait_ms: int
     team: str = ""
 
 
-class ResultTold(NamedTuple):
+class ResultItem(NamedTuple):
     """Hold one result of a ResultsTell."""
 
     id: str
-    end: str
+    outcome: str
     text: str
 
 
 class ResultsTell(NamedTuple):
     """Answer ResultsAsk; known says whether the sender could read the job."""
 
-    ask_id: int
-    known: bool
+    correlation_id: int
+    job_known: bool
     total: int = 0
-    results: tuple[ResultTold, ...] = ()
+    results: tuple[ResultItem, ...] = ()
 
 
 class AllowAsk(NamedTuple):
@@ -272,11 +272,11 @@
     that the request was refused before and is a retry.
     """
 
-    ask_id: int
+    correlation_id: int
     team: str
     rate_per_s: float
     burst: float
-    returned: bool = False
+    is_retry: bool = False
 
 
 class AllowTell(NamedTuple):
@@ -285,16 +285,16 @@
     after_ms is the time after which to retry. ask names the granter if the sender is not it.
     """
 
-    ask_id: int
-    said: str
-    after_ms: int = 0
-    ask: str = ""
+    correlation_id: int
+    outcome: str
+    retry_after_ms: int = 0
+    granter: str = ""
 
 
 class TakeOverAsk(NamedTuple):
     """Request what is left of a team's allowance; the requester is the granter from now on."""
 
-    ask_id: int
+    correlation_id: int
     team: str
     rate_per_s: float
     burst: float
@@ -303,8 +303,8 @@
 class TakeOverTell(NamedTuple):
     """Answer TakeOverAsk; was_first says whether the sender was the granter until now."""
 
-    ask_id: int
-    was_first: bool
+    correlation_id: int
+    was_granter: bool
     tokens: float
 
 
@@ -314,7 +314,7 @@
     value is the job's record.
     """
 
-    ask_id: int
+    correlation_id: int
     job_id: str
     value: bytes
 
@@ -322,8 +322,8 @@
 class KeepTell(NamedTuple):
     """Answer KeepAsk; kept says whether the job is written to disk and synced."""
 
-    ask_id: int
-    kept: bool
+    correlation_id: int
+    stored: bool
 
 
 Message = (
--- a/papayapier/peer/questions.py
+++ b/papayapier/peer/open_requests.py
@@ -19,7 +19,7 @@
     StoreTell,
     TakeOverTell,
 )
-from papayapier.peer.placing_messages import PlaceTell
+from papayapier.peer.placement_messages import PlaceTell
 from papayapier.peer.run_messages import RunsTell
 
 REQUEST_ID_BITS: Final = 32
@@ -54,7 +54,7 @@
     timer: Timer
 
 
-class Questions:
+class OpenRequests:
     """Hold the requests that wait for their replies.
 
     Ids start at a random number, so that a reply to a request made before a restart of this
@@ -71,38 +71,40 @@
         self._last_request_id += 1
         return self._last_request_id
 
-    async def wait(self, ask_id: int, peer_id: str, timeout_ms: int) -> Result[Message, PeerError]:
+    async def wait_reply(
+        self, correlation_id: int, peer_id: str, timeout_ms: int
+    ) -> Result[Message, PeerError]:
         """Wait for a peer's reply to a request that was just sent."""
         timer = self._clock.call_later(
-            timeout_ms, lambda: self._finish(ask_id, Err(PeerError.TIMEOUT))
+            timeout_ms, lambda: self._finish(correlation_id, Err(PeerError.TIMEOUT))
         )
-        reply: Deferred[Result[Message, PeerError]] = Deferred(lambda _: self._drop(ask_id))
-        self._open_requests[ask_id] = _OpenRequest(peer_id, reply, timer)
+        reply: Deferred[Result[Message, PeerError]] = Deferred(lambda _: self._drop(correlation_id))
+        self._open_requests[correlation_id] = _OpenRequest(peer_id, reply, timer)
         return await reply
 
-    def settle(self, sender: str, message: Message) -> bool:
+    def complete(self, sender: str, message: Message) -> bool:
         """Complete the request that a message answers; return False if there is none."""
         if not isinstance(message, Answer):
             return False
-        request = self._open_requests.get(message.ask_id)
+        request = self._open_requests.get(message.correlation_id)
         if request is None or request.peer_id != sender:
             return False
-        self._finish(message.ask_id, Ok(message))
+        self._finish(message.correlation_id, Ok(message))
         return True
 
     def close(self) -> None:
         """Fail every open request with PeerError.CLOSED."""
-        for ask_id in list(self._open_requests):
-            self._finish(ask_id, Err(PeerError.CLOSED))
+        for correlation_id in list(self._open_requests):
+            self._finish(correlation_id, Err(PeerError.CLOSED))
 
-    def _finish(self, ask_id: int, outcome: Result[Message, PeerError]) -> None:
-        request = self._open_requests.get(ask_id)
+    def _finish(self, correlation_id: int, outcome: Result[Message, PeerError]) -> None:
+        request = self._open_requests.get(correlation_id)
         if request is None:
             return
-        self._drop(ask_id)
+        self._drop(correlation_id)
         request.reply.callback(outcome)
 
-    def _drop(self, ask_id: int) -> None:
-        request = self._open_requests.pop(ask_id, None)
+    def _drop(self, correlation_id: int) -> None:
+        request = self._open_requests.pop(correlation_id, None)
         if request is not None and request.timer.active():
             request.timer.cancel()
--- a/papayapier/peer/parts.py
+++ b/papayapier/peer/parts.py
@@ -5,16 +5,16 @@
 
 T = TypeVar("T")
 
-PART_BYTES: Final = 200_000
+MAX_PART_BYTES: Final = 200_000
 
 
-def cut_parts(items: Iterable[T], size_of: Callable[[T], int]) -> list[list[T]]:
+def split_parts(items: Iterable[T], size_of: Callable[[T], int]) -> list[list[T]]:
     """Split items into parts of bounded size; an empty input gives one empty part."""
     parts: list[list[T]] = [[]]
     filled = 0
     for item in items:
         size = size_of(item)
-        if filled + size > PART_BYTES and parts[-1]:
+        if filled + size > MAX_PART_BYTES and parts[-1]:
             parts.append([])
             filled = 0
         parts[-1].append(item)
--- a/papayapier/peer/placing_messages.py
+++ b/papayapier/peer/placement_messages.py
@@ -12,22 +12,22 @@
     left of the time budget, and return_ms the time within which a refused caller can retry.
     """
 
-    ask_id: int
-    part: str
+    correlation_id: int
+    partition: str
     prompt: str
     data_centre: str
-    shunned: tuple[str, ...] = ()
+    excluded: tuple[str, ...] = ()
     caller: str = ""
     rank: int = 0
-    aim_ms: int = 0
-    left_ms: int = 0
-    return_ms: int = 0
+    objective_ms: int = 0
+    timeout_ms: int = 0
+    retry_within_ms: int = 0
 
 
 class PlaceLeft(NamedTuple):
     """Cancel a PlaceAsk: nobody waits for its answer any longer."""
 
-    ask_id: int
+    correlation_id: int
 
 
 class PlaceTell(NamedTuple):
@@ -38,10 +38,10 @@
     that this hub no longer places calls and another hub does.
     """
 
-    ask_id: int
+    correlation_id: int
     replica: str
-    held_ms: int = 0
-    after_ms: int = 0
+    queued_ms: int = 0
+    retry_after_ms: int = 0
     leaving: bool = False
 
 
--- a/papayapier/peer/roster.py
+++ b/papayapier/peer/roster.py
@@ -26,7 +26,7 @@
     is_serving,
     view_of,
 )
-from papayapier.peer.topology import Limits, Place, Plan, make_plan
+from papayapier.peer.topology import InstanceLocation, LinkLimits, LinkPlan, make_plan
 from papayapier.store.api import ENTRY, LIVE, LOST, Member
 
 SILENT_INTERVALS: Final = 4
@@ -35,12 +35,12 @@
 class Roster:
     """Decide who is live from the instance list, heartbeats and the passing of time."""
 
-    def __init__(self, me: Place, limits: Limits, silent_after_ms: int) -> None:
+    def __init__(self, me: InstanceLocation, limits: LinkLimits, silent_after_ms: int) -> None:
         self._me = me
         self._limits = limits
         self._silent_after_ms = silent_after_ms
         self._peers: dict[str, Peer] = {}
-        self._plan = Plan(frozenset(), True, True)
+        self._plan = LinkPlan(frozenset(), True, True)
         self._has_list = False
         self._ticked_at: Millis | None = None
         self._awake_since = Millis(0)
@@ -49,7 +49,7 @@
         """Return a peer's state."""
         return self._peers.get(peer_id)
 
-    def plan(self) -> Plan:
+    def plan(self) -> LinkPlan:
         """Return the current plan of links."""
         return self._plan
 
@@ -59,7 +59,7 @@
         serving = (i for i, peer in self._peers.items() if is_serving(i, peer, reported_gone))
         return sorted([self._me.id, *serving])
 
-    def vouched(self, now: Millis) -> frozenset[str]:
+    def agreed_live(self, now: Millis) -> frozenset[str]:
         """Return which of the instances that may be hubs are live by a majority of the hubs.
 
         All instances that run batch, hubs or not, must agree on the owner of each job. Only hubs
@@ -69,7 +69,7 @@
         # In a full mesh hubs report nobody: there each instance gets everybody's heartbeats.
         reported_gone = [] if self._plan.full_mesh else self._reported_gone()
         if not self._plan.full_mesh and self._me.id in self._plan.hubs:
-            reported_gone.append(frozenset(self.gone(now)))
+            reported_gone.append(frozenset(self.unavailable(now)))
         own = {self._me.id} if self._me.hub else set()
         if not reported_gone:
             reachable = (i for i in self.live() if i in self._peers)
@@ -84,7 +84,7 @@
         )
         return frozenset(others) | own
 
-    def gone(self, now: Millis) -> tuple[str, ...]:
+    def unavailable(self, now: Millis) -> tuple[str, ...]:
         """Return the neighbours that may be hubs and are silent or leaving, for a hub to report."""
         return tuple(
             i
@@ -92,7 +92,7 @@
             if peer.member.hub and (peer.is_leaving() or peer.lost or self._is_silent(peer, now))
         )
 
-    def lost_hubs(self) -> frozenset[str]:
+    def silent_hub_candidates(self) -> frozenset[str]:
         """Return the neighbours that may be hubs and are silent, but are not listed as lost."""
         return frozenset(
             i
@@ -100,7 +100,7 @@
             if peer.member.hub and peer.lost and not peer.is_leaving() and peer.member.state != LOST
         )
 
-    def unheard(self, now: Millis) -> tuple[str, ...]:
+    def unreachable(self, now: Millis) -> tuple[str, ...]:
         """Return the neighbours whose heartbeats have been missing for the silence limit."""
         return tuple(i for i, peer in self._neighbours() if self._is_silent(peer, now))
 
@@ -124,7 +124,7 @@
             peer.listed = peer_id in listed
         return [*steps, *self._remove_departed(), *self._follow_plan(now)]
 
-    def introduce(self, members: Sequence[Member], now: Millis) -> list[Step]:
+    def add_unlisted(self, members: Sequence[Member], now: Millis) -> list[Step]:
         """Add instances named in the settings; the next list decides whether they are kept."""
         steps: list[Step] = []
         for member in members:
@@ -133,7 +133,7 @@
                 steps.extend(self._apply_record(member, now))
         return [*steps, *self._follow_plan(now)]
 
-    def hello(self, hello: Hello, now: Millis) -> list[Step]:
+    def on_hello(self, hello: Hello, now: Millis) -> list[Step]:
         """Handle the Hello of a peer that dialled this instance as its neighbour.
 
         An instance that restarts while the platform is down has no list and could reach
@@ -162,7 +162,7 @@
         # instances would treat it as a hub before others do.
         return [*steps, *self._follow_plan(now)] if new_hub else steps
 
-    def heard(self, sender: str, heartbeat: Heartbeat, now: Millis) -> list[Step]:
+    def on_heartbeat(self, sender: str, heartbeat: Heartbeat, now: Millis) -> list[Step]:
         """Handle a heartbeat and return the steps that it requires."""
         peer = self._peers.get(sender)
         if peer is None:
@@ -175,8 +175,8 @@
         if not peer.is_neighbour():
             return steps
         was_leaving = peer.is_leaving()
-        gone_before = () if peer.last_heartbeat is None else peer.last_heartbeat.gone
-        if heartbeat.gone != gone_before:
+        gone_before = () if peer.last_heartbeat is None else peer.last_heartbeat.unavailable
+        if heartbeat.unavailable != gone_before:
             steps.append(PeerChange(sender, Change.REPORTS_CHANGED))
         if peer.up and peer.boot != heartbeat.boot:
             steps.append(PeerChange(sender, Change.RESTARTED))
@@ -188,7 +188,7 @@
         peer.last_heartbeat = heartbeat
         if peer.is_leaving() and not was_leaving:
             steps.append(PeerChange(sender, Change.LEAVING))
-        if self._me.id in heartbeat.unheard and self._may_redial(peer, now):
+        if self._me.id in heartbeat.unreachable and self._may_redial(peer, now):
             steps.append(_redial(sender, peer, now))
         if peer.lost:
             peer.lost = False
@@ -224,7 +224,9 @@
     def _reported_gone(self) -> list[frozenset[str]]:
         """Return the instances that each live hub reports as gone."""
         heartbeats = [self._peers[i].last_heartbeat for i in self._plan.hubs if self._is_up(i)]
-        return [frozenset(heartbeat.gone) for heartbeat in heartbeats if heartbeat is not None]
+        return [
+            frozenset(heartbeat.unavailable) for heartbeat in heartbeats if heartbeat is not None
+        ]
 
     def _is_up(self, peer_id: str) -> bool:
         peer = self._peers.get(peer_id)
@@ -330,7 +332,7 @@
         self._ticked_at = now
 
     def _is_silent(self, peer: Peer, now: Millis) -> bool:
-        interval_ms = 0 if peer.last_heartbeat is None else peer.last_heartbeat.every_ms
+        interval_ms = 0 if peer.last_heartbeat is None else peer.last_heartbeat.interval_ms
         limit = max(self._silent_after_ms, interval_ms * SILENT_INTERVALS)
         since = (
             peer.expected_since
@@ -366,5 +368,5 @@
     return member.kind == ENTRY and member.id != own_id and member.peer_port != 0
 
 
-def _place_of(member: Member) -> Place:
-    return Place(member.id, member.data_centre, member.region, member.hub)
+def _place_of(member: Member) -> InstanceLocation:
+    return InstanceLocation(member.id, member.data_centre, member.region, member.hub)
--- a/papayapier/peer/run_messages.py
+++ b/papayapier/peer/run_messages.py
@@ -9,17 +9,17 @@
     taken are those of the jobs that the requester runs in the keeper's place.
     """
 
-    ask_id: int
+    correlation_id: int
     job_ids: tuple[str, ...]
-    taken: tuple[str, ...] = ()
+    adopted: tuple[str, ...] = ()
 
 
 class RunsTell(NamedTuple):
     """Answer RunsAsk; over lists the jobs that have all results stored or were ended."""
 
-    ask_id: int
-    runs: tuple[str, ...]
-    over: tuple[str, ...]
+    correlation_id: int
+    running: tuple[str, ...]
+    finished: tuple[str, ...]
 
 
 class RunsOffer(NamedTuple):
--- a/papayapier/peer/topology.py
+++ b/papayapier/peer/topology.py
@@ -35,13 +35,13 @@
 # store for all. With 30 hubs among 195 instances, nine of ten messages were heartbeats to and
 # from hubs: 117 per second and entry by the heartbeat intervals, and an entry uses 0.041 of a core
 # in all.
-HUBS: Final = 5
+MAX_HUBS: Final = 5
 HUB_KEY: Final = "hub"
 RELAY_KEY: Final = "relay"
 GATEWAY_KEY: Final = "gateway"
 
 
-class Place(NamedTuple):
+class InstanceLocation(NamedTuple):
     """Describe where an instance runs, and whether it may be a hub."""
 
     id: str
@@ -50,7 +50,7 @@
     hub: bool = False
 
 
-class Limits(NamedTuple):
+class LinkLimits(NamedTuple):
     """Bound the links of an instance."""
 
     full_mesh: int
@@ -58,7 +58,7 @@
     relays: int
 
 
-class Plan(NamedTuple):
+class LinkPlan(NamedTuple):
     """Hold the neighbours that an instance picks, whether it is a relay, and the chosen hubs."""
 
     neighbours: frozenset[str]
@@ -68,25 +68,28 @@
 
 
 def make_plan(
-    me: Place, others: Sequence[Place], limits: Limits, silent: Collection[str] = ()
-) -> Plan:
+    me: InstanceLocation,
+    others: Sequence[InstanceLocation],
+    limits: LinkLimits,
+    silent: Collection[str] = (),
+) -> LinkPlan:
     """Pick the neighbours of an instance among all listed; silent instances are not hubs."""
     hubs = choose_hubs([me, *(place for place in others if place.id not in silent)])
     if len(others) < limits.full_mesh:
-        return Plan(frozenset(place.id for place in others), True, True, hubs)
+        return LinkPlan(frozenset(place.id for place in others), True, True, hubs)
     if hubs:
         everybody = frozenset(place.id for place in others)
-        return Plan(everybody if me.id in hubs else frozenset(hubs), False, False, hubs)
+        return LinkPlan(everybody if me.id in hubs else frozenset(hubs), False, False, hubs)
     centres = _by_data_centre([me, *others])
     local = [place.id for place in centres[me.data_centre] if place.id != me.id]
     rank = _rank(me, centres[me.data_centre], limits.relays)
     picked = set(_local_picks(me.id, local, limits))
     if rank is not None:
         picked |= _relay_links(me, rank, centres)
-    return Plan(frozenset(picked), rank is not None, False)
+    return LinkPlan(frozenset(picked), rank is not None, False)
 
 
-def choose_hubs(places: Sequence[Place]) -> tuple[str, ...]:
+def choose_hubs(places: Sequence[InstanceLocation]) -> tuple[str, ...]:
     """Choose the hubs among the instances that may be hubs.
 
     The hubs are in as many different data centres as possible.
@@ -95,9 +98,9 @@
     ranked = [
         (rank, -score(HUB_KEY, name), name)
         for centre in centres.values()
-        for rank, name in enumerate(_top(HUB_KEY, [place.id for place in centre], HUBS))
+        for rank, name in enumerate(_top(HUB_KEY, [place.id for place in centre], MAX_HUBS))
     ]
-    return tuple(name for _, _, name in sorted(ranked)[:HUBS])
+    return tuple(name for _, _, name in sorted(ranked)[:MAX_HUBS])
 
 
 def relays(data_centre: str, ids: Collection[str], count: int) -> list[str]:
@@ -105,13 +108,15 @@
     return _top(f"{RELAY_KEY}/{data_centre}", ids, count)
 
 
-def _local_picks(own_id: str, local: Sequence[str], limits: Limits) -> Iterable[str]:
+def _local_picks(own_id: str, local: Sequence[str], limits: LinkLimits) -> Iterable[str]:
     if len(local) < limits.full_mesh:
         return local
     return _top(own_id, local, limits.picks)
 
 
-def _relay_links(me: Place, rank: int, centres: Mapping[str, Sequence[Place]]) -> set[str]:
+def _relay_links(
+    me: InstanceLocation, rank: int, centres: Mapping[str, Sequence[InstanceLocation]]
+) -> set[str]:
     """Return the relays of the same rank in other data centres that a relay is linked with."""
     regions = defaultdict(set)
     for centre, places in centres.items():
@@ -128,19 +133,19 @@
     return _top(f"{GATEWAY_KEY}/{rank}/{region}", centres, 1)[0]
 
 
-def _relay_of(centre: str, rank: int, places: Sequence[Place]) -> str:
+def _relay_of(centre: str, rank: int, places: Sequence[InstanceLocation]) -> str:
     """Return the relay of a rank; with too few instances the last one serves the rank too."""
     ranked = relays(centre, [place.id for place in places], rank + 1)
     return ranked[-1]
 
 
-def _rank(me: Place, places: Sequence[Place], count: int) -> int | None:
+def _rank(me: InstanceLocation, places: Sequence[InstanceLocation], count: int) -> int | None:
     ranked = relays(me.data_centre, [place.id for place in places], count)
     return ranked.index(me.id) if me.id in ranked else None
 
 
-def _by_data_centre(places: Iterable[Place]) -> dict[str, list[Place]]:
-    centres: dict[str, list[Place]] = defaultdict(list)
+def _by_data_centre(places: Iterable[InstanceLocation]) -> dict[str, list[InstanceLocation]]:
+    centres: dict[str, list[InstanceLocation]] = defaultdict(list)
     for place in places:
         centres[place.data_centre].append(place)
     return centres
--- a/papayapier/platform/headers.py
+++ b/papayapier/platform/headers.py
@@ -57,12 +57,12 @@
     return forwarded
 
 
-def shown_keys(headers: Headers) -> Sequence[bytes]:
+def presented_keys(headers: Headers) -> Sequence[bytes]:
     """Return the values of the header that contains the caller's API key."""
     return headers.getRawHeaders(_KEY, [])
 
 
-def of_team(headers: Headers, team: str) -> Headers:
+def with_team(headers: Headers, team: str) -> Headers:
     """Return the headers for a replica: with the team's name and without its API key."""
     out = headers.copy()
     out.removeHeader(_KEY)
@@ -72,7 +72,7 @@
     return out
 
 
-def for_replica(
+def with_replica(
     headers: Headers, replica: Replica, left_ms: int | None, last_event: int
 ) -> Headers:
     """Return the headers of a request for one replica.
@@ -88,7 +88,7 @@
     return out
 
 
-def read_facts(status: int, headers: Headers, now_ms: int) -> AnswerFacts:
+def decode_facts(status: int, headers: Headers, now_ms: int) -> AnswerFacts:
     """Decode what the head of an answer says about the execution of the request."""
     stated_load = _first_value(headers, _LOAD)
     load = _load(stated_load, now_ms)
--- a/papayapier/platform/job_calls.py
+++ b/papayapier/platform/job_calls.py
@@ -125,7 +125,7 @@
     return values[0].decode("latin-1") if values else ""
 
 
-def called(request: Any) -> JobCall | None:
+def parse_call(request: Any) -> JobCall | None:
     """Return the call that a request makes on a job, or None for any other request."""
     method, path = request.method.decode("latin-1"), request.path.decode("latin-1")
     return read_call(method, path, request.args)
--- a/papayapier/platform/replicas.py
+++ b/papayapier/platform/replicas.py
@@ -51,7 +51,7 @@
     return Ok(ListedReplica(replica, wire["slots"], wire["state"] == "draining"))
 
 
-def says_other(before: bytes, after: bytes) -> bool:
+def decodes_differently(before: bytes, after: bytes) -> bool:
     """Return whether two values of one entry decode to different replicas.
 
     A replica that has just started writes the remaining time of its slow start with each
--- a/papayapier/platform/retirements.py
+++ b/papayapier/platform/retirements.py
@@ -20,6 +20,6 @@
     return f"{RETIREMENTS_PREFIX}{node_id}/status"
 
 
-def write_stage(stage: Stage) -> bytes:
+def encode_stage(stage: Stage) -> bytes:
     """Encode a stage as the platform expects it."""
     return msgspec.json.encode({"state": stage.value})
--- a/papayapier/store/bucket.py
+++ b/papayapier/store/bucket.py
@@ -29,7 +29,7 @@
     granted: Deferred[bool]
 
 
-class Bucket:
+class TokenBucket:
     """Implement a token bucket with an adaptive rate for one kind of call."""
 
     __slots__ = (
--- a/papayapier/store/budget.py
+++ b/papayapier/store/budget.py
@@ -26,7 +26,7 @@
     StoreError,
 )
 from papayapier.store.breaker import Breaker, Health, make_breaker
-from papayapier.store.bucket import Bucket
+from papayapier.store.bucket import TokenBucket
 
 T = TypeVar("T")
 
@@ -43,20 +43,20 @@
 class Budget(NamedTuple):
     """Provide views of the store for each part of the program, and report outages.
 
-    back_ms returns when the store last became reachable again, or None without any outage.
+    recovered_ms returns when the store last became reachable again, or None without any outage.
     """
 
     view: Callable[[Priority], Store]
     down_since: Callable[[], Millis | None]
-    back_ms: Callable[[], Millis | None]
+    recovered_ms: Callable[[], Millis | None]
 
 
 class _Shared(NamedTuple):
     """Group what all views share."""
 
     store: Store
-    reads: Bucket
-    writes: Bucket
+    reads: TokenBucket
+    writes: TokenBucket
     breaker: Breaker
     wait_ms: int
 
@@ -68,8 +68,8 @@
     health = Health(clock, rng, platform.longest_pause_ms)
     shared = _Shared(
         store,
-        Bucket(clock, platform.reads_per_s),
-        Bucket(clock, platform.writes_per_s),
+        TokenBucket(clock, platform.reads_per_s),
+        TokenBucket(clock, platform.writes_per_s),
         make_breaker(health),
         platform.timeout_ms,
     )
@@ -121,7 +121,7 @@
 
 async def _call_with_permit(
     shared: _Shared,
-    bucket: Bucket,
+    bucket: TokenBucket,
     priority: Priority,
     call: Callable[[], Awaitable[Result[T, StoreError]]],
 ) -> Result[T, StoreError]:
@@ -158,7 +158,7 @@
 
 
 async def _call_and_record(
-    shared: _Shared, bucket: Bucket, call: Callable[[], Awaitable[Result[T, StoreError]]]
+    shared: _Shared, bucket: TokenBucket, call: Callable[[], Awaitable[Result[T, StoreError]]]
 ) -> Result[T, StoreError]:
     try:
         outcome = await call()
--- a/papayapier/store/members.py
+++ b/papayapier/store/members.py
@@ -18,7 +18,7 @@
 
 from papayapier.clock import Clock
 from papayapier.store.api import LEAVING, Member, Store
-from papayapier.store.watch import Pauses, report_failure
+from papayapier.store.watch import Backoff, log_failure
 
 REPORT_MS: Final = 2_500
 WAIT_MS: Final = 10_000
@@ -30,7 +30,7 @@
     """Hold the records that are new or changed, and the ids that were removed."""
 
     changed: list[Member]
-    gone: list[str]
+    removed: list[str]
 
 
 OnMembers = Callable[[MembersChanged], None]
@@ -48,7 +48,7 @@
         on_read_failed: Callable[[], None] = lambda: None,
     ) -> None:
         self.known: dict[str, Member] = {}
-        self.read_ms: int | None = None
+        self.last_read_ms: int | None = None
         self._store = store
         self._clock = clock
         self._rng = rng
@@ -60,16 +60,16 @@
     def start(self) -> None:
         """Start to follow the list."""
         self._task = Deferred.fromCoroutine(self._loop())
-        self._task.addErrback(report_failure, "follow instances")
+        self._task.addErrback(log_failure, "follow instances")
 
     def stop(self) -> None:
         """Stop following; nothing is reported afterwards."""
         if self._task is not None:
             self._task.cancel()
 
-    def learn(self, members: Sequence[Member], read_ms: int) -> bool:
+    def use_list(self, members: Sequence[Member], read_ms: int) -> bool:
         """Use a list that somebody else read at read_ms; return False if it is not newer."""
-        if self.read_ms is not None:
+        if self.last_read_ms is not None:
             return False
         if self._learned_read_ms is not None and read_ms <= self._learned_read_ms:
             return False
@@ -79,24 +79,24 @@
 
     def age_ms(self) -> int | None:
         """Return the time since the list was read from the platform, or None without a list."""
-        read_ms = self._learned_read_ms if self.read_ms is None else self.read_ms
+        read_ms = self._learned_read_ms if self.last_read_ms is None else self.last_read_ms
         return None if read_ms is None else self._clock.now() - read_ms
 
     async def _loop(self) -> None:
         since = 0
-        pauses = Pauses(self._rng)
+        pauses = Backoff(self._rng)
         while True:
             # The first read does not wait for a change: if the platform does not answer, only
             # the timeout of this read delays a start with a list from elsewhere.
             found = await self._store.members(WAIT_MS if since else 0, since)
             if isinstance(found, Err):
                 since = 0
-                if self.read_ms is None:
+                if self.last_read_ms is None:
                     self._on_read_failed()
                 await self._clock.sleep(pauses.next_ms())
                 continue
             pauses.reset()
-            self.read_ms = self._clock.now()
+            self.last_read_ms = self._clock.now()
             self._apply({member.id: member for member in found.ok_value.instances})
             since = found.ok_value.revision
             # Without a minimum interval, a fleet that changes all the time would make every
@@ -111,7 +111,7 @@
             self._on_members(MembersChanged(changed, removed))
 
 
-class Reporter:
+class MemberReporter:
     """Report this instance's record every few seconds until it leaves."""
 
     def __init__(self, store: Store, clock: Clock, rng: random.Random, member: Member) -> None:
@@ -124,7 +124,7 @@
     def start(self) -> None:
         """Start to report."""
         self._task = Deferred.fromCoroutine(self._loop())
-        self._task.addErrback(report_failure, "report instance")
+        self._task.addErrback(log_failure, "report instance")
 
     def mark_leaving(self) -> None:
         """Report the leaving state at once and from now on."""
@@ -143,7 +143,7 @@
         The platform drops a record that is left behind some seconds later.
         """
         self.stop()
-        pauses = Pauses(self._rng)
+        pauses = Backoff(self._rng)
         for _ in range(MAX_WITHDRAW_ATTEMPTS):
             if isinstance(await self._store.withdraw(self._member.id), Ok):
                 return True
@@ -151,7 +151,7 @@
         return False
 
     async def _loop(self) -> None:
-        pauses = Pauses(self._rng)
+        pauses = Backoff(self._rng)
         while True:
             if isinstance(await self._store.report(self._member), Ok):
                 pauses.reset()
--- a/papayapier/store/members_folder.py
+++ b/papayapier/store/members_file.py
@@ -33,7 +33,7 @@
     members: list[Member]
 
 
-class MembersFolder:
+class MembersFile:
     """Write the copy soon after each change; without a folder do nothing."""
 
     def __init__(self, folder: str, clock: Clock, current: Callable[[], AgedMembers]) -> None:
@@ -62,7 +62,7 @@
         events.emit(events.MEMBERS_FROM_FOLDER, members=len(saved.members), age_ms=age_ms)
         return AgedMembers(saved.members, age_ms)
 
-    def changed(self) -> None:
+    def save_soon(self) -> None:
         """Schedule a save; changes within a short time are saved together."""
         if self._folder:
             self._saving.changed()
--- a/papayapier/store/mirror.py
+++ b/papayapier/store/mirror.py
@@ -19,19 +19,19 @@
 
 # A follower sends its next watch within milliseconds of an answer, so that a few hundred changes
 # cover seconds of the busiest start; a follower that is further behind lists again.
-KEPT_CHANGES: Final = 2_000
+MAX_LOGGED_CHANGES: Final = 2_000
 # The same bound for large objects, such as batch jobs: a quarter of a minute of the busiest
 # traffic (3 jobs of 15 KB per second), or a few of the largest jobs.
-KEPT_BYTES: Final = 4_000_000
+MAX_LOGGED_BYTES: Final = 4_000_000
 # An answer must fit one frame between processes; a larger one is read from the store itself.
 MAX_ANSWER_BYTES: Final = 1_000_000
 
 
 # Returns whether readers need to know that a value has changed, given the old and the new one.
-Matters = Callable[[bytes, bytes], bool]
+IsRelevant = Callable[[bytes, bytes], bool]
 
 
-def always(_before: bytes, _after: bytes) -> bool:
+def always_relevant(_before: bytes, _after: bytes) -> bool:
     """Return True: readers need to know of every new value."""
     return True
 
@@ -50,7 +50,9 @@
     mirror stops to answer.
     """
 
-    def __init__(self, clock: Clock, max_silence_ms: int, matters: Matters = always) -> None:
+    def __init__(
+        self, clock: Clock, max_silence_ms: int, matters: IsRelevant = always_relevant
+    ) -> None:
         self._clock = clock
         self._is_relevant = matters
         self._max_silence_ms = max_silence_ms
@@ -97,13 +99,13 @@
         self._log.extend(_LoggedChange(revision, change) for change in self._pending)
         self._log_bytes += sum(len(change.value) for change in self._pending)
         self._pending = []
-        while len(self._log) > KEPT_CHANGES or self._log_bytes > KEPT_BYTES:
+        while len(self._log) > MAX_LOGGED_CHANGES or self._log_bytes > MAX_LOGGED_BYTES:
             oldest = self._log.popleft()
             self._log_bytes -= len(oldest.change.value)
             self._log_start = oldest.at_revision
         self._wake()
 
-    def whole(self) -> Result[Listing, StoreError]:
+    def list_all(self) -> Result[Listing, StoreError]:
         """Return all objects at the revision reached."""
         if not self._is_current():
             return Err(StoreError.UNAVAILABLE)
--- a/papayapier/store/watch.py
+++ b/papayapier/store/watch.py
@@ -37,7 +37,7 @@
     return None
 
 
-class FollowPace(NamedTuple):
+class FollowIntervals(NamedTuple):
     """Set how long a watch may wait and how often the poll lists the objects.
 
     longest_pause_ms bounds the growing pauses between attempts while the store does not answer.
@@ -48,7 +48,7 @@
     watch_ms: int
     poll_ms: int
     longest_pause_ms: int = MAX_PAUSE_MS
-    gather_ms: int = 0
+    collect_ms: int = 0
 
 
 class Follower:
@@ -61,10 +61,10 @@
         rng: random.Random,
         prefix: str,
         on_change: OnChange,
-        pace: FollowPace,
+        pace: FollowIntervals,
         on_reached: OnReached = _ignore_revision,
     ) -> None:
-        self.listed_ms: int | None = None
+        self.last_listed_ms: int | None = None
         self._store = store
         self._clock = clock
         self._rng = rng
@@ -83,7 +83,7 @@
         for task in (self._watch_loop(), self._poll_loop()):
             self._tasks.append(Deferred.fromCoroutine(task))
         for started in self._tasks:
-            started.addErrback(report_failure, "follow " + self._prefix)
+            started.addErrback(log_failure, "follow " + self._prefix)
 
     def stop(self) -> None:
         """Stop following; nothing is reported afterwards."""
@@ -92,7 +92,7 @@
             task.cancel()
 
     async def _watch_loop(self) -> None:
-        pauses = Pauses(self._rng, self._pace.longest_pause_ms)
+        pauses = Backoff(self._rng, self._pace.longest_pause_ms)
         while True:
             since = await self._list_all()
             while since is not None:
@@ -113,8 +113,8 @@
 
     async def _pause_after_change(self) -> None:
         changed, self._has_changed = self._has_changed, False
-        if changed and self._pace.gather_ms:
-            await self._clock.sleep(self._pace.gather_ms)
+        if changed and self._pace.collect_ms:
+            await self._clock.sleep(self._pace.collect_ms)
 
     async def _watch_once(self, since: int) -> int | None:
         """Wait for changes; return the revision reached, or None to list again."""
@@ -145,7 +145,7 @@
                 break
             after = last
         self._prune_deleted(first_revision)
-        self.listed_ms = started_ms
+        self.last_listed_ms = started_ms
         return first_revision
 
     async def _page(self, after: str) -> Result[Listing, StoreError]:
@@ -187,7 +187,7 @@
         self._deleted = {k: v for k, v in self._deleted.items() if v > self._complete_revision}
 
 
-class Pauses:
+class Backoff:
     """Compute jittered pauses that grow exponentially until reset."""
 
     __slots__ = ("_max_ms", "_pause_ms", "_rng")
@@ -208,7 +208,7 @@
         self._pause_ms = MIN_PAUSE_MS
 
 
-def report_failure(failure: Failure, task: str) -> None:
+def log_failure(failure: Failure, task: str) -> None:
     """Log the unexpected end of a task; cancellation is expected."""
     if not isinstance(failure.value, CancelledError):
         events.emit(events.STORE_TASK_FAILED, task=task, reason=repr(failure.value))
--- a/papayapier/store/writes.py
+++ b/papayapier/store/writes.py
@@ -33,7 +33,7 @@
 ALREADY_DELETED: Final = 0
 
 
-class Settling(NamedTuple):
+class SettleDeps(NamedTuple):
     """Group what settling a write needs; rng spreads the retries of many instances."""
 
     store: Store
@@ -53,7 +53,7 @@
 
 
 async def create_settled(
-    settling: Settling, key: str, value: bytes, due_ms: int
+    settling: SettleDeps, key: str, value: bytes, due_ms: int
 ) -> Result[int, StoreError]:
     """Create an object; the value must contain a unique write id."""
 
@@ -71,7 +71,7 @@
 
 
 async def update_settled(
-    settling: Settling, key: str, value: bytes, version: int, due_ms: int
+    settling: SettleDeps, key: str, value: bytes, version: int, due_ms: int
 ) -> Result[int, StoreError]:
     """Update an object at a version; the value must contain a unique write id."""
 
@@ -87,7 +87,7 @@
 
 
 async def delete_settled(
-    settling: Settling, key: str, version: int, due_ms: int
+    settling: SettleDeps, key: str, version: int, due_ms: int
 ) -> Result[int, StoreError]:
     """Delete an object at a version; return the deletion's version or ALREADY_DELETED.
 
@@ -115,7 +115,7 @@
     return Err(StoreError.LOST)
 
 
-async def _settle(settling: Settling, write: _Write, due_ms: int) -> Result[int, StoreError]:
+async def _settle(settling: SettleDeps, write: _Write, due_ms: int) -> Result[int, StoreError]:
     answer = await write.attempt()
     if answer != Err(StoreError.LOST):
         return answer
--- a/tests/fleet_model.py
+++ b/tests/fleet_model.py
@@ -11,10 +11,10 @@
 from papayapier.peer.messages import Heartbeat, Hello
 from papayapier.peer.peer_state import Redial, Step
 from papayapier.peer.roster import Roster
-from papayapier.peer.topology import Limits, Place
+from papayapier.peer.topology import InstanceLocation, LinkLimits
 from papayapier.store.api import ENTRY, LIVE, Member
 
-LIMITS: Final = Limits(full_mesh=16, picks=3, relays=2)
+LIMITS: Final = LinkLimits(full_mesh=16, picks=3, relays=2)
 SILENT_AFTER_MS: Final = 2_000
 STEP_MS: Final = 200
 ENTRY_MS: Final = 1_000
@@ -31,7 +31,7 @@
         self.members = [_member(f"entry-{n}", n, False) for n in range(entries)]
         self.members += [_member(f"keeper-{n}", n, True) for n in range(keepers)]
         self._places = {
-            listed.id: Place(listed.id, listed.data_centre, listed.region, listed.hub)
+            listed.id: InstanceLocation(listed.id, listed.data_centre, listed.region, listed.hub)
             for listed in self.members
         }
         self.rosters: dict[str, Roster] = {}
@@ -95,12 +95,12 @@
                 self.boots[name],
                 "draining" if name in self.leaving else LIVE,
                 0,
-                unheard=roster.unheard(self.now),
-                every_ms=self._heartbeat_ms(name),
-                gone=roster.gone(self.now) if hub else (),
+                unreachable=roster.unreachable(self.now),
+                interval_ms=self._heartbeat_ms(name),
+                unavailable=roster.unavailable(self.now) if hub else (),
                 picked=roster.picks(target),
             )
-            self._do(target, self.rosters[target].heard(name, heartbeat, self.now))
+            self._do(target, self.rosters[target].on_heartbeat(name, heartbeat, self.now))
 
     def _do(self, name: str, steps: Iterable[Step]) -> None:
         for step in steps:
@@ -117,7 +117,7 @@
                     picked,
                     place.hub,
                 )
-                self._do(step.peer_id, self.rosters[step.peer_id].hello(hello, self.now))
+                self._do(step.peer_id, self.rosters[step.peer_id].on_hello(hello, self.now))
                 self._deliver_heartbeat(name, step.peer_id)
 
     def _reaches(self, name: str, target: str) -> bool:
--- a/tests/jobs_run_world.py
+++ b/tests/jobs_run_world.py
@@ -12,7 +12,7 @@
 from papayapier.jobs.records import JobItem, JobRecord
 from papayapier.jobs.runs import RunDeps, Runs
 from papayapier.metrics import make_metrics
-from papayapier.platform.headers import of_team
+from papayapier.platform.headers import with_team
 from papayapier.policy.batch_room import SPARE_SLOTS
 from papayapier.policy.loads import LoadBook
 from papayapier.policy.outliers import Outliers
@@ -95,7 +95,7 @@
 
     def real_headers(self) -> None:
         """Set the team header as the program does."""
-        self.of_team = of_team
+        self.of_team = with_team
 
     async def _send(
         self, replica: Replica, call: RawCall, _taker: Any
--- a/tests/keepers_world.py
+++ b/tests/keepers_world.py
@@ -23,7 +23,7 @@
 from papayapier.peer import wire
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.messages import Message
-from papayapier.peer.questions import PeerError
+from papayapier.peer.open_requests import PeerError
 from papayapier.peer.run_messages import RunsTell
 from papayapier.policy.loads import LoadBook, ReplicaUse
 from papayapier.policy.outliers import Outliers
@@ -68,7 +68,7 @@
     def subscribe(self, kind: type[Message], handler: Callable[[str, Any], object]) -> None:
         self._handlers[kind] = handler
 
-    def tell(self, peer_id: str, message: Message) -> bool:
+    def send(self, peer_id: str, message: Message) -> bool:
         peer = self._world.keepers.get(peer_id)
         if peer is not None:
             peer.hub.receive(wire.encode(self._name, message))
@@ -78,16 +78,16 @@
         """Process a frame of another keeper."""
         sender, message = wire.decode(data).unwrap()
         if isinstance(message, RunsTell):
-            self._requests.pop(message.ask_id).callback(Ok(message))
+            self._requests.pop(message.correlation_id).callback(Ok(message))
         else:
             self._handlers[type(message)](sender, message)
 
-    async def ask(
+    async def send_request(
         self, peer_id: str, make_ask: Callable[[int], Message], _timeout_ms: int
     ) -> Result[Message, PeerError]:
         self._last_id += 1
         answered = self._requests[self._last_id] = Deferred[Result[Message, PeerError]]()
-        if not self.tell(peer_id, make_ask(self._last_id)):
+        if not self.send(peer_id, make_ask(self._last_id)):
             return Err(PeerError.TIMEOUT)
         return await answered
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -20,7 +20,7 @@
 from papayapier.errors import ErrorKind, Outcome
 from papayapier.metrics import make_metrics
 from papayapier.peer.messages import Heartbeat, Message
-from papayapier.peer.topology import Plan
+from papayapier.peer.topology import LinkPlan
 from papayapier.settings import ConfigSettings
 from tests.fake_store import FakePlatform, Fault
 
@@ -71,7 +71,7 @@
             peers=lambda: [peer for peer in self.configs if peer != name],
             queued_under=lambda _: self.queued,
             upstream_names=lambda: set(),
-            plan=lambda: Plan(frozenset(), name in self.relays, self.full_mesh),
+            plan=lambda: LinkPlan(frozenset(), name in self.relays, self.full_mesh),
         )
         self.configs[name] = start_config(deps)
         return self.configs[name]
--- a/tests/test_fleet_model.py
+++ b/tests/test_fleet_model.py
@@ -6,7 +6,7 @@
 import pytest
 
 from papayapier.peer.messages import Heartbeat
-from papayapier.peer.topology import HUBS
+from papayapier.peer.topology import MAX_HUBS
 from tests.fleet_model import Model
 
 # The silence after which a hub is taken for lost, and a heartbeat of those that report it.
@@ -28,7 +28,7 @@
     """
     for model in fleet_sizes.values():
         ordinary_keeper = [name for name in model.rosters if name not in model.hubs("entry-0")]
-        assert {model.links(name) for name in ordinary_keeper} == {HUBS}
+        assert {model.links(name) for name in ordinary_keeper} == {MAX_HUBS}
 
 
 def test_hubs_are_agreed_on_and_in_different_data_centres(fleet_sizes: dict[int, Model]) -> None:
@@ -38,7 +38,7 @@
         assert len(hub_sets) == 1
         (hubs,) = hub_sets
         centres = {member.data_centre for member in model.members if member.id in hubs}
-        assert len(hubs) == len(centres) == HUBS
+        assert len(hubs) == len(centres) == MAX_HUBS
 
 
 def test_lost_hub_is_replaced_everywhere() -> None:
@@ -49,7 +49,7 @@
     model.lose([lost])
     model.run(MISSED_MS)
     assert all(lost not in model.hubs(name) for name in model.rosters)
-    assert {len(model.hubs(name)) for name in model.rosters} == {HUBS}
+    assert {len(model.hubs(name)) for name in model.rosters} == {MAX_HUBS}
     assert all(lost not in roster.live() for roster in model.rosters.values())
     # It restarts, knows the others only from the list, and is a hub again for all.
     model.start(lost)
@@ -66,7 +66,7 @@
     for _ in range(4):
         model.lose([model.hubs("entry-0")[0]])
         model.run(MISSED_MS)
-    assert {len(model.hubs(name)) for name in model.rosters} == {HUBS}
+    assert {len(model.hubs(name)) for name in model.rosters} == {MAX_HUBS}
     hubs = set(model.hubs("entry-0"))
     assert hubs <= set(model.rosters)
 
@@ -161,9 +161,9 @@
         )
 
     heartbeat = Heartbeat(ordinary_keeper, model.boots[ordinary_keeper], "live", 0)
-    roster.heard(ordinary_keeper, heartbeat._replace(picked=False), model.now)
+    roster.on_heartbeat(ordinary_keeper, heartbeat._replace(picked=False), model.now)
     assert not linked()
-    roster.heard(ordinary_keeper, heartbeat, model.now)
+    roster.on_heartbeat(ordinary_keeper, heartbeat, model.now)
     assert linked()
-    roster.heard(ordinary_keeper, heartbeat._replace(picked=False), model.now)
+    roster.on_heartbeat(ordinary_keeper, heartbeat._replace(picked=False), model.now)
     assert not linked()
--- a/tests/test_fleet_owners.py
+++ b/tests/test_fleet_owners.py
@@ -21,7 +21,7 @@
 
 def owners(model: Model, name: str) -> dict[str, str]:
     """Return the owner of each job in a keeper's view."""
-    live_keepers = model.rosters[name].vouched(model.now)
+    live_keepers = model.rosters[name].agreed_live(model.now)
     return {job: owner(job, live_keepers) for job in JOBS}
 
 
@@ -138,8 +138,8 @@
     model.lose(["keeper-1"])
     model.run(MISSED_MS)
     for roster in model.rosters.values():
-        assert roster.vouched(model.now) == {"keeper-0", "keeper-2"}
+        assert roster.agreed_live(model.now) == {"keeper-0", "keeper-2"}
     model.start("keeper-1")
     model.list_to("keeper-1")
     model.run(MISSED_MS)
-    assert all("keeper-1" in roster.vouched(model.now) for roster in model.rosters.values())
+    assert all("keeper-1" in roster.agreed_live(model.now) for roster in model.rosters.values())
--- a/tests/test_job_reading.py
+++ b/tests/test_job_reading.py
@@ -15,8 +15,8 @@
     serve_reads,
 )
 from papayapier.peer.messages import Message, ResultsAsk, ResultsTell
-from papayapier.peer.questions import PeerError
-from papayapier.peer.topology import Plan
+from papayapier.peer.open_requests import PeerError
+from papayapier.peer.topology import LinkPlan
 from papayapier.store.api import StoreError
 from tests.jobs_world import JOB, JobServiceWorld, MemoryStore
 
@@ -37,18 +37,18 @@
             self._name = name
             serve_reads(cast(Any, self), world.service)
 
-    def plan(self) -> Plan:
-        return Plan(frozenset(), False, self.full_mesh)
+    def plan(self) -> LinkPlan:
+        return LinkPlan(frozenset(), False, self.full_mesh)
 
     def subscribe(self, _kind: type[Message], handler: Callable[[str, Any], None]) -> None:
         self.handlers[self._name] = handler
 
-    def tell(self, _peer: str, message: Message) -> bool:
+    def send(self, _peer: str, message: Message) -> bool:
         assert self._reply is not None
         self._reply.callback(message)
         return True
 
-    async def ask(
+    async def send_request(
         self, peer: str, make: Callable[[int], Message], _limit_ms: int
     ) -> Result[Message, PeerError]:
         self.requested.append(peer)
@@ -150,7 +150,7 @@
     entry = Entry(net, memory)
     assert len(entry.read().results) == 3
     replies: list[Message] = []
-    net.tell = lambda _peer, message: replies.append(message) or True  # type: ignore[method-assign,func-returns-value]
+    net.send = lambda _peer, message: replies.append(message) or True  # type: ignore[method-assign,func-returns-value]
     long = MAX_ANSWER_CHARS // 2 + 1
     name = net.requested[0]
     view = net.desks[name].service._views[JOB]
--- a/tests/test_jobs_notifications.py
+++ b/tests/test_jobs_notifications.py
@@ -11,7 +11,7 @@
     ReceivedNotifications,
     SentNotifications,
 )
-from papayapier.peer.messages import NOT_SURE, Heartbeat
+from papayapier.peer.messages import UNCONFIRMED, Heartbeat
 from tests.jobs_world import JOB, JobServiceWorld
 
 HEARTBEAT_MS = 200
@@ -39,7 +39,7 @@
             for writer, sent in self.sent.items():
                 if writer not in self.cut:
                     heartbeat = Heartbeat(writer, self.boots[writer], "serving", 1)
-                    heartbeat = heartbeat._replace(groups_told=sent.count(self.now))
+                    heartbeat = heartbeat._replace(notification_count=sent.count(self.now))
                     self.received.on_heartbeat(writer, heartbeat, self.now)
 
     def restart(self, writer: str) -> None:
@@ -127,8 +127,8 @@
     for lost in (False, True, False):
         sent.next_notification("job", 1, world.now)
         world.now += HEARTBEAT_MS
-        heartbeat = Heartbeat("a", 1, "serving", 1, words=sent.recent(world.now))
-        heartbeat = heartbeat._replace(groups_told=sent.count(world.now))
+        heartbeat = Heartbeat("a", 1, "serving", 1, notifications=sent.recent(world.now))
+        heartbeat = heartbeat._replace(notification_count=sent.count(world.now))
         if not lost:
             world.received.on_heartbeat("a", heartbeat, world.now)
     assert world.is_read_current(read_ms)
@@ -139,7 +139,7 @@
     sent.write_begun("job", 0)
     assert sent.count(MAX_WRITE_MS) == 0
     sent.write_begun("job", MAX_WRITE_MS)
-    assert sent.count(MAX_WRITE_MS + 1) == NOT_SURE
+    assert sent.count(MAX_WRITE_MS + 1) == UNCONFIRMED
     sent.write_settled("job")
     assert sent.count(MAX_WRITE_MS + 1) == 0
 
@@ -165,7 +165,7 @@
     world.writers.append("a")
     world.has_job("a", "b")
     for number in range(100):
-        heartbeat = Heartbeat("a", 1, "serving", 1, groups_told=0)
+        heartbeat = Heartbeat("a", 1, "serving", 1, notification_count=0)
         world.heard.on_heartbeat("a", heartbeat, world.time.clock.now())
         world.time.advance(HEARTBEAT_MS)
         if number % 3 == 2:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -9,7 +9,7 @@
 from papayapier.node.large_fleet import LargeFleet
 from papayapier.node.outage_tracker import OutageTracker
 from papayapier.node.processes import NodeList
-from papayapier.peer.messages import NEVER_AWAY
+from papayapier.peer.messages import NO_OUTAGE
 from papayapier.policy.totals import SHARERS, sharers_of
 from papayapier.store.api import Change
 from papayapier.upstream.api import Replica
@@ -85,7 +85,7 @@
     def down_since(self) -> int | None:
         return self.down
 
-    def back_ms(self) -> int | None:
+    def recovered_ms(self) -> int | None:
         return self.back
 
 
@@ -98,7 +98,7 @@
     time = fake_clock()
     budget = Budget()
     tracker = OutageTracker(time.clock, cast(Any, budget))
-    assert (tracker.last_return_ms(), tracker.ms_since_return()) == (0, NEVER_AWAY)
+    assert (tracker.last_return_ms(), tracker.ms_since_return()) == (0, NO_OUTAGE)
     time.advance(5_000)
     now = time.clock.now()
     tracker.on_reported(1_000)
--- a/tests/test_local_job_store.py
+++ b/tests/test_local_job_store.py
@@ -28,7 +28,7 @@
 from papayapier.node.job_reading import read_from_store
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.messages import KeepAsk, KeepTell, Message
-from papayapier.peer.questions import PeerError
+from papayapier.peer.open_requests import PeerError
 from papayapier.policy.job_keeping import Copies, holders, patience_ms
 from papayapier.store.api import StoreError
 from tests.jobs_world import JOB, JobServiceWorld, MemoryStore, StartedCoroutine, item, record
@@ -97,7 +97,7 @@
         for folder in self.folders.values():
             folder.cleanup()
 
-    async def ask(
+    async def send_request(
         self, peer_id: str, make: Callable[[int], Message], _timeout_ms: int
     ) -> Result[Message, PeerError]:
         """Replace the connections between peers."""
--- a/tests/test_loss_news.py
+++ b/tests/test_loss_news.py
@@ -9,12 +9,12 @@
 from papayapier.clock import FakeClock, fake_clock
 from papayapier.dispatch.crash_watch import CrashWatch
 from papayapier.metrics import make_metrics
+from papayapier.peer.loss_exchange import COLLECT_MS, RESEND_MS, LossExchange, LossExchangeDeps
 from papayapier.peer.loss_messages import LossesAsk, LossesTold
-from papayapier.peer.loss_news import COLLECT_MS, RESEND_MS, LossNews, LossNewsDeps
 from papayapier.peer.messages import (
     Message,
 )
-from papayapier.peer.topology import Plan
+from papayapier.peer.topology import LinkPlan
 from papayapier.policy.crashes import ANSWERED_LATELY_MS, LOSSES_MOST, Loss
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
 
@@ -63,12 +63,12 @@
         self._on_change: list[Any] = []
         clock = net.time.clock
         self.watch = CrashWatch(clock, make_metrics(), lambda: True)
-        deps = LossNewsDeps(clock, cast(Any, self), self.watch, name, lambda: net.hubs)
-        self.exchange = LossNews(deps)
+        deps = LossExchangeDeps(clock, cast(Any, self), self.watch, name, lambda: net.hubs)
+        self.exchange = LossExchange(deps)
 
-    def plan(self) -> Plan:
+    def plan(self) -> LinkPlan:
         mesh = not self._net.hubs and self._net.links is None
-        return Plan(frozenset(), mesh, mesh, self._net.hubs)
+        return LinkPlan(frozenset(), mesh, mesh, self._net.hubs)
 
     def live(self) -> list[str]:
         return sorted({*self._net.neighbours(self.name), self.name})
@@ -83,16 +83,16 @@
         for call in self._on_change:
             call()
 
-    def tell(self, peer_id: str, message: Message) -> bool:
+    def send(self, peer_id: str, message: Message) -> bool:
         self._net.sent[type(message).__name__] += 1
         if self._net.drop_messages:
             return True
         self._net.nodes[peer_id]._handlers[type(message)](self.name, message)
         return True
 
-    def tell_all(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         for peer_id in sorted(self._net.neighbours(self.name)):
-            self.tell(peer_id, message)
+            self.send(peer_id, message)
 
     def lose(self, replica: str, fingerprint: str = "w") -> None:
         at = Replica(replica, "lm", "h", 1, "dc")
@@ -225,7 +225,7 @@
 def test_losses_restored_from_disk_are_sent() -> None:
     net = Net()
     keeper, entry = net.start("k", "e")
-    keeper.exchange.recall([Loss("w", f"r{number}", 0) for number in range(LOSSES_MOST)])
+    keeper.exchange.restore([Loss("w", f"r{number}", 0) for number in range(LOSSES_MOST)])
     assert entry.refuses()
     assert net.sent[LossesTold.__name__] == 1
     assert net.sent[LossesAsk.__name__] == 2
@@ -254,13 +254,13 @@
     # these losses.
     net = Net()
     (first,) = net.start("a")
-    assert not first.exchange.caught_up()
+    assert not first.exchange.has_known_losses()
     (second,) = net.start("b")
-    assert second.exchange.caught_up()
+    assert second.exchange.has_known_losses()
     second.lose("r0")
     net.time.advance(COLLECT_MS)
     (third,) = net.start("c")
-    assert third.exchange.caught_up()
+    assert third.exchange.has_known_losses()
     assert third.watch.snapshot()
 
 
@@ -331,7 +331,7 @@
     kept = before.watch.snapshot()
     net = Net()
     keeper, entry = net.start("k", "e")
-    keeper.exchange.recall(kept)
+    keeper.exchange.restore(kept)
     assert entry.watch.snapshot()
     assert not entry.refuses()
 
--- a/tests/test_lost_keepers.py
+++ b/tests/test_lost_keepers.py
@@ -47,10 +47,10 @@
     def plan(self) -> "Hub.Plan":
         return self.Plan()
 
-    def lost_hubs(self) -> frozenset[str]:
+    def silent_hub_candidates(self) -> frozenset[str]:
         return SILENT
 
-    def vouched(self) -> frozenset[str]:
+    def agreed_live(self) -> frozenset[str]:
         return frozenset(self._vouched)
 
 
@@ -124,12 +124,12 @@
     model.run(400)
     for name in names:
         assert not lost & set(model.hubs(name))
-        assert not lost & model.rosters[name].vouched(model.now)
+        assert not lost & model.rosters[name].agreed_live(model.now)
     # A keeper whose heartbeats arrive is live again, even if it is marked as lost.
     returned = min(lost)
     model.start(returned)
     model.list_to(returned)
     model.run(2_000)
     assert all(
-        returned in model.rosters[name].vouched(model.now) for name in names if "keeper" in name
+        returned in model.rosters[name].agreed_live(model.now) for name in names if "keeper" in name
     )
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -9,14 +9,14 @@
 from papayapier.clock import FakeClock, fake_clock
 from papayapier.peer.members import RETRY_MS, MembersDeps, MembersExchange
 from papayapier.peer.messages import Heartbeat, Message
-from papayapier.peer.parts import PART_BYTES
+from papayapier.peer.parts import MAX_PART_BYTES
 from papayapier.store.api import ENTRY, LIVE, REPLICA, Member
 from papayapier.store.members import MemberFollower
-from papayapier.store.members_folder import (
+from papayapier.store.members_file import (
     MAX_AGE_MS,
     SAVE_DELAY_MS,
     AgedMembers,
-    MembersFolder,
+    MembersFile,
 )
 from tests.fake_store import FakePlatform
 from tests.log_catcher import LogCatcher
@@ -32,10 +32,10 @@
         store = FakePlatform(time.clock).store()
         self.follower = MemberFollower(store, time.clock, Random(2), lambda _change: None)
         self.exchange = MembersExchange(
-            MembersDeps(time.clock, Random(3), self.tell, self.follower)
+            MembersDeps(time.clock, Random(3), self.send, self.follower)
         )
 
-    def tell(self, _peer: str, message: Message) -> bool:
+    def send(self, _peer: str, message: Message) -> bool:
         self.sent.append(message)
         return True
 
@@ -70,9 +70,9 @@
         # Symptom: after a restart in an outage some replicas get no calls.
         # Sequence: the list has several parts; the link is replaced between two of them.
         # Cause: an incomplete list was take_sent for the complete one.
-        self.responder.follower.learn(self.members(6_000), self.time.clock.now())
+        self.responder.follower.use_list(self.members(6_000), self.time.clock.now())
         first, *rest = self.answer()
-        assert rest and all(len(codec.pack(part)) < 2 * PART_BYTES for part in (first, *rest))
+        assert rest and all(len(codec.pack(part)) < 2 * MAX_PART_BYTES for part in (first, *rest))
         for part in rest:
             self.requester.exchange.on_peer("a", part)
         assert self.requester.ids() == []
@@ -85,28 +85,31 @@
 
     def test_only_newer_lists_are_sent_and_used(self) -> None:
         now = self.time.clock.now()
-        self.responder.follower.learn(self.members(1), now - 5_000)
-        self.requester.follower.learn(self.members(2), now - 4_000)
+        self.responder.follower.use_list(self.members(1), now - 5_000)
+        self.requester.follower.use_list(self.members(2), now - 4_000)
         assert [part.members for part in self.answer()] == [[]]
         self.time.advance(RETRY_MS)
-        self.responder.follower.learn(self.members(1), now - 3_000)
+        self.responder.follower.use_list(self.members(1), now - 3_000)
         (reply,) = self.answer()
         self.requester.exchange.on_peer("stranger", reply)
         assert self.requester.ids() == ["lm-0", "lm-1"]
         self.requester.exchange.on_peer("a", reply)
         assert self.requester.ids() == ["lm-0"]
         self.time.advance(RETRY_MS)
-        self.responder.follower.learn(self.members(1), now)
+        self.responder.follower.use_list(self.members(1), now)
         assert [part.members for part in self.answer()] == [[]], "the same list again"
 
     def test_list_of_the_platform_is_never_replaced_by_lists_of_peers(self) -> None:
-        self.responder.follower.learn(self.members(3), self.time.clock.now())
+        self.responder.follower.use_list(self.members(3), self.time.clock.now())
         (reply,) = self.answer()
         self.requester.follower.start()
         self.time.advance(1_000)
-        assert (self.requester.follower.read_ms is not None, self.requester.ids()) == (True, [])
+        assert (self.requester.follower.last_read_ms is not None, self.requester.ids()) == (
+            True,
+            [],
+        )
         self.requester.exchange.on_peer("a", reply)
-        assert not self.requester.follower.learn(self.members(3), self.time.clock.now())
+        assert not self.requester.follower.use_list(self.members(3), self.time.clock.now())
         assert self.requester.ids() == []
         self.time.advance(RETRY_MS)
         assert self.answer() == []
@@ -121,22 +124,22 @@
         listed = AgedMembers([Member("b", ENTRY, "", HOST, 1, 2, "dc-a", "local", LIVE)], 50)
         for wall_ms, age_ms in ((2_000_000, 1_050), (1_000_000, MAX_AGE_MS)):
             written = fake_clock(2_000_000)
-            keeper = MembersFolder(folder, written.clock, lambda: listed)
-            keeper.changed()
+            keeper = MembersFile(folder, written.clock, lambda: listed)
+            keeper.save_soon()
             written.advance(SAVE_DELAY_MS)
             now = fake_clock(wall_ms + (SAVE_DELAY_MS + 1_000 if age_ms < MAX_AGE_MS else 0))
-            copy = MembersFolder(folder, now.clock, lambda: listed).load()
+            copy = MembersFile(folder, now.clock, lambda: listed).load()
             assert copy == AgedMembers(listed.members, age_ms)
 
 
 def test_unusable_folder_emits_an_event() -> None:
     with tempfile.TemporaryDirectory() as folder, LogCatcher() as logs:
         time = fake_clock()
-        keeper = MembersFolder(folder, time.clock, lambda: AgedMembers([], 0))
+        keeper = MembersFile(folder, time.clock, lambda: AgedMembers([], 0))
         assert keeper.load() is None
         (Path(folder) / "instances.msgpack").write_bytes(b"\xc1")
         assert keeper.load() is None
-        missing = MembersFolder(f"{folder}/none", time.clock, lambda: AgedMembers([], 0))
-        missing.changed()
+        missing = MembersFile(f"{folder}/none", time.clock, lambda: AgedMembers([], 0))
+        missing.save_soon()
         missing.close()
         assert len(logs.fields(events.MEMBERS_FOLDER_FAILED)) == 2
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -25,17 +25,17 @@
 )
 from papayapier.node.store_messages import decode_listing, encode_listing
 from papayapier.peer import wire
-from papayapier.peer.messages import NEVER_AWAY, Message, MirrorAsk, StoreTell
-from papayapier.peer.questions import PeerError
-from papayapier.platform.replicas import says_other
+from papayapier.peer.messages import NO_OUTAGE, Message, MirrorAsk, StoreTell
+from papayapier.peer.open_requests import PeerError
+from papayapier.platform.replicas import decodes_differently
 from papayapier.store.api import Change, Entry, Listing, StoreError
-from papayapier.store.mirror import KEPT_BYTES, KEPT_CHANGES, Mirror
-from papayapier.store.watch import Follower, FollowPace
+from papayapier.store.mirror import MAX_LOGGED_BYTES, MAX_LOGGED_CHANGES, Mirror
+from papayapier.store.watch import Follower, FollowIntervals
 from tests.fake_store import FakePlatform
 
 PREFIX = "replicas/"
 LASTING_MS = 4_000
-PACE = FollowPace(watch_ms=3_000, poll_ms=20_000)
+PACE = FollowIntervals(watch_ms=3_000, poll_ms=20_000)
 
 
 class Plan(NamedTuple):
@@ -89,26 +89,26 @@
     def subscribe(self, _kind: type, handler: Any) -> None:
         self._handlers.append(handler)
 
-    def tell(self, peer: str, message: Any) -> bool:
+    def send(self, peer: str, message: Any) -> bool:
         if self.name not in self.net.frozen:
-            waiting = self.net.nodes[peer]._open.pop(message.ask_id, None)
+            waiting = self.net.nodes[peer]._open.pop(message.correlation_id, None)
             if waiting is not None:
                 waiting.callback(Ok(message))
         return True
 
-    async def ask(
+    async def send_request(
         self, peer: str, make_ask: Callable[[int], Message], timeout_ms: int
     ) -> Result[Message, PeerError]:
         self._last += 1
-        ask_id = self._last
+        correlation_id = self._last
         answered: Deferred[Result[Message, PeerError]] = Deferred(lambda _: None)
-        self._open[ask_id] = answered
+        self._open[correlation_id] = answered
         timer = self.net.time.clock.call_later(
             timeout_ms, lambda: answered.callback(Err(PeerError.TIMEOUT))
         )
         if peer not in self.net.frozen:
             for handler in self.net.nodes[peer]._handlers:
-                handler(self.name, make_ask(ask_id))
+                handler(self.name, make_ask(correlation_id))
         try:
             return await answered
         finally:
@@ -153,7 +153,7 @@
             mirror.on_change(change)
 
         if name in self.hubs:
-            serve_mirrors(cast(Any, node), {PREFIX: mirror}, lambda: NEVER_AWAY)
+            serve_mirrors(cast(Any, node), {PREFIX: mirror}, lambda: NO_OUTAGE)
         follower = Follower(
             store,
             self.time.clock,
@@ -239,7 +239,7 @@
     net = Net(time)
     node, hub = Node(net, "entry"), Node(net, "hub")
     mirror = Mirror(time.clock, LASTING_MS)
-    serve_mirrors(cast(Any, hub), {PREFIX: mirror}, lambda: NEVER_AWAY)
+    serve_mirrors(cast(Any, hub), {PREFIX: mirror}, lambda: NO_OUTAGE)
     platform = FakePlatform(time.clock)
     deps = MirrorDeps(
         cast(Any, node), "entry", lambda: ["hub"], lambda _ms: None, time.clock, lambda: listed
@@ -341,7 +341,7 @@
     assert [change.version for change in world.watch(5).unwrap().changes] == [7, 9]
     assert [change.version for change in world.watch(8).unwrap().changes] == [9]
     assert world.watch(4) == Err(StoreError.TOO_OLD)
-    listed = world.mirror.whole().unwrap()
+    listed = world.mirror.list_all().unwrap()
     assert listed.objects[0] == Entry(f"{PREFIX}r7", 7, b"v")
     assert listed.revision == 9
 
@@ -353,7 +353,7 @@
     would be forwarded.
     """
     time = fake_clock()
-    mirror = Mirror(time.clock, LASTING_MS, says_other)
+    mirror = Mirror(time.clock, LASTING_MS, decodes_differently)
     entry = (
         '{"service":"lm","address":"10.0.0.1:8","zone":"z","slots":8,"state":"%s","coldLeftMs":%d}'
     )
@@ -368,7 +368,7 @@
     changes = watched.result.unwrap()
     assert [change.version for change in changes.changes] == [2, 5]
     assert changes.revision == 5
-    assert [entry.version for entry in mirror.whole().unwrap().objects] == [5]
+    assert [entry.version for entry in mirror.list_all().unwrap().objects] == [5]
 
 
 def test_a_watch_of_a_mirror_waits_for_a_change() -> None:
@@ -395,7 +395,7 @@
     else:
         world.mirror.on_reached(None if reason == "lost" else 7, reason == "lost")
     assert world.watch(6) == Err(StoreError.UNAVAILABLE)
-    assert world.mirror.whole() == Err(StoreError.UNAVAILABLE)
+    assert world.mirror.list_all() == Err(StoreError.UNAVAILABLE)
 
 
 def test_mirror_requires_new_listing_after_a_gap() -> None:
@@ -405,7 +405,7 @@
     world.mirror.on_reached(None, True)
     world.change(9, 10)
     assert world.watch(6) == Err(StoreError.TOO_OLD)
-    assert [entry.version for entry in world.mirror.whole().unwrap().objects] == [5, 9]
+    assert [entry.version for entry in world.mirror.list_all().unwrap().objects] == [5, 9]
 
 
 def test_change_found_by_listing_is_sent_with_next_revision() -> None:
@@ -423,17 +423,17 @@
     """Guard against a mirror's log of changes that grows without bound."""
     world = MirrorWorld()
     world.mirror.on_reached(0, True)
-    for version in range(1, KEPT_CHANGES + 3):
+    for version in range(1, MAX_LOGGED_CHANGES + 3):
         world.change(version, version)
     assert world.watch(1) == Err(StoreError.TOO_OLD)
-    assert len(world.watch(2).unwrap().changes) == KEPT_CHANGES
+    assert len(world.watch(2).unwrap().changes) == MAX_LOGGED_CHANGES
 
 
 def test_mirror_log_is_bounded_by_size() -> None:
     """Guard against a mirror's log that uses too much memory with large objects."""
     world = MirrorWorld()
     world.mirror.on_reached(0, True)
-    large = b"x" * (KEPT_BYTES // 3)
+    large = b"x" * (MAX_LOGGED_BYTES // 3)
     for version in range(1, 6):
         world.mirror.on_change(Change(f"{PREFIX}r{version}", version, False, large))
         world.mirror.on_reached(version, True)
@@ -457,7 +457,9 @@
 
 
 def _reply_with_return_time(node: Node, peer: str, request: MirrorAsk) -> None:
-    node.tell(peer, StoreTell(request.ask_id, StoreError.UNAVAILABLE.value, back_ms_ago=70))
+    node.send(
+        peer, StoreTell(request.correlation_id, StoreError.UNAVAILABLE.value, recovered_ms_ago=70)
+    )
 
 
 def test_collected_watch_ends_without_error() -> None:
--- a/tests/test_node_allowances.py
+++ b/tests/test_node_allowances.py
@@ -20,7 +20,7 @@
     serve_allowances,
 )
 from papayapier.peer.messages import AllowAsk, AllowTell, Message
-from papayapier.peer.questions import PeerError
+from papayapier.peer.open_requests import PeerError
 from papayapier.policy.allowances import Bound, Grants, Said, granters
 
 TEAM = Team("yard", 5, 5)
@@ -36,7 +36,7 @@
         self.replies: dict[str, AllowTell] = {}
         self.requested: list[str] = []
 
-    async def ask(
+    async def send_request(
         self, peer: str, make_ask: Callable[[int], Message], timeout_ms: int
     ) -> Result[Message, PeerError]:
         assert isinstance(make_ask(1), AllowAsk)
@@ -145,7 +145,7 @@
     def subscribe(self, kind: type, handler: Any) -> None:
         self.handlers[kind] = handler
 
-    def tell(self, _peer: str, message: Any) -> None:
+    def send(self, _peer: str, message: Any) -> None:
         self.sent.append(message)
 
 
@@ -185,5 +185,5 @@
     peers.sent.clear()
     for number in range(200):
         peers.handlers[AllowAsk]("e", AllowAsk(number, "yard", *requested))
-    assert [reply.said for reply in peers.sent].count(Said.GRANTED.value) == max_granted
-    assert peers.sent[-1].after_ms > 0
+    assert [reply.outcome for reply in peers.sent].count(Said.GRANTED.value) == max_granted
+    assert peers.sent[-1].retry_after_ms > 0
--- a/tests/test_node_entry.py
+++ b/tests/test_node_entry.py
@@ -101,7 +101,7 @@
         "placement_deps",
         "nodes",
         "cfg",
-        "loss_notifications",
+        "loss_exchange",
     ):
         setattr(base, name, Part())
     base.clock = time.clock
@@ -110,7 +110,7 @@
     base.replicas.listed = lambda: [object()]
     base.placement_deps.queue = fleet.queue
     base.placement_deps.hubs = lambda: ["hub"] * fleet.hubs
-    base.loss_notifications.caught_up = lambda: fleet.losses_known
+    base.loss_exchange.has_known_losses = lambda: fleet.losses_known
     base.nodes.count = lambda: fleet.processes
     base.cfg.peer = Part()
     base.cfg.peer.full_mesh = 16
--- a/tests/test_outage_start.py
+++ b/tests/test_outage_start.py
@@ -206,7 +206,7 @@
                 assert self.known(name, REPLICA) == replicas
             self.outage(False)
             while any(
-                instance.parts.follower.read_ms is None for instance in self.running.values()
+                instance.parts.follower.last_read_ms is None for instance in self.running.values()
             ):
                 await self.clock.sleep(10)
             assert await self.send_request("a") == 200
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -30,6 +30,7 @@
     MembersTell,
     Message,
 )
+from papayapier.peer.open_requests import OpenRequests, PeerError
 from papayapier.peer.pacing import (
     MAX_USES,
     ByteBudget,
@@ -38,10 +39,9 @@
     use_distance,
 )
 from papayapier.peer.peer_state import Change, Disconnect, PeerChange, Redial
-from papayapier.peer.questions import PeerError, Questions
 from papayapier.peer.roster import Roster
 from papayapier.peer.signing import load_signer, make_signer
-from papayapier.peer.topology import Limits, Place, make_plan
+from papayapier.peer.topology import InstanceLocation, LinkLimits, make_plan
 from papayapier.policy.loads import ReplicaUse
 from papayapier.settings import PeerSettings
 from papayapier.store.api import ENTRY, LEAVING, LIVE, Member
@@ -119,7 +119,7 @@
 
 class TestRoster:
     def roster_without_list(self) -> Roster:
-        return Roster(Place("me", "dc-a", "local"), Limits(16, 4, 2), SILENT_MS)
+        return Roster(InstanceLocation("me", "dc-a", "local"), LinkLimits(16, 4, 2), SILENT_MS)
 
     def roster(self, *names: str) -> Roster:
         roster = self.roster_without_list()
@@ -129,7 +129,7 @@
     def test_live_only_after_first_heartbeat(self) -> None:
         roster = self.roster("b")
         assert roster.live() == ["me"]
-        assert roster.heard("b", make_heartbeat("b"), at(10)) == [PeerChange("b", Change.UP)]
+        assert roster.on_heartbeat("b", make_heartbeat("b"), at(10)) == [PeerChange("b", Change.UP)]
         assert roster.live() == ["b", "me"]
 
     def test_silent_peer_is_down_and_dialled_again(self) -> None:
@@ -137,34 +137,38 @@
         # Sequence: its open connection becomes silent; a new one would work.
         # Cause: a device between the two ends has dropped the connection's state.
         roster = self.roster("b")
-        roster.heard("b", make_heartbeat("b"), at(500))
+        roster.on_heartbeat("b", make_heartbeat("b"), at(500))
         for now in range(1000, 2500, 500):
             assert roster.tick(at(now)) == []
         assert roster.tick(at(2500)) == [PeerChange("b", Change.DOWN), Redial("b")]
         assert roster.tick(at(3000)) == []
-        assert roster.unheard(at(3000)) == ("b",)
+        assert roster.unreachable(at(3000)) == ("b",)
         assert roster.tick(at(3500)) == []
         assert roster.tick(at(4000)) == []
         assert roster.tick(at(4500)) == [Redial("b")]
-        assert roster.heard("b", make_heartbeat("b"), at(4600)) == [PeerChange("b", Change.UP)]
+        assert roster.on_heartbeat("b", make_heartbeat("b"), at(4600)) == [
+            PeerChange("b", Change.UP)
+        ]
 
     def test_own_direction_silent(self) -> None:
         # Symptom: a peer reports this instance as unreachable, while its own heartbeats arrive.
         # Sequence: only the connection to the peer became silent.
         # Cause: each direction has its own connection; the sender notices nothing by itself.
         roster = self.roster("b")
-        assert roster.heard("b", make_heartbeat("b", unheard=("me",)), at(1000)) == [
+        assert roster.on_heartbeat("b", make_heartbeat("b", unheard=("me",)), at(1000)) == [
             PeerChange("b", Change.UP)
         ]
-        assert roster.heard("b", make_heartbeat("b", unheard=("me",)), at(2000)) == [Redial("b")]
-        assert roster.heard("b", make_heartbeat("b", unheard=("me",)), at(2500)) == []
+        assert roster.on_heartbeat("b", make_heartbeat("b", unheard=("me",)), at(2000)) == [
+            Redial("b")
+        ]
+        assert roster.on_heartbeat("b", make_heartbeat("b", unheard=("me",)), at(2500)) == []
 
     def test_empty_list_after_outage(self) -> None:
         # Symptom: every instance concludes that it is the only one and takes over all work.
         # Sequence: platform outage longer than the list keeps reports; first list is empty.
         # Cause: the list drops instances that could not report, although they are live.
         roster = self.roster("b", "c")
-        roster.heard("b", make_heartbeat("b"), at(100))
+        roster.on_heartbeat("b", make_heartbeat("b"), at(100))
         assert roster.set_members([], at(200)) == [PeerChange("c", Change.REMOVED)]
         assert roster.live() == ["b", "me"]
         for now in range(500, 2000, 500):
@@ -178,15 +182,15 @@
         # Sequence: SIGSTOP for 8 s, SIGCONT; the timer runs before the sockets are read.
         # Cause: the peers' heartbeats are unread, not missing.
         roster = self.roster("b")
-        roster.heard("b", make_heartbeat("b"), at(100))
+        roster.on_heartbeat("b", make_heartbeat("b"), at(100))
         roster.tick(at(500))
         assert roster.tick(at(8_500)) == []
         assert roster.live() == ["b", "me"]
 
     def test_restart_and_leaving_are_noticed(self) -> None:
         roster = self.roster("b")
-        roster.heard("b", make_heartbeat("b", boot=1), at(100))
-        assert roster.heard("b", make_heartbeat("b", boot=2), at(200)) == [
+        roster.on_heartbeat("b", make_heartbeat("b", boot=1), at(100))
+        assert roster.on_heartbeat("b", make_heartbeat("b", boot=2), at(200)) == [
             PeerChange("b", Change.RESTARTED)
         ]
         steps = roster.set_members([member("b", state=LEAVING)], at(300))
@@ -199,7 +203,7 @@
         # Cause: the source read last is taken for the newer one.
         roster = self.roster("b")
         hello = Hello("b", 2, "127.0.0.1", 9001, "dc-a", "local")
-        assert roster.hello(hello, at(100)) == [Redial("b")]
+        assert roster.on_hello(hello, at(100)) == [Redial("b")]
         assert roster.set_members([member("b")], at(200)) == []
         assert roster.set_members([member("b", port=9002)], at(300)) == [Redial("b")]
 
@@ -213,8 +217,8 @@
         # Cause: addresses come only from the list.
         roster = self.roster_without_list()
         hello = Hello("b", 1, "127.0.0.1", 9000, "dc-a", "local")
-        assert roster.hello(hello, at(5)) == [Redial("b")]
-        roster.heard("b", make_heartbeat("b"), at(10))
+        assert roster.on_hello(hello, at(5)) == [Redial("b")]
+        roster.on_heartbeat("b", make_heartbeat("b"), at(10))
         assert roster.live() == ["b", "me"]
 
     @pytest.mark.parametrize("listed", [(), ("k1", "k2")])
@@ -223,14 +227,14 @@
     ) -> None:
         # Failure: instances choose different hubs for up to two seconds after a keeper has
         # started, and two hubs place calls at the same replicas.
-        roster = Roster(Place("me", "dc-a", "local"), Limits(1, 1, 1), SILENT_MS)
+        roster = Roster(InstanceLocation("me", "dc-a", "local"), LinkLimits(1, 1, 1), SILENT_MS)
         roster.set_members([member(name, hub=True) for name in listed], at(0))
         hello = Hello("k3", 1, "127.0.0.1", 9000, "dc-a", "local", picked=True, hub=True)
-        assert Redial("k3") in roster.hello(hello, at(5))
+        assert Redial("k3") in roster.on_hello(hello, at(5))
         assert sorted(roster.plan().hubs) == [*listed, "k3"]
-        assert not roster.hello(hello, at(6))
+        assert not roster.on_hello(hello, at(6))
         # It stays a hub by its heartbeats until the list is recent enough.
-        roster.heard("k3", make_heartbeat("k3"), at(7))
+        roster.on_heartbeat("k3", make_heartbeat("k3"), at(7))
         roster.set_members([member(name, hub=True) for name in listed], at(8))
         assert sorted(roster.plan().hubs) == [*listed, "k3"]
 
@@ -238,19 +242,23 @@
         # Symptom: a large fleet counts live instances as down.
         # Sequence: a peer that picked this instance picks others now and becomes silent.
         # Cause: its silence proves nothing; the peers that it picks now and the list decide.
-        roster = Roster(Place("me", "dc-a", "local"), Limits(2, 1, 1), SILENT_MS)
+        roster = Roster(InstanceLocation("me", "dc-a", "local"), LinkLimits(2, 1, 1), SILENT_MS)
         names = [f"n{i}" for i in range(8)]
         roster.set_members([member(name) for name in names], at(0))
         stranger = next(n for n in names if n not in roster.plan().neighbours)
-        assert roster.heard(stranger, make_heartbeat(stranger), at(100))[0] == Redial(stranger)
+        assert roster.on_heartbeat(stranger, make_heartbeat(stranger), at(100))[0] == Redial(
+            stranger
+        )
         assert Disconnect(stranger) in roster.tick(at(2_100))
         assert stranger in roster.live()
 
 
 class TestTopology:
     def test_bounded_and_connected_at_full_size(self) -> None:
-        limits = Limits(16, 4, 2)
-        places = [Place(f"i{i}", f"dc-{i % 14}", f"r-{i % 14 % 6}") for i in range(1_400)]
+        limits = LinkLimits(16, 4, 2)
+        places = [
+            InstanceLocation(f"i{i}", f"dc-{i % 14}", f"r-{i % 14 % 6}") for i in range(1_400)
+        ]
         plans = {
             place.id: make_plan(place, [p for p in places if p != place], limits)
             for place in places
@@ -269,8 +277,8 @@
         assert len(reached) == 1_400
 
     def test_small_site_is_a_full_mesh(self) -> None:
-        others = [Place(f"i{i}", f"dc-{i % 3}", "r") for i in range(5)]
-        plan = make_plan(Place("me", "dc-0", "r"), others, Limits(16, 4, 2))
+        others = [InstanceLocation(f"i{i}", f"dc-{i % 3}", "r") for i in range(5)]
+        plan = make_plan(InstanceLocation("me", "dc-0", "r"), others, LinkLimits(16, 4, 2))
         assert plan.full_mesh
         assert plan.neighbours == {place.id for place in others}
 
@@ -418,7 +426,7 @@
             await self.all_live("a", "b")
             b.subscribe(Heartbeat, on_heartbeat)
             uses.append(ReplicaUse("lm-1", 7, 0))
-            a.uses_changed()
+            a.on_uses_changed()
             assert await received == (ReplicaUse("lm-1", 7, 0),)
 
         return Deferred.fromCoroutine(run())
@@ -432,14 +440,20 @@
             def answer(sender: str, message: Message) -> None:
                 assert isinstance(message, ClaimAsk)
                 if message.key == "known":
-                    b.tell(sender, ClaimTell(message.ask_id, message.key, "running"))
+                    b.send(sender, ClaimTell(message.correlation_id, message.key, "running"))
 
             b.subscribe(ClaimAsk, answer)
-            reply = await a.ask("b", lambda ask_id: ClaimAsk(ask_id, "known"), 30_000)
+            reply = await a.send_request(
+                "b", lambda correlation_id: ClaimAsk(correlation_id, "known"), 30_000
+            )
             assert isinstance(reply.unwrap(), ClaimTell)
-            lost = await a.ask("b", lambda ask_id: ClaimAsk(ask_id, "other"), 1)
+            lost = await a.send_request(
+                "b", lambda correlation_id: ClaimAsk(correlation_id, "other"), 1
+            )
             assert lost == Err(PeerError.TIMEOUT)
-            nobody = await a.ask("z", lambda ask_id: ClaimAsk(ask_id, "k"), 1)
+            nobody = await a.send_request(
+                "z", lambda correlation_id: ClaimAsk(correlation_id, "k"), 1
+            )
             assert nobody == Err(PeerError.NO_PEER)
 
         return Deferred.fromCoroutine(run())
@@ -500,7 +514,7 @@
                 hub.subscribe(ConfigPush, lambda _, message: take(name, message))
 
             def answer(sender: str, message: ClaimAsk) -> None:
-                self.hubs[far].tell(sender, ClaimTell(message.ask_id, "k", "done"))
+                self.hubs[far].send(sender, ClaimTell(message.correlation_id, "k", "done"))
 
             for name in names:
                 watch(name, self.start(name, full_mesh=3))
@@ -508,11 +522,11 @@
             await self.all_live(*names)
             plan = self.hubs["a"].plan()
             assert len(plan.neighbours) < len(names) - 1
-            self.hubs["a"].tell_all(ConfigPush("profiles/gate", 7, b"x"))
+            self.hubs["a"].broadcast(ConfigPush("profiles/gate", 7, b"x"))
             await done
             far = next(n for n in names if n != "a" and n not in plan.neighbours)
             self.hubs[far].subscribe(ClaimAsk, answer)
-            reply = await self.hubs["a"].ask(far, lambda i: ClaimAsk(i, "k"), 30_000)
+            reply = await self.hubs["a"].send_request(far, lambda i: ClaimAsk(i, "k"), 30_000)
             assert reply.is_ok()
 
         return Deferred.fromCoroutine(run())
@@ -525,11 +539,13 @@
 
             def answer(sender: str, message: Message) -> None:
                 assert isinstance(message, ClaimAsk)
-                b.tell(sender, ClaimTell(message.ask_id, message.key, "done"))
+                b.send(sender, ClaimTell(message.correlation_id, message.key, "done"))
 
             a._receive(SIGNER.sign(msgspec.msgpack.encode([999, "b", []])))
             b.subscribe(ClaimAsk, answer)
-            outcome = await a.ask("b", lambda ask_id: ClaimAsk(ask_id, "k"), 30_000)
+            outcome = await a.send_request(
+                "b", lambda correlation_id: ClaimAsk(correlation_id, "k"), 30_000
+            )
             assert outcome.is_ok()
             labels = {"kind": "refused", "direction": "received"}
             registry = self.metrics["a"].registry
@@ -546,11 +562,13 @@
     # Symptom: every read of a job through a keeper waits until its timeout.
     # Cause: the reply arrived, but its kind was not accepted as a reply to a request.
     time = fake_clock()
-    questions = Questions(time.clock, Random(1))
-    ask_id = questions.next_id()
+    questions = OpenRequests(time.clock, Random(1))
+    correlation_id = questions.next_id()
     settled: list[object] = []
-    Deferred.fromCoroutine(questions.wait(ask_id, "b", 1_000)).addCallback(settled.append)
+    Deferred.fromCoroutine(questions.wait_reply(correlation_id, "b", 1_000)).addCallback(
+        settled.append
+    )
     empty = dict.fromkeys(kind._fields[1:], "")
-    answer = kind(**{**empty, "ask_id": ask_id})
-    assert questions.settle("b", answer)
+    answer = kind(**{**empty, "correlation_id": correlation_id})
+    assert questions.complete("b", answer)
     assert settled == [Ok(answer)]
