--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -20,9 +20,9 @@
     is_registered,
 )
 from papayapier.peer.messages import CallsTold, Heartbeat, Message
-from papayapier.peer.placing_messages import PlaceTell
-from papayapier.peer.questions import PeerError
-from papayapier.peer.topology import Plan
+from papayapier.peer.open_requests import PeerError
+from papayapier.peer.placement_messages import PlaceTell
+from papayapier.peer.topology import LinkPlan
 from papayapier.policy.loads import LoadBook, ReplicaUse
 from papayapier.policy.outliers import Outliers
 from papayapier.policy.placers import Placed, Wanting, make_parts, placer_of
@@ -44,10 +44,10 @@
         self.handlers: dict[type[Message], list[Any]] = {}
         self.listeners: list[Any] = []
 
-    def plan(self) -> Plan:
-        return Plan(frozenset(), False, False, self.hubs)
+    def plan(self) -> LinkPlan:
+        return LinkPlan(frozenset(), False, False, self.hubs)
 
-    async def ask(self, peer: str, _make: Any, _limit: int) -> Result[Message, PeerError]:
+    async def send_request(self, peer: str, _make: Any, _limit: int) -> Result[Message, PeerError]:
         self.requested.append(peer)
         if peer in self.silent:
             return Err(PeerError.TIMEOUT)
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -26,9 +26,9 @@
     PlacerDeps,
 )
 from papayapier.peer.messages import Message
-from papayapier.peer.placing_messages import PlaceAsk, PlaceLeft, PlaceTell, Unanswered
-from papayapier.peer.questions import PeerError, Questions
-from papayapier.peer.topology import Plan
+from papayapier.peer.open_requests import OpenRequests, PeerError
+from papayapier.peer.placement_messages import PlaceAsk, PlaceLeft, PlaceTell, Unanswered
+from papayapier.peer.topology import LinkPlan
 from papayapier.policy.loads import LoadBook, ReplicaUse
 from papayapier.policy.outliers import Outliers
 from papayapier.policy.placers import NOT_PLACED, Placed, Wanting, make_parts, placer_of
@@ -119,10 +119,10 @@
         self.handlers: dict[type[Message], list[Any]] = {}
         self.listeners: list[Any] = []
         self.unreachable: frozenset[str] = frozenset()
-        self.pending = Questions(wires.time.clock, random.Random(2))
+        self.pending = OpenRequests(wires.time.clock, random.Random(2))
 
-    def plan(self) -> Plan:
-        return Plan(frozenset(), False, False, HUBS)
+    def plan(self) -> LinkPlan:
+        return LinkPlan(frozenset(), False, False, HUBS)
 
     def silent(self) -> frozenset[str]:
         return self.unreachable
@@ -133,23 +133,25 @@
     def on_change(self, call: Any) -> None:
         self.listeners.append(call)
 
-    def tell(self, peer: str, message: Message) -> bool:
+    def send(self, peer: str, message: Message) -> bool:
         self.wires.carry(self.name, peer, message)
         return True
 
-    async def ask(self, peer: str, make: Any, limit: int) -> Result[Message, PeerError]:
-        ask_id = self.pending.next_id()
-        message = make(ask_id)
+    async def send_request(self, peer: str, make: Any, limit: int) -> Result[Message, PeerError]:
+        correlation_id = self.pending.next_id()
+        message = make(correlation_id)
         # As over a network, the reply arrives after the request is registered.
-        waiting = Deferred.fromCoroutine(self.pending.wait(ask_id, peer, limit))
-        self.tell(peer, message)
+        waiting = Deferred.fromCoroutine(self.pending.wait_reply(correlation_id, peer, limit))
+        self.send(peer, message)
         return await waiting
 
-    async def ask_on(self, peer: str, ask_id: int, limit: int) -> Result[Message, PeerError]:
-        return await self.pending.wait(ask_id, peer, limit)
+    async def wait_further_reply(
+        self, peer: str, correlation_id: int, limit: int
+    ) -> Result[Message, PeerError]:
+        return await self.pending.wait_reply(correlation_id, peer, limit)
 
     def deliver(self, sender: str, message: Message) -> None:
-        if self.pending.settle(sender, message):
+        if self.pending.complete(sender, message):
             return
         for handler in self.handlers.get(type(message), ()):
             handler(sender, message)
@@ -419,9 +421,9 @@
     fill(wires)
 
     async def refuse(_peer: str, make: Any, _limit: int) -> Result[Message, PeerError]:
-        return Ok(PlaceTell(make(1).ask_id, "", 0, 250))
+        return Ok(PlaceTell(make(1).correlation_id, "", 0, 250))
 
-    wires.entry.ask = refuse  # type: ignore[method-assign, assignment]
+    wires.entry.send_request = refuse  # type: ignore[method-assign, assignment]
     refusal = wires.call().results[0].refusal
     assert refusal is not None
     assert (refusal.kind, refusal.outcome) == (ErrorKind.NO_ROOM, Outcome.NOT_RUN)
@@ -447,7 +449,7 @@
         make(1)
         return Err(PeerError.CLOSED)
 
-    wires.entry.ask = closed  # type: ignore[method-assign, assignment]
+    wires.entry.send_request = closed  # type: ignore[method-assign, assignment]
     assert wires.call().results == [Placed()]
 
 
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -95,7 +95,7 @@
 
 
 def test_a_request_names_its_replica_and_the_time_left() -> None:
-    out = headers.for_replica(Headers({"X-Deadline-Ms": ["5000"]}), REPLICA, 1_200, 7)
+    out = headers.with_replica(Headers({"X-Deadline-Ms": ["5000"]}), REPLICA, 1_200, 7)
     values = {name: value for name, [value] in out.getAllRawHeaders()}
     assert values[b"X-Expect-Instance"] == b"i-1"
     assert values[b"X-Deadline-Ms"] == b"1200"
@@ -117,15 +117,15 @@
     ],
 )
 def test_the_load_header_of_an_answer_is_decoded(text: str, load: Load | None) -> None:
-    facts = headers.read_facts(200, Headers({"X-Server-Load": [text]}), 5)
+    facts = headers.decode_facts(200, Headers({"X-Server-Load": [text]}), 5)
     assert facts.load == load
     assert facts.load_unread is (load is None and bool(text))
 
 
 def test_which_answers_state_that_a_request_was_not_run() -> None:
-    assert headers.read_facts(503, Headers({"X-Not-Executed": ["1"]}), 0).not_run
-    assert headers.read_facts(421, Headers(), 0).not_run
-    assert not headers.read_facts(503, Headers(), 0).not_run
+    assert headers.decode_facts(503, Headers({"X-Not-Executed": ["1"]}), 0).not_run
+    assert headers.decode_facts(421, Headers(), 0).not_run
+    assert not headers.decode_facts(503, Headers(), 0).not_run
 
 
 @pytest.mark.parametrize(
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -12,7 +12,7 @@
 from papayapier.store.api import StoreError
 from papayapier.store.writes import (
     ALREADY_DELETED,
-    Settling,
+    SettleDeps,
     create_settled,
     delete_settled,
     update_settled,
@@ -30,7 +30,7 @@
         self.fake: FakeClock = fake_clock()
         self.platform = FakePlatform(self.fake.clock)
         self.store = self.platform.store("a")
-        self.settling = Settling(self.store, self.fake.clock, random.Random(1))
+        self.settling = SettleDeps(self.store, self.fake.clock, random.Random(1))
 
     def run(self, call: Awaitable[T], for_ms: int = 20_000) -> T:
         """Run a coroutine to its end while time passes."""
--- a/tests/test_store_follow.py
+++ b/tests/test_store_follow.py
@@ -8,10 +8,10 @@
 
 from papayapier.settings import PlatformSettings
 from papayapier.store.api import LEAVING, Change, StoreError
-from papayapier.store.bucket import Bucket
+from papayapier.store.bucket import TokenBucket
 from papayapier.store.budget import Budget, Priority, make_budget
-from papayapier.store.members import MemberFollower, MembersChanged, Reporter
-from papayapier.store.watch import Follower, FollowPace
+from papayapier.store.members import MemberFollower, MemberReporter, MembersChanged
+from papayapier.store.watch import Follower, FollowIntervals
 from tests.fake_store import Fault, make_member
 from tests.test_store import Bench, started
 
@@ -31,7 +31,7 @@
 
 
 def test_calls_get_permits_by_priority(bench: Bench) -> None:
-    bucket = Bucket(bench.fake.clock, 20)
+    bucket = TokenBucket(bench.fake.clock, 20)
     order: list[str] = []
 
     async def call(name: str, priority: Priority) -> None:
@@ -110,7 +110,7 @@
         random.Random(2),
         "p/",
         reported.append,
-        FollowPace(watch_ms, poll_ms=2_000),
+        FollowIntervals(watch_ms, poll_ms=2_000),
     )
     follower.start()
     return follower
@@ -183,7 +183,7 @@
     reported: list[MembersChanged] = []
     follower = MemberFollower(bench.store, bench.fake.clock, random.Random(3), reported.append)
     follower.start()
-    reporter = Reporter(bench.store, bench.fake.clock, random.Random(4), make_member("e1"))
+    reporter = MemberReporter(bench.store, bench.fake.clock, random.Random(4), make_member("e1"))
     reporter.start()
     bench.pass_time(1_000)
     reporter.mark_leaving()
@@ -205,7 +205,7 @@
 
 def test_reports_continue_after_a_failure(bench: Bench) -> None:
     bench.platform.fail(Fault.LOST_BEFORE, "report", times=3)
-    reporter = Reporter(bench.store, bench.fake.clock, random.Random(4), make_member("e1"))
+    reporter = MemberReporter(bench.store, bench.fake.clock, random.Random(4), make_member("e1"))
     reporter.start()
     bench.pass_time(1_000)
     assert "e1" in bench.platform.instances
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -11,7 +11,7 @@
 from papayapier.clock import fake_clock
 from papayapier.node.store_relay import RELAY_AFTER_MS, RelayDeps, serve_store_calls, with_relay
 from papayapier.peer.messages import Message, StoreAsk
-from papayapier.peer.questions import PeerError
+from papayapier.peer.open_requests import PeerError
 from papayapier.store.api import Store, StoreError
 from tests.jobs_world import MemoryStore
 
@@ -45,10 +45,10 @@
     def subscribe(self, _kind: type, handler: Any) -> None:
         self._handlers.append(handler)
 
-    def tell(self, _peer_id: str, message: Message) -> None:
+    def send(self, _peer_id: str, message: Message) -> None:
         self._replies.append(message)
 
-    async def ask(
+    async def send_request(
         self, peer_id: str, make_ask: Any, _timeout_ms: int
     ) -> Result[Message, PeerError]:
         request = make_ask(len(self.requests) + 1)
--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -15,7 +15,7 @@
 from papayapier.errors import ErrorKind, not_run
 from papayapier.jobs.records import job_key
 from papayapier.platform.configuration import read_configuration
-from papayapier.platform.headers import of_team, shown_keys
+from papayapier.platform.headers import presented_keys, with_team
 from tests.jobs_run_world import World
 from tests.jobs_world import JOB, JobServiceWorld, item
 from tests.site.world import configuration
@@ -116,10 +116,10 @@
     sent = Headers(
         {"authorization": [f"Bearer {KEY}"], "x-tenant": ["depot", "x"], "X-Model": ["m"]}
     )
-    out = of_team(sent, "yard")
+    out = with_team(sent, "yard")
     assert sorted(out.getAllRawHeaders()) == [(b"X-Model", [b"m"]), (b"X-Tenant", [b"yard"])]
-    assert not of_team(sent, "").hasHeader("X-Tenant")
-    assert shown_keys(sent) == [f"Bearer {KEY}".encode()]
+    assert not with_team(sent, "").hasHeader("X-Tenant")
+    assert presented_keys(sent) == [f"Bearer {KEY}".encode()]
 
 
 @pytest.mark.parametrize(("rank", "urgency"), [(None, "urgent"), (0, "urgent"), (1, "normal")])
--- a/tests/test_unframed_answers.py
+++ b/tests/test_unframed_answers.py
@@ -11,7 +11,7 @@
 from papayapier.clock import real_clock
 from papayapier.dispatch.relayed_stream import RelayedStream
 from papayapier.metrics import make_metrics
-from papayapier.platform.headers import read_facts
+from papayapier.platform.headers import decode_facts
 from papayapier.settings import UpstreamSettings
 from papayapier.upstream.api import FailureKind, Replica, Sent
 from papayapier.upstream.event_cutter import NO_EVENT
@@ -37,7 +37,9 @@
         self.server = RawServer()
         self.port = reactor.listenTCP(0, self.server, interface="127.0.0.1")
         self.links = Links(reactor, self.clock, UpstreamSettings())
-        deps = RawDeps(self.links, read_facts, lambda _i, _l: None, lambda _i: None, make_metrics())
+        deps = RawDeps(
+            self.links, decode_facts, lambda _i, _l: None, lambda _i: None, make_metrics()
+        )
         self.send = make_raw_send(deps)
 
     def tearDown(self) -> Any:
