--- a/misc/policy_sim/affinity_run.py
+++ b/misc/policy_sim/affinity_run.py
@@ -15,7 +15,7 @@
 from misc.policy_sim.engine import Sequence
 from misc.policy_sim.fleet import LINK_MS, MEAN_TOKENS, UPSTREAM, Fleet, Node, quantile
 from papayapier.policy.rendezvous import score
-from papayapier.policy.routing import RouteRequest, choose
+from papayapier.policy.routing import RouteRequest, choose_replica
 
 PREFIXES: Final = 300
 CACHED: Final = 60
@@ -59,7 +59,9 @@
 
 def _choose_by_policy(node: Node, prefix: str, now: int) -> str:
     req = RouteRequest(UPSTREAM, prefix, node.data_centre)
-    return choose(node.load_tracker, node.outliers, req, node.rand, now) or node.replica_ids[0]
+    return (
+        choose_replica(node.load_tracker, node.outliers, req, node.rand, now) or node.replica_ids[0]
+    )
 
 
 class Run:
@@ -109,7 +111,7 @@
             self.loop.after(LINK_MS, on_reply)
 
         def on_reply() -> None:
-            node.load_tracker.on_done(replica_id, False, int(self.loop.now))
+            node.load_tracker.on_finished(replica_id, False, int(self.loop.now))
             if sent_ms >= WARM_UP_MS:
                 self.ttft_ms.append(seq.first_ms + LINK_MS - sent_ms)
                 self.ms_per_token.append((self.loop.now - sent_ms) / tokens)
--- a/misc/policy_sim/batch_run.py
+++ b/misc/policy_sim/batch_run.py
@@ -26,7 +26,7 @@
 from papayapier.config.profiles import BatchRule, Isolation
 from papayapier.policy.batch_share import BatchShare
 from papayapier.policy.loads import ReplicaUse
-from papayapier.policy.routing import RouteRequest, choose
+from papayapier.policy.routing import RouteRequest, choose_replica
 from papayapier.upstream.api import Replica
 
 EARLY_HEARTBEAT_MIN_MS: Final = 50.0
@@ -151,7 +151,7 @@
         """Send a heartbeat early if online calls changed by EARLY_HEARTBEAT_CALLS or more."""
         if self.loop.now < node.heartbeat_sent_ms + EARLY_HEARTBEAT_MIN_MS:
             return
-        online = {use.replica: use.online for use in node.load_tracker.uses()}
+        online = {use.replica: use.online for use in node.load_tracker.own_uses()}
         replica_ids = online.keys() | node.sent_online.keys()
         if (
             sum(
@@ -163,7 +163,7 @@
             self._send_heartbeat(node)
 
     def _send_heartbeat(self, node: BatchNode) -> None:
-        uses = node.load_tracker.uses()
+        uses = node.load_tracker.own_uses()
         node.sent_online = {use.replica: use.online for use in uses}
         node.heartbeat_sent_ms = self.loop.now
         for peer in self.nodes:
@@ -171,7 +171,7 @@
                 self.loop.after(LINK_MS, partial(self._on_heartbeat, peer, node.name, uses))
 
     def _on_heartbeat(self, node: BatchNode, peer: str, uses: list[ReplicaUse]) -> None:
-        node.load_tracker.on_peer_uses(peer, uses, int(self.loop.now))
+        node.load_tracker.on_peer_calls(peer, uses, int(self.loop.now))
 
     def _arrive(self) -> None:
         rate = self.arrivals_per_ms
@@ -183,7 +183,7 @@
     def _send_online(self, node: BatchNode) -> None:
         sent_ms = self.loop.now
         req = RouteRequest(UPSTREAM, "", node.data_centre)
-        replica_id = choose(node.load_tracker, node.outliers, req, node.rand, int(sent_ms))
+        replica_id = choose_replica(node.load_tracker, node.outliers, req, node.rand, int(sent_ms))
         assert replica_id is not None
         node.load_tracker.on_sent(replica_id, False, int(sent_ms))
         tokens = 8 + int(self.rand.expovariate(1 / (ONLINE_TOKENS - 8)))
@@ -192,7 +192,7 @@
             self.loop.after(LINK_MS, on_reply)
 
         def on_reply() -> None:
-            node.load_tracker.on_done(replica_id, False, int(self.loop.now))
+            node.load_tracker.on_finished(replica_id, False, int(self.loop.now))
             gap_ms = (seq.last_ms - seq.first_ms) / (tokens - 1)
             node.share.on_online_signal(
                 replica_id, seq.first_ms - sent_ms, gap_ms, int(self.loop.now)
@@ -216,7 +216,9 @@
                 self._yield_streams(node, replica_id)
             if not self._has_batch_items(node):
                 continue
-            for _ in range(node.share.room(replica_id, node.load_tracker, int(self.loop.now))):
+            for _ in range(
+                node.share.free_streams(replica_id, node.load_tracker, int(self.loop.now))
+            ):
                 self._send_batch(node, replica_id)
 
     def _has_batch_items(self, node: BatchNode) -> bool:
@@ -225,11 +227,11 @@
         return int(node.name[1:]) < self.setup.workers
 
     def _yield_streams(self, node: BatchNode, replica_id: str) -> None:
-        count = node.share.to_yield(replica_id, node.load_tracker, int(self.loop.now))
+        count = node.share.excess_streams(replica_id, node.load_tracker, int(self.loop.now))
         streams = node.streams[replica_id]
         for seq in sorted(streams, key=lambda seq: seq.num_generated)[:count]:
             streams.remove(seq)
-            node.load_tracker.on_done(replica_id, True, int(self.loop.now))
+            node.load_tracker.on_finished(replica_id, True, int(self.loop.now))
             self.yields += self.loop.now >= WARM_UP_MS
             self.loop.after(LINK_MS, partial(self.engines[replica_id].cancel, seq))
 
@@ -247,7 +249,7 @@
         def on_reply() -> None:
             if seq in node.streams[replica_id]:
                 node.streams[replica_id].remove(seq)
-                node.load_tracker.on_done(replica_id, True, int(self.loop.now))
+                node.load_tracker.on_finished(replica_id, True, int(self.loop.now))
 
         seq = Sequence(tokens, self.setup.prefill_ms, on_finished)
         node.streams[replica_id].append(seq)
--- a/misc/policy_sim/fleet.py
+++ b/misc/policy_sim/fleet.py
@@ -10,8 +10,8 @@
 from typing import Final
 
 from misc.policy_sim.engine import Engine, EngineModel, Loop
-from papayapier.policy.loads import LoadBook, ReplicaUse
-from papayapier.policy.outliers import Outliers
+from papayapier.policy.loads import LoadTracker, ReplicaUse
+from papayapier.policy.outliers import OutlierDetector
 from papayapier.upstream.api import Load, Replica
 
 INSTANCES: Final = 6
@@ -30,8 +30,8 @@
     def __init__(self, index: int, replicas: Sequence[Replica], seed: int) -> None:
         self.name = f"i{index}"
         self.data_centre = f"dc{index % DATA_CENTRES}"
-        self.load_tracker = LoadBook()
-        self.outliers = Outliers()
+        self.load_tracker = LoadTracker()
+        self.outliers = OutlierDetector()
         self.rand = random.Random(f"{seed}/{index}")
         self.load_tracker.on_listed(replicas, ())
         self.outliers.on_listed(replicas)
@@ -68,13 +68,13 @@
         node.on_report(replica_id, self.engines[replica_id].report())
 
     def _send_heartbeat(self, node: Node) -> None:
-        uses = node.load_tracker.uses()
+        uses = node.load_tracker.own_uses()
         for peer in self.nodes:
             if peer is not node:
                 self.loop.after(LINK_MS, partial(self._on_heartbeat, peer, node.name, uses))
 
     def _on_heartbeat(self, node: Node, peer: str, uses: list[ReplicaUse]) -> None:
-        node.load_tracker.on_peer_uses(peer, uses, int(self.loop.now))
+        node.load_tracker.on_peer_calls(peer, uses, int(self.loop.now))
 
 
 def list_replicas(replica_ids: Iterable[str]) -> list[Replica]:
--- a/misc/policy_sim/overload_run.py
+++ b/misc/policy_sim/overload_run.py
@@ -20,9 +20,9 @@
     Node,
     quantile,
 )
-from papayapier.policy.admission import AdmissionQueue, Waiting
+from papayapier.policy.admission import AdmissionQueue, QueuedRequest
 from papayapier.policy.fair_queue import RANKS
-from papayapier.policy.routing import RouteRequest, choose, free_calls
+from papayapier.policy.routing import RouteRequest, choose_replica, free_capacity
 
 DUE_MS: Final = 1_500
 TICK_MS: Final = 10.0
@@ -64,7 +64,7 @@
 
 def policy_gate(node: Node, now: int) -> bool:
     """Send with the production policy."""
-    return free_calls(node.load_tracker, node.outliers, UPSTREAM, now) > 0
+    return free_capacity(node.load_tracker, node.outliers, UPSTREAM, now) > 0
 
 
 GATES: Final[dict[str, Gate]] = {
@@ -118,7 +118,7 @@
         now = int(self.loop.now)
         self.ticket += 1
         caller = f"c{self.ticket % 4}"
-        item = Waiting(
+        item = QueuedRequest(
             self.ticket, caller, UPSTREAM, "chat", RANKS["normal"], now + DUE_MS, 1.0, now
         )
         if self.queues[node.name].offer(item, now).is_err():
@@ -138,10 +138,10 @@
             queue.on_started(UPSTREAM, 1.0, now)
             self._send(node, item)
 
-    def _send(self, node: Node, item: Waiting) -> None:
+    def _send(self, node: Node, item: QueuedRequest) -> None:
         sent_ms = self.loop.now
         req = RouteRequest(UPSTREAM, "", node.data_centre)
-        replica_id = choose(node.load_tracker, node.outliers, req, node.rand, int(sent_ms))
+        replica_id = choose_replica(node.load_tracker, node.outliers, req, node.rand, int(sent_ms))
         assert replica_id is not None
         node.load_tracker.on_sent(replica_id, False, int(sent_ms))
         tokens = max(1, round(self.rand.expovariate(1 / MEAN_TOKENS)))
@@ -151,7 +151,7 @@
 
         def on_reply() -> None:
             now = int(self.loop.now)
-            node.load_tracker.on_done(replica_id, False, now)
+            node.load_tracker.on_finished(replica_id, False, now)
             self.queues[node.name].on_ended(UPSTREAM, 1.0, int(sent_ms), now, "chat")
             self._count("in_time" if now <= item.due_ms else "late")
             if sent_ms >= WARM_UP_MS:
--- a/misc/policy_sim/routing_run.py
+++ b/misc/policy_sim/routing_run.py
@@ -12,11 +12,11 @@
 
 from misc.policy_sim.engine import Sequence
 from misc.policy_sim.fleet import LINK_MS, MEAN_TOKENS, UPSTREAM, Fleet, Node, quantile
-from papayapier.policy.outliers import Outliers
-from papayapier.policy.routing import RouteRequest, choose
+from papayapier.policy.outliers import OutlierDetector
+from papayapier.policy.routing import RouteRequest, choose_replica
 
 WARM_UP_MS: Final = 2_000.0
-NO_OUTLIERS: Final = Outliers()
+NO_OUTLIERS: Final = OutlierDetector()
 
 
 Strategy = Callable[[Node, int], str]
@@ -63,20 +63,24 @@
     """Choose the one of two random replicas with fewer open calls of this instance."""
     return min(
         node.rand.sample(node.replica_ids, 2),
-        key=lambda replica_id: node.load_tracker.own(replica_id).online,
+        key=lambda replica_id: node.load_tracker.own_calls(replica_id).online,
     )
 
 
 def by_policy(node: Node, now: int) -> str:
     """Choose with the production policy, without prompt prefixes."""
     req = RouteRequest(UPSTREAM, "", node.data_centre)
-    return choose(node.load_tracker, node.outliers, req, node.rand, now) or node.replica_ids[0]
+    return (
+        choose_replica(node.load_tracker, node.outliers, req, node.rand, now) or node.replica_ids[0]
+    )
 
 
 def by_policy_without_ejection(node: Node, now: int) -> str:
     """Choose with the production policy, but eject no replica."""
     req = RouteRequest(UPSTREAM, "", node.data_centre)
-    return choose(node.load_tracker, NO_OUTLIERS, req, node.rand, now) or node.replica_ids[0]
+    return (
+        choose_replica(node.load_tracker, NO_OUTLIERS, req, node.rand, now) or node.replica_ids[0]
+    )
 
 
 STRATEGIES: Final[dict[str, Strategy]] = {
@@ -134,7 +138,7 @@
             self.loop.after(LINK_MS, on_reply)
 
         def on_reply() -> None:
-            node.load_tracker.on_done(replica_id, False, int(self.loop.now))
+            node.load_tracker.on_finished(replica_id, False, int(self.loop.now))
             first_ms = seq.first_ms + LINK_MS - sent_ms
             node.outliers.on_end(replica_id, True, first_ms, int(self.loop.now))
             if sent_ms >= WARM_UP_MS:
--- a/misc/slot_ownership.py
+++ b/misc/slot_ownership.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from typing import Final
 
-from papayapier.policy.ownership import owner
+from papayapier.policy.ownership import rendezvous_owner
 from papayapier.policy.slot_shares import SlotShares
 
 FLEET_COUNT: Final = 2_000
@@ -27,7 +27,7 @@
     empty_instances = 0
     for fleet in range(FLEET_COUNT):
         instances = [f"f{fleet}-i{i}" for i in range(args.instances)]
-        owners = {owner(f"f{fleet}-r{r}", instances) for r in range(args.replicas)}
+        owners = {rendezvous_owner(f"f{fleet}-r{r}", instances) for r in range(args.replicas)}
         incomplete_fleets += len(owners) < args.instances
         empty_instances += args.instances - len(owners)
     print(
@@ -37,7 +37,7 @@
     instances = [f"i{i}" for i in range(args.instances)]
     replica_ids = [f"r{r}" for r in range(args.replicas)]
     hashed = Counter(
-        owner(f"{replica_id}/{s}", instances)
+        rendezvous_owner(f"{replica_id}/{s}", instances)
         for replica_id in replica_ids
         for s in range(args.slots)
     )
@@ -53,7 +53,7 @@
 ) -> int:
     shares = SlotShares(instance)
     shares.set_live(instances)
-    return sum(shares.part(replica_id, slots) for replica_id in replica_ids)
+    return sum(shares.share(replica_id, slots) for replica_id in replica_ids)
 
 
 if __name__ == "__main__":
--- a/papayapier/batch/deadline_risk.py
+++ b/papayapier/batch/deadline_risk.py
@@ -82,12 +82,12 @@
         )
         self._set_at_risk(job, load, deadlines.at_risk(load, load.rate, self._deps.clock.wall()))
 
-    def _set_at_risk(self, job: "ActiveJob", load: deadlines.JobLoad, at_risk: bool) -> None:
+    def _set_at_risk(self, job: "ActiveJob", load: deadlines.RemainingJob, at_risk: bool) -> None:
         if at_risk != job.at_risk and self._holds_shard(job.home):
             self._report(load, at_risk)
         job.at_risk = at_risk
 
-    def _report(self, load: deadlines.JobLoad, at_risk: bool) -> None:
+    def _report(self, load: deadlines.RemainingJob, at_risk: bool) -> None:
         event = events.JOB_AT_RISK if at_risk else events.JOB_SAFE
         events.emit(
             event,
--- a/papayapier/batch/fair_scheduling.py
+++ b/papayapier/batch/fair_scheduling.py
@@ -72,7 +72,7 @@
         loads = [self.load(job) for job in jobs if job.is_running()]
         by_id = {job.record.job_id: job for job in jobs}
         ordered: dict[str, list[ActiveJob]] = {}
-        for job_id in deadlines.order(loads, self._clock.wall()):
+        for job_id in deadlines.order_jobs(loads, self._clock.wall()):
             job = by_id[job_id]
             ordered.setdefault(self._upstream_of(job), []).append(job)
         return ordered
@@ -115,9 +115,9 @@
         """Return how many upstreams have jobs."""
         return len(self._candidates)
 
-    def load(self, job: "ActiveJob") -> deadlines.JobLoad:
+    def load(self, job: "ActiveJob") -> deadlines.RemainingJob:
         """Describe to the policy what this instance has left of a job."""
-        return deadlines.JobLoad(
+        return deadlines.RemainingJob(
             job_id=job.record.job_id,
             caller=job.record.caller,
             due_wall_ms=job.record.due_ms,
--- a/papayapier/compose.py
+++ b/papayapier/compose.py
@@ -51,8 +51,8 @@
 from papayapier.policy.batch_share import BatchShare
 from papayapier.policy.drain import Drain, DrainPlan
 from papayapier.policy.first_byte import FirstByteTimes
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
 from papayapier.policy.retries import RetryBudget
 from papayapier.settings import Settings
 from papayapier.store.budget import Priority, make_budget
@@ -103,7 +103,7 @@
 
 def _make_fleet(base: Base) -> Fleet:
     cfg = base.cfg
-    policies = Policies(LoadBook(), Outliers(), BatchShare(cfg.instance.id))
+    policies = Policies(LoadTracker(), OutlierDetector(), BatchShare(cfg.instance.id))
     own_instance = Place(cfg.instance.id, cfg.instance.region, cfg.upstream.subset)
     view = FleetView(own_instance, policies, base.metrics)
     crash_watch = CrashWatch(base.clock, base.metrics, lambda: base.budget.down_since() is None)
@@ -114,7 +114,7 @@
         cfg.upstream.load_poll_ms,
         upstreams.load,
         OnReport(view.on_load, crash_watch.on_poll_failed),
-        lambda replica: policies.book.reported_at(replica.id),
+        lambda replica: policies.book.reported_ms(replica.id),
     )
     return Fleet(policies, view, crash_watch, upstreams, reports)
 
@@ -124,7 +124,7 @@
 
     def make_heartbeat() -> Heartbeat:
         profiles = config.book
-        uses = tuple(fleet.policies.book.uses())
+        uses = tuple(fleet.policies.book.own_uses())
         return Heartbeat(
             cfg.instance.id,
             base.boot,
--- a/papayapier/dispatch/api.py
+++ b/papayapier/dispatch/api.py
@@ -12,8 +12,8 @@
 from papayapier.policy.admission import AdmissionQueue
 from papayapier.policy.batch_share import BatchShare
 from papayapier.policy.first_byte import FirstByteTimes
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
 from papayapier.policy.retries import RetryBudget
 from papayapier.upstream.api import Token, Upstreams
 
@@ -54,8 +54,8 @@
     clock: Clock
     rand: random.Random
     data_centre: str
-    load_tracker: LoadBook
-    outliers: Outliers
+    load_tracker: LoadTracker
+    outliers: OutlierDetector
     crashes: CrashWatch
     queue: AdmissionQueue
     budget: RetryBudget
--- a/papayapier/dispatch/attempts.py
+++ b/papayapier/dispatch/attempts.py
@@ -122,10 +122,10 @@
         result = await deps.upstreams.send(replica, call, receive)
         outlier_reported = isinstance(result, Ok) or counts_against_replica(result.err_value)
     finally:
-        deps.load_tracker.on_done(replica.id, False, deps.clock.now())
+        deps.load_tracker.on_finished(replica.id, False, deps.clock.now())
         deps.on_uses_changed()
         if not outlier_reported:
-            deps.outliers.on_dropped(replica.id)
+            deps.outliers.on_no_result(replica.id)
     deps.crashes.on_send_finished(req.call_id, req.fingerprint, replica, result, started_ms)
     _report_result(deps, req, replica, result, deps.clock.now() - started_ms)
     return result
--- a/papayapier/dispatch/crash_watch.py
+++ b/papayapier/dispatch/crash_watch.py
@@ -15,7 +15,7 @@
 from papayapier.dispatch.lost_sends import is_lost, log_lost_send
 from papayapier.errors import ErrorKind, Refusal, not_run
 from papayapier.metrics import Metrics
-from papayapier.policy.crashes import CrashBook, Loss
+from papayapier.policy.crash_quarantine import CrashTracker, ReplicaLoss
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
 
 # Far below the time for which a loss counts. No timer runs while there are no losses.
@@ -28,7 +28,7 @@
 class CrashListeners(NamedTuple):
     """Hold the callbacks for losses and answers observed here and for new quarantines."""
 
-    on_loss: Callable[[Loss], None]
+    on_loss: Callable[[ReplicaLoss], None]
     on_answered: Callable[[str], None]
     on_quarantined: Callable[[str], None]
 
@@ -41,7 +41,7 @@
         self._clock = clock
         self._metrics = metrics
         self._list_fresh = list_fresh
-        self._book = CrashBook()
+        self._book = CrashTracker()
         self._quarantined: frozenset[str] = frozenset()
         self._reviewed = 0
         self._timer: Timer | None = None
@@ -53,50 +53,52 @@
 
     def refusal(self, request_id: str, get_fingerprint: GetFingerprint) -> Refusal | None:
         """Return the refusal of a request that is quarantined, or None."""
-        if self._book.empty():
+        if self._book.is_empty():
             return None
         fingerprint = get_fingerprint()
-        hold_ms = self._book.hold_ms(fingerprint, self._clock.now())
+        hold_ms = self._book.quarantine_ms(fingerprint, self._clock.now())
         return self._refuse(request_id, fingerprint) if hold_ms else None
 
     def retry_spacing_ms(self, get_fingerprint: GetFingerprint) -> int:
         """Return the minimum pause before a request that one more loss would quarantine, in ms."""
-        return 0 if self._book.empty() else self._book.apart_ms(get_fingerprint())
+        return 0 if self._book.is_empty() else self._book.suspect_pause_ms(get_fingerprint())
 
     def send_window_wait_ms(self, get_fingerprint: GetFingerprint) -> int:
         """Return the wait before a request that one more loss would quarantine, in ms."""
         return (
             0
-            if self._book.empty()
-            else self._book.turns.wait_ms(get_fingerprint(), self._clock.now())
+            if self._book.is_empty()
+            else self._book.send_windows.wait_ms(get_fingerprint(), self._clock.now())
         )
 
     def take_send_window(self, get_fingerprint: GetFingerprint) -> bool:
         """Return whether a request may be sent now, and take its send window if it needs one."""
-        return self._book.empty() or self._book.turns.take(get_fingerprint(), self._clock.now())
+        return self._book.is_empty() or self._book.send_windows.try_send(
+            get_fingerprint(), self._clock.now()
+        )
 
     def suspects(self, get_fingerprint: GetFingerprint) -> list[str]:
         """Return the fingerprints that share replica losses, and send windows, with a request."""
-        return self._book.turns.rivals(get_fingerprint())
+        return self._book.send_windows.other_suspects(get_fingerprint())
 
     def item_pause_ms(self, get_fingerprint: GetFingerprint) -> int:
         """Return for how long an item may not be sent, in ms; 0 if it may."""
         return (
             0
-            if self._book.empty()
-            else self._book.item_hold_ms(get_fingerprint(), self._clock.now())
+            if self._book.is_empty()
+            else self._book.item_pause_ms(get_fingerprint(), self._clock.now())
         )
 
     def item_refusal(self, item_id: str, get_fingerprint: GetFingerprint) -> Refusal | None:
         """Return the refusal of a quarantined item without attempts left, or None."""
         hold_ms = self.item_pause_ms(get_fingerprint)
-        if not hold_ms or not self._book.item_done_for(get_fingerprint()):
+        if not hold_ms or not self._book.is_item_exhausted(get_fingerprint()):
             return None
         return self._refuse(item_id, get_fingerprint())
 
     def _refuse(self, request_id: str, fingerprint: str) -> Refusal:
-        replicas = self._book.replicas(fingerprint)
-        return_ms = self._book.return_ms(fingerprint, self._clock.now())
+        replicas = self._book.lost_replicas(fingerprint)
+        return_ms = self._book.retry_after_ms(fingerprint, self._clock.now())
         events.emit(
             events.REQUEST_HELD,
             request=request_id,
@@ -133,9 +135,11 @@
         if failure.closed:
             self._book.on_ended(replica.id)
 
-    def on_reported(self, losses: Iterable[Loss], answered: Iterable[str]) -> list[Loss]:
+    def on_reported(
+        self, losses: Iterable[ReplicaLoss], answered: Iterable[str]
+    ) -> list[ReplicaLoss]:
         """Record what a peer reports or a disk holds; return the losses not known before."""
-        new_losses = self._book.on_told(losses, self._clock.now())
+        new_losses = self._book.on_losses_received(losses, self._clock.now())
         for fingerprint in answered:
             self._book.on_answered(fingerprint)
         self._review_if_changed()
@@ -147,11 +151,11 @@
 
     def recently_answered(self, fingerprints: Iterable[str]) -> list[str]:
         """Return the fingerprints answered just before their losses, or recently here."""
-        return self._book.answered_lately(fingerprints, self._clock.now())
+        return self._book.recently_answered(fingerprints, self._clock.now())
 
     def on_recently_answered(self, fingerprints: Iterable[str], peer_id: str) -> list[str]:
         """Record that a peer answered requests recently; return those whose losses count less."""
-        cleared = self._book.take_lately(fingerprints, self._clock.now())
+        cleared = self._book.on_answers_received(fingerprints, self._clock.now())
         for fingerprint in cleared:
             events.emit(events.WORK_CLEARED, work=fingerprint, peer=peer_id)
         self._review_if_changed()
@@ -161,13 +165,13 @@
         """Replace the list of replicas, and of those that leave as planned."""
         self._book.on_listed(listed, leaving)
 
-    def snapshot(self, only: Collection[str] = ()) -> list[Loss]:
+    def snapshot(self, only: Collection[str] = ()) -> list[ReplicaLoss]:
         """Return the losses of all requests, or of the given fingerprints."""
         return self._book.snapshot(self._clock.now(), only)
 
-    def still_counts(self, loss: Loss) -> bool:
+    def still_counts(self, loss: ReplicaLoss) -> bool:
         """Return whether a loss still counts."""
-        return self._book.stands(loss)
+        return self._book.is_current(loss)
 
     def close(self) -> None:
         """Stop the timer."""
@@ -176,7 +180,7 @@
 
     def _record_answer(self, get_fingerprint: GetFingerprint) -> None:
         fingerprint = get_fingerprint()
-        self._book.note_answered(fingerprint, self._clock.now())
+        self._book.record_answer(fingerprint, self._clock.now())
         if self._book.on_answered(fingerprint) and self._listeners is not None:
             self._listeners.on_answered(fingerprint)
 
@@ -185,27 +189,27 @@
     ) -> None:
         log_lost_send(request_id, fingerprint, replica, failure)
         self._metrics.sends_lost.labels(failure.kind.value).inc()
-        is_new = self._book.on_lost(fingerprint, replica.id, self._clock.now())
+        is_new = self._book.on_replica_lost(fingerprint, replica.id, self._clock.now())
         if is_new and self._listeners is not None:
-            self._listeners.on_loss(Loss(fingerprint, replica.id, 0))
+            self._listeners.on_loss(ReplicaLoss(fingerprint, replica.id, 0))
 
     def _review_if_changed(self) -> None:
-        if self._reviewed != self._book.changes:
+        if self._reviewed != self._book.change_count:
             self._review()
 
     def _review(self) -> None:
         """Notify of requests that have entered or left quarantine."""
-        self._reviewed = self._book.changes
-        before, self._quarantined = self._quarantined, self._book.held(self._clock.now())
+        self._reviewed = self._book.change_count
+        before, self._quarantined = self._quarantined, self._book.quarantined(self._clock.now())
         for fingerprint in sorted(self._quarantined - before):
-            replicas = self._book.replicas(fingerprint)
+            replicas = self._book.lost_replicas(fingerprint)
             events.emit(events.WORK_HELD, work=fingerprint, replicas=replicas)
             if self._listeners is not None:
                 self._listeners.on_quarantined(fingerprint)
         for fingerprint in sorted(before - self._quarantined):
             events.emit(events.WORK_RELEASED, work=fingerprint)
         self._metrics.works_held.set(len(self._quarantined))
-        if not self._book.empty() and (self._timer is None or not self._timer.active()):
+        if not self._book.is_empty() and (self._timer is None or not self._timer.active()):
             self._timer = self._clock.call_later(SWEEP_MS, self._sweep)
 
     def _sweep(self) -> None:
--- a/papayapier/dispatch/forward_state.py
+++ b/papayapier/dispatch/forward_state.py
@@ -19,9 +19,9 @@
     from papayapier.metrics import Metrics
     from papayapier.policy.admission import AdmissionQueue
     from papayapier.policy.first_byte import FirstByteTimes
-    from papayapier.policy.loads import LoadBook
-    from papayapier.policy.outliers import Outliers
-    from papayapier.policy.placers import Placed, Wanting
+    from papayapier.policy.loads import LoadTracker
+    from papayapier.policy.outliers import OutlierDetector
+    from papayapier.policy.placers import Placement, PlacementNeeds
     from papayapier.policy.retries import RetryBudget
     from papayapier.policy.routing import RouteRequest
     from papayapier.upstream.api import Replica
@@ -77,8 +77,8 @@
     clock: "Clock"
     rand: "random.Random"
     data_centre: str
-    load_tracker: "LoadBook"
-    outliers: "Outliers"
+    load_tracker: "LoadTracker"
+    outliers: "OutlierDetector"
     crashes: "CrashWatch"
     queue: "AdmissionQueue"
     budget: "RetryBudget"
@@ -87,7 +87,7 @@
     make_headers: "Callable[[Headers, Replica, int | None, int], Headers]"
     metrics: "Metrics"
     on_uses_changed: "Callable[[], None]"
-    place: "Callable[[RouteRequest, Wanting], Awaitable[Placed]]"
+    place: "Callable[[RouteRequest, PlacementNeeds], Awaitable[Placement]]"
     on_unanswered: "Callable[[Replica], None]"
     peer_loads_are_fresh: "Callable[[], bool]"
 
--- a/papayapier/dispatch/forwarding.py
+++ b/papayapier/dispatch/forwarding.py
@@ -23,7 +23,7 @@
 )
 from papayapier.errors import ErrorKind, Refusal, not_run
 from papayapier.policy.first_byte import NO_LIMIT
-from papayapier.policy.placers import Wanting
+from papayapier.policy.placers import PlacementNeeds
 from papayapier.policy.retries import GiveUp, Retry
 from papayapier.policy.routing import RouteRequest, pick_replica
 from papayapier.policy.waiting import start_by_ms, wait_limit_ms
@@ -138,7 +138,7 @@
         deps.data_centre,
         progress.history.excluded,
         idempotent=req.profile.idempotent,
-        told=True,
+        includes_peers=True,
         fresh=deps.peer_loads_are_fresh(),
     )
     requested_ms = deps.clock.now()
@@ -147,10 +147,10 @@
     progress.placed_with_capacity = False
     if placed.refusal is not None:
         return Err(placed.refusal)
-    for replica in deps.load_tracker.usable(upstream, deps.clock.now()):
+    for replica in deps.load_tracker.usable_replicas(upstream, deps.clock.now()):
         if replica.id == placed.replica:
             progress.placed_sends += 1
-            progress.placed_with_capacity = placed.has_room
+            progress.placed_with_capacity = placed.has_capacity
             return Ok(replica)
     picked = pick_replica(deps.load_tracker, deps.outliers, route, deps.rand, deps.clock.now())
     return Err(_no_replica(req)) if picked is None else Ok(picked)
@@ -158,16 +158,16 @@
 
 def _placement_times(
     deps: ForwardDeps, req: RawRequest, progress: ForwardProgress, now: int
-) -> Wanting:
+) -> PlacementNeeds:
     """Return the remaining times until the request must start or be refused.
 
     A request that has already been sent may not be refused with a request to retry.
     """
-    typical_ms = deps.first_bytes.usual_ms(req.profile.upstream)
+    typical_ms = deps.first_bytes.typical_ms(req.profile.upstream)
     must_start_by_ms = start_by_ms(req.arrived_ms, req.objective_ms, typical_ms)
     retry_by_ms = req.arrived_ms + wait_limit_ms(req.objective_ms)
     caller_may_not_retry = not req.may_retry or progress.history.send_count > 0
-    return Wanting(
+    return PlacementNeeds(
         req.caller(),
         req.rank,
         max(1, must_start_by_ms - now),
@@ -196,10 +196,10 @@
         result = await deps.send(replica, call, progress.stream)
         outlier_reported = isinstance(result, Ok) or counts_against_replica(result.err_value)
     finally:
-        deps.load_tracker.on_done(replica.id, False, deps.clock.now())
+        deps.load_tracker.on_finished(replica.id, False, deps.clock.now())
         deps.on_uses_changed()
         if not outlier_reported:
-            deps.outliers.on_dropped(replica.id)
+            deps.outliers.on_no_result(replica.id)
     _report_result(deps, req, replica, result, progress, started_ms)
     if (
         isinstance(result, Ok)
--- a/papayapier/dispatch/item_dispatch.py
+++ b/papayapier/dispatch/item_dispatch.py
@@ -19,7 +19,7 @@
 from papayapier.dispatch.items import Item
 from papayapier.dispatch.outcome_checks import check_send, correct_outcome
 from papayapier.errors import ErrorKind, Refusal, not_run
-from papayapier.policy.retries import GiveUp, Retry, decide
+from papayapier.policy.retries import GiveUp, Retry, retry_or_refuse
 from papayapier.upstream.api import Call, Failure, Replica, Reply, Sent
 
 if TYPE_CHECKING:
@@ -53,7 +53,7 @@
         deps = self._deps
         now = deps.clock.now()
         free = sum(
-            deps.share.room(replica.id, deps.load_tracker, now)
+            deps.share.free_streams(replica.id, deps.load_tracker, now)
             for replica in self._usable(upstream, now)
         )
         return max(0, free - len(self._waiting.get(upstream, ())))
@@ -173,15 +173,15 @@
         best: Replica | None = None
         most_free = 0
         for replica in self._usable(upstream, now):
-            free = deps.share.room(replica.id, deps.load_tracker, now)
+            free = deps.share.free_streams(replica.id, deps.load_tracker, now)
             if free > most_free and replica.id not in excluded:
                 best, most_free = replica, free
         return best
 
     def _usable(self, upstream: str, now: int) -> list[Replica]:
         outliers = self._deps.outliers
-        usable = self._deps.load_tracker.usable(upstream, now)
-        return [replica for replica in usable if not outliers.ejected(replica.id, now)]
+        usable = self._deps.load_tracker.usable_replicas(upstream, now)
+        return [replica for replica in usable if not outliers.is_ejected(replica.id, now)]
 
     async def _send(self, item: Item, replica: Replica) -> Result[Reply, Failure]:
         now = self._deps.clock.now()
@@ -199,7 +199,7 @@
             )
         finally:
             if not outlier_reported:
-                self._deps.outliers.on_dropped(replica.id)
+                self._deps.outliers.on_no_result(replica.id)
         if isinstance(result, Err) and rejection(result.err_value) is None:
             item.maybe_sent = item.maybe_sent or result.err_value.sent is Sent.MAYBE
         self._deps.crashes.on_send_finished(item.call.call_id, item.call.work, replica, result, now)
@@ -211,7 +211,7 @@
         running.remove(item)
         if not running:
             del self._running[replica.id]
-        self._deps.load_tracker.on_done(replica.id, True, self._deps.clock.now())
+        self._deps.load_tracker.on_finished(replica.id, True, self._deps.clock.now())
         self._deps.on_uses_changed()
         self._on_capacity_grown()
 
@@ -249,7 +249,7 @@
             return GiveUp(rejected)
         call = item.call
         now = self._deps.clock.now()
-        return decide(
+        return retry_or_refuse(
             failure,
             call.profile.idempotent,
             item.failures,
@@ -278,7 +278,7 @@
         if not items:
             return
         now = self._deps.clock.now()
-        count = self._deps.share.to_yield(replica_id, self._deps.load_tracker, now)
+        count = self._deps.share.excess_streams(replica_id, self._deps.load_tracker, now)
         if count > 0:
             self._preempt(items, count)
 
--- a/papayapier/dispatch/outcome_checks.py
+++ b/papayapier/dispatch/outcome_checks.py
@@ -6,16 +6,16 @@
 from papayapier.invariants import Promise, check
 
 if TYPE_CHECKING:
-    from papayapier.policy.loads import LoadBook
+    from papayapier.policy.loads import LoadTracker
     from papayapier.upstream.api import Replica
 
 
 def check_send(
-    book: "LoadBook", replica: "Replica", call_id: str, may_run_again: bool, now: int
+    book: "LoadTracker", replica: "Replica", call_id: str, may_run_again: bool, now: int
 ) -> None:
     """Check, immediately before a send, that it is allowed and that its replica is usable."""
     check(may_run_again, Promise.AT_MOST_ONCE, call=call_id, replica=replica.id)
-    usable = book.usable(replica.upstream, now)
+    usable = book.usable_replicas(replica.upstream, now)
     check(replica in usable, Promise.LEAVING_IDLE, call=call_id, replica=replica.id)
 
 
--- a/papayapier/dispatch/retrying.py
+++ b/papayapier/dispatch/retrying.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Final, Protocol
 
 from papayapier import events
-from papayapier.policy.retries import GiveUp, Retry, decide, failed_at
+from papayapier.policy.retries import GiveUp, Retry, failed_at, retry_or_refuse
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
 
 if TYPE_CHECKING:
@@ -17,7 +17,7 @@
     from papayapier.config.profiles import Profile
     from papayapier.dispatch.crash_watch import CrashWatch, GetFingerprint
     from papayapier.metrics import Metrics
-    from papayapier.policy.loads import LoadBook
+    from papayapier.policy.loads import LoadTracker
     from papayapier.policy.retries import RetryBudget
 
 NO_EXCLUDED_REPLICAS: Final[frozenset[str]] = frozenset()
@@ -35,7 +35,7 @@
         """Return the random source that spreads the pauses."""
 
     @property
-    def load_tracker(self) -> "LoadBook":
+    def load_tracker(self) -> "LoadTracker":
         """Return the known replicas and their slots."""
 
     @property
@@ -97,7 +97,7 @@
     counted: int,
 ) -> Retry | GiveUp:
     """Decide what follows a failed send; counted sends use up the allowed attempts."""
-    return decide(
+    return retry_or_refuse(
         failure,
         profile.idempotent,
         counted,
--- a/papayapier/dispatch/start_queue.py
+++ b/papayapier/dispatch/start_queue.py
@@ -14,9 +14,9 @@
 from papayapier.dispatch.caller_limits import CallerLimits
 from papayapier.errors import ErrorKind, Refusal, not_run
 from papayapier.invariants import Promise, check
-from papayapier.policy.admission import Waiting
+from papayapier.policy.admission import QueuedRequest
 from papayapier.policy.fair_queue import RANKS
-from papayapier.policy.routing import free_calls
+from papayapier.policy.routing import free_capacity
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -25,8 +25,8 @@
     from papayapier.config.profiles import Profile
     from papayapier.metrics import Metrics
     from papayapier.policy.admission import AdmissionQueue
-    from papayapier.policy.loads import LoadBook
-    from papayapier.policy.outliers import Outliers
+    from papayapier.policy.loads import LoadTracker
+    from papayapier.policy.outliers import OutlierDetector
 
 T = TypeVar("T")
 
@@ -61,11 +61,11 @@
         """Return the policy that decides the order and the refusals."""
 
     @property
-    def load_tracker(self) -> "LoadBook":
+    def load_tracker(self) -> "LoadTracker":
         """Return the load of the replicas."""
 
     @property
-    def outliers(self) -> "Outliers":
+    def outliers(self) -> "OutlierDetector":
         """Return the ejected replicas."""
 
     @property
@@ -170,7 +170,7 @@
         if now >= request.due_ms:
             return not_run(ErrorKind.DEADLINE, "the due time has passed")
         upstream = request.profile.upstream
-        if not self._deps.load_tracker.usable(upstream, now):
+        if not self._deps.load_tracker.usable_replicas(upstream, now):
             # Waiting for a replica that is not listed would only use up the time until due_ms.
             reason = f"upstream {upstream} has no usable replica"
             return not_run(ErrorKind.NO_UPSTREAM, reason, NO_REPLICA_RETRY_MS)
@@ -182,8 +182,8 @@
         self._next_ticket += 1
         return ticket
 
-    def _waiting(self, request: StartRequest, now: int) -> Waiting:
-        return Waiting(
+    def _waiting(self, request: StartRequest, now: int) -> QueuedRequest:
+        return QueuedRequest(
             ticket=self.take_ticket(),
             caller=request.caller,
             upstream=request.profile.upstream,
@@ -196,7 +196,7 @@
 
     def _leave(self, ticket: int) -> None:
         """Remove a request whose caller has disconnected from the queue."""
-        self._deps.queue.leave(ticket)
+        self._deps.queue.remove(ticket)
         self._waiters.pop(ticket, None)
 
     def pump(self) -> None:
@@ -231,7 +231,7 @@
         if self._elsewhere(upstream):
             return True
         now = self._deps.clock.now()
-        free = free_calls(self._deps.load_tracker, self._deps.outliers, upstream, now)
+        free = free_capacity(self._deps.load_tracker, self._deps.outliers, upstream, now)
         return free >= self._reserved(upstream, now) + REQUEST_COST
 
     def _keep_ticking(self) -> None:
@@ -248,7 +248,7 @@
             self._timer.cancel()
 
 
-def _expired_refusal(waiting: Waiting, now: int) -> Refusal:
+def _expired_refusal(waiting: QueuedRequest, now: int) -> Refusal:
     if now >= waiting.due_ms:
         return not_run(ErrorKind.DEADLINE, "the due time has passed in the queue")
     reason = "the wait would pass the due time"
--- a/papayapier/entry/forward_routes.py
+++ b/papayapier/entry/forward_routes.py
@@ -18,7 +18,7 @@
 from papayapier.entry.forward_refusals import RefusalDeps, count_refusal, refuse_forwarded
 from papayapier.errors import ErrorKind, Refusal, not_run
 from papayapier.invariants import Promise, check
-from papayapier.policy.waiting import has_returned, wait_limit_ms
+from papayapier.policy.waiting import is_repeated, wait_limit_ms
 from papayapier.upstream.event_cutter import NO_EVENT
 from papayapier.upstream.raw import Answered, PassedOn, RawAnswer
 
@@ -265,7 +265,7 @@
     last_id = _number(request.getHeader(names.last_event), NO_EVENT)
     if last_id is None:
         return Err(not_run(ErrorKind.BAD_REQUEST, f"{names.last_event}: not a number"))
-    is_retry = has_returned(left_ms, route.timeout_ms)
+    is_retry = is_repeated(left_ms, route.timeout_ms)
     rank = route.rank if team is None or team.rank is None else team.rank
     headers = names.end_to_end(request.requestHeaders)
     if team is not None:
--- a/papayapier/entry/site.py
+++ b/papayapier/entry/site.py
@@ -21,7 +21,7 @@
 from papayapier.clock import MS_PER_S
 from papayapier.entry.answers import refusal_body, refuse, with_content_length
 from papayapier.errors import ErrorKind, Refusal, not_run, unknown
-from papayapier.policy.held_bytes import UNBOUNDED, HeldBytes
+from papayapier.policy.buffered_bytes import UNBOUNDED, BufferedBytes
 from papayapier.sockets import is_quiet
 
 IDLE_TIMEOUT_S: Final = 75
@@ -302,7 +302,7 @@
             parsePOSTFormSubmission=False,
         )
         self.body_limit = body_limit
-        self.buffered_bytes = HeldBytes(UNBOUNDED)
+        self.buffered_bytes = BufferedBytes(UNBOUNDED)
         self.leaving = False
         self.header_bytes = MAX_HEADER_BYTES
         self.connections: set[Connection] = set()
--- a/papayapier/entry/unread_watch.py
+++ b/papayapier/entry/unread_watch.py
@@ -6,7 +6,7 @@
 from papayapier.clock import Clock, Timer
 from papayapier.entry.site import CountingSite
 from papayapier.metrics import Metrics
-from papayapier.policy.held_bytes import HeldBytes, Unread
+from papayapier.policy.buffered_bytes import BufferedBytes, Unread
 
 REVIEW_MS: Final = 250
 
@@ -15,14 +15,14 @@
     """Check one port's connections regularly; a caller that has read everything starts afresh."""
 
     def __init__(
-        self, clock: Clock, site: CountingSite, buffered: HeldBytes, metrics: Metrics
+        self, clock: Clock, site: CountingSite, buffered: BufferedBytes, metrics: Metrics
     ) -> None:
         self._clock = clock
         self._site = site
         self._buffered = buffered
         self._unread_since_ms: dict[Any, int] = {}
         self._timer: Timer | None = None
-        metrics.held_bytes.set_function(buffered.held)
+        metrics.held_bytes.set_function(buffered.total)
 
     def start(self) -> None:
         """Start the checks."""
@@ -50,11 +50,11 @@
             Unread(key, self._unread_since_ms[connection], unsent_bytes[connection])
             for key, connection in by_caller.items()
         )
-        for given_up in self._buffered.given_up(unread):
+        for given_up in self._buffered.callers_to_drop(unread):
             events.emit(
                 events.CALLER_SLOW,
-                unread_bytes=given_up.held_bytes,
+                unread_bytes=given_up.unread_bytes,
                 unread_ms=now - given_up.since_ms,
-                held_bytes=self._buffered.held(),
+                held_bytes=self._buffered.total(),
             )
             by_caller[given_up.caller].transport.abortConnection()
--- a/papayapier/fleet_view.py
+++ b/papayapier/fleet_view.py
@@ -15,8 +15,8 @@
 from papayapier.orders.controller import ListedReplica
 from papayapier.peer.messages import Heartbeat, Message
 from papayapier.policy.batch_share import BatchShare
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
 from papayapier.policy.subsets import subset
 from papayapier.store.api import ENTRY, LEAVING, LIVE, REPLICA, Member
 from papayapier.store.members import MembersChanged
@@ -29,8 +29,8 @@
 class Policies(NamedTuple):
     """Group the policies that track every replica."""
 
-    book: LoadBook
-    outliers: Outliers
+    book: LoadTracker
+    outliers: OutlierDetector
     share: BatchShare
 
 
@@ -91,16 +91,16 @@
         """Update the metrics of each replica, and log ejections and their ends."""
         book, outliers, share = self._policies
         for upstream in self.upstream_names():
-            usable = book.usable(upstream, now)
-            in_use = [replica for replica in usable if outliers.healthy(replica.id)]
+            usable = book.usable_replicas(upstream, now)
+            in_use = [replica for replica in usable if outliers.is_healthy(replica.id)]
             self._metrics.replicas_usable.labels(upstream).set(len(in_use))
             self._log_ejections(upstream, {r.id for r in usable} - {r.id for r in in_use})
             for replica in usable:
-                own = book.own(replica.id)
+                own = book.own_calls(replica.id)
                 in_flight = self._metrics.replica_in_flight
                 in_flight.labels(replica.id, "online").set(own.online)
                 in_flight.labels(replica.id, "batch").set(own.batch)
-                limit = share.limit(replica.id, book, now)
+                limit = share.max_streams(replica.id, book, now)
                 self._metrics.batch_limit.labels(replica.id).set(limit)
 
     def _log_ejections(self, upstream: str, ejected: set[str]) -> None:
@@ -115,7 +115,7 @@
         """Return the replicas that are not leaving, each with whether it is in use."""
         outliers = self._policies.outliers
         return [
-            ListedReplica(_replica(member), not outliers.ejected(member.id, now))
+            ListedReplica(_replica(member), not outliers.is_ejected(member.id, now))
             for member in self._members.values()
             if member.kind == REPLICA and member.state != LEAVING
         ]
@@ -123,11 +123,11 @@
     def replicas_needed(self, upstream: str, now: int) -> int:
         """Return how many replicas the current online load of an upstream requires."""
         book = self._policies.book
-        replicas = book.usable(upstream, now)
+        replicas = book.usable_replicas(upstream, now)
         slots = [book.slots(replica.id) for replica in replicas]
         if not slots:
             return 1
-        running = [book.estimate(r.id, now) - book.batch_at(r.id) for r in replicas]
+        running = [book.estimate(r.id, now) - book.batch_calls(r.id) for r in replicas]
         listed = sum(1 for m in self._members.values() if m.upstream == upstream)
         # The replicas used here are a representative sample of the listed ones.
         return max(1, math.ceil(listed * sum(running) / (TARGET_UTILISATION * sum(slots))))
@@ -135,7 +135,7 @@
     def on_peers(self, live: Collection[str], silent: Collection[str]) -> None:
         """Record the peers whose heartbeats arrive and those whose heartbeats do not."""
         for departed in self._live_peers - set(live):
-            self._policies.book.on_peer_gone(departed)
+            self._policies.book.on_peer_departed(departed)
         self._live_peers = set(live)
         self._silent_peers = set(silent)
         self._on_live_changed()
@@ -241,12 +241,12 @@
 
 
 def make_peer_calls_handler(
-    load_tracker: LoadBook, now: Callable[[], int]
+    load_tracker: LoadTracker, now: Callable[[], int]
 ) -> Callable[[str, Message], None]:
     """Return the handler that records peers' open calls from their heartbeats."""
 
     def on_heartbeat(peer_id: str, message: Message) -> None:
         if isinstance(message, Heartbeat):
-            load_tracker.on_peer_uses(peer_id, message.uses, now())
+            load_tracker.on_peer_calls(peer_id, message.uses, now())
 
     return on_heartbeat
--- a/papayapier/jobs/free_slots.py
+++ b/papayapier/jobs/free_slots.py
@@ -4,10 +4,10 @@
 from collections.abc import Collection, Sequence
 from typing import NamedTuple
 
-from papayapier.policy.batch_room import NO_PART, Use, start_limit
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
-from papayapier.policy.totals import parts_among, sharers_of
+from papayapier.policy.batch_limits import NO_SHARE, SlotUse, start_limit
+from papayapier.policy.batch_sharers import share_count, sharers_of
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
 from papayapier.upstream.api import Replica
 
 
@@ -21,33 +21,33 @@
 
     rand: random.Random
     instance_id: str
-    load_tracker: LoadBook
-    outliers: Outliers
+    load_tracker: LoadTracker
+    outliers: OutlierDetector
     sharing: Sequence[str]
     unreachable: Collection[str]
 
 
-def replica_use(snapshot: SlotSnapshot, replica_id: str) -> Use:
+def replica_use(snapshot: SlotSnapshot, replica_id: str) -> SlotUse:
     """Return the open calls at a replica and the share of its slots that this instance has.
 
     Only a few instances share a replica's slots. Each may use slots that the others leave idle;
     if many did, all of them would take the same idle slots before they learn of each other's calls.
     """
     may_use = sharers_of(replica_id, snapshot.sharing)
-    sharing = may_use[: parts_among(len(snapshot.sharing))]
-    own = snapshot.load_tracker.own(replica_id).batch
+    sharing = may_use[: share_count(len(snapshot.sharing))]
+    own = snapshot.load_tracker.own_calls(replica_id).batch
     slots = snapshot.load_tracker.slots(replica_id)
-    batch = snapshot.load_tracker.batch_at(replica_id)
+    batch = snapshot.load_tracker.batch_calls(replica_id)
     if not set(snapshot.unreachable).isdisjoint(sharing):
         # The slots that an unreachable instance leaves idle are unknown, so each instance keeps to
         # its fair share.
         batch = own + slots
-    return Use(
+    return SlotUse(
         slots if snapshot.instance_id in may_use else 0,
-        snapshot.load_tracker.online_at(replica_id),
+        snapshot.load_tracker.online_calls(replica_id),
         own,
         batch,
-        sharing.index(snapshot.instance_id) if snapshot.instance_id in sharing else NO_PART,
+        sharing.index(snapshot.instance_id) if snapshot.instance_id in sharing else NO_SHARE,
         len(sharing),
     )
 
@@ -57,7 +57,7 @@
 
     def __init__(self, snapshot: SlotSnapshot) -> None:
         self._snapshot = snapshot
-        self._uses: dict[str, Use] = {}
+        self._uses: dict[str, SlotUse] = {}
 
     def find(self, upstream: str, now: int, has_share: bool = True) -> Replica | None:
         """Return the replica with the most free slots, or None.
@@ -67,13 +67,13 @@
         the slots, otherwise only the other replicas.
         """
         best: tuple[float, float, Replica] | None = None
-        for replica in self._snapshot.load_tracker.usable(upstream, now):
-            if self._snapshot.outliers.ejected(replica.id, now):
+        for replica in self._snapshot.load_tracker.usable_replicas(upstream, now):
+            if self._snapshot.outliers.is_ejected(replica.id, now):
                 continue
             use = self._use(replica.id)
-            if (use.place != NO_PART) is not has_share:
+            if (use.rank != NO_SHARE) is not has_share:
                 continue
-            free_slots = start_limit(use) - self._snapshot.load_tracker.own(replica.id).batch
+            free_slots = start_limit(use) - self._snapshot.load_tracker.own_calls(replica.id).batch
             if free_slots <= 0:
                 continue
             score = free_slots - self._snapshot.outliers.penalty(replica.id, now)
@@ -82,7 +82,7 @@
                 best = ranked
         return best[2] if best is not None else None
 
-    def _use(self, replica_id: str) -> Use:
+    def _use(self, replica_id: str) -> SlotUse:
         if replica_id not in self._uses:
             self._uses[replica_id] = replica_use(self._snapshot, replica_id)
         return self._uses[replica_id]
--- a/papayapier/jobs/job_service.py
+++ b/papayapier/jobs/job_service.py
@@ -32,7 +32,7 @@
     split_items,
 )
 from papayapier.pending import Pending
-from papayapier.policy.job_keeping import NOT_ASKED, Copies, patience_ms
+from papayapier.policy.job_copies import NOT_REQUESTED, Copies, store_wait_ms
 from papayapier.store.api import Store, StoreError
 from papayapier.store.writes import SettleDeps, create_settled, update_settled
 
@@ -148,7 +148,7 @@
         value = encode(record)
         work = create_settled(settling, job_key(job_id), value, due_ms)
         creating = Pending(self._deps.clock, work)
-        copies = NOT_ASKED
+        copies = NOT_REQUESTED
         if not record.parts:
             copies = await self._replicate_unless_created(job_id, value, creating, objective_ms)
         if not copies.enough:
@@ -174,13 +174,13 @@
         objective_ms: int,
     ) -> Copies:
         """Replicate a job to keepers' disks if the store does not respond in time."""
-        wait_ms = patience_ms(objective_ms, self._deps.is_store_unavailable())
+        wait_ms = store_wait_ms(objective_ms, self._deps.is_store_unavailable())
         created = await creating.within(wait_ms)
         # A definite reply of the store decides; keepers are only requested without one.
         if created is not None and (
             isinstance(created, Ok) or created.err_value not in UNCERTAIN_ERRORS
         ):
-            return NOT_ASKED
+            return NOT_REQUESTED
         copies = await self._deps.replicate(job_id, value)
         events.emit(events.JOB_SENT_TO_KEEPERS, job=job_id, **copies._asdict())
         return copies
--- a/papayapier/jobs/owned_job.py
+++ b/papayapier/jobs/owned_job.py
@@ -5,7 +5,7 @@
 
 from papayapier.jobs.progress import ItemProgress
 from papayapier.jobs.records import ItemOutcome, ItemResult, JobItem, JobRecord, ResultGroup
-from papayapier.policy.handing import SILENT_MS, STALLED_MS
+from papayapier.policy.handover import STALLED_MS, STALLED_RUNNING_MS
 from papayapier.upstream.event_cutter import NO_EVENT
 
 NO_DELAY: Final = 0
@@ -84,7 +84,7 @@
         last_ms = max(
             [self.last_progress_ms, *(state.last_received_ms for state in self.items.values())]
         )
-        return now - last_ms >= (SILENT_MS if self.is_running() else STALLED_MS)
+        return now - last_ms >= (STALLED_RUNNING_MS if self.is_running() else STALLED_MS)
 
     def finish(self, item_id: str, end: ItemOutcome) -> None:
         """Record the result of an item, which is then to be written."""
--- a/papayapier/jobs/owners.py
+++ b/papayapier/jobs/owners.py
@@ -8,9 +8,9 @@
 
 from papayapier.config.route_table import RouteTable
 from papayapier.jobs.records import JobRecord
-from papayapier.policy.job_owners import able_to_own
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.ownership import owner
+from papayapier.policy.job_owners import possible_owners
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.ownership import rendezvous_owner
 
 
 class JobOwners:
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        load_tracker: LoadBook,
+        load_tracker: LoadTracker,
         table: Callable[[], RouteTable | None],
         running: Callable[[], Sequence[str]],
     ) -> None:
@@ -50,7 +50,9 @@
         """Return the instances that may start a job's items."""
         upstream = self.upstream_of(record)
         if upstream not in self._eligible:
-            eligible = able_to_own(self._instances, self._load_tracker.usable_ids(upstream))
+            eligible = possible_owners(
+                self._instances, self._load_tracker.usable_replica_ids(upstream)
+            )
             self._eligible[upstream] = eligible
             self._eligible_sets[upstream] = frozenset(eligible)
         return self._eligible[upstream]
@@ -64,7 +66,7 @@
         """Return the instance that owns a job and runs its items."""
         cached = self._owners.get(job_id)
         if cached is None:
-            cached = self._owners[job_id] = owner(job_id, self.eligible(record))
+            cached = self._owners[job_id] = rendezvous_owner(job_id, self.eligible(record))
         return cached
 
     def forget(self, job_id: str) -> None:
@@ -79,7 +81,7 @@
 
 
 def eligible_instances(
-    load_tracker: LoadBook, table: RouteTable | None, running: Collection[str], record: JobRecord
+    load_tracker: LoadTracker, table: RouteTable | None, running: Collection[str], record: JobRecord
 ) -> Sequence[str]:
     """Return which of the given instances may start a job's items."""
     owners = JobOwners(load_tracker, lambda: table, lambda: sorted(running))
--- a/papayapier/jobs/progress.py
+++ b/papayapier/jobs/progress.py
@@ -22,7 +22,7 @@
 from papayapier.clock import Clock
 from papayapier.jobs.records import ItemOutcome
 from papayapier.pending import Pending
-from papayapier.policy.crashes import Loss
+from papayapier.policy.crash_quarantine import ReplicaLoss
 
 FILES: Final = ("progress-0", "progress-1")
 # A run takes about five seconds, so a power loss costs a tenth of a run on average. A write of 25
@@ -53,7 +53,7 @@
 
     number: int
     items: tuple[ItemProgress, ...]
-    losses: tuple[Loss, ...] = ()
+    losses: tuple[ReplicaLoss, ...] = ()
 
 
 class SaverDeps(NamedTuple):
@@ -63,7 +63,7 @@
     folder: str
     in_thread: Callable[[Callable[[], Any]], Awaitable[Any]]
     progress: Callable[[], Sequence[ItemProgress]]
-    losses: Callable[[], Sequence[Loss]]
+    losses: Callable[[], Sequence[ReplicaLoss]]
 
 
 _SNAPSHOT: Final = msgspec.msgpack.Decoder(Snapshot)
@@ -99,7 +99,7 @@
         await deps.clock.sleep(SAVE_MS)
         items = _bounded(deps.progress())
         losses = tuple(deps.losses())
-        loss_keys = {(loss.work, loss.replica) for loss in losses}
+        loss_keys = {(loss.fingerprint, loss.replica) for loss in losses}
         if not items and loss_keys == saved_loss_keys:
             continue
         saved_loss_keys = None if items else loss_keys
--- a/papayapier/jobs/runner.py
+++ b/papayapier/jobs/runner.py
@@ -23,7 +23,7 @@
 from papayapier.jobs.records import JOBS_PREFIX, ItemOutcome, JobRecord, read_record
 from papayapier.jobs.runs import RunDeps, Runs
 from papayapier.jobs.takeover import JobTakeover, LookDeps
-from papayapier.policy.ownership import owner
+from papayapier.policy.ownership import rendezvous_owner
 from papayapier.store.api import Change, Store
 
 if TYPE_CHECKING:
@@ -140,7 +140,9 @@
         """
         if job_id in self._open or job_id in self._owned:
             return False
-        ended_here = owner(job_id, self._deps.runs.sharing()) == self._deps.runs.instance_id
+        ended_here = (
+            rendezvous_owner(job_id, self._deps.runs.sharing()) == self._deps.runs.instance_id
+        )
         return job_id in self._completed or ended_here
 
     def stored_record(self, job_id: str) -> JobRecord | None:
--- a/papayapier/jobs/runs.py
+++ b/papayapier/jobs/runs.py
@@ -25,10 +25,10 @@
 from papayapier.jobs.item_run import ItemReceiver
 from papayapier.jobs.owned_job import ItemState, OwnedJob
 from papayapier.jobs.records import ItemOutcome
-from papayapier.policy.batch_order import RunTimes, Standing, standing, victims
-from papayapier.policy.batch_room import keep_limit, start_limit
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
+from papayapier.policy.batch_limits import keep_limit, start_limit
+from papayapier.policy.batch_order import ItemRank, RunTimeEstimator, preempted, rank_item
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
 from papayapier.upstream.raw import Answered, PassedOn, RawCall, SendRaw
 
@@ -52,8 +52,8 @@
     clock: Clock
     rand: random.Random
     instance_id: str
-    load_tracker: LoadBook
-    outliers: Outliers
+    load_tracker: LoadTracker
+    outliers: OutlierDetector
     crashes: CrashWatch
     send: SendRaw
     make_headers: Callable[[Headers, Replica, int | None, int], Headers]
@@ -90,7 +90,7 @@
         self._on_result = on_result
         self._on_slot_freed = on_slot_freed
         self._runs: dict[str, _Run] = {}
-        self._times: dict[str, RunTimes] = {}
+        self._times: dict[str, RunTimeEstimator] = {}
 
     def count(self) -> int:
         """Return the number of running items."""
@@ -176,11 +176,11 @@
             self._start(job, route, state, replica, has_share=False)
         return replica is not None
 
-    def _standing(self, upstream: str, job: OwnedJob, state: ItemState, wall: float) -> Standing:
-        return standing(self._times_at(upstream), len(state.texts), job.due_ms, wall)
+    def _standing(self, upstream: str, job: OwnedJob, state: ItemState, wall: float) -> ItemRank:
+        return rank_item(self._times_at(upstream), len(state.texts), job.due_ms, wall)
 
-    def _times_at(self, upstream: str) -> RunTimes:
-        return self._times.setdefault(upstream, RunTimes())
+    def _times_at(self, upstream: str) -> RunTimeEstimator:
+        return self._times.setdefault(upstream, RunTimeEstimator())
 
     def _start_with_share(
         self, finder: ReplicaFinder, job: OwnedJob, route: Route, state: ItemState
@@ -199,7 +199,7 @@
                 continue
             # Above the start limit, runs continue but none are started, so cancelling a run there
             # would not free a slot for another item.
-            if slots.load_tracker.own(replica_id).batch <= start_limit(
+            if slots.load_tracker.own_calls(replica_id).batch <= start_limit(
                 replica_use(slots, replica_id)
             ):
                 self._cancel_run(run, "late, and another item can be done in time", 1)
@@ -224,8 +224,8 @@
             replica=replica.id,
             after=state.last_event,
             left_ms=_left_ms(job, self._deps.clock),
-            online=self._deps.load_tracker.online_at(replica.id),
-            batch=self._deps.load_tracker.batch_at(replica.id),
+            online=self._deps.load_tracker.online_calls(replica.id),
+            batch=self._deps.load_tracker.batch_calls(replica.id),
             part=has_share,
         )
         task = Deferred.fromCoroutine(self._run(job, route, state, replica))
@@ -246,7 +246,7 @@
             state.running = False
             now = self._deps.clock.now()
             state.ran_ms += now - began_ms
-            self._deps.load_tracker.on_done(replica.id, True, now)
+            self._deps.load_tracker.on_finished(replica.id, True, now)
             self._deps.on_uses_changed()
         if sent is not None:
             fingerprint_of = partial(self._fingerprint, job, state)
@@ -388,10 +388,10 @@
             over = len(runs) - keep_limit(replica_use(slots, replica_id))
             if over > 0:
                 ranked = ((self._run_standing(run, wall), run) for run in runs)
-                for run in victims(ranked, over):
+                for run in preempted(ranked, over):
                     self._cancel_run(run, "online calls need the slot", over)
 
-    def _run_standing(self, run: _Run, wall: float) -> Standing:
+    def _run_standing(self, run: _Run, wall: float) -> ItemRank:
         return self._standing(run.replica.upstream, run.job, run.state, wall)
 
     def _cancel_run(self, run: _Run, reason: str, over: int) -> None:
--- a/papayapier/jobs/takeover.py
+++ b/papayapier/jobs/takeover.py
@@ -12,8 +12,8 @@
 from papayapier.jobs.owned_job import OwnedJob
 from papayapier.jobs.owners import JobOwners
 from papayapier.jobs.records import JobRecord
-from papayapier.policy.handing import OFFERED_MOST, HandedJobs, Offers
-from papayapier.policy.orphans import Answered, OrphanWatch
+from papayapier.policy.handover import MAX_OFFERED_JOBS, HandoverTracker, OfferRotation
+from papayapier.policy.orphans import OrphanDetector, RunsReply
 
 
 class LookDeps(NamedTuple):
@@ -40,9 +40,9 @@
 
     def __init__(self, deps: LookDeps) -> None:
         self._deps = deps
-        self._orphans = OrphanWatch(deps.instance_id)
-        self._handovers = HandedJobs()
-        self._offers = Offers(deps.instance_id)
+        self._orphans = OrphanDetector(deps.instance_id)
+        self._handovers = HandoverTracker()
+        self._offers = OfferRotation(deps.instance_id)
         self._stopping = False
 
     def stop(self) -> None:
@@ -53,7 +53,7 @@
         """Return whether this instance is to run a job, given its owner."""
         if owner_id == self._deps.instance_id and self._handovers.holder(job_id) is None:
             return True
-        return self._orphans.taken(job_id)
+        return self._orphans.is_taken_over(job_id)
 
     def expire(self, live: Collection[str]) -> bool:
         """Take back jobs handed over to instances that are not live; return whether any were."""
@@ -77,22 +77,22 @@
             for job_id, record in deps.open.items()
             if owners.may_own(deps.instance_id, record)
         }
-        return self._orphans.asks(
+        return self._orphans.due_checks(
             owned, lambda job_id: owners.eligible(deps.open[job_id]), deps.clock.now()
         )
 
     def taken_over(self, job_ids: Sequence[str]) -> list[str]:
         """Return which of the given jobs this instance runs in place of their owners."""
-        return [job_id for job_id in job_ids if self._orphans.taken(job_id)]
+        return [job_id for job_id in job_ids if self._orphans.is_taken_over(job_id)]
 
-    def on_check_reply(self, owner_id: str, asked: Sequence[str], answer: Answered | None) -> None:
+    def on_check_reply(self, owner_id: str, asked: Sequence[str], answer: RunsReply | None) -> None:
         """Handle an owner's reply about its jobs, or None for no reply; take over orphaned jobs."""
         now = self._deps.clock.now()
         taken_before = self.taken_over(asked)
         if answer is None:
-            taken = self._orphans.on_silence(asked, now)
+            taken = self._orphans.on_no_reply(asked, now)
         else:
-            taken = self._orphans.on_answer(asked, answer, now)
+            taken = self._orphans.on_reply(asked, answer, now)
         reason = "silent" if answer is None else "denied"
         for job_id in taken:
             events.emit(events.RUN_ADOPTED, job=job_id, owner=owner_id, reason=reason)
@@ -101,7 +101,7 @@
 
     def on_check_request(
         self, peer_id: str, job_ids: Sequence[str], taken: Collection[str]
-    ) -> Answered:
+    ) -> RunsReply:
         """Return the reply to a peer that checks jobs of this instance.
 
         taken are the jobs that the peer runs. It keeps those that are not running here or have
@@ -110,7 +110,7 @@
         changed = False
         for job_id in job_ids:
             if job_id not in taken:
-                changed |= self._handovers.on_given_back(job_id, peer_id)
+                changed |= self._handovers.on_returned(job_id, peer_id)
             elif job_id not in self._deps.owned or self._is_stalled(job_id):
                 changed |= self._hand_over(job_id, peer_id)
         if changed:
@@ -118,13 +118,15 @@
         elsewhere = {key for key in job_ids if self._handovers.holder(key) not in (None, peer_id)}
         here = set() if self._stopping else set(self._deps.owned).intersection(job_ids)
         closed = frozenset(self._deps.closed).intersection(job_ids)
-        return Answered(frozenset(here | elsewhere), closed)
+        return RunsReply(frozenset(here | elsewhere), closed)
 
     def due_offers(self) -> dict[str, list[str]]:
         """Return which stalled jobs to offer now, by the peer to which the offer goes."""
         deps = self._deps
         stalled = [
-            key for key in deps.owned if not self._orphans.taken(key) and self._is_stalled(key)
+            key
+            for key in deps.owned
+            if not self._orphans.is_taken_over(key) and self._is_stalled(key)
         ]
         if self._stopping or not stalled:
             return {}
@@ -135,8 +137,8 @@
             ).append(job_id)
         offered: dict[str, list[str]] = {}
         for eligible, job_ids in by_eligible.items():
-            for peer_id in self._offers.next(eligible):
-                offered.setdefault(peer_id, []).extend(job_ids[:OFFERED_MOST])
+            for peer_id in self._offers.next_peers(eligible):
+                offered.setdefault(peer_id, []).extend(job_ids[:MAX_OFFERED_JOBS])
         return offered
 
     def choose_offered(self, job_ids: Sequence[str]) -> str | None:
@@ -145,12 +147,12 @@
             return None
         return next((job_id for job_id in job_ids if self._can_start(job_id)), None)
 
-    def on_claim_reply(self, owner_id: str, job_id: str, answer: Answered) -> None:
+    def on_claim_reply(self, owner_id: str, job_id: str, answer: RunsReply) -> None:
         """Handle an owner's reply to the claim of an offered job; run the job if it is free."""
-        if job_id in answer.runs or job_id in answer.over or job_id not in self._deps.open:
+        if job_id in answer.runs or job_id in answer.finished or job_id not in self._deps.open:
             return
         events.emit(events.RUN_ADOPTED, job=job_id, owner=owner_id, reason="offered")
-        self._orphans.take(job_id, owner_id, self._deps.clock.now())
+        self._orphans.take_over(job_id, owner_id, self._deps.clock.now())
         self._deps.on_change()
 
     def _hand_over(self, job_id: str, peer_id: str) -> bool:
@@ -158,14 +160,14 @@
         is_new = self._handovers.holder(job_id) is None
         if is_new:
             events.emit(events.RUN_HANDED, job=job_id, keeper=peer_id)
-        self._handovers.on_taken(job_id, peer_id, self._deps.clock.now())
+        self._handovers.on_peer_runs(job_id, peer_id, self._deps.clock.now())
         return is_new
 
     def _give_back(self) -> None:
         """Return to their owners the jobs that were taken over and have stalled here too."""
         stalled = [key for key in self.taken_over(list(self._deps.owned)) if self._is_stalled(key)]
         for job_id in stalled:
-            self._orphans.give_back(job_id, self._deps.clock.now())
+            self._orphans.hand_back(job_id, self._deps.clock.now())
         if stalled:
             self._deps.on_change()
 
--- a/papayapier/node/allowances.py
+++ b/papayapier/node/allowances.py
@@ -19,13 +19,13 @@
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.messages import AllowAsk, AllowTell, TakeOverAsk, TakeOverTell
 from papayapier.policy.allowances import (
-    RESERVE,
-    Answer,
-    Grants,
-    Left,
-    Limit,
-    Said,
-    View,
+    RESERVE_RANK,
+    Allowance,
+    Granter,
+    GranterView,
+    GrantOutcome,
+    GrantReply,
+    RemainingTokens,
     granters,
 )
 from papayapier.store.watch import log_failure
@@ -73,7 +73,7 @@
             self._granters_of[team] = granters(team, granting)
         return [
             granter
-            for granter in self._granters_of[team][: RESERVE + 1]
+            for granter in self._granters_of[team][: RESERVE_RANK + 1]
             if self.may_request(granter)
         ]
 
@@ -114,7 +114,7 @@
             reply = await client.request_grant(granter, team, retried)
             if reply is None:
                 continue
-            if reply.outcome == Said.NOT_HERE.value:
+            if reply.outcome == GrantOutcome.NOT_HERE.value:
                 # That keeper may know the current set of granters better than this instance.
                 if (
                     reply.granter
@@ -126,7 +126,7 @@
                         *(other for other in candidates if other != reply.granter),
                     ]
                 continue
-            if reply.outcome == Said.GRANTED.value:
+            if reply.outcome == GrantOutcome.GRANTED.value:
                 return Ok(None)
             reason = f"team {team.name} has reached its limit of {team.rate_per_s:g} requests/s"
             return Err(not_run(ErrorKind.OVER_ALLOWANCE, reason, reply.retry_after_ms))
@@ -147,19 +147,19 @@
     hub: PeerHub
     clock: Clock
     me: str
-    grants: Grants
+    grants: Granter
     granting: Callable[[], frozenset[str]]
     listed: Callable[[], Collection[str]]
     leaving: Callable[[], bool]
     team: Callable[[str], Team | None]
 
 
-def _limit_of(deps: GrantDeps, request: AllowAsk | TakeOverAsk) -> Limit:
+def _limit_of(deps: GrantDeps, request: AllowAsk | TakeOverAsk) -> Allowance:
     """Return the lower of the requester's limit and this instance's: either may be outdated."""
     known = deps.team(request.team)
     if known is None or not known.limited():
-        return Limit(request.rate_per_s, request.burst)
-    return Limit(min(request.rate_per_s, known.rate_per_s), min(request.burst, known.burst))
+        return Allowance(request.rate_per_s, request.burst)
+    return Allowance(min(request.rate_per_s, known.rate_per_s), min(request.burst, known.burst))
 
 
 def serve_allowances(deps: GrantDeps) -> None:
@@ -170,25 +170,27 @@
         listed = deps.listed()
         # An instance that is not listed yet, or is leaving, must not count itself as a granter.
         own = {deps.me} if deps.me in listed and not deps.leaving() else set()
-        view = View(tuple(sorted((deps.granting() - {deps.me}) | own)), len(listed))
+        view = GranterView(tuple(sorted((deps.granting() - {deps.me}) | own)), len(listed))
         if deps.grants.on_view(view, deps.clock.now()):
             events.emit(
-                events.ALLOWANCE_DIVIDED, part=round(view.part(), 3), granting=len(view.granting)
+                events.ALLOWANCE_DIVIDED, part=round(view.share(), 3), granting=len(view.granting)
             )
 
-    def reply_to(peer_id: str, request: AllowAsk, decision: Answer) -> None:
+    def reply_to(peer_id: str, request: AllowAsk, decision: GrantReply) -> None:
         deps.hub.send(
             peer_id,
-            AllowTell(request.correlation_id, decision.said.value, decision.after_ms, decision.ask),
+            AllowTell(
+                request.correlation_id, decision.outcome.value, decision.after_ms, decision.granter
+            ),
         )
         now = deps.clock.now()
-        if decision.said is Said.OVER and next_log_ms.get(request.team, 0) <= now:
+        if decision.outcome is GrantOutcome.OVER and next_log_ms.get(request.team, 0) <= now:
             for team in [name for name, until in next_log_ms.items() if until <= now]:
                 del next_log_ms[team]
             next_log_ms[request.team] = now + LOG_INTERVAL_MS
             events.emit(events.ALLOWANCE_BINDS, team=request.team, rate_per_s=request.rate_per_s)
 
-    async def take_over(peer_id: str, request: AllowAsk, limit: Limit, after: str) -> None:
+    async def take_over(peer_id: str, request: AllowAsk, limit: Allowance, after: str) -> None:
         reply = await deps.hub.send_request(
             after,
             lambda correlation_id: TakeOverAsk(
@@ -198,33 +200,37 @@
         )
         left = None
         if isinstance(reply, Ok) and isinstance(reply.ok_value, TakeOverTell):
-            left = Left(reply.ok_value.was_granter, reply.ok_value.tokens)
+            left = RemainingTokens(reply.ok_value.was_granter, reply.ok_value.tokens)
         now = deps.clock.now()
-        if deps.grants.took_over(request.team, left, limit, now):
+        if deps.grants.on_tokens_received(request.team, left, limit, now):
             events.emit(
                 events.ALLOWANCE_TAKEN, team=request.team, after=after, heard=left is not None
             )
-        decision = deps.grants.ask(request.team, limit, now, request.is_retry)
+        decision = deps.grants.request(request.team, limit, now, request.is_retry)
         reply_to(
             peer_id,
             request,
-            decision if decision.said is not Said.TAKE_OVER else Answer(Said.NOT_HERE),
+            (
+                decision
+                if decision.outcome is not GrantOutcome.TAKE_OVER
+                else GrantReply(GrantOutcome.NOT_HERE)
+            ),
         )
 
     def on_ask(peer_id: str, request: AllowAsk) -> None:
         update_view()
         limit = _limit_of(deps, request)
-        decision = deps.grants.ask(request.team, limit, deps.clock.now(), request.is_retry)
-        if decision.said is not Said.TAKE_OVER:
+        decision = deps.grants.request(request.team, limit, deps.clock.now(), request.is_retry)
+        if decision.outcome is not GrantOutcome.TAKE_OVER:
             reply_to(peer_id, request, decision)
             return
-        task = Deferred.fromCoroutine(take_over(peer_id, request, limit, decision.ask))
+        task = Deferred.fromCoroutine(take_over(peer_id, request, limit, decision.granter))
         task.addErrback(log_failure, "allowance")
 
     def on_take_over(peer_id: str, request: TakeOverAsk) -> None:
         update_view()
         limit = _limit_of(deps, request)
-        left = deps.grants.give_up(request.team, peer_id, limit, deps.clock.now())
+        left = deps.grants.hand_over(request.team, peer_id, limit, deps.clock.now())
         deps.hub.send(peer_id, TakeOverTell(request.correlation_id, left.was_first, left.tokens))
 
     deps.hub.on_change(update_view)
--- a/papayapier/node/base.py
+++ b/papayapier/node/base.py
@@ -41,10 +41,10 @@
 from papayapier.platform.headers import decode_facts
 from papayapier.platform.replicas import REPLICAS_PREFIX, decodes_differently, read_replica
 from papayapier.platform.store import platform_store
+from papayapier.policy.batch_sharers import totals_to_report
 from papayapier.policy.drain import Drain, DrainPlan
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
-from papayapier.policy.totals import totals_of
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
 from papayapier.store.api import Change, Store
 from papayapier.store.budget import Budget, Priority, make_budget
 from papayapier.store.mirror import IsRelevant, Mirror, always_relevant
@@ -72,8 +72,8 @@
     raw_store: Store
     budget: Budget
     drain: Drain
-    load_tracker: LoadBook
-    outliers: Outliers
+    load_tracker: LoadTracker
+    outliers: OutlierDetector
     crashes: CrashWatch
     routing: RoutingBook
     replicas: ReplicaList
@@ -107,14 +107,14 @@
     raw_store = platform_store(reactor, clock, platform, metrics)
     budget = make_budget(raw_store, clock, rand, platform)
     drain = Drain(DrainPlan(cfg.stop.balancer_lag_ms, cfg.stop.limit_ms()))
-    load_tracker = LoadBook()
-    outliers = Outliers()
+    load_tracker = LoadTracker()
+    outliers = OutlierDetector()
     routing = RoutingBook(CONFIG_KEY, read_configuration)
     group_notifications = SentNotifications()
     boot = rand.getrandbits(BOOT_BITS)
 
     def make_heartbeat() -> Heartbeat:
-        uses = tuple(load_tracker.uses())
+        uses = tuple(load_tracker.own_uses())
         message = Heartbeat(cfg.instance.id, boot, drain.state(), routing.version(), uses)
         if role is Role.ENTRY:
             return message
@@ -124,7 +124,7 @@
             return message
         if cfg.instance.id not in hub.plan().hubs:
             return message._replace(notifications=group_notifications.recent(now))
-        totals = totals_of(load_tracker, fleet.hubs(), cfg.instance.id)
+        totals = totals_to_report(load_tracker, fleet.hubs(), cfg.instance.id)
         return message._replace(totals=totals, notifications=group_notifications.recent(now))
 
     def on_replicas(listed: list[ListedReplica]) -> None:
@@ -379,7 +379,7 @@
         # calls. Processing both from 15 hubs took a tenth of an idle entry's processor time.
         by_totals = role is Role.ENTRY and not hub.plan().full_mesh
         if not (by_totals and peer_id in base.nodes.with_role(Role.KEEPER)):
-            base.load_tracker.on_peer_uses(peer_id, heartbeat.uses, base.clock.now())
+            base.load_tracker.on_peer_calls(peer_id, heartbeat.uses, base.clock.now())
 
     hub.subscribe(Heartbeat, on_uses)
     if role is Role.ENTRY:
@@ -396,7 +396,7 @@
         nonlocal live
         now_live = set(hub.live())
         for departed in live - now_live:
-            base.load_tracker.on_peer_gone(departed)
+            base.load_tracker.on_peer_departed(departed)
         live = now_live
 
     def on_push(peer_id: str, message: Message) -> None:
--- a/papayapier/node/entry.py
+++ b/papayapier/node/entry.py
@@ -39,8 +39,8 @@
 from papayapier.peer.messages import Heartbeat, JobChanged
 from papayapier.platform import headers, job_calls
 from papayapier.policy.admission import AdmissionQueue
+from papayapier.policy.buffered_bytes import BufferedBytes
 from papayapier.policy.first_byte import FirstByteTimes
-from papayapier.policy.held_bytes import HeldBytes
 from papayapier.policy.retries import RetryBudget
 from papayapier.stopping import PlannedStop, StopDeps
 from papayapier.store.budget import Priority
@@ -198,7 +198,7 @@
             return listening_result
     listening = (callers_listening.unwrap(), readiness_listening.unwrap())
     base.routing.watch(lambda table: _apply_caller_limits(listening[0], table))
-    held_bytes = HeldBytes(cfg.memory.held_bytes())
+    held_bytes = BufferedBytes(cfg.memory.held_bytes())
     unread = UnreadWatch(clock, listening[0].site, held_bytes, base.metrics)
     unread.start()
     events.emit(events.PROCESS_STARTED, instance=cfg.instance.id, role=Role.ENTRY.value)
--- a/papayapier/node/job_copies.py
+++ b/papayapier/node/job_copies.py
@@ -16,7 +16,7 @@
 from papayapier.jobs.records import JobRecord, read_record
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.messages import KeepAsk, KeepTell
-from papayapier.policy.job_keeping import NOT_ASKED, Copies, holders
+from papayapier.policy.job_copies import NOT_REQUESTED, Copies, holders
 from papayapier.store.watch import log_failure
 
 # A healthy disk syncs in a few ms; a hanging disk blocks for seconds.
@@ -41,12 +41,12 @@
 async def replicate(deps: JobCopiesDeps, job_id: str, value: bytes) -> Copies:
     """Request keepers to store a job; return as soon as enough of them have confirmed it."""
     if len(value) > MAX_JOB_BYTES:
-        return NOT_ASKED
+        return NOT_REQUESTED
     keepers = sorted(deps.keepers())
     able = read_record(value).map(lambda record: deps.able_keepers(record, keepers)).unwrap_or(())
     chosen = holders(job_id, keepers, deps.copies, able)
     if not chosen:
-        return NOT_ASKED
+        return NOT_REQUESTED
     counter = _CopyCounter(deps.copies, len(chosen))
     for keeper in chosen:
         task = Deferred.fromCoroutine(_request_copy(deps.hub, keeper, job_id, value))
--- a/papayapier/node/keeper.py
+++ b/papayapier/node/keeper.py
@@ -39,9 +39,9 @@
 from papayapier.peer.messages import CallsTold, Heartbeat, JobChanged
 from papayapier.platform import headers, job_calls
 from papayapier.platform.retirements import RETIREMENTS_PREFIX
-from papayapier.policy.allowances import Grants
-from papayapier.policy.job_keeping import NOT_ASKED, Copies
-from papayapier.policy.witnesses import Witnesses
+from papayapier.policy.allowances import Granter
+from papayapier.policy.job_copies import NOT_REQUESTED, Copies
+from papayapier.policy.reachability import ReachabilityReports
 from papayapier.store.api import Change
 from papayapier.store.budget import Priority
 from papayapier.store.watch import log_failure
@@ -81,7 +81,7 @@
         return made
     base = made.ok_value
     me = cfg.instance.id
-    reachability = Witnesses()
+    reachability = ReachabilityReports()
 
     def live_keepers() -> list[str]:
         """Return the live keepers; this one is included unless it is leaving and others live."""
@@ -126,7 +126,7 @@
         await _start_progress(base, runner)
     base.hub.on_change(runner.update_owned_jobs)
     base.hub.subscribe(
-        Heartbeat, lambda peer, heartbeat: reachability.on_told(peer, heartbeat.unheard)
+        Heartbeat, lambda peer, heartbeat: reachability.on_report(peer, heartbeat.unheard)
     )
     # A peer without open calls takes no slot; slots that it has freed are used in the next round.
     base.hub.subscribe(
@@ -185,7 +185,7 @@
             base.hub,
             clock,
             me,
-            Grants(me, base.cfg.allowance.bound(), clock.now()),
+            Granter(me, base.cfg.allowance.bound(), clock.now()),
             granting=lambda: listed() & base.hub.agreed_live(),
             listed=listed,
             leaving=lambda: base.drain.state() != "serving",
@@ -194,7 +194,7 @@
     )
 
 
-def _other_live_keepers(base: NodeBase, reachability: Witnesses) -> frozenset[str]:
+def _other_live_keepers(base: NodeBase, reachability: ReachabilityReports) -> frozenset[str]:
     """Return the other live keepers, by the criterion that all keepers use."""
     keepers = base.nodes.with_role(Role.KEEPER) - {base.cfg.instance.id}
     if not base.hub.plan().full_mesh:
@@ -208,7 +208,7 @@
         entries = base.nodes.with_role(Role.ENTRY) & reachable
         # Unreachable from here but reachable from the entries, and not leaving.
         cut_off = unreachable & base.hub.silent()
-        live |= {keeper for keeper in cut_off if reachability.heard(keeper, entries)}
+        live |= {keeper for keeper in cut_off if reachability.is_reachable(keeper, entries)}
     return live
 
 
@@ -219,7 +219,7 @@
     """
 
     async def store_nothing(_job_id: str, _value: bytes) -> Copies:
-        return NOT_ASKED
+        return NOT_REQUESTED
 
     notifications = ReceivedNotifications(lambda: base.nodes.with_role(Role.KEEPER), base.hub.live)
     return JobService(
--- a/papayapier/node/large_fleet.py
+++ b/papayapier/node/large_fleet.py
@@ -4,8 +4,8 @@
 
 from papayapier.config.route_table import RouteTable
 from papayapier.node.processes import NodeList, Role
-from papayapier.policy.placers import make_parts, placer_of, upstream_of
-from papayapier.policy.totals import first_sharers, sharers_of
+from papayapier.policy.batch_sharers import first_sharers, sharers_of
+from papayapier.policy.placers import make_partitions, placer_of, upstream_of
 from papayapier.upstream.api import Replica
 
 
@@ -24,7 +24,7 @@
         vouched: Callable[[], Collection[str]],
         table: Callable[[], RouteTable | None],
     ) -> None:
-        self.partitions = make_parts(())
+        self.partitions = make_partitions(())
         self._nodes = nodes
         self._live = live
         self._chosen = chosen
@@ -33,7 +33,7 @@
 
     def on_replicas(self, replicas: Sequence[Replica]) -> None:
         """Recompute the partitions from the listed replicas."""
-        self.partitions = make_parts(replicas)
+        self.partitions = make_partitions(replicas)
 
     def hubs(self) -> list[str]:
         """Return the live hubs."""
--- a/papayapier/node/orphans.py
+++ b/papayapier/node/orphans.py
@@ -10,7 +10,7 @@
 from papayapier.jobs.takeover import JobTakeover
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.run_messages import RunsAsk, RunsOffer, RunsTell
-from papayapier.policy.orphans import Answered
+from papayapier.policy.orphans import RunsReply
 from papayapier.store.watch import log_failure
 
 CHECK_INTERVAL_MS: Final = 500
@@ -23,7 +23,9 @@
 
     def on_request(peer_id: str, request: RunsAsk) -> None:
         status = job_checks.on_check_request(peer_id, request.job_ids, request.adopted)
-        hub.send(peer_id, RunsTell(request.correlation_id, tuple(status.runs), tuple(status.over)))
+        hub.send(
+            peer_id, RunsTell(request.correlation_id, tuple(status.runs), tuple(status.finished))
+        )
 
     def on_offer(peer_id: str, offer: RunsOffer) -> None:
         job_id = job_checks.choose_offered(offer.job_ids)
@@ -61,7 +63,7 @@
 
 async def _request_runs(
     hub: PeerHub, owner: str, job_ids: Sequence[str], taken: Sequence[str]
-) -> Answered | None:
+) -> RunsReply | None:
     """Return an owner's answer about jobs, or None if it does not answer in time."""
     reply = await hub.send_request(
         owner,
@@ -70,4 +72,4 @@
     )
     if not isinstance(reply, Ok) or not isinstance(reply.ok_value, RunsTell):
         return None
-    return Answered(frozenset(reply.ok_value.running), frozenset(reply.ok_value.finished))
+    return RunsReply(frozenset(reply.ok_value.running), frozenset(reply.ok_value.finished))
--- a/papayapier/node/peer_calls.py
+++ b/papayapier/node/peer_calls.py
@@ -13,7 +13,7 @@
 from papayapier.clock import Clock
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.messages import CallsTold, Heartbeat
-from papayapier.policy.loads import LoadBook
+from papayapier.policy.loads import LoadTracker
 from papayapier.store.watch import log_failure
 
 # Open calls are reported again each second. After three missing reports the sender has crashed or
@@ -22,14 +22,14 @@
 SWEEP_MS: Final = 1_000
 
 
-def track_peer_calls(hub: PeerHub, load_tracker: LoadBook, clock: Clock) -> Deferred[None]:
+def track_peer_calls(hub: PeerHub, load_tracker: LoadTracker, clock: Clock) -> Deferred[None]:
     """Record the open calls of CallsTold messages; return the task that expires them."""
     last_report_ms: dict[str, int] = {}
 
     def on_calls(peer_id: str, message: CallsTold) -> None:
         now = clock.now()
         last_report_ms[peer_id] = now
-        load_tracker.on_peer_uses(peer_id, message.uses, now)
+        load_tracker.on_peer_calls(peer_id, message.uses, now)
 
     def on_heartbeat(peer_id: str, _heartbeat: Heartbeat) -> None:
         last_report_ms.pop(peer_id, None)
@@ -40,7 +40,7 @@
             oldest_ms = clock.now() - REPORT_TTL_MS
             for peer_id in [peer for peer, at in last_report_ms.items() if at < oldest_ms]:
                 del last_report_ms[peer_id]
-                load_tracker.on_peer_uses(peer_id, (), clock.now())
+                load_tracker.on_peer_calls(peer_id, (), clock.now())
 
     hub.subscribe(CallsTold, on_calls)
     hub.subscribe(Heartbeat, on_heartbeat)
@@ -50,7 +50,9 @@
 
 
 def track_totals(
-    hub: PeerHub, load_tracker: LoadBook, is_relevant: Callable[[str], bool] = lambda _replica: True
+    hub: PeerHub,
+    load_tracker: LoadTracker,
+    is_relevant: Callable[[str], bool] = lambda _replica: True,
 ) -> None:
     """Record the totals that hubs send, and drop those of instances that are no longer hubs.
 
--- a/papayapier/node/placement.py
+++ b/papayapier/node/placement.py
@@ -16,9 +16,9 @@
 from papayapier.errors import ErrorKind, not_run
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.placement_messages import PlaceAsk, PlaceLeft, PlaceTell, Unanswered
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
-from papayapier.policy.placers import NOT_PLACED, Parts, Placed, Wanting, placer_of
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
+from papayapier.policy.placers import UNDECIDED, Partitions, Placement, PlacementNeeds, placer_of
 from papayapier.policy.routing import RouteRequest
 from papayapier.upstream.api import Replica
 
@@ -32,7 +32,7 @@
 # request that was given a replica which is not listed here is sent once more to the same hub.
 MAX_REQUESTS: Final = 2
 
-Place = Callable[[RouteRequest, Wanting], Awaitable[Placed]]
+Place = Callable[[RouteRequest, PlacementNeeds], Awaitable[Placement]]
 
 
 class PlacementDeps(NamedTuple):
@@ -45,10 +45,10 @@
     clock: Clock
     rand: random.Random
     hub: PeerHub
-    load_tracker: LoadBook
-    outliers: Outliers
+    load_tracker: LoadTracker
+    outliers: OutlierDetector
     hubs: Callable[[], list[str]]
-    parts: Callable[[], Parts]
+    parts: Callable[[], Partitions]
     queue: bool = False
 
 
@@ -70,18 +70,18 @@
             del skipped_until[hub_id]
         return placer_of(key, [hub for hub in deps.hubs() if hub not in skipped_until])
 
-    async def place(req: RouteRequest, wanting: Wanting) -> Placed:
+    async def place(req: RouteRequest, wanting: PlacementNeeds) -> Placement:
         if deps.hub.plan().full_mesh:
-            return NOT_PLACED
+            return UNDECIDED
         keys = deps.parts().keys.get(req.upstream)
         if not keys:
-            return NOT_PLACED
+            return UNDECIDED
         key = deps.rand.choice(keys)
         began_ms = deps.clock.now()
         for _ in range(MAX_REQUESTS):
             hub_id = next_hub(key)
             if hub_id is None:
-                return NOT_PLACED
+                return UNDECIDED
             passed_ms = deps.clock.now() - began_ms
             request = _PlacementRequest(
                 deps, hub_id, key, req, _after_delay(wanting, passed_ms) if deps.queue else None
@@ -92,7 +92,7 @@
             if reply is None or reply.leaving:
                 skipped_until[hub_id] = Millis(deps.clock.now() + SKIP_SILENT_MS)
                 if reply is None and not request.queued:
-                    return NOT_PLACED
+                    return UNDECIDED
                 continue
             if not deps.queue or not _is_unknown(deps, req, reply):
                 return _placed(reply, key, deps.queue)
@@ -100,13 +100,13 @@
             events.emit(events.PLACED_UNKNOWN, hub=hub_id, part=key, replica=reply.replica)
             deps.hub.send(hub_id, Unanswered(reply.replica))
             req = req._replace(exclude=req.exclude | {reply.replica})
-        return NOT_PLACED
+        return UNDECIDED
 
     return place
 
 
 def _is_unknown(deps: PlacementDeps, req: RouteRequest, reply: PlaceTell) -> bool:
-    usable = deps.load_tracker.usable(req.upstream, deps.clock.now())
+    usable = deps.load_tracker.usable_replicas(req.upstream, deps.clock.now())
     return bool(reply.replica) and all(replica.id != reply.replica for replica in usable)
 
 
@@ -114,7 +114,12 @@
     """Send the placement request of one call to one hub, and wait for as long as it is queued."""
 
     def __init__(
-        self, deps: PlacementDeps, hub_id: str, key: str, req: RouteRequest, wanting: Wanting | None
+        self,
+        deps: PlacementDeps,
+        hub_id: str,
+        key: str,
+        req: RouteRequest,
+        wanting: PlacementNeeds | None,
     ) -> None:
         self._deps = deps
         self._hub_id = hub_id
@@ -152,9 +157,9 @@
         return message._replace(
             caller=wanting.caller,
             rank=wanting.rank,
-            objective_ms=wanting.aim_ms,
-            timeout_ms=wanting.left_ms,
-            retry_within_ms=wanting.return_ms,
+            objective_ms=wanting.objective_ms,
+            timeout_ms=wanting.timeout_ms,
+            retry_within_ms=wanting.retry_within_ms,
         )
 
 
@@ -162,27 +167,27 @@
     """Return the replicas to avoid, by the results of calls that this instance has made."""
     now = deps.clock.now()
     shunned = set(req.exclude)
-    for replica in deps.load_tracker.usable(req.upstream, now):
-        returning = not req.idempotent and deps.outliers.returning(replica.id)
-        if returning or deps.outliers.ejected(replica.id, now):
+    for replica in deps.load_tracker.usable_replicas(req.upstream, now):
+        returning = not req.idempotent and deps.outliers.is_returning(replica.id)
+        if returning or deps.outliers.is_ejected(replica.id, now):
             shunned.add(replica.id)
     return shunned
 
 
-def _after_delay(wanting: Wanting, passed_ms: int) -> Wanting:
+def _after_delay(wanting: PlacementNeeds, passed_ms: int) -> PlacementNeeds:
     """Return the remaining times after some time has passed."""
     return wanting._replace(
-        aim_ms=max(1, wanting.aim_ms - passed_ms),
-        left_ms=max(1, wanting.left_ms - passed_ms),
-        return_ms=max(0, wanting.return_ms - passed_ms),
+        objective_ms=max(1, wanting.objective_ms - passed_ms),
+        timeout_ms=max(1, wanting.timeout_ms - passed_ms),
+        retry_within_ms=max(0, wanting.retry_within_ms - passed_ms),
     )
 
 
-def _placed(reply: PlaceTell, key: str, has_capacity: bool) -> Placed:
+def _placed(reply: PlaceTell, key: str, has_capacity: bool) -> Placement:
     if reply.retry_after_ms:
         reason = f"no replica of {key} has free capacity in time"
-        return Placed(refusal=not_run(ErrorKind.NO_ROOM, reason, reply.retry_after_ms))
-    return Placed(reply.replica, has_room=has_capacity and bool(reply.replica))
+        return Placement(refusal=not_run(ErrorKind.NO_ROOM, reason, reply.retry_after_ms))
+    return Placement(reply.replica, has_capacity=has_capacity and bool(reply.replica))
 
 
 def make_report_unanswered(deps: PlacementDeps) -> Callable[[Replica], None]:
--- a/papayapier/node/placer.py
+++ b/papayapier/node/placer.py
@@ -17,13 +17,13 @@
 from papayapier.metrics import Metrics
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.placement_messages import PlaceAsk, PlaceLeft, PlaceTell, Unanswered
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
-from papayapier.policy.place_queue import Asked, Decided, Given, PlaceQueue
-from papayapier.policy.placers import Parts, Wanting, upstream_of
-from papayapier.policy.replica_room import ReplicaRoom
-from papayapier.policy.routing import RouteRequest, choose
-from papayapier.policy.shared_blame import SharedBlame
+from papayapier.policy.failure_reports import FailureReports
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
+from papayapier.policy.place_queue import Assigned, PlacementOutcome, PlacementRequest, PlaceQueue
+from papayapier.policy.placers import Partitions, PlacementNeeds, upstream_of
+from papayapier.policy.replica_limits import ReplicaLimits
+from papayapier.policy.routing import RouteRequest, choose_replica
 
 NO_REPLICA: Final = ""
 TICK_MS: Final = 8
@@ -49,9 +49,9 @@
     clock: Clock
     rand: random.Random
     hub: PeerHub
-    load_tracker: LoadBook
-    outliers: Outliers
-    parts: Callable[[], Parts]
+    load_tracker: LoadTracker
+    outliers: OutlierDetector
+    parts: Callable[[], Partitions]
     metrics: Metrics
     turnaround_ms: int
 
@@ -69,8 +69,8 @@
 
     def __init__(self, deps: PlacerDeps) -> None:
         self._deps = deps
-        self._replica_capacity = ReplicaRoom(deps.turnaround_ms)
-        self._unanswered_reports = SharedBlame()
+        self._replica_capacity = ReplicaLimits(deps.turnaround_ms)
+        self._unanswered_reports = FailureReports()
         # Partitions with so many suspect replicas that the reports about them are ignored.
         self._ignored_reports: set[str] = set()
         self._queue = PlaceQueue(
@@ -122,7 +122,7 @@
             events.emit(events.PLACES_HANDED_OVER, waiting=self.waiting())
         self._leaving = True
         for ticket, requester in list(self._requesters.items()):
-            self._queue.leave(ticket)
+            self._queue.remove(ticket)
             self._remove(ticket)
             self._deps.hub.send(
                 requester.peer, PlaceTell(requester.correlation_id, NO_REPLICA, leaving=True)
@@ -148,11 +148,14 @@
                 peer_id, PlaceTell(request.correlation_id, NO_REPLICA, leaving=True)
             )
             return
-        others_wait = self._queue.waiting(request.partition) > 0
+        others_wait = self._queue.queued(request.partition) > 0
         refused = self._queue.offer(placement, now)
         if refused is not None:
             self._refuse(
-                _Requester(peer_id, request.correlation_id, now), placement, refused.after_ms, 0
+                _Requester(peer_id, request.correlation_id, now),
+                placement,
+                refused.retry_after_ms,
+                0,
             )
             return
         requester = _Requester(peer_id, request.correlation_id, now)
@@ -161,7 +164,7 @@
         if not others_wait:
             # Otherwise the last check found no capacity, and the next is due within a few ms.
             self._answer()
-        if self._queue.held(placement.ticket):
+        if self._queue.is_queued(placement.ticket):
             heapq.heappush(self._next_notifications, (now + NOTIFY_AFTER_MS, placement.ticket))
             self._log_full(request.partition, now)
             self._keep_ticking()
@@ -169,7 +172,7 @@
     def _on_left(self, peer_id: str, message: PlaceLeft) -> None:
         ticket = self._ticket_of.get((peer_id, message.correlation_id))
         if ticket is not None:
-            self._queue.leave(ticket)
+            self._queue.remove(ticket)
             self._remove(ticket)
 
     def _on_unanswered(self, peer_id: str, message: Unanswered) -> None:
@@ -183,42 +186,42 @@
         unreachable = self._deps.hub.silent()
         for ticket, requester in list(self._requesters.items()):
             if requester.peer in unreachable:
-                self._queue.leave(ticket)
+                self._queue.remove(ticket)
                 self._remove(ticket)
 
     def _answer(self) -> None:
         now = self._deps.clock.now()
-        for decided in self._queue.decided(now):
+        for decided in self._queue.outcomes(now):
             self._reply(decided, now)
 
-    def _reply(self, decided: Decided, now: int) -> None:
-        ticket = decided.asked.ticket
+    def _reply(self, decided: PlacementOutcome, now: int) -> None:
+        ticket = decided.request.ticket
         requester = self._requesters[ticket]
         self._remove(ticket)
-        if isinstance(decided, Given):
+        if isinstance(decided, Assigned):
             self._assign(requester.peer, requester.correlation_id, decided.replica, now)
         else:
-            self._refuse(requester, decided.asked, decided.after_ms, decided.waited_ms)
+            self._refuse(requester, decided.request, decided.retry_after_ms, decided.waited_ms)
 
     def _assign(self, peer_id: str, correlation_id: int, replica: str, now: int) -> None:
         if replica:
             self._deps.load_tracker.on_placed(peer_id, replica, now)
-            self._replica_capacity.on_given(replica, now)
-            self._unanswered_reports.on_given(replica, now)
+            self._replica_capacity.on_sent(replica, now)
+            self._unanswered_reports.on_sent(replica, now)
         self._deps.hub.send(peer_id, PlaceTell(correlation_id, replica))
 
     def _refuse(
-        self, requester: _Requester, placement: Asked, after_ms: int, waited_ms: int
+        self, requester: _Requester, placement: PlacementRequest, after_ms: int, waited_ms: int
     ) -> None:
-        self._deps.metrics.places_refused.labels(upstream_of(placement.part)).inc()
+        self._deps.metrics.places_refused.labels(upstream_of(placement.partition)).inc()
         events.emit(
             events.PLACE_REFUSED,
-            part=placement.part,
-            caller=placement.wanting.caller,
-            rank=placement.wanting.rank,
+            part=placement.partition,
+            caller=placement.needs.caller,
+            rank=placement.needs.rank,
             asker=requester.peer,
             waited_ms=waited_ms,
-            waiting=self._queue.waiting(placement.part),
+            waiting=self._queue.queued(placement.partition),
             after_ms=after_ms,
         )
         self._deps.hub.send(
@@ -232,15 +235,18 @@
     def _usable_replicas(self, partition: str, now: int) -> frozenset[str]:
         members = self._deps.parts().members.get(partition, frozenset())
         usable = [
-            replica.id for replica in self._deps.load_tracker.usable(upstream_of(partition), now)
+            replica.id
+            for replica in self._deps.load_tracker.usable_replicas(upstream_of(partition), now)
         ]
         usable_members = frozenset(members.intersection(usable))
         # If all replicas are ejected, it is better to try one than to wait.
         in_use = frozenset(
-            replica for replica in usable_members if not self._deps.outliers.ejected(replica, now)
+            replica
+            for replica in usable_members
+            if not self._deps.outliers.is_ejected(replica, now)
         )
         not_avoided = frozenset(
-            replica for replica in in_use if not self._unanswered_reports.avoided(replica, now)
+            replica for replica in in_use if not self._unanswered_reports.is_avoided(replica, now)
         )
         # If most replicas look faulty, overload or the network is the more likely cause.
         if 2 * len(not_avoided) < len(usable_members):
@@ -251,24 +257,24 @@
 
     def _has_capacity(self, replica: str, now: int) -> bool:
         reports_apply = self._deps.parts().key_of.get(replica) not in self._ignored_reports
-        if reports_apply and self._unanswered_reports.avoided(replica, now):
+        if reports_apply and self._unanswered_reports.is_avoided(replica, now):
             return False
         load_tracker = self._deps.load_tracker
-        return self._replica_capacity.takes(
-            replica, load_tracker.online_at(replica), load_tracker.slots(replica), now
+        return self._replica_capacity.has_capacity(
+            replica, load_tracker.online_calls(replica), load_tracker.slots(replica), now
         )
 
-    def _choose(self, placement: Asked, within: frozenset[str], now: int) -> str | None:
+    def _choose(self, placement: PlacementRequest, within: frozenset[str], now: int) -> str | None:
         route_request = RouteRequest(
-            upstream_of(placement.part),
+            upstream_of(placement.partition),
             placement.prompt,
             placement.data_centre,
-            placement.shunned,
-            told=True,
+            placement.excluded,
+            includes_peers=True,
             fresh=True,
-            within=within,
+            candidates=within,
         )
-        return choose(
+        return choose_replica(
             self._deps.load_tracker, self._deps.outliers, route_request, self._deps.rand, now
         )
 
@@ -305,21 +311,21 @@
         events.emit(
             events.PART_FULL,
             part=partition,
-            waiting=self._queue.waiting(partition),
+            waiting=self._queue.queued(partition),
             replicas=len(members),
-            calls=sum(self._deps.load_tracker.online_at(replica) for replica in members),
+            calls=sum(self._deps.load_tracker.online_calls(replica) for replica in members),
         )
 
 
-def _to_placement(request: PlaceAsk, ticket: int) -> Asked:
-    wanting = Wanting(
+def _to_placement(request: PlaceAsk, ticket: int) -> PlacementRequest:
+    wanting = PlacementNeeds(
         request.caller,
         request.rank,
         request.objective_ms,
         request.timeout_ms,
         request.retry_within_ms,
     )
-    return Asked(
+    return PlacementRequest(
         ticket,
         request.partition,
         request.prompt,
--- a/papayapier/node/settings.py
+++ b/papayapier/node/settings.py
@@ -11,7 +11,7 @@
 
 from papayapier import codec
 from papayapier.clock import MS_PER_S
-from papayapier.policy.allowances import Bound
+from papayapier.policy.allowances import AllowanceMargin
 from papayapier.settings import (
     InstanceSettings,
     LogSettings,
@@ -117,9 +117,9 @@
     overrun: Annotated[float, Meta(ge=0, le=10)] = 0.0
     slack: Annotated[float, Meta(ge=0, le=1_000_000)] = 0.0
 
-    def bound(self) -> Bound:
+    def bound(self) -> AllowanceMargin:
         """Return the bound that the granters apply."""
-        return Bound(int(self.window_s * MS_PER_S), self.overrun, self.slack)
+        return AllowanceMargin(int(self.window_s * MS_PER_S), self.overrun, self.slack)
 
 
 class MemorySettings(NamedTuple):
--- a/papayapier/peer/loss_exchange.py
+++ b/papayapier/peer/loss_exchange.py
@@ -23,7 +23,7 @@
 from papayapier.dispatch.crash_watch import CrashListeners, CrashWatch
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.loss_messages import LatelyAsk, LossesAsk, LossesTold, NoLosses
-from papayapier.policy.crashes import Loss
+from papayapier.policy.crash_quarantine import ReplicaLoss
 from papayapier.policy.rendezvous import score
 
 # All calls of a lost replica fail within a few ms and are reported together; a tenth of a second
@@ -59,8 +59,8 @@
     def __init__(self, deps: LossExchangeDeps) -> None:
         self._deps = deps
         # Each loss with the time at which it was observed.
-        self._losses: deque[tuple[Loss, int]] = deque(maxlen=MAX_QUEUED)
-        self._to_resend: deque[tuple[Loss, int]] = deque(maxlen=MAX_PER_MESSAGE)
+        self._losses: deque[tuple[ReplicaLoss, int]] = deque(maxlen=MAX_QUEUED)
+        self._to_resend: deque[tuple[ReplicaLoss, int]] = deque(maxlen=MAX_PER_MESSAGE)
         self._answered: deque[str] = deque(maxlen=MAX_QUEUED)
         self._queried: set[str] = set()
         self._was_hub = False
@@ -76,7 +76,7 @@
         deps.hub.subscribe(LatelyAsk, self._on_recent_query)
         deps.hub.on_change(self._request_losses)
 
-    def restore(self, losses: Sequence[Loss]) -> None:
+    def restore(self, losses: Sequence[ReplicaLoss]) -> None:
         """Restore losses saved by an earlier run and report them, as all may have restarted."""
         new_losses = self._deps.watch.on_reported(losses, ())
         if new_losses:
@@ -93,7 +93,7 @@
                 timer.cancel()
         self._deps.watch.close()
 
-    def _on_replica_lost(self, loss: Loss) -> None:
+    def _on_replica_lost(self, loss: ReplicaLoss) -> None:
         self._losses.append((loss, self._deps.clock.now()))
         self._schedule_send()
 
@@ -111,7 +111,7 @@
     def _send_queued(self) -> None:
         losses = _pop_batch(self._losses)
         self._send_standing(losses, tuple(_pop_batch(self._answered)))
-        fingerprints = {loss.work for loss, _ in losses}
+        fingerprints = {loss.fingerprint for loss, _ in losses}
         self._query_recent_answers(
             fingerprints.difference(self._deps.watch.recently_answered(fingerprints))
         )
@@ -128,13 +128,15 @@
     def _resend(self) -> None:
         self._send_standing(_pop_batch(self._to_resend), ())
 
-    def _send_standing(self, losses: list[tuple[Loss, int]], answered: tuple[str, ...]) -> None:
+    def _send_standing(
+        self, losses: list[tuple[ReplicaLoss, int]], answered: tuple[str, ...]
+    ) -> None:
         """Report losses that still stand; a loss is withdrawn if another attempt was answered."""
         now = self._deps.clock.now()
         watch = self._deps.watch
-        recent = set(watch.recently_answered({loss.work for loss, _ in losses}))
+        recent = set(watch.recently_answered({loss.fingerprint for loss, _ in losses}))
         standing = tuple(
-            loss._replace(age_ms=now - at, lately=loss.work in recent)
+            loss._replace(age_ms=now - at, recently_answered=loss.fingerprint in recent)
             for loss, at in losses
             if watch.still_counts(loss)
         )
@@ -169,7 +171,7 @@
         watch = self._deps.watch
         answered_recently = {
             *message.recently_answered,
-            *(loss.work for loss in message.losses if loss.lately),
+            *(loss.fingerprint for loss in message.losses if loss.recently_answered),
         }
         quarantined = {
             fingerprint for fingerprint in answered_recently if watch.is_quarantined(fingerprint)
@@ -177,7 +179,7 @@
         cleared = watch.on_recently_answered(answered_recently, peer_id)
         new_losses = watch.on_reported(message.losses, message.answered)
         # Also for losses that are reported again: the first reply may have been lost.
-        fingerprints = {loss.work for loss in message.losses if not loss.lately}
+        fingerprints = {loss.fingerprint for loss in message.losses if not loss.recently_answered}
         recent = set(watch.recently_answered(fingerprints))
         if self._has_hubs():
             self._query_recent_answers(fingerprints - recent)
@@ -227,7 +229,9 @@
         if rest:
             self._send_to_recipients(LossesTold((), (), rest))
 
-    def _report_recent(self, losses: tuple[Loss, ...], fingerprints: tuple[str, ...]) -> None:
+    def _report_recent(
+        self, losses: tuple[ReplicaLoss, ...], fingerprints: tuple[str, ...]
+    ) -> None:
         if losses or fingerprints:
             self._deps.hub.broadcast(LossesTold(losses, (), fingerprints))
 
--- a/papayapier/peer/loss_messages.py
+++ b/papayapier/peer/loss_messages.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from papayapier.policy.crashes import Loss
+from papayapier.policy.crash_quarantine import ReplicaLoss
 
 
 class LossesTold(NamedTuple):
@@ -11,7 +11,7 @@
     answered lists fingerprints answered since a loss, lately those answered recently before it.
     """
 
-    losses: tuple[Loss, ...]
+    losses: tuple[ReplicaLoss, ...]
     answered: tuple[str, ...] = ()
     recently_answered: tuple[str, ...] = ()
 
--- a/papayapier/policy/admission.py
+++ b/papayapier/policy/admission.py
@@ -22,10 +22,10 @@
 from result import Err, Ok, Result
 
 from papayapier.errors import ErrorKind, Refusal, not_run
-from papayapier.policy.fair_queue import RANKS, FairQueue, Waiting
+from papayapier.policy.fair_queue import RANKS, FairQueue, QueuedRequest
 from papayapier.policy.service_rate import ServiceRate
 
-__all__ = ["AdmissionQueue", "Waiting"]
+__all__ = ["AdmissionQueue", "QueuedRequest"]
 
 MIN_RETRY_AFTER_MS: Final = 100
 MAX_RETRY_AFTER_MS: Final = 10_000
@@ -43,8 +43,8 @@
 
     def __init__(self, max_queued: int) -> None:
         self._max_queued = max_queued
-        self._entries: dict[int, Waiting] = {}
-        self._expired: dict[int, Waiting] = {}
+        self._entries: dict[int, QueuedRequest] = {}
+        self._expired: dict[int, QueuedRequest] = {}
         self._queues: dict[str, FairQueue] = {}
         # Empty queues, which remember which callers were served recently.
         self._idle_queues: dict[str, FairQueue] = {}
@@ -53,7 +53,7 @@
         self._last_review_ms = 0
         self._now_ms = 0
 
-    def offer(self, entry: Waiting, now: int) -> Result[None, Refusal]:
+    def offer(self, entry: QueuedRequest, now: int) -> Result[None, Refusal]:
         """Queue a request, or refuse it at once."""
         self._now_ms = now
         refusal = self._refuse_if_full(entry, now)
@@ -61,7 +61,7 @@
             return Err(refusal)
         queue = self._queues.get(entry.upstream)
         if queue is not None and self._would_be_late(entry, queue, now):
-            if entry.may_return(now) or entry.give_up_ms <= entry.due_ms:
+            if entry.can_retry(now) or entry.give_up_ms <= entry.due_ms:
                 return Err(self._late_refusal(entry, now))
             entry = entry.as_late()
             if self._would_be_late(entry, queue, now):
@@ -69,7 +69,7 @@
         self._add(entry)
         return Ok(None)
 
-    def take(self, now: int, can_start: Callable[[str], bool]) -> Waiting | None:
+    def take(self, now: int, can_start: Callable[[str], bool]) -> QueuedRequest | None:
         """Return the next request to start, or None; can_start checks an upstream."""
         self._now_ms = now
         for upstream in list(self._queues):
@@ -81,11 +81,11 @@
                 return entry
         return None
 
-    def put_back(self, entry: Waiting) -> None:
+    def put_back(self, entry: QueuedRequest) -> None:
         """Queue a request again that was taken but could not be started."""
         self._add(entry)
 
-    def leave(self, ticket: int) -> bool:
+    def remove(self, ticket: int) -> bool:
         """Remove a request; return whether it was still queued."""
         if self._expired.pop(ticket, None) is not None:
             return True
@@ -96,7 +96,7 @@
         self._forget(entry)
         return True
 
-    def expired(self, now: int) -> list[Waiting]:
+    def expired(self, now: int) -> list[QueuedRequest]:
         """Remove and return the requests that will not be answered in time."""
         self._now_ms = now
         if now >= self._last_review_ms + max(REVIEW_MS, REVIEW_MS_PER_ENTRY * self.depth()):
@@ -107,7 +107,7 @@
         self._expired.clear()
         return late
 
-    def retry_after_ms(self, entry: Waiting, now: int) -> int:
+    def retry_after_ms(self, entry: QueuedRequest, now: int) -> int:
         """Return after what time a request like this one is likely to be in time."""
         rate = self._rate(entry.upstream).per_ms(now)
         queue = self._queues.get(entry.upstream)
@@ -123,7 +123,7 @@
         """Return how many requests of an upstream start per ms, or None if unknown."""
         return self._rate(upstream).per_ms(now)
 
-    def waiting(self, upstream: str) -> int:
+    def queued(self, upstream: str) -> int:
         """Return how many requests of an upstream are queued."""
         queue = self._queues.get(upstream)
         return 0 if queue is None else len(queue)
@@ -146,7 +146,7 @@
         """Count the end of a request; its duration is learnt only if its profile is given."""
         self._rate(upstream).on_ended(cost, profile, float(now - started_ms))
 
-    def _add(self, entry: Waiting) -> None:
+    def _add(self, entry: QueuedRequest) -> None:
         self._entries[entry.ticket] = entry
         self._by_caller[entry.caller] = self._by_caller.get(entry.caller, 0) + 1
         if entry.upstream not in self._queues:
@@ -154,7 +154,7 @@
             self._queues[entry.upstream] = FairQueue() if idle is None else idle
         self._queues[entry.upstream].add(entry)
 
-    def _refuse_if_full(self, entry: Waiting, now: int) -> Refusal | None:
+    def _refuse_if_full(self, entry: QueuedRequest, now: int) -> Refusal | None:
         if now >= entry.due_ms:
             return not_run(ErrorKind.DEADLINE, "the due time has passed")
         free = self._max_queued - len(self._entries)
@@ -170,17 +170,17 @@
             return not_run(ErrorKind.OVERLOADED, reason, self.retry_after_ms(entry, now))
         return None
 
-    def _late_refusal(self, entry: Waiting, now: int) -> Refusal:
+    def _late_refusal(self, entry: QueuedRequest, now: int) -> Refusal:
         reason = "the estimated wait would pass the due time"
         return not_run(ErrorKind.OVERLOADED, reason, self.retry_after_ms(entry, now))
 
-    def _would_be_late(self, entry: Waiting, queue: FairQueue, now: int) -> bool:
+    def _would_be_late(self, entry: QueuedRequest, queue: FairQueue, now: int) -> bool:
         rate = self._rate(entry.upstream)
         needed = rate.duration_ms(entry.profile)
         ahead = queue.cost_ahead(entry)
         return _is_late(entry, ahead, rate.per_ms(now), needed, ADMIT_TOLERANCE, now)
 
-    def _take_from(self, upstream: str, now: int) -> Waiting | None:
+    def _take_from(self, upstream: str, now: int) -> QueuedRequest | None:
         rate = self._rate(upstream)
         while upstream in self._queues:
             entry = self._queues[upstream].take()
@@ -209,17 +209,17 @@
             if _is_late(entry, ahead, per_ms, needed, REVIEW_TOLERANCE, now):
                 late.append(entry)
         for entry in late:
-            self.leave(entry.ticket)
+            self.remove(entry.ticket)
             self._on_past_due(entry, now)
 
-    def _on_past_due(self, entry: Waiting, now: int) -> None:
+    def _on_past_due(self, entry: QueuedRequest, now: int) -> None:
         """Queue a request behind those that can be in time, or expire it."""
-        if entry.late or entry.may_return(now) or entry.give_up_ms <= entry.due_ms:
+        if entry.late or entry.can_retry(now) or entry.give_up_ms <= entry.due_ms:
             self._expired[entry.ticket] = entry
         else:
             self._add(entry.as_late())
 
-    def _forget(self, entry: Waiting) -> None:
+    def _forget(self, entry: QueuedRequest) -> None:
         del self._entries[entry.ticket]
         left = self._by_caller.pop(entry.caller) - 1
         if left:
@@ -233,7 +233,7 @@
 
 
 def _is_late(
-    entry: Waiting,
+    entry: QueuedRequest,
     ahead: float,
     per_ms: float | None,
     needed_ms: float,
--- a/papayapier/policy/allowances.py
+++ b/papayapier/policy/allowances.py
@@ -31,8 +31,8 @@
 from papayapier.policy.rendezvous import score
 
 HASH_KEY: Final = "allowance"
-FIRST: Final = 0
-RESERVE: Final = 1
+FIRST_RANK: Final = 0
+RESERVE_RANK: Final = 1
 # Shares of what may exceed the rate and the burst in a window. Requests are sent up to a fifth of a
 # second after their grant, which uses the rest of the overrun.
 RESERVE_SHARE_OF_OVERRUN: Final = 0.6
@@ -56,7 +56,7 @@
 RESERVE_RETRY_AFTER_MS: Final = 300
 
 
-class Bound(NamedTuple):
+class AllowanceMargin(NamedTuple):
     """Hold how much the operator allows beyond rate and burst in any window."""
 
     window_ms: int
@@ -64,14 +64,14 @@
     slack: float
 
 
-class Limit(NamedTuple):
+class Allowance(NamedTuple):
     """Hold a team's allowance: requests a second, and the burst in requests."""
 
     rate_per_s: float
     burst: float
 
 
-class Said(Enum):
+class GrantOutcome(Enum):
     """Name the outcomes of a request for a grant."""
 
     GRANTED = "granted"
@@ -82,36 +82,36 @@
     TAKE_OVER = "take_over"
 
 
-class Answer(NamedTuple):
+class GrantReply(NamedTuple):
     """Reply to a request for a grant; after_ms is when to retry.
 
     ask names the instance to take over from, or the one that grants in this instance's place.
     """
 
-    said: Said
+    outcome: GrantOutcome
     after_ms: int = 0
-    ask: str = ""
+    granter: str = ""
 
 
-class Left(NamedTuple):
+class RemainingTokens(NamedTuple):
     """Report the tokens that the second instance has left; was_first: it granted as the first."""
 
     was_first: bool
     tokens: float
 
 
-class View(NamedTuple):
+class GranterView(NamedTuple):
     """Hold the granting instances in one instance's view, and how many are listed in total."""
 
     granting: tuple[str, ...]
     listed: int
 
-    def part(self) -> float:
+    def share(self) -> float:
         """Return the share of the listed instances that is in view."""
         return min(1.0, len(self.granting) / self.listed) if self.listed else 0.0
 
 
-EMPTY_VIEW: Final = View((), 0)
+EMPTY_VIEW: Final = GranterView((), 0)
 
 
 def granters(team: str, granting: Collection[str]) -> list[str]:
@@ -179,10 +179,10 @@
         self.settled_ms = 0
 
 
-class Grants:
+class Granter:
     """Grant the requests of the teams that hashing assigns to this instance."""
 
-    def __init__(self, me: str, bound: Bound, now: int) -> None:
+    def __init__(self, me: str, bound: AllowanceMargin, now: int) -> None:
         self._me = me
         self._bound = bound
         self._teams: dict[str, _Team] = {}
@@ -193,7 +193,7 @@
         self._changed_ms = now
         self._swept_ms = now
 
-    def on_view(self, view: View, now: int) -> bool:
+    def on_view(self, view: GranterView, now: int) -> bool:
         """Set the granting instances; return whether they changed."""
         if view == self._view:
             return False
@@ -202,40 +202,44 @@
         self._changed_ms = now
         return True
 
-    def view(self) -> View:
+    def view(self) -> GranterView:
         """Return the view in force."""
         return self._view
 
-    def ask(self, name: str, limit: Limit, now: int, returned: bool = False) -> Answer:
+    def request(self, name: str, limit: Allowance, now: int, is_retry: bool = False) -> GrantReply:
         """Decide on one request of a team; returned says that it is a retry."""
         team = self._team(name, now)
-        share = self._view.part()
+        share = self._view.share()
         rank = self._rank(team.ranking)
-        first = team.ranking[FIRST] if team.ranking else ""
-        if rank > RESERVE:
-            return Answer(Said.NOT_HERE, ask=first)
+        first = team.ranking[FIRST_RANK] if team.ranking else ""
+        if rank > RESERVE_RANK:
+            return GrantReply(GrantOutcome.NOT_HERE, granter=first)
         if (
-            rank == RESERVE
+            rank == RESERVE_RANK
             or now < team.settled_ms
             or (team.handed_to and now < team.handed_until_ms)
         ):
             self._fill_reserve(team, limit, share, now)
-            outcome = Said.GRANTED if team.reserve.take() else Said.NOT_HERE
-            return Answer(outcome, RESERVE_RETRY_AFTER_MS, team.handed_to or first)
+            outcome = GrantOutcome.GRANTED if team.reserve.take() else GrantOutcome.NOT_HERE
+            return GrantReply(outcome, RESERVE_RETRY_AFTER_MS, team.handed_to or first)
         if team.bucket is None:
             if len(team.ranking) > 1:
-                return Answer(Said.TAKE_OVER, ask=team.ranking[RESERVE])
+                return GrantReply(GrantOutcome.TAKE_OVER, granter=team.ranking[RESERVE_RANK])
             self._start_bucket(team, None, limit, now)
         assert team.bucket is not None
         team.bucket.fill(limit.rate_per_s * share, max(1.0, limit.burst * share), now)
         min_tokens = (
-            1 + FIRST_REQUEST_MARGIN_MS * limit.rate_per_s * share / MS_PER_S if returned else 1.0
+            1 + FIRST_REQUEST_MARGIN_MS * limit.rate_per_s * share / MS_PER_S if is_retry else 1.0
         )
         if team.bucket.take(min(min_tokens, max(1.0, limit.burst * share))):
-            return Answer(Said.GRANTED)
-        return Answer(Said.OVER, self._retry_after_ms(team, limit.rate_per_s * share, now))
+            return GrantReply(GrantOutcome.GRANTED)
+        return GrantReply(
+            GrantOutcome.OVER, self._retry_after_ms(team, limit.rate_per_s * share, now)
+        )
 
-    def took_over(self, name: str, left: Left | None, limit: Limit, now: int) -> bool:
+    def on_tokens_received(
+        self, name: str, left: RemainingTokens | None, limit: Allowance, now: int
+    ) -> bool:
         """Start with the tokens left at the second instance; None says that it did not reply.
 
         Return False if this instance grants already.
@@ -246,7 +250,7 @@
         self._start_bucket(team, left, limit, now)
         return True
 
-    def give_up(self, name: str, successor: str, limit: Limit, now: int) -> Left:
+    def hand_over(self, name: str, successor: str, limit: Allowance, now: int) -> RemainingTokens:
         """Hand over the remaining tokens of a team to an instance that ranks before this one."""
         team = self._team(name, now)
         if successor not in self._view.granting:
@@ -255,10 +259,10 @@
             team.handed_to, team.handed_until_ms = successor, now + HANDED_OVER_MS
         bucket, team.bucket = team.bucket, None
         if bucket is None:
-            return Left(False, 0.0)
-        share = self._view.part()
+            return RemainingTokens(False, 0.0)
+        share = self._view.share()
         bucket.fill(limit.rate_per_s * share, max(1.0, limit.burst * share), now)
-        return Left(True, bucket.tokens)
+        return RemainingTokens(True, bucket.tokens)
 
     def _team(self, name: str, now: int) -> _Team:
         self._sweep(now)
@@ -274,7 +278,7 @@
         return team
 
     def _rank(self, ranked: Sequence[str]) -> int:
-        return ranked.index(self._me) if self._me in ranked else len(ranked) + RESERVE
+        return ranked.index(self._me) if self._me in ranked else len(ranked) + RESERVE_RANK
 
     def _sweep(self, now: int) -> None:
         if now - self._swept_ms < FORGET_MS:
@@ -294,25 +298,27 @@
         team.view_number = self._view_number
         if team.handed_to in self._view.granting:
             team.handed_to = ""
-        if self._rank(previous) != RESERVE or self._rank(team.ranking) > RESERVE:
+        if self._rank(previous) != RESERVE_RANK or self._rank(team.ranking) > RESERVE_RANK:
             # Another instance had the reserve until now.
             team.reserve = _Bucket(0.0, self._changed_ms)
-        if self._rank(team.ranking) != FIRST:
+        if self._rank(team.ranking) != FIRST_RANK:
             team.bucket = None
         elif previous and previous[0] not in (self._me, *self._view.granting):
             team.settled_ms = self._changed_ms + SETTLE_MS
 
-    def _start_bucket(self, team: _Team, left: Left | None, limit: Limit, now: int) -> None:
+    def _start_bucket(
+        self, team: _Team, left: RemainingTokens | None, limit: Allowance, now: int
+    ) -> None:
         start = min(START_SHARE_OF_SLACK * self._bound.slack, limit.burst)
         if left is not None and left.was_first:
             start = left.tokens
         elif left is not None:
             # No instance has granted as the first since the present view began.
-            share = self._view.part()
+            share = self._view.share()
             start += (now - self._changed_ms) * limit.rate_per_s * share / MS_PER_S
         team.bucket = _Bucket(start, now)
 
-    def _fill_reserve(self, team: _Team, limit: Limit, share: float, now: int) -> None:
+    def _fill_reserve(self, team: _Team, limit: Allowance, share: float, now: int) -> None:
         """Fill the reserve: half is available at once and half is added within a window."""
         bound = self._bound
         window_s = bound.window_ms / MS_PER_S
--- a/papayapier/policy/batch_order.py
+++ b/papayapier/policy/batch_order.py
@@ -27,14 +27,14 @@
 PUBLISH_MS: Final = 300
 
 
-class Standing(NamedTuple):
+class ItemRank(NamedTuple):
     """Rank an item: those that can be done in time first, then by due time (wall clock, ms)."""
 
     late: bool
     due_ms: float
 
 
-class RunTimes:
+class RunTimeEstimator:
     """Learn how long complete items run at one upstream."""
 
     __slots__ = ("_deviation", "_event_ms", "_events")
@@ -56,7 +56,7 @@
         self._events += NEWEST_WEIGHT * (events - self._events)
         self._event_ms += NEWEST_WEIGHT * (event_ms - self._event_ms)
 
-    def left_ms(self, events: int) -> float:
+    def remaining_ms(self, events: int) -> float:
         """Return the remaining run time of an item with this many events; 0 if unknown."""
         if not self._events:
             return 0.0
@@ -64,13 +64,13 @@
         return max(MIN_EVENTS_LEFT, long_item - events) * self._event_ms
 
 
-def standing(times: RunTimes, events: int, due_ms: float, now_ms: float) -> Standing:
+def rank_item(times: RunTimeEstimator, events: int, due_ms: float, now_ms: float) -> ItemRank:
     """Rank an item that has produced this many events, if it ran from now on."""
-    late = now_ms + times.left_ms(events) + PUBLISH_MS > due_ms
-    return Standing(late, due_ms)
+    late = now_ms + times.remaining_ms(events) + PUBLISH_MS > due_ms
+    return ItemRank(late, due_ms)
 
 
-def victims(runs: Iterable[tuple[Standing, T]], count: int) -> Sequence[T]:
+def preempted(runs: Iterable[tuple[ItemRank, T]], count: int) -> Sequence[T]:
     """Return the runs to preempt: late ones, then those with the most time left.
 
     A preempted run resumes elsewhere from its last event and loses some milliseconds. What it loses
--- a/papayapier/policy/batch_share.py
+++ b/papayapier/policy/batch_share.py
@@ -27,7 +27,7 @@
 from typing import Final, NamedTuple
 
 from papayapier.config.profiles import BatchRule, Isolation
-from papayapier.policy.loads import LoadBook
+from papayapier.policy.loads import LoadTracker
 from papayapier.policy.slot_shares import SlotShares
 from papayapier.policy.step_times import StepTimes
 from papayapier.upstream.api import Load
@@ -143,15 +143,15 @@
             row.step_times.observe(load.running, load.slots, load.step_ms)
             row.step_report_ms = load.at_ms
 
-    def room(self, replica_id: str, book: LoadBook, now: int) -> int:
+    def free_streams(self, replica_id: str, book: LoadTracker, now: int) -> int:
         """Return how many more batch streams this instance may open on a replica now."""
-        return max(0, self.limit(replica_id, book, now) - book.own(replica_id).batch)
+        return max(0, self.max_streams(replica_id, book, now) - book.own_calls(replica_id).batch)
 
-    def to_yield(self, replica_id: str, book: LoadBook, now: int) -> int:
+    def excess_streams(self, replica_id: str, book: LoadTracker, now: int) -> int:
         """Return how many batch streams this instance must cancel on a replica now."""
-        return max(0, book.own(replica_id).batch - self.limit(replica_id, book, now))
+        return max(0, book.own_calls(replica_id).batch - self.max_streams(replica_id, book, now))
 
-    def limit(self, replica_id: str, book: LoadBook, now: int) -> int:
+    def max_streams(self, replica_id: str, book: LoadTracker, now: int) -> int:
         """Return how many batch streams this instance may have on a replica now."""
         upstream = self._upstreams.get(replica_id, "")
         rule = self._rules.get(upstream, BatchRule())
@@ -159,23 +159,23 @@
         settings = ISOLATION_SETTINGS.get(rule.isolation)
         if settings is None:
             share = rule.share if rule.isolation == "static" else 1.0
-            return self._shares.part(replica_id, int(slots * share))
+            return self._shares.share(replica_id, int(slots * share))
         self._shares.review(book, now)
         row = self._row(replica_id)
         row.slots = slots
         row.running += RUNNING_WEIGHT * (book.estimate(replica_id, now) - row.running)
-        online = book.online_at(replica_id)
+        online = book.online_calls(replica_id)
         if online:
             self._online_ms[upstream] = now
         if now >= row.cap_updated_ms + REFRESH_MS:
             quiet = now >= self._online_ms.get(upstream, -settings.quiet_ms) + settings.quiet_ms
             row.cap = _cap(row.step_times, settings, online, slots, quiet)
             row.cap_updated_ms = now
-        reserve = _reserve(row, settings, book.own(replica_id).online, now)
+        reserve = _reserve(row, settings, book.own_calls(replica_id).online, now)
         cap = row.cap - self._spare_for_idle()
-        available = self._shares.part(replica_id, cap) - reserve
+        available = self._shares.share(replica_id, cap) - reserve
         available -= max(row.cut, self._outgrown(replica_id, book, cap))
-        limit = max(0, min(self._shares.part(replica_id, int(slots * rule.share)), available))
+        limit = max(0, min(self._shares.share(replica_id, int(slots * rule.share)), available))
         return self._ramped(row, limit, settings.ramp_ms, now)
 
     def _cut(self, row: _ReplicaState, load: Load) -> None:
@@ -231,13 +231,13 @@
         idle = live - len(self._shares.sharing())
         return math.ceil(SPARE_SLOTS_FOR_IDLE * idle / live)
 
-    def _outgrown(self, replica_id: str, book: LoadBook, cap: int) -> int:
+    def _outgrown(self, replica_id: str, book: LoadTracker, cap: int) -> int:
         """Return this instance's share of the slots by which others exceed their shares."""
         excess_total = 0
         full_peers = 0
         sharing = self._shares.sharing()
         for peer, online in book.peers_online(replica_id).items():
-            excess = online - self._shares.part(replica_id, cap, peer)
+            excess = online - self._shares.share(replica_id, cap, peer)
             excess_total += max(0, excess)
             full_peers += excess >= 0 and peer in sharing
         remaining = max(1, len(sharing) - full_peers)
--- a/papayapier/policy/held_bytes.py
+++ b/papayapier/policy/buffered_bytes.py
@@ -20,45 +20,45 @@
 
     caller: int
     since_ms: int
-    held_bytes: int
+    unread_bytes: int
 
 
-class HeldBytes:
+class BufferedBytes:
     """Count the buffered bytes; UNBOUNDED sets no limit."""
 
-    def __init__(self, most_bytes: int) -> None:
-        self._max_bytes = most_bytes
+    def __init__(self, max_bytes: int) -> None:
+        self._max_bytes = max_bytes
         self._bodies = 0
         self._unread = 0
         # Unread bytes of each caller at the last check; _unread is their sum.
         self._unread_by: dict[int, int] = {}
 
-    def takes(self, body_bytes: int) -> bool:
+    def has_capacity(self, body_bytes: int) -> bool:
         """Tell whether this many more bytes of bodies may be buffered."""
-        return not self._max_bytes or self.held() + COPIES_PER_BODY * body_bytes <= self._max_bytes
+        return not self._max_bytes or self.total() + COPIES_PER_BODY * body_bytes <= self._max_bytes
 
     def on_body(self, body_bytes: int) -> None:
         """Count a part of a body, or with a negative number its release."""
         self._bodies += COPIES_PER_BODY * body_bytes
         assert self._bodies >= 0
 
-    def held(self) -> int:
+    def total(self) -> int:
         """Return how many bytes are buffered."""
         return self._bodies + self._unread
 
-    def on_gone(self, caller: int) -> None:
+    def on_disconnected(self, caller: int) -> None:
         """Stop counting the unread bytes of a caller that has disconnected."""
         self._unread -= self._unread_by.pop(caller, 0)
 
-    def given_up(self, unread: Iterable[Unread]) -> list[Unread]:
+    def callers_to_drop(self, unread: Iterable[Unread]) -> list[Unread]:
         """Update the unread bytes of all callers; return those to close, longest unread first."""
-        by_age = sorted(unread, key=lambda entry: (entry.since_ms, -entry.held_bytes))
-        self._unread_by = {entry.caller: entry.held_bytes for entry in by_age}
+        by_age = sorted(unread, key=lambda entry: (entry.since_ms, -entry.unread_bytes))
+        self._unread_by = {entry.caller: entry.unread_bytes for entry in by_age}
         self._unread = sum(self._unread_by.values())
         dropped = []
         for entry in by_age:
-            if not self._max_bytes or self.held() <= self._max_bytes:
+            if not self._max_bytes or self.total() <= self._max_bytes:
                 break
-            self.on_gone(entry.caller)
+            self.on_disconnected(entry.caller)
             dropped.append(entry)
         return dropped
--- a/papayapier/policy/crashes.py
+++ b/papayapier/policy/crash_quarantine.py
@@ -27,10 +27,10 @@
 # Two losses may be chance: where a third of the replicas end at once, one request in thirty is at
 # two of them, counting its own retries. At a third loss of the same fingerprint, chance is the less
 # likely explanation.
-LOSSES_MOST: Final = 3
+MAX_LOSSES: Final = 3
 # A request that replicas have answered recently was most likely only open when they ended.
 MAX_LOSSES_ANSWERED: Final = 6
-ANSWERED_LATELY_MS: Final = 60_000
+ANSWERED_RECENTLY_MS: Final = 60_000
 # An item of a job is not refused but waits, and runs once at a time, so that it may be tried more
 # often: an item that was open beside a crashing request three times is completed in the end.
 MAX_ITEM_LOSSES: Final = 6
@@ -68,17 +68,17 @@
 MAX_SNAPSHOT_LOSSES: Final = 500
 
 
-class Loss(NamedTuple):
+class ReplicaLoss(NamedTuple):
     """Report that a replica was lost while it ran a request, and how long ago.
 
     work is the fingerprint of the request. lately says that the fingerprint had been answered in
     the minute before its first loss.
     """
 
-    work: str
+    fingerprint: str
     replica: str
     age_ms: int
-    lately: bool = False
+    recently_answered: bool = False
 
 
 class _LossRecord:
@@ -119,7 +119,7 @@
 
     def is_suspect(self) -> bool:
         """Tell whether one more loss would quarantine it, and no recent answer clears it."""
-        return not self.is_answered() and self.net_losses() == LOSSES_MOST - 1
+        return not self.is_answered() and self.net_losses() == MAX_LOSSES - 1
 
     def is_answered(self) -> bool:
         return self.max_losses == MAX_LOSSES_ANSWERED
@@ -131,12 +131,12 @@
         )
 
 
-class CrashBook:
+class CrashTracker:
     """Track the fingerprints of requests during which replicas were lost."""
 
     def __init__(self) -> None:
         self._records: dict[str, _FingerprintRecord] = {}
-        self._answered_here = RecentAnswers(MAX_ANSWERED, ANSWERED_LATELY_MS)
+        self._answered_here = RecentAnswers(MAX_ANSWERED, ANSWERED_RECENTLY_MS)
         # Answers that other instances have reported.
         self._answered_elsewhere = RecentAnswers(MAX_FINGERPRINTS, ANSWER_REPORT_MS)
         # Fingerprints with a loss, by the replica that may yet turn out to be alive.
@@ -146,31 +146,31 @@
         # Fingerprints with enough losses to be quarantined.
         self._at_limit: set[str] = set()
         # When suspects, which one more loss would quarantine, may be sent.
-        self.turns = SendWindows()
+        self.send_windows = SendWindows()
         # Incremented with each change of the recorded losses.
-        self.changes = 0
+        self.change_count = 0
 
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Tell whether no fingerprint has a loss."""
         return not self._records
 
-    def knows(self, fingerprint: str) -> bool:
+    def has_losses(self, fingerprint: str) -> bool:
         """Tell whether a fingerprint has a loss."""
         return fingerprint in self._records
 
-    def replicas(self, fingerprint: str) -> list[str]:
+    def lost_replicas(self, fingerprint: str) -> list[str]:
         """Return the replicas that were lost under a fingerprint."""
         record = self._records.get(fingerprint)
         return [loss.replica for loss in record.losses] if record is not None else []
 
-    def hold_ms(self, fingerprint: str, now: int) -> int:
+    def quarantine_ms(self, fingerprint: str, now: int) -> int:
         """Return for how long a request is quarantined, in ms; 0 if it may be sent."""
         record = self._records.get(fingerprint)
         if record is None or not record.has_max_losses():
             return 0
         return max(0, record.last_ms + QUARANTINE_MS - now)
 
-    def apart_ms(self, fingerprint: str) -> int:
+    def suspect_pause_ms(self, fingerprint: str) -> int:
         """Return the shortest pause before a request that may soon be quarantined, in ms.
 
         Retries of two requests that follow each other at once end up at the same replicas, so that
@@ -179,9 +179,9 @@
         record = self._records.get(fingerprint)
         if record is None or record.has_max_losses():
             return 0
-        return SUSPECT_PAUSE_MS if record.net_losses() >= LOSSES_MOST - 1 else 0
+        return SUSPECT_PAUSE_MS if record.net_losses() >= MAX_LOSSES - 1 else 0
 
-    def item_hold_ms(self, fingerprint: str, now: int) -> int:
+    def item_pause_ms(self, fingerprint: str, now: int) -> int:
         """Return for how long an item is not sent, in ms; 0 if it may be.
 
         An item with other suspects waits until the online requests among them have had their send
@@ -189,26 +189,26 @@
         """
         record = self._records.get(fingerprint)
         if record is None or (
-            record.net_losses() < LOSSES_MOST and not self.turns.rivals(fingerprint)
+            record.net_losses() < MAX_LOSSES and not self.send_windows.other_suspects(fingerprint)
         ):
             return 0
         pause_ms = QUARANTINE_MS
-        if not self.item_done_for(fingerprint):
-            pause_ms = ITEM_PAUSE_MS << max(0, record.net_losses() - LOSSES_MOST)
+        if not self.is_item_exhausted(fingerprint):
+            pause_ms = ITEM_PAUSE_MS << max(0, record.net_losses() - MAX_LOSSES)
         return max(0, record.last_ms + pause_ms - now)
 
-    def item_done_for(self, fingerprint: str) -> bool:
+    def is_item_exhausted(self, fingerprint: str) -> bool:
         """Tell whether an item has been tried as often as it may be."""
         record = self._records.get(fingerprint)
         return record is not None and record.net_losses() >= MAX_ITEM_LOSSES
 
-    def held(self, now: int) -> frozenset[str]:
+    def quarantined(self, now: int) -> frozenset[str]:
         """Return the fingerprints that are quarantined."""
         return frozenset(
-            fingerprint for fingerprint in self._at_limit if self.hold_ms(fingerprint, now)
+            fingerprint for fingerprint in self._at_limit if self.quarantine_ms(fingerprint, now)
         )
 
-    def return_ms(self, fingerprint: str, now: int) -> int:
+    def retry_after_ms(self, fingerprint: str, now: int) -> int:
         """Return when the caller of a quarantined request may retry, in ms.
 
         While too few of its losses are confirmed, that is the time by which they will be.
@@ -216,16 +216,16 @@
         record = self._records[fingerprint]
         unconfirmed = [loss for loss in record.losses if not loss.is_settled(now)]
         if record.net_losses() - len(unconfirmed) >= record.max_losses:
-            return self.hold_ms(fingerprint, now)
+            return self.quarantine_ms(fingerprint, now)
         return max(
             MIN_RETRY_MS, min(loss.received_ms for loss in unconfirmed) + LISTED_ALIVE_MS - now
         )
 
-    def stands(self, loss: Loss) -> bool:
+    def is_current(self, loss: ReplicaLoss) -> bool:
         """Tell whether a loss has not been withdrawn."""
-        return loss.replica in self.replicas(loss.work)
+        return loss.replica in self.lost_replicas(loss.fingerprint)
 
-    def on_lost(self, fingerprint: str, replica: str, now: int) -> bool:
+    def on_replica_lost(self, fingerprint: str, replica: str, now: int) -> bool:
         """Count a replica lost under a fingerprint; return whether the loss is new.
 
         A replica that leaves as planned may cut off calls that are still open at its end, so that
@@ -235,23 +235,27 @@
             return False
         return self._add(fingerprint, replica, now, now)
 
-    def on_told(self, losses: Iterable[Loss], now: int) -> list[Loss]:
+    def on_losses_received(self, losses: Iterable[ReplicaLoss], now: int) -> list[ReplicaLoss]:
         """Add losses that other instances report; return those not known before."""
         losses = list(losses)
-        self.take_lately({loss.work for loss in losses if loss.lately}, now)
+        self.on_answers_received(
+            {loss.fingerprint for loss in losses if loss.recently_answered}, now
+        )
         return [
-            loss for loss in losses if self._add(loss.work, loss.replica, now - loss.age_ms, now)
+            loss
+            for loss in losses
+            if self._add(loss.fingerprint, loss.replica, now - loss.age_ms, now)
         ]
 
-    def note_answered(self, fingerprint: str, now: int) -> None:
+    def record_answer(self, fingerprint: str, now: int) -> None:
         """Record that a fingerprint was answered, also where it has no loss."""
         self._answered_here.note(fingerprint, now)
 
-    def answered_lately(self, fingerprints: Iterable[str], now: int) -> list[str]:
+    def recently_answered(self, fingerprints: Iterable[str], now: int) -> list[str]:
         """Return which fingerprints were answered just before their losses, or recently here."""
         return [fingerprint for fingerprint in fingerprints if self._was_answered(fingerprint, now)]
 
-    def take_lately(self, fingerprints: Iterable[str], now: int) -> list[str]:
+    def on_answers_received(self, fingerprints: Iterable[str], now: int) -> list[str]:
         """Record recent answers of other instances; return fingerprints whose limit this raises."""
         released = []
         for fingerprint in fingerprints:
@@ -318,7 +322,7 @@
             elif list_fresh:
                 self._withdraw(fingerprint, is_listed)
 
-    def snapshot(self, now: int, only: Collection[str] = ()) -> list[Loss]:
+    def snapshot(self, now: int, only: Collection[str] = ()) -> list[ReplicaLoss]:
         """Return the losses of all or of some fingerprints, those with most losses first."""
         records = [
             (fingerprint, record)
@@ -327,7 +331,7 @@
         ]
         records.sort(key=lambda entry: (-entry[1].net_losses(), -entry[1].last_ms))
         losses = [
-            Loss(fingerprint, loss.replica, max(0, now - loss.at_ms), record.is_answered())
+            ReplicaLoss(fingerprint, loss.replica, max(0, now - loss.at_ms), record.is_answered())
             for fingerprint, record in records
             for loss in record.losses
         ]
@@ -340,7 +344,7 @@
             answered = self._answered_here.knows(
                 fingerprint, at_ms
             ) or self._answered_elsewhere.knows(fingerprint, at_ms)
-            max_losses = MAX_LOSSES_ANSWERED if answered else LOSSES_MOST
+            max_losses = MAX_LOSSES_ANSWERED if answered else MAX_LOSSES
             record = self._records[fingerprint] = _FingerprintRecord(max_losses)
         if record.has_loss(replica, at_ms):
             return False
@@ -372,23 +376,25 @@
             self._on_change(fingerprint)
 
     def _on_change(self, fingerprint: str) -> None:
-        self.changes += 1
+        self.change_count += 1
         record = self._records[fingerprint]
         if record.has_max_losses():
             self._at_limit.add(fingerprint)
         else:
             self._at_limit.discard(fingerprint)
         if record.is_suspect():
-            self.turns.add_suspect(fingerprint, self.replicas(fingerprint), record.last_ms)
+            self.send_windows.add_suspect(
+                fingerprint, self.lost_replicas(fingerprint), record.last_ms
+            )
         else:
-            self.turns.remove_suspect(fingerprint)
+            self.send_windows.remove_suspect(fingerprint)
         if record.net_losses() <= 0:
             self._forget(fingerprint)
 
     def _forget(self, fingerprint: str) -> None:
-        self.changes += 1
+        self.change_count += 1
         self._at_limit.discard(fingerprint)
-        self.turns.remove_suspect(fingerprint)
+        self.send_windows.remove_suspect(fingerprint)
         for loss in self._records.pop(fingerprint).losses:
             self._unlink(fingerprint, loss.replica)
 
--- a/papayapier/policy/deadlines.py
+++ b/papayapier/policy/deadlines.py
@@ -6,7 +6,7 @@
 SLACK_FACTOR: Final = 1.25
 
 
-class JobLoad(NamedTuple):
+class RemainingJob(NamedTuple):
     """Describe what is left of a job; rate is its items per ms so far, 0 if unknown."""
 
     job_id: str
@@ -17,13 +17,13 @@
     rate: float = 0.0
 
 
-def order(jobs: Sequence[JobLoad], now_wall: int) -> list[str]:
+def order_jobs(jobs: Sequence[RemainingJob], now_wall: int) -> list[str]:
     """Return the jobs' ids, the one to serve first in front."""
     left = [job for job in jobs if job.items_left > 0]
     return [job.job_id for job in sorted(left, key=lambda job: (_slack(job, now_wall), job.job_id))]
 
 
-def at_risk(job: JobLoad, rate: float, now_wall: int) -> bool:
+def at_risk(job: RemainingJob, rate: float, now_wall: int) -> bool:
     """Tell whether a job is likely to miss its due time at a rate in items per ms."""
     if job.items_left == 0:
         return False
@@ -32,6 +32,6 @@
     return now_wall + SLACK_FACTOR * job.items_left / rate > job.due_wall_ms
 
 
-def _slack(job: JobLoad, now_wall: int) -> float:
+def _slack(job: RemainingJob, now_wall: int) -> float:
     need = job.items_left / job.rate if job.rate > 0 else 0.0
     return job.due_wall_ms - now_wall - need
--- a/papayapier/policy/shared_blame.py
+++ b/papayapier/policy/failure_reports.py
@@ -36,7 +36,7 @@
         self.repeats = 0
 
 
-class SharedBlame:
+class FailureReports:
     """Track the failures that instances report."""
 
     def __init__(self) -> None:
@@ -66,7 +66,7 @@
         state.failures = []
         return True
 
-    def on_given(self, replica_id: str, now: int) -> None:
+    def on_sent(self, replica_id: str, now: int) -> None:
         """Count a call that was sent to a replica."""
         state = self._rows.get(replica_id)
         if state is not None:
@@ -76,7 +76,7 @@
         """Forget the replicas that are no longer listed."""
         self._rows = {key: state for key, state in self._rows.items() if key in listed}
 
-    def avoided(self, replica_id: str, now: int) -> bool:
+    def is_avoided(self, replica_id: str, now: int) -> bool:
         """Tell whether a replica gets no call now."""
         state = self._rows.get(replica_id)
         if state is None or not state.until_ms or now >= state.until_ms + TRIAL_PERIOD_MS:
--- a/papayapier/policy/fair_queue.py
+++ b/papayapier/policy/fair_queue.py
@@ -25,7 +25,7 @@
 MAX_IDLE_TAGS: Final = 256
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """Describe one queued request; all times are ms on the monotonic clock.
 
     rank 0 is the most urgent. Until give_up_ms an answer is still wanted although due_ms has
@@ -45,11 +45,11 @@
     retry_by_ms: int | None = None
     late: bool = False
 
-    def may_return(self, now: int) -> bool:
+    def can_retry(self, now: int) -> bool:
         """Tell whether its caller, if refused now, can still retry in time."""
         return self.retry_by_ms is None or now < self.retry_by_ms
 
-    def as_late(self) -> "Waiting":
+    def as_late(self) -> "QueuedRequest":
         """Return a copy marked late that is due when its caller gives up."""
         return self._replace(due_ms=self.give_up_ms, late=True)
 
@@ -88,7 +88,7 @@
         self.heap: list[tuple[float, int, str]] = []
         self.tags: dict[str, float] = {}
 
-    def add(self, entry: Waiting) -> None:
+    def add(self, entry: QueuedRequest) -> None:
         caller = self.callers.get(entry.caller)
         if caller is None:
             caller = self._add_caller(entry.caller)
@@ -96,7 +96,7 @@
         caller.cost += entry.cost
         self.cost += entry.cost
 
-    def remove(self, entry: Waiting) -> None:
+    def remove(self, entry: QueuedRequest) -> None:
         caller = self.callers[entry.caller]
         del caller.sorted_requests[
             bisect_left(caller.sorted_requests, (entry.due_ms, entry.ticket))
@@ -141,7 +141,7 @@
     """Hold the requests that can be in time, or those that cannot."""
 
     def __init__(self) -> None:
-        self._entries: dict[int, Waiting] = {}
+        self._entries: dict[int, QueuedRequest] = {}
         self._rank_queues: dict[int, _RankQueue] = {}
         self._virtual_time = 0.0
         self.cost = 0.0
@@ -149,7 +149,7 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def add(self, entry: Waiting) -> None:
+    def add(self, entry: QueuedRequest) -> None:
         rank_queue = self._rank_queue(entry.rank)
         if not rank_queue.callers:
             rank_queue.tag = max(rank_queue.tag, self._virtual_time)
@@ -157,12 +157,12 @@
         self.cost += entry.cost
         self._entries[entry.ticket] = entry
 
-    def remove(self, entry: Waiting) -> None:
+    def remove(self, entry: QueuedRequest) -> None:
         del self._entries[entry.ticket]
         self.cost -= entry.cost
         self._rank_queues[entry.rank].remove(entry)
 
-    def take(self) -> Waiting:
+    def take(self) -> QueuedRequest:
         rank_queue = min(
             (queue for queue in self._rank_queues.values() if queue.callers),
             key=lambda queue: queue.tag,
@@ -175,7 +175,7 @@
         self.remove(entry)
         return entry
 
-    def cost_ahead(self, entry: Waiting) -> float:
+    def cost_ahead(self, entry: QueuedRequest) -> float:
         rank_queue = self._rank_queue(entry.rank)
         caller = rank_queue.callers.get(entry.caller)
         own = entry.cost + (self._due_before(caller, entry) if caller else 0.0)
@@ -187,7 +187,7 @@
         ahead = own - entry.cost + others
         return ahead + self._cost_of_other_ranks(rank_queue, ahead + entry.cost)
 
-    def costs_ahead(self) -> Iterator[tuple[Waiting, float]]:
+    def costs_ahead(self) -> Iterator[tuple[QueuedRequest, float]]:
         for rank_queue in self._rank_queues.values():
             callers = sorted(caller.cost for caller in rank_queue.callers.values())
             sums = [0.0, *accumulate(callers)]
@@ -208,7 +208,7 @@
             rank_queue = self._rank_queues[rank] = _RankQueue(weight_of(rank))
         return rank_queue
 
-    def _due_before(self, caller: _Caller, entry: Waiting) -> float:
+    def _due_before(self, caller: _Caller, entry: QueuedRequest) -> float:
         index = bisect_left(caller.sorted_requests, (entry.due_ms, entry.ticket))
         return caller.cost * index / len(caller.sorted_requests)
 
@@ -228,29 +228,29 @@
     def __len__(self) -> int:
         return len(self._in_time) + len(self._late)
 
-    def add(self, entry: Waiting) -> None:
+    def add(self, entry: QueuedRequest) -> None:
         """Queue a request."""
         self._queue_of(entry).add(entry)
 
-    def remove(self, entry: Waiting) -> None:
+    def remove(self, entry: QueuedRequest) -> None:
         """Remove a request wherever it is queued."""
         self._queue_of(entry).remove(entry)
 
-    def take(self) -> Waiting:
+    def take(self) -> QueuedRequest:
         """Remove and return the request to serve next; there must be one."""
         queue = self._in_time if len(self._in_time) else self._late
         return queue.take()
 
-    def cost_ahead(self, entry: Waiting) -> float:
+    def cost_ahead(self, entry: QueuedRequest) -> float:
         """Return the cost that would be served before a request that is not yet queued."""
         before = self._in_time.cost if entry.late else 0.0
         return before + self._queue_of(entry).cost_ahead(entry)
 
-    def costs_ahead(self) -> Iterator[tuple[Waiting, float]]:
+    def costs_ahead(self) -> Iterator[tuple[QueuedRequest, float]]:
         """Yield each queued request with the cost that is served before it."""
         yield from self._in_time.costs_ahead()
         for entry, ahead in self._late.costs_ahead():
             yield entry, self._in_time.cost + ahead
 
-    def _queue_of(self, entry: Waiting) -> _WeightedRanks:
+    def _queue_of(self, entry: QueuedRequest) -> _WeightedRanks:
         return self._late if entry.late else self._in_time
--- a/papayapier/policy/first_byte.py
+++ b/papayapier/policy/first_byte.py
@@ -50,7 +50,7 @@
         row.deviation += DEVIATION_SMOOTHING * (error - row.deviation)
         row.smoothed += SMOOTHING * (waited_ms - row.smoothed)
 
-    def usual_ms(self, upstream: str) -> float:
+    def typical_ms(self, upstream: str) -> float:
         """Return the smoothed time to the first byte, or 0 if unknown."""
         row = self._rows.get(upstream)
         return 0.0 if row is None else row.smoothed
--- a/papayapier/policy/handing.py
+++ b/papayapier/policy/handover.py
@@ -13,24 +13,24 @@
 # A job has stalled when none of its items made progress for this long while none runs.
 STALLED_MS: Final = 1_500
 # The same while some run: beyond the longest silence that a run tolerates.
-SILENT_MS: Final = 5_000
+STALLED_RUNNING_MS: Final = 5_000
 # Instances that receive offers in one round, so that a full fleet is not flooded with messages.
 PEERS_PER_ROUND: Final = 3
 # Jobs in one offer; an instance with free slots takes one of them.
-OFFERED_MOST: Final = 20
+MAX_OFFERED_JOBS: Final = 20
 # A job's holder reports that it runs it every six seconds; after one missed report the handover
 # expires.
 HANDOVER_EXPIRY_MS: Final = 8_000
 
 
-class Offers:
+class OfferRotation:
     """Choose the instances to offer jobs to, all in rotation."""
 
     def __init__(self, me: str) -> None:
         self._me = me
         self._offset = 0
 
-    def next(self, able: Sequence[str]) -> list[str]:
+    def next_peers(self, able: Sequence[str]) -> list[str]:
         """Return the next few instances that may run some jobs, starting after this one."""
         others = sorted(instance for instance in able if instance != self._me)
         if not others:
@@ -48,7 +48,7 @@
     heard_ms: int
 
 
-class HandedJobs:
+class HandoverTracker:
     """Track which jobs of this instance others run in its place."""
 
     def __init__(self) -> None:
@@ -59,12 +59,12 @@
         handover = self._handovers.get(job_id)
         return handover.holder if handover is not None else None
 
-    def on_taken(self, job_id: str, peer_id: str, now: int) -> None:
+    def on_peer_runs(self, job_id: str, peer_id: str, now: int) -> None:
         """Record that a peer runs a job, unless another peer does."""
         if self.holder(job_id) in (None, peer_id):
             self._handovers[job_id] = _Handover(peer_id, now)
 
-    def on_given_back(self, job_id: str, peer_id: str) -> bool:
+    def on_returned(self, job_id: str, peer_id: str) -> bool:
         """Record that a peer does not run a job; return whether it had run it."""
         was_holder = self.holder(job_id) == peer_id
         if was_holder:
--- a/papayapier/policy/job_keeping.py
+++ b/papayapier/policy/job_copies.py
@@ -28,7 +28,7 @@
     held: int = 0
 
 
-NOT_ASKED: Final = Copies(enough=False, maybe_held=False)
+NOT_REQUESTED: Final = Copies(enough=False, maybe_held=False)
 
 
 def holders(
@@ -43,8 +43,8 @@
     return ranked[: copies + EXTRA_HOLDERS] if len(ranked) >= copies else ()
 
 
-def patience_ms(objective_ms: int, store_away: bool) -> int:
+def store_wait_ms(objective_ms: int, store_unavailable: bool) -> int:
     """Return how long only the store is tried, in ms."""
-    if store_away:
+    if store_unavailable:
         return 0
     return int(objective_ms * STORE_SHARE) if objective_ms else DEFAULT_STORE_WAIT_MS
--- a/papayapier/policy/job_owners.py
+++ b/papayapier/policy/job_owners.py
@@ -9,13 +9,13 @@
 from functools import lru_cache
 from typing import Final
 
-from papayapier.policy.totals import first_sharers
+from papayapier.policy.batch_sharers import first_sharers
 
 # Cache size: upstreams with jobs, for a few sets of instances and replicas.
 CACHED_SETS: Final = 64
 
 
-def able_to_own(running: Sequence[str], replicas: Sequence[str]) -> Sequence[str]:
+def possible_owners(running: Sequence[str], replicas: Sequence[str]) -> Sequence[str]:
     """Return the instances that share a replica's batch slots, or all where there is no replica.
 
     running names the live instances that run batch, replicas those that may get new calls.
--- a/papayapier/policy/loads.py
+++ b/papayapier/policy/loads.py
@@ -81,7 +81,7 @@
     at_ms: int
 
 
-class LoadBook:
+class LoadTracker:
     """Track the open calls and load reports of every listed replica."""
 
     def __init__(self, report_lag_ms: int = REPORT_LAG_MS) -> None:
@@ -146,11 +146,11 @@
         """Count a call that this instance has opened."""
         self._count(replica_id, batch, 1, now)
 
-    def on_done(self, replica_id: str, batch: bool, now: int) -> None:
+    def on_finished(self, replica_id: str, batch: bool, now: int) -> None:
         """Count the end of a call that this instance had opened."""
         self._count(replica_id, batch, -1, now)
 
-    def on_peer_uses(self, peer: str, uses: Sequence[ReplicaUse], now: int) -> None:
+    def on_peer_calls(self, peer: str, uses: Sequence[ReplicaUse], now: int) -> None:
         """Replace the open calls of a peer; it has none at a replica that is not named."""
         self._remove_placed(peer, now - PLACED_REPORTED_MS)
         reported_ms, named_before = self._peer_reports.get(peer, (now, frozenset()))
@@ -163,7 +163,7 @@
             self._set_peer(peer, ReplicaUse(removed, 0, 0), reported_ms, now)
         self._peer_reports[peer] = (now, named)
 
-    def on_peer_gone(self, peer: str) -> None:
+    def on_peer_departed(self, peer: str) -> None:
         """Forget the open calls of a departed peer, and the totals that it reported."""
         self.on_totals(peer, ())
         self._totals_named.pop(peer, None)
@@ -236,7 +236,7 @@
         unseen = max(0, row.own_change_since_report) * len(row.peers)
         return max(float(row.online), self.estimate(replica_id, now) - batch + unseen)
 
-    def online_at(self, replica_id: str) -> int:
+    def online_calls(self, replica_id: str) -> int:
         """Return the online calls known to be open, this instance's and the peers'."""
         row = self._rows.get(replica_id)
         return row.online + max(row.peer_online, row.total_others) + row.placed if row else 0
@@ -255,7 +255,7 @@
         """Return for how long this instance has had batch calls open without interruption."""
         return now - self._batch_since if self._batch_open else 0
 
-    def batch_at(self, replica_id: str) -> int:
+    def batch_calls(self, replica_id: str) -> int:
         """Return the batch calls known to be open, this instance's and the peers'."""
         row = self._rows.get(replica_id)
         return max(row.batch + row.peer_batch, row.total_batch) if row else 0
@@ -268,7 +268,7 @@
             if row.online + row.batch + row.peer_online + row.peer_batch
         ]
 
-    def own(self, replica_id: str) -> ReplicaUse:
+    def own_calls(self, replica_id: str) -> ReplicaUse:
         """Return the calls that this instance has open."""
         row = self._rows.get(replica_id)
         return (
@@ -292,7 +292,7 @@
             return row.load.slots
         return self._slots.get(replica_id, ASSUMED_SLOTS)
 
-    def reported_at(self, replica_id: str) -> int:
+    def reported_ms(self, replica_id: str) -> int:
         """Return when a replica's last report was made, or 0."""
         load = self._row(replica_id).load
         return 0 if load is None else load.at_ms
@@ -301,15 +301,15 @@
         """Return the listed replicas of an upstream, including leaving ones."""
         return self._listed.get(upstream, [])
 
-    def usable(self, upstream: str, now: int) -> list[Replica]:
+    def usable_replicas(self, upstream: str, now: int) -> list[Replica]:
         """Return the replicas of an upstream that may get new calls."""
         return self._usable.get(upstream, [])
 
-    def usable_ids(self, upstream: str) -> list[str]:
+    def usable_replica_ids(self, upstream: str) -> list[str]:
         """Return the ids of the replicas of an upstream that may get new calls."""
         return [replica.id for replica in self._usable.get(upstream, ())]
 
-    def uses(self) -> list[ReplicaUse]:
+    def own_uses(self) -> list[ReplicaUse]:
         """Return this instance's open calls, for its heartbeat."""
         rows = self._rows.items()
         return [
--- a/papayapier/policy/orphans.py
+++ b/papayapier/policy/orphans.py
@@ -37,17 +37,17 @@
         self.denials = 0
 
 
-class Answered(NamedTuple):
+class RunsReply(NamedTuple):
     """Hold an owner's reply about the jobs that it was asked about.
 
     over are the jobs of which every result is stored.
     """
 
     runs: frozenset[str]
-    over: frozenset[str]
+    finished: frozenset[str]
 
 
-class OrphanWatch:
+class OrphanDetector:
     """Watch the open jobs that other instances own."""
 
     def __init__(self, me: str) -> None:
@@ -58,11 +58,11 @@
         self._finished: set[str] = set()
         self._taken_over: set[str] = set()
 
-    def taken(self, job_id: str) -> bool:
+    def is_taken_over(self, job_id: str) -> bool:
         """Tell whether this instance runs a job because its owner does not."""
         return job_id in self._taken_over
 
-    def asks(
+    def due_checks(
         self, open_jobs: Mapping[str, str], candidates: Callable[[str], Sequence[str]], now: int
     ) -> dict[str, list[str]]:
         """Return the jobs to check now, by the instance to ask.
@@ -100,11 +100,13 @@
         self._checks[job_id] = check
         return check
 
-    def on_answer(self, requested: Collection[str], answer: Answered, now: int) -> frozenset[str]:
+    def on_reply(self, requested: Collection[str], answer: RunsReply, now: int) -> frozenset[str]:
         """Handle a reply; return the jobs that this instance takes over."""
-        self._finished.update(answer.over.intersection(requested))
+        self._finished.update(answer.finished.intersection(requested))
         denied = [
-            known for known in requested if known not in answer.runs and known not in answer.over
+            known
+            for known in requested
+            if known not in answer.runs and known not in answer.finished
         ]
         for job_id in answer.runs.intersection(requested):
             self._taken_over.discard(job_id)
@@ -112,18 +114,18 @@
                 self._checks[job_id].denials = 0
         return self._denied(denied, now)
 
-    def take(self, job_id: str, owner: str, now: int) -> None:
+    def take_over(self, job_id: str, owner: str, now: int) -> None:
         """Take over a job that its owner leaves to this instance."""
         self._checks[job_id] = _Check([owner], now + CHECK_INTERVAL_MS)
         self._taken_over.add(job_id)
 
-    def give_back(self, job_id: str, now: int) -> None:
+    def hand_back(self, job_id: str, now: int) -> None:
         """Return a job to its owner, which is notified with the next check."""
         self._taken_over.discard(job_id)
         if job_id in self._checks:
             self._checks[job_id].next_ms = now
 
-    def on_silence(self, requested: Collection[str], now: int) -> frozenset[str]:
+    def on_no_reply(self, requested: Collection[str], now: int) -> frozenset[str]:
         """Handle a missing reply; return the jobs that this instance takes over."""
         return self._denied(requested, now)
 
--- a/papayapier/policy/outliers.py
+++ b/papayapier/policy/outliers.py
@@ -20,7 +20,7 @@
 
 from papayapier.upstream.api import Replica
 
-FAILURES_IN_A_ROW: Final = 4
+CONSECUTIVE_FAILURES: Final = 4
 FIRST_EJECTION_MS: Final = 2_000
 MAX_EJECTION_MS: Final = 60_000
 FORGIVE_EJECTION_MS: Final = 30_000
@@ -110,7 +110,7 @@
         self.samples = 0
 
 
-class Outliers:
+class OutlierDetector:
     """Track the results of calls and decide which replicas are ejected."""
 
     def __init__(self) -> None:
@@ -150,18 +150,18 @@
         elif row.state == "returning":
             self._on_good_probe(row, now)
 
-    def healthy(self, replica_id: str) -> bool:
+    def is_healthy(self, replica_id: str) -> bool:
         """Tell whether a replica is neither ejected nor still being probed."""
         row = self._rows.get(replica_id)
         return row is None or row.state == "healthy"
 
-    def on_dropped(self, replica_id: str) -> None:
+    def on_no_result(self, replica_id: str) -> None:
         """Record that a call ended without a result, as when it was cancelled on this side."""
         row = self._rows.get(replica_id)
         if row is not None:
             row.probe_ms = None
 
-    def ejected(self, replica_id: str, now: int) -> bool:
+    def is_ejected(self, replica_id: str, now: int) -> bool:
         """Tell whether a replica is ejected, or has a probe in progress."""
         row = self._rows.get(replica_id)
         if row is None or row.state == "healthy":
@@ -173,7 +173,7 @@
             row.state = row.machine.name()
         return row.probe_ms is not None and now < row.probe_ms + PROBE_TIMEOUT_MS
 
-    def returning(self, replica_id: str) -> bool:
+    def is_returning(self, replica_id: str) -> bool:
         """Tell whether the next call to a replica would be a probe."""
         row = self._rows.get(replica_id)
         return row is not None and row.state != "healthy"
@@ -187,9 +187,9 @@
         return PENALTY_CALLS * row.failures * math.pow(0.5, age / PENALTY_HALF_LIFE_MS)
 
     def _on_failure(self, replica_id: str, row: _ReplicaHealth, now: int) -> None:
-        row.failures = min(row.failures + 1, FAILURES_IN_A_ROW)
+        row.failures = min(row.failures + 1, CONSECUTIVE_FAILURES)
         row.failed_ms = now
-        too_many = row.failures >= FAILURES_IN_A_ROW and self._may_eject(replica_id)
+        too_many = row.failures >= CONSECUTIVE_FAILURES and self._may_eject(replica_id)
         if row.state == "returning" or too_many:
             self._eject(row, now)
 
--- a/papayapier/policy/ownership.py
+++ b/papayapier/policy/ownership.py
@@ -13,12 +13,12 @@
 from papayapier.policy.rendezvous import score
 
 
-def owner(shard: int | str, instances: Collection[str]) -> str:
+def rendezvous_owner(shard: int | str, instances: Collection[str]) -> str:
     """Return the instance that wins rendezvous hashing for a shard."""
     return max(instances, key=lambda instance: (score(str(shard), instance), instance))
 
 
-def assign(instances: Collection[str], shards: Collection[int]) -> dict[int, str]:
+def assign_shards(instances: Collection[str], shards: Collection[int]) -> dict[int, str]:
     """Return the instance that should hold each shard, even to within one."""
     if not instances:
         return {}
@@ -45,9 +45,11 @@
     return assigned
 
 
-def wanted(instance: str, instances: Collection[str], shards: Iterable[int]) -> frozenset[int]:
+def wanted_shards(
+    instance: str, instances: Collection[str], shards: Iterable[int]
+) -> frozenset[int]:
     """Return the shards that an instance should hold."""
-    assigned = assign(instances, list(shards))
+    assigned = assign_shards(instances, list(shards))
     return frozenset(shard for shard, holder in assigned.items() if holder == instance)
 
 
--- a/papayapier/policy/place_queue.py
+++ b/papayapier/policy/place_queue.py
@@ -17,8 +17,8 @@
 
 from result import Err
 
-from papayapier.policy.admission import AdmissionQueue, Waiting
-from papayapier.policy.placers import Wanting
+from papayapier.policy.admission import AdmissionQueue, QueuedRequest
+from papayapier.policy.placers import PlacementNeeds
 from papayapier.policy.retry_times import RetryTimes
 from papayapier.policy.waiting import RETRY_AFTER_SHARE
 
@@ -27,21 +27,21 @@
 MAX_PASSED_OVER: Final = 8
 
 
-class Asked(NamedTuple):
+class PlacementRequest(NamedTuple):
     """Describe one request for a replica of a partition; shunned replicas are excluded."""
 
     ticket: int
-    part: str
+    partition: str
     prompt: str
     data_centre: str
-    shunned: frozenset[str]
-    wanting: Wanting
+    excluded: frozenset[str]
+    needs: PlacementNeeds
 
 
-class Given(NamedTuple):
+class Assigned(NamedTuple):
     """Say which replica a request gets."""
 
-    asked: Asked
+    request: PlacementRequest
     replica: str
     waited_ms: int
 
@@ -49,18 +49,18 @@
 class PlacementRefused(NamedTuple):
     """Say that a request gets no replica, and when its caller should retry."""
 
-    asked: Asked
-    after_ms: int
+    request: PlacementRequest
+    retry_after_ms: int
     waited_ms: int
 
 
-Decided = Given | PlacementRefused
+PlacementOutcome = Assigned | PlacementRefused
 # Returns the replicas of a partition that are in use.
 UsedReplicas = Callable[[str, int], frozenset[str]]
 # Tells whether a replica takes another call now.
 HasCapacity = Callable[[str, int], bool]
 # Chooses one of some replicas for a request, or returns None if it wants none of them.
-ChooseReplica = Callable[[Asked, frozenset[str], int], str | None]
+ChooseReplica = Callable[[PlacementRequest, frozenset[str], int], str | None]
 
 
 class PlaceQueue:
@@ -76,10 +76,10 @@
         self._in_use = in_use
         self._takes = takes
         self._choose = choose
-        self._requests: dict[int, Asked] = {}
+        self._requests: dict[int, PlacementRequest] = {}
         self._retry_times: dict[str, RetryTimes] = {}
 
-    def offer(self, request: Asked, now: int) -> PlacementRefused | None:
+    def offer(self, request: PlacementRequest, now: int) -> PlacementRefused | None:
         """Queue a request, or refuse it at once; decided() returns the outcome of queued ones."""
         entry = _queue_entry(request, now)
         result = self._queue.offer(entry, now)
@@ -88,7 +88,7 @@
         self._requests[request.ticket] = request
         return None
 
-    def decided(self, now: int) -> Iterator[Decided]:
+    def outcomes(self, now: int) -> Iterator[PlacementOutcome]:
         """Yield the outcome of each request that can be decided now, one after the other."""
         yield from self._place(now)
         for entry in self._queue.expired(now):
@@ -96,25 +96,25 @@
             request = self._requests.pop(entry.ticket)
             yield self._refuse(request, after_ms, now - entry.enqueued_ms, now)
 
-    def leave(self, ticket: int) -> bool:
+    def remove(self, ticket: int) -> bool:
         """Remove a request that nobody waits for; return whether it was queued."""
         self._requests.pop(ticket, None)
-        return self._queue.leave(ticket)
+        return self._queue.remove(ticket)
 
-    def waiting(self, part: str) -> int:
+    def queued(self, part: str) -> int:
         """Return how many requests for a partition are queued."""
-        return self._queue.waiting(part)
+        return self._queue.queued(part)
 
     def depth(self) -> int:
         """Return how many requests are queued."""
         return len(self._requests)
 
-    def held(self, ticket: int) -> bool:
+    def is_queued(self, ticket: int) -> bool:
         """Tell whether a request is queued."""
         return ticket in self._requests
 
-    def _place(self, now: int) -> Iterator[Given]:
-        passed_over: list[Waiting] = []
+    def _place(self, now: int) -> Iterator[Assigned]:
+        passed_over: list[QueuedRequest] = []
         free_by_part: dict[str, set[str]] = {}
 
         def free_replicas(part: str) -> set[str]:
@@ -128,39 +128,39 @@
             if entry is None:
                 break
             request = self._requests[entry.ticket]
-            replica = self._choose(request, frozenset(free_replicas(request.part)), now)
+            replica = self._choose(request, frozenset(free_replicas(request.partition)), now)
             if replica is None:
                 passed_over.append(entry)
                 continue
             del self._requests[entry.ticket]
-            yield Given(request, replica, now - entry.enqueued_ms)
+            yield Assigned(request, replica, now - entry.enqueued_ms)
             if not self._takes(replica, now):
-                free_replicas(request.part).discard(replica)
+                free_replicas(request.partition).discard(replica)
         for entry in passed_over:
             self._queue.put_back(entry)
 
     def _refuse(
-        self, request: Asked, backlog_ms: int, waited_ms: int, now: int
+        self, request: PlacementRequest, backlog_ms: int, waited_ms: int, now: int
     ) -> PlacementRefused:
-        retry_times = self._retry_times.setdefault(request.part, RetryTimes())
-        rate = self._queue.rate_per_ms(request.part, now)
-        longest_ms = int(request.wanting.left_ms * RETRY_AFTER_SHARE)
+        retry_times = self._retry_times.setdefault(request.partition, RetryTimes())
+        rate = self._queue.rate_per_ms(request.partition, now)
+        longest_ms = int(request.needs.timeout_ms * RETRY_AFTER_SHARE)
         return PlacementRefused(
             request, retry_times.after_ms(backlog_ms, rate, longest_ms, now), waited_ms
         )
 
 
-def _queue_entry(request: Asked, now: int) -> Waiting:
-    wanting = request.wanting
-    return Waiting(
+def _queue_entry(request: PlacementRequest, now: int) -> QueuedRequest:
+    wanting = request.needs
+    return QueuedRequest(
         ticket=request.ticket,
         caller=wanting.caller,
-        upstream=request.part,
+        upstream=request.partition,
         profile="",
         rank=wanting.rank,
-        due_ms=now + wanting.aim_ms,
+        due_ms=now + wanting.objective_ms,
         cost=ONE_CALL,
         enqueued_ms=now,
-        give_up_ms=now + wanting.left_ms,
-        retry_by_ms=now + wanting.return_ms,
+        give_up_ms=now + wanting.timeout_ms,
+        retry_by_ms=now + wanting.retry_within_ms,
     )
--- a/papayapier/policy/placers.py
+++ b/papayapier/policy/placers.py
@@ -23,7 +23,7 @@
 PARTITION_KEY: Final = "part"
 
 
-class Wanting(NamedTuple):
+class PlacementNeeds(NamedTuple):
     """Describe the call that a replica is requested for; times are in ms from now.
 
     aim_ms is the time left to meet the latency objective, left_ms the time left until the answer is
@@ -33,12 +33,12 @@
 
     caller: str
     rank: int
-    aim_ms: int
-    left_ms: int
-    return_ms: int
+    objective_ms: int
+    timeout_ms: int
+    retry_within_ms: int
 
 
-class Placed(NamedTuple):
+class Placement(NamedTuple):
     """Return the replica that was chosen, or the refusal; neither means undecided.
 
     has_room says that the replica had a free slot.
@@ -46,13 +46,13 @@
 
     replica: str = ""
     refusal: Refusal | None = None
-    has_room: bool = False
+    has_capacity: bool = False
 
 
-NOT_PLACED: Final = Placed()
+UNDECIDED: Final = Placement()
 
 
-class Parts(NamedTuple):
+class Partitions(NamedTuple):
     """Map replicas to the partitions of all upstreams.
 
     key_of holds the partition key of each replica, keys the partition keys of each upstream,
@@ -64,7 +64,7 @@
     members: dict[str, frozenset[str]]
 
 
-def make_parts(replicas: Sequence[Replica]) -> Parts:
+def make_partitions(replicas: Sequence[Replica]) -> Partitions:
     """Divide the replicas of each upstream into its partitions."""
     by_upstream: dict[str, list[Replica]] = {}
     for replica in replicas:
@@ -80,7 +80,7 @@
     keys: dict[str, list[str]] = {}
     for key in sorted(members):
         keys.setdefault(upstream_of(key), []).append(key)
-    return Parts(key_of, keys, {key: frozenset(ids) for key, ids in members.items()})
+    return Partitions(key_of, keys, {key: frozenset(ids) for key, ids in members.items()})
 
 
 def upstream_of(key: str) -> str:
--- a/papayapier/policy/witnesses.py
+++ b/papayapier/policy/reachability.py
@@ -9,17 +9,17 @@
 from collections.abc import Collection
 
 
-class Witnesses:
+class ReachabilityReports:
     """Keep the peers that each peer cannot reach, from its last heartbeat."""
 
     def __init__(self) -> None:
         self._unreachable: dict[str, frozenset[str]] = {}
 
-    def on_told(self, peer_id: str, unreachable: Collection[str]) -> None:
+    def on_report(self, peer_id: str, unreachable: Collection[str]) -> None:
         """Record which peers a peer cannot reach."""
         self._unreachable[peer_id] = frozenset(unreachable)
 
-    def heard(self, peer_id: str, live: Collection[str]) -> bool:
+    def is_reachable(self, peer_id: str, live: Collection[str]) -> bool:
         """Tell whether most of the other live instances reach a peer; False without any reports."""
         reports = [
             self._unreachable[other]
--- a/papayapier/policy/replica_room.py
+++ b/papayapier/policy/replica_limits.py
@@ -30,7 +30,7 @@
         return self.calls
 
 
-class ReplicaRoom:
+class ReplicaLimits:
     """Track how fast replicas take calls; empty_ms passes from the end of one to the next."""
 
     def __init__(self, empty_ms: int) -> None:
@@ -38,7 +38,7 @@
         self._recent_share = empty_ms * math.log(2) / HALF_LIFE_MS
         self._rates: dict[str, _CallRate] = {}
 
-    def on_given(self, replica_id: str, now: int) -> None:
+    def on_sent(self, replica_id: str, now: int) -> None:
         """Count a call given to a replica."""
         rate = self._rates.setdefault(replica_id, _CallRate(now))
         rate.decay(now)
@@ -48,7 +48,7 @@
         """Forget the replicas that are no longer listed."""
         self._rates = {key: rate for key, rate in self._rates.items() if key in listed}
 
-    def takes(self, replica_id: str, calls: int, slots: int, now: int) -> bool:
+    def has_capacity(self, replica_id: str, calls: int, slots: int, now: int) -> bool:
         """Tell whether a replica with this many calls open, as far as reported, takes another."""
         if calls < slots:
             return True
--- a/papayapier/policy/retries.py
+++ b/papayapier/policy/retries.py
@@ -12,7 +12,7 @@
 
 from papayapier.config.profiles import RetryRule
 from papayapier.errors import ErrorKind, Outcome, Refusal
-from papayapier.policy.loads import LoadBook
+from papayapier.policy.loads import LoadTracker
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
 
 RETRY_SHARE: Final = 0.1
@@ -51,7 +51,7 @@
 NOWHERE: Final = FailedAt("", 0, 0)
 
 
-def failed_at(book: LoadBook, replica: Replica) -> FailedAt:
+def failed_at(book: LoadTracker, replica: Replica) -> FailedAt:
     """Return what the retry budget needs to know of a replica."""
     return FailedAt(replica.id, book.slots(replica.id), len(book.replicas(replica.upstream)))
 
@@ -113,7 +113,7 @@
         """Count a request, which adds its share of a retry to the budget."""
         self._window(upstream).add_request(now // self._bucket_ms)
 
-    def spend(self, upstream: str, now: int) -> bool:
+    def try_spend(self, upstream: str, now: int) -> bool:
         """Take one retry out of the budget if there is one."""
         bucket = now // self._bucket_ms
         window = self._window(upstream)
@@ -137,13 +137,13 @@
         if lost.get(at.replica, 0) < at.slots and replicas_with_losses <= max(1, at.replicas // 2):
             window.add_lost(at.replica, bucket)
             return True
-        return self.spend(upstream, now)
+        return self.try_spend(upstream, now)
 
     def _window(self, upstream: str) -> _Window:
         return self._windows.setdefault(upstream, _Window())
 
 
-def decide(
+def retry_or_refuse(
     failure: Failure,
     idempotent: bool,
     attempts_made: int,
@@ -176,7 +176,9 @@
         return GiveUp(refusal)
     lost = at is not NOWHERE and failure.kind in REPLICA_LOST_KINDS
     if not (
-        budget.spend_for_lost_replica(upstream, at, now) if lost else budget.spend(upstream, now)
+        budget.spend_for_lost_replica(upstream, at, now)
+        if lost
+        else budget.try_spend(upstream, now)
     ):
         return GiveUp(refusal)
     return Retry(
--- a/papayapier/policy/routing.py
+++ b/papayapier/policy/routing.py
@@ -23,8 +23,8 @@
 from collections.abc import Sequence
 from typing import Final, NamedTuple
 
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
 from papayapier.policy.rendezvous import score
 from papayapier.upstream.api import Replica
 
@@ -60,16 +60,16 @@
     exclude: frozenset[str] = frozenset()
     batch: bool = False
     idempotent: bool = True
-    told: bool = False
+    includes_peers: bool = False
     fresh: bool = False
-    within: frozenset[str] = frozenset()
+    candidates: frozenset[str] = frozenset()
 
 
-def choose(
-    book: LoadBook, outliers: Outliers, req: RouteRequest, rand: random.Random, now: int
+def choose_replica(
+    book: LoadTracker, outliers: OutlierDetector, req: RouteRequest, rand: random.Random, now: int
 ) -> str | None:
     """Return the replica for a call, or None when no replica may take it."""
-    usable = _candidates(book, outliers, req.upstream, req.exclude, now, req.within)
+    usable = _candidates(book, outliers, req.upstream, req.exclude, now, req.candidates)
     if not usable:
         return None
     usable = _without_probes(outliers, usable, req)
@@ -80,7 +80,9 @@
     if req.fresh and len(usable) <= MAX_COMPARED:
         sampled = usable
     else:
-        sampled = _sampled(book, usable, rand, now, DRAWS_WHEN_REPORTED if req.told else DRAWS)
+        sampled = _sampled(
+            book, usable, rand, now, DRAWS_WHEN_REPORTED if req.includes_peers else DRAWS
+        )
     costs = [
         (_cost(book, outliers, replica, req, now), rand.random(), replica.id) for replica in sampled
     ]
@@ -89,18 +91,18 @@
 
 
 def pick_replica(
-    book: LoadBook, outliers: Outliers, req: RouteRequest, rand: random.Random, now: int
+    book: LoadTracker, outliers: OutlierDetector, req: RouteRequest, rand: random.Random, now: int
 ) -> Replica | None:
     """Return the replica for a call; one that failed it may have recovered if all have."""
-    chosen = choose(book, outliers, req, rand, now)
+    chosen = choose_replica(book, outliers, req, rand, now)
     if chosen is None and req.exclude:
-        chosen = choose(book, outliers, req._replace(exclude=frozenset()), rand, now)
+        chosen = choose_replica(book, outliers, req._replace(exclude=frozenset()), rand, now)
     if chosen is None:
         return None
     return next(replica for replica in book.replicas(req.upstream) if replica.id == chosen)
 
 
-def free_calls(book: LoadBook, outliers: Outliers, upstream: str, now: int) -> float:
+def free_capacity(book: LoadTracker, outliers: OutlierDetector, upstream: str, now: int) -> float:
     """Return how many more online calls the replicas of an upstream could run at once.
 
     Engines queue in order of arrival and know no priorities: a call that waits in an engine can no
@@ -113,32 +115,32 @@
 
 
 def _candidates(
-    book: LoadBook,
-    outliers: Outliers,
+    book: LoadTracker,
+    outliers: OutlierDetector,
     upstream: str,
     exclude: frozenset[str],
     now: int,
     within: frozenset[str] = frozenset(),
 ) -> Sequence[Replica]:
     """Return the replicas in use; if all are ejected, trying one is better than refusing."""
-    usable = book.usable(upstream, now)
+    usable = book.usable_replicas(upstream, now)
     if within:
         usable = [replica for replica in usable if replica.id in within]
     usable = [replica for replica in usable if replica.id not in exclude]
-    return [replica for replica in usable if not outliers.ejected(replica.id, now)] or usable
+    return [replica for replica in usable if not outliers.is_ejected(replica.id, now)] or usable
 
 
 def _without_probes(
-    outliers: Outliers, usable: Sequence[Replica], req: RouteRequest
+    outliers: OutlierDetector, usable: Sequence[Replica], req: RouteRequest
 ) -> Sequence[Replica]:
     """Exclude returning replicas for a call that could not be retried after a failure."""
     if req.idempotent:
         return usable
-    return [replica for replica in usable if not outliers.returning(replica.id)] or usable
+    return [replica for replica in usable if not outliers.is_returning(replica.id)] or usable
 
 
 def _sampled(
-    book: LoadBook, usable: Sequence[Replica], rand: random.Random, now: int, draws: int
+    book: LoadTracker, usable: Sequence[Replica], rand: random.Random, now: int, draws: int
 ) -> Sequence[Replica]:
     """Return the replicas to compare: a few at random, full ones only if all are full."""
     sampled = usable if len(usable) <= draws else rand.sample(usable, draws)
@@ -149,8 +151,8 @@
 
 
 def _replica_with_prefix(
-    book: LoadBook,
-    outliers: Outliers,
+    book: LoadTracker,
+    outliers: OutlierDetector,
     usable: Sequence[Replica],
     req: RouteRequest,
     now: int,
@@ -158,7 +160,7 @@
     """Return the replica that has the prefix cached if its load is within the bound."""
     costs = {replica.id: _cost(book, outliers, replica, req, now) for replica in usable}
     slack = AFFINITY_SLACK_CALLS / max(book.slots(replica.id) for replica in usable)
-    if req.told:
+    if req.includes_peers:
         bound = min(costs.values()) + slack
     else:
         bound = AFFINITY_FACTOR * sum(costs.values()) / len(costs) + slack
@@ -169,21 +171,21 @@
     return None
 
 
-def _full(book: LoadBook, replica: Replica, now: int) -> bool:
+def _full(book: LoadTracker, replica: Replica, now: int) -> bool:
     return _free(book, replica, now) <= 0.0
 
 
-def _free(book: LoadBook, replica: Replica, now: int) -> float:
+def _free(book: LoadTracker, replica: Replica, now: int) -> float:
     return FULL_FACTOR * book.slots(replica.id) - book.online_pressure(replica.id, now)
 
 
 def _cost(
-    book: LoadBook, outliers: Outliers, replica: Replica, req: RouteRequest, now: int
+    book: LoadTracker, outliers: OutlierDetector, replica: Replica, req: RouteRequest, now: int
 ) -> float:
-    own = book.own(replica.id)
-    if req.told:
-        calls = own.online + REPORTED_WEIGHT * (book.online_at(replica.id) - own.online)
-        calls += REPORTED_BATCH_WEIGHT * book.batch_at(replica.id)
+    own = book.own_calls(replica.id)
+    if req.includes_peers:
+        calls = own.online + REPORTED_WEIGHT * (book.online_calls(replica.id) - own.online)
+        calls += REPORTED_BATCH_WEIGHT * book.batch_calls(replica.id)
         calls += outliers.penalty(replica.id, now)
         return calls / book.slots(replica.id)
     others = max(0.0, book.estimate(replica.id, now) - own.online - own.batch)
--- a/papayapier/policy/send_windows.py
+++ b/papayapier/policy/send_windows.py
@@ -51,7 +51,7 @@
         """Remove a fingerprint that was answered, is quarantined, or was forgotten."""
         self._suspects.pop(fingerprint, None)
 
-    def rivals(self, fingerprint: str) -> list[str]:
+    def other_suspects(self, fingerprint: str) -> list[str]:
         """Return the other suspects: fingerprints that share a lost replica with this one."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
@@ -64,14 +64,14 @@
 
     def wait_ms(self, fingerprint: str, now: int) -> int:
         """Return when a request may be sent, in ms; 0 for now, or without other suspects."""
-        others = self.rivals(fingerprint)
+        others = self.other_suspects(fingerprint)
         if not others:
             return 0
         last_ms = max(self._suspects[name].last_ms for name in (fingerprint, *others))
         pause_ms = self._suspects[fingerprint].pause_ms(now)
         return pause_ms + ms_to_window(fingerprint, others, now + pause_ms - last_ms)
 
-    def take(self, fingerprint: str, now: int) -> bool:
+    def try_send(self, fingerprint: str, now: int) -> bool:
         """Tell whether a request may be sent now, and use its send window if so."""
         if self.wait_ms(fingerprint, now):
             return False
--- a/papayapier/policy/slot_shares.py
+++ b/papayapier/policy/slot_shares.py
@@ -16,7 +16,7 @@
 from collections.abc import Sequence
 from typing import Final
 
-from papayapier.policy.loads import LoadBook
+from papayapier.policy.loads import LoadTracker
 from papayapier.policy.rendezvous import score
 
 LEAVE_OUT_AFTER_MS: Final = 1_500
@@ -39,7 +39,7 @@
         self._live = tuple(sorted({*instances, self._instance_id}))
         self._share_among(self._live)
 
-    def review(self, book: LoadBook, now: int) -> None:
+    def review(self, book: LoadTracker, now: int) -> None:
         """Exclude the instances without batch calls, or include them again."""
         if now < self._last_review_ms + REVIEW_MS:
             return
@@ -60,7 +60,7 @@
         """Return the instances that have a share at present."""
         return self._sharing
 
-    def part(self, replica_id: str, slots: int, instance: str = "") -> int:
+    def share(self, replica_id: str, slots: int, instance: str = "") -> int:
         """Return an instance's share (this one's by default) of the first slots of a replica."""
         ranks = self._ranks_by_replica.get(replica_id)
         if ranks is None:
--- a/papayapier/policy/waiting.py
+++ b/papayapier/policy/waiting.py
@@ -26,7 +26,7 @@
 FIRST_EVENT_SHARE: Final = 0.5
 
 
-def has_returned(left_ms: int, timeout_ms: int) -> bool:
+def is_repeated(left_ms: int, timeout_ms: int) -> bool:
     """Tell whether a caller has used up some of its time elsewhere; timeout_ms 0 is unknown."""
     return left_ms < timeout_ms - FIRST_TIME_SLACK_MS
 
