--- a/tests/allowance_world.py
+++ b/tests/allowance_world.py
@@ -10,24 +10,24 @@
 
 from papayapier.node.allowances import MAX_REQUESTS, SKIP_SILENT_MS
 from papayapier.policy.allowances import (
-    RESERVE,
-    Bound,
-    Grants,
-    Left,
-    Limit,
-    Said,
-    View,
+    RESERVE_RANK,
+    Allowance,
+    AllowanceMargin,
+    Granter,
+    GranterView,
+    GrantOutcome,
+    RemainingTokens,
     granters,
 )
 
-BOUND: Final = Bound(5_000, 0.1, 20)
+BOUND: Final = AllowanceMargin(5_000, 0.1, 20)
 STEP_MS: Final = 10
 # A crash is detected after two seconds of silence and reported in the hubs' next heartbeat.
 LOSS_SEEN_MS: Final = (2_000, 3_000)
 RETURN_SEEN_MS: Final = (50, 1_200)
 
 
-def max_granted(limit: Limit) -> float:
+def max_granted(limit: Allowance) -> float:
     """Return how many requests may be sent in any window."""
     window_s = BOUND.window_ms / 1_000
     return (limit.rate_per_s * window_s + limit.burst) * (1 + BOUND.overrun) + BOUND.slack
@@ -43,7 +43,7 @@
         self.entries = [f"entry-{n}" for n in range(entries)]
         self.listed = set(self.keepers)
         self.side: dict[str, int] = {}
-        self.grants = {name: Grants(name, BOUND, 0) for name in self.keepers}
+        self.grants = {name: Granter(name, BOUND, 0) for name in self.keepers}
         # The keepers that each instance believes to be granting, and scheduled changes of that.
         self.believed_granters = {
             name: set(self.keepers) for name in [*self.keepers, *self.entries]
@@ -68,7 +68,7 @@
     def start(self, keeper: str) -> None:
         """Start a new keeper or a crashed one; it knows the list."""
         self.listed.add(keeper)
-        self.grants[keeper] = Grants(keeper, BOUND, self.now)
+        self.grants[keeper] = Granter(keeper, BOUND, self.now)
         self.believed_granters[keeper] = set(self.listed)
         self._announce(keeper, True)
         self._update_view(keeper)
@@ -77,7 +77,7 @@
         """Restart every process at once, which loses the state of all grants."""
         self._pending_changes.clear()
         for keeper in sorted(self.grants):
-            self.grants[keeper] = Grants(keeper, BOUND, self.now)
+            self.grants[keeper] = Granter(keeper, BOUND, self.now)
             self.believed_granters[keeper] = set(self.listed)
             self._update_view(keeper)
         for entry in self.entries:
@@ -99,7 +99,7 @@
             for keeper in self.grants:
                 self._schedule(name, keeper, True, RETURN_SEEN_MS)
 
-    def run(self, ms: int, demand: dict[str, tuple[Limit, float]], spread: bool = True) -> None:
+    def run(self, ms: int, demand: dict[str, tuple[Allowance, float]], spread: bool = True) -> None:
         """Advance the time while teams send requests at a rate, at all entries or at one."""
         for _ in range(0, ms, STEP_MS):
             self.now += STEP_MS
@@ -109,7 +109,7 @@
                     entry = self.rand.choice(self.entries) if spread else self.entries[0]
                     self.request(entry, team, limit)
 
-    def request(self, entry: str, team: str, limit: Limit) -> bool:
+    def request(self, entry: str, team: str, limit: Allowance) -> bool:
         """Send a request as an entry does; return whether it was granted."""
         inside = self._is_within_limit(team, limit)
         granted = self._try_granters(entry, team, limit)
@@ -117,14 +117,14 @@
         self.within_limit_refused += inside and not granted
         return granted
 
-    def _is_within_limit(self, team: str, limit: Limit) -> bool:
+    def _is_within_limit(self, team: str, limit: Allowance) -> bool:
         tokens, at = self._buckets.get(team, (limit.burst, self.now))
         tokens = min(limit.burst, tokens + (self.now - at) * limit.rate_per_s / 1_000)
         self._buckets[team] = (tokens - (tokens >= 1), self.now)
         return tokens >= 1
 
-    def _try_granters(self, entry: str, team: str, limit: Limit) -> bool:
-        candidates = granters(team, self.believed_granters[entry])[: RESERVE + 1]
+    def _try_granters(self, entry: str, team: str, limit: Allowance) -> bool:
+        candidates = granters(team, self.believed_granters[entry])[: RESERVE_RANK + 1]
         requested: set[str] = set()
         while candidates and len(requested) < MAX_REQUESTS:
             keeper = candidates.pop(0)
@@ -135,26 +135,26 @@
                 self._skipped_until[entry, keeper] = self.now + SKIP_SILENT_MS
                 continue
             said, other = self._handle_request(keeper, team, limit)
-            if said is Said.NOT_HERE and other:
+            if said is GrantOutcome.NOT_HERE and other:
                 candidates.insert(0, other)
-            if said is Said.GRANTED:
+            if said is GrantOutcome.GRANTED:
                 self._count_grant(team)
                 return True
-            if said is Said.OVER:
+            if said is GrantOutcome.OVER:
                 break
         self.refused[team] = self.refused.get(team, 0) + 1
         return False
 
-    def _handle_request(self, keeper: str, team: str, limit: Limit) -> tuple[Said, str]:
+    def _handle_request(self, keeper: str, team: str, limit: Allowance) -> tuple[GrantOutcome, str]:
         grants = self.grants[keeper]
-        answer = grants.ask(team, limit, self.now)
-        if answer.said is Said.TAKE_OVER:
-            left: Left | None = None
-            if self._reaches(keeper, answer.ask):
-                left = self.grants[answer.ask].give_up(team, keeper, limit, self.now)
-            grants.took_over(team, left, limit, self.now)
-            answer = grants.ask(team, limit, self.now)
-        return answer.said, answer.ask
+        answer = grants.request(team, limit, self.now)
+        if answer.outcome is GrantOutcome.TAKE_OVER:
+            left: RemainingTokens | None = None
+            if self._reaches(keeper, answer.granter):
+                left = self.grants[answer.granter].hand_over(team, keeper, limit, self.now)
+            grants.on_tokens_received(team, left, limit, self.now)
+            answer = grants.request(team, limit, self.now)
+        return answer.outcome, answer.granter
 
     def _count_grant(self, team: str) -> None:
         times = self.granted.setdefault(team, deque())
@@ -188,7 +188,7 @@
                 self._update_view(name)
 
     def _update_view(self, keeper: str) -> None:
-        view = View(tuple(sorted(self.believed_granters[keeper])), len(self.listed))
+        view = GranterView(tuple(sorted(self.believed_granters[keeper])), len(self.listed))
         self.grants[keeper].on_view(view, self.now)
 
     def _draw_count(self, per_s: float) -> int:
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -24,8 +24,8 @@
 from papayapier.policy.admission import AdmissionQueue
 from papayapier.policy.batch_share import BatchShare
 from papayapier.policy.first_byte import FirstByteTimes
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
 from papayapier.policy.retries import RetryBudget
 from papayapier.upstream.api import (
     Call,
@@ -90,8 +90,8 @@
 class SlotShare(BatchShare):
     """Give batch all slots of a replica that this instance's online calls do not use."""
 
-    def limit(self, replica_id: str, book: LoadBook, now: int) -> int:
-        return max(0, book.slots(replica_id) - book.own(replica_id).online)
+    def limit(self, replica_id: str, book: LoadTracker, now: int) -> int:
+        return max(0, book.slots(replica_id) - book.own_calls(replica_id).online)
 
 
 class DispatchWorld:
@@ -104,8 +104,8 @@
         self.sends: list[Send] = []
         self.slow_cancels = False
         self.queue = AdmissionQueue(queued)
-        self.book = LoadBook()
-        self.outliers = Outliers()
+        self.book = LoadTracker()
+        self.outliers = OutlierDetector()
         self.metrics = make_metrics()
         self.crashes = CrashWatch(self.time.clock, self.metrics, lambda: True)
         names = [f"lm-{n}" for n in range(lm)] + [f"gate-{n}" for n in range(gate)]
@@ -162,7 +162,7 @@
 
     def report(self) -> None:
         for replica in self.replicas:
-            own = self.book.own(replica.id)
+            own = self.book.own_calls(replica.id)
             load = Load(own.online + own.batch, 0, self.slots, 0.0, self.time.clock.now())
             self.book.on_report(replica.id, load)
 
@@ -220,7 +220,7 @@
     def is_idle(self) -> bool:
         """Return whether nothing is queued, running or counted as open."""
         left = self.online.unfinished_count() + self.lanes.unfinished_count() + self.queue.depth()
-        return left == 0 and self.book.uses() == []
+        return left == 0 and self.book.own_uses() == []
 
 
 def result(pending: Deferred[RunResult]) -> RunResult:
--- a/tests/forward_world.py
+++ b/tests/forward_world.py
@@ -16,9 +16,9 @@
 from papayapier.metrics import make_metrics
 from papayapier.policy.admission import AdmissionQueue
 from papayapier.policy.first_byte import FirstByteTimes
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
-from papayapier.policy.placers import NOT_PLACED, Placed, Wanting
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
+from papayapier.policy.placers import UNDECIDED, Placement, PlacementNeeds
 from papayapier.policy.retries import RetryBudget
 from papayapier.policy.routing import RouteRequest
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
@@ -83,8 +83,8 @@
     def __init__(self, replicas: int = 3, seed: int = 3, time: FakeClock | None = None) -> None:
         self.time = time or fake_clock()
         self.sends: list[Send] = []
-        self.book = LoadBook()
-        self.outliers = Outliers()
+        self.book = LoadTracker()
+        self.outliers = OutlierDetector()
         self.replicas = [Replica(f"r{n}", "lm", "h", n, "dc") for n in range(replicas)]
         self.crashes = CrashWatch(self.time.clock, make_metrics(), lambda: True)
         self._last_number = replicas
@@ -109,10 +109,10 @@
             peer_loads_are_fresh=lambda: True,
         )
         # The decision of the placer, if there is one.
-        self.placed = NOT_PLACED
-        self.placement_requests: list[Wanting] = []
+        self.placed = UNDECIDED
+        self.placement_requests: list[PlacementNeeds] = []
 
-    async def _place(self, _req: RouteRequest, wanting: Wanting) -> Placed:
+    async def _place(self, _req: RouteRequest, wanting: PlacementNeeds) -> Placement:
         self.placement_requests.append(wanting)
         return self.placed
 
@@ -164,4 +164,4 @@
 
     def open_calls(self) -> int:
         """Return how many calls count as open."""
-        return sum(use.online for use in self.book.uses())
+        return sum(use.online for use in self.book.own_uses())
--- a/tests/jobs_run_world.py
+++ b/tests/jobs_run_world.py
@@ -13,9 +13,9 @@
 from papayapier.jobs.runs import RunDeps, Runs
 from papayapier.metrics import make_metrics
 from papayapier.platform.headers import with_team
-from papayapier.policy.batch_room import SPARE_SLOTS
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
+from papayapier.policy.batch_limits import SPARE_SLOTS
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
 from papayapier.upstream.raw import Answered, PassedOn, RawCall
 
@@ -47,8 +47,8 @@
 
     def __init__(self, *upstreams: str, replicas: int = 1) -> None:
         self.time = fake_clock()
-        self.book = LoadBook()
-        self.outliers = Outliers()
+        self.book = LoadTracker()
+        self.outliers = OutlierDetector()
         self.replicas = [
             Replica(f"{name}-{number + 1}", name, "h", 1, "dc")
             for name in upstreams
--- a/tests/jobs_world.py
+++ b/tests/jobs_world.py
@@ -21,7 +21,7 @@
     job_key,
 )
 from papayapier.node.job_reading import read_from_store
-from papayapier.policy.job_keeping import NOT_ASKED, Copies
+from papayapier.policy.job_copies import NOT_REQUESTED, Copies
 from papayapier.store.api import Entry, Listing, Store, Stored, StoreError
 
 T = TypeVar("T")
@@ -137,7 +137,7 @@
         self.memory = memory or MemoryStore()
         self.writers: list[str] = []
         self.settled = True
-        self.copies = NOT_ASKED
+        self.copies = NOT_REQUESTED
         self.heard = ReceivedNotifications(lambda: self.writers, list)
         self.service = JobService(
             JobServiceDeps(
--- a/tests/keepers_world.py
+++ b/tests/keepers_world.py
@@ -25,8 +25,8 @@
 from papayapier.peer.messages import Message
 from papayapier.peer.open_requests import PeerError
 from papayapier.peer.run_messages import RunsTell
-from papayapier.policy.loads import LoadBook, ReplicaUse
-from papayapier.policy.outliers import Outliers
+from papayapier.policy.loads import LoadTracker, ReplicaUse
+from papayapier.policy.outliers import OutlierDetector
 from papayapier.store.api import Change
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
 from papayapier.upstream.raw import Answered, PassedOn, RawCall
@@ -99,8 +99,8 @@
         self.name = name
         self.hub = FakeHub(world, name)
         self._clock = world.time.clock
-        self.load_tracker = LoadBook()
-        self.outliers = Outliers()
+        self.load_tracker = LoadTracker()
+        self.outliers = OutlierDetector()
         crashes = CrashWatch(world.time.clock, make_metrics(), lambda: True)
         deps = RunDeps(
             clock=world.time.clock,
@@ -180,7 +180,7 @@
         """Report online calls at a replica to every keeper."""
         now = self.time.clock.now()
         for keeper in self.keepers.values():
-            keeper.load_tracker.on_peer_uses(
+            keeper.load_tracker.on_peer_calls(
                 f"entry-{replica}", [ReplicaUse(replica, online, 0)], now
             )
 
@@ -189,7 +189,7 @@
         self.live = [keeper for keeper in self.live if keeper != name]
         self.keepers.pop(name).close()
         for keeper in self.keepers.values():
-            keeper.load_tracker.on_peer_gone(name)
+            keeper.load_tracker.on_peer_departed(name)
             keeper.runner.update_owned_jobs()
 
     def submit(self, job_id: str, items: int) -> None:
@@ -224,10 +224,10 @@
 
     def on_uses(self, name: str) -> None:
         """Report a keeper's open calls to the others."""
-        uses = self.keepers[name].load_tracker.uses() if name in self.keepers else ()
+        uses = self.keepers[name].load_tracker.own_uses() if name in self.keepers else ()
         for keeper in self.keepers.values():
             if keeper.name != name:
-                keeper.load_tracker.on_peer_uses(name, uses, self.time.clock.now())
+                keeper.load_tracker.on_peer_calls(name, uses, self.time.clock.now())
 
     async def send(
         self, name: str, replica: Replica, call: RawCall, taker: Any
--- a/tests/site/soak.py
+++ b/tests/site/soak.py
@@ -23,7 +23,7 @@
 from twisted.internet.defer import Deferred, gatherResults
 
 from papayapier.errors import ErrorKind
-from papayapier.policy.crashes import LOSSES_MOST
+from papayapier.policy.crash_quarantine import MAX_LOSSES
 from tests.site.replicas import EVENTS_PER_STREAM, never_fails
 from tests.site.world import SiteWorld, configuration, new_id, pause, start_task
 
@@ -343,7 +343,7 @@
         for request_id in self.at_most_once_ids:
             if start_counts[request_id] > 1:
                 self.violations.append(f"{request_id}: ran {start_counts[request_id]} times")
-        if self.world.crashed() > LOSSES_MOST + len(self.uncounted_faults):
+        if self.world.crashed() > MAX_LOSSES + len(self.uncounted_faults):
             self.violations.append(
                 f"{self.world.crashed()} replicas were crashed by one request,"
                 f" {self.uncounted_faults} allowed for"
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -21,8 +21,8 @@
 from papayapier.fleet_view import FleetView, Place, Policies
 from papayapier.metrics import make_metrics
 from papayapier.policy.batch_share import BatchShare
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
 from papayapier.store.api import LEAVING, LIVE, REPLICA, Member
 from papayapier.store.members import MembersChanged
 from papayapier.upstream.api import FailureKind, Sent, Token
@@ -462,14 +462,14 @@
 def test_leaving_replica_is_logged_once() -> None:
     """Guard against logging the event at each change of a leaving replica's record."""
     logs = LogCatcher()
-    policies = Policies(LoadBook(), Outliers(), BatchShare("entry-1"))
+    policies = Policies(LoadTracker(), OutlierDetector(), BatchShare("entry-1"))
     view = FleetView(Place("entry-1", "r", 32), policies, make_metrics())
     live = Member("lm-0", REPLICA, "lm", "127.0.0.1", 1, 0, "dc", "r", LIVE)
     leaving = live._replace(state=LEAVING)
     with logs.applicationbound():
         for member in (live, leaving, leaving._replace(port=2), leaving, live):
             view.on_members(MembersChanged([member], []))
-            usable = policies.book.usable("lm", 0)
+            usable = policies.book.usable_replicas("lm", 0)
             assert [replica.id for replica in usable] == ["lm-0"] * (member.state == LIVE)
         view.on_members(MembersChanged([], ["lm-0"]))
     assert len(logs.fields(events.REPLICA_LEAVING)) == 1
--- a/tests/test_fleet_owners.py
+++ b/tests/test_fleet_owners.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from papayapier.policy.ownership import owner
+from papayapier.policy.ownership import rendezvous_owner
 from tests.fleet_model import Model
 
 JOBS = [f"job-{n}" for n in range(300)]
@@ -22,7 +22,7 @@
 def owners(model: Model, name: str) -> dict[str, str]:
     """Return the owner of each job in a keeper's view."""
     live_keepers = model.rosters[name].agreed_live(model.now)
-    return {job: owner(job, live_keepers) for job in JOBS}
+    return {job: rendezvous_owner(job, live_keepers) for job in JOBS}
 
 
 def runners(model: Model) -> dict[str, int]:
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -6,8 +6,8 @@
 from papayapier.fleet_view import FleetListeners, FleetView, Place, Policies
 from papayapier.metrics import make_metrics
 from papayapier.policy.batch_share import BatchShare
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
 from papayapier.store.api import ENTRY, LEAVING, LIVE, REPLICA, Member
 from papayapier.store.members import MembersChanged
 
@@ -29,7 +29,7 @@
     """Return the view of an instance, and the ids of the replicas that it polls."""
     view = FleetView(
         Place(own_id, "north", SUBSET_SIZE),
-        Policies(LoadBook(), Outliers(), BatchShare(own_id)),
+        Policies(LoadTracker(), OutlierDetector(), BatchShare(own_id)),
         make_metrics(),
     )
     polled: list[Replica] = []
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -8,9 +8,9 @@
 from papayapier import events
 from papayapier.dispatch.lost_sends import request_fingerprint
 from papayapier.errors import ErrorKind, Outcome
-from papayapier.policy.crashes import LOSSES_MOST, Loss
+from papayapier.policy.crash_quarantine import MAX_LOSSES, ReplicaLoss
 from papayapier.policy.loads import ReplicaUse
-from papayapier.policy.placers import Placed, Wanting
+from papayapier.policy.placers import Placement, PlacementNeeds
 from papayapier.policy.routing import RouteRequest
 from papayapier.upstream.api import FailureKind, Sent
 from papayapier.upstream.raw import RawAnswer
@@ -29,7 +29,7 @@
 def test_a_request_is_sent_to_the_placed_replica(replica: str) -> None:
     """Guard against ignoring the decision of the placer."""
     world = ForwardWorld()
-    world.placed = Placed(replica)
+    world.placed = Placement(replica)
     world.start_request(idempotent=True)
     assert world.sends[0].replica.id == replica
 
@@ -37,7 +37,7 @@
 def test_a_placed_replica_that_is_not_listed_here_is_not_used() -> None:
     """Guard against a send to a removed replica; the placer's list may be older."""
     world = ForwardWorld()
-    world.placed = Placed("gone")
+    world.placed = Placement("gone")
     world.start_request(idempotent=True)
     assert world.sends[0].replica in world.replicas
 
@@ -45,16 +45,16 @@
 def test_a_request_quarantined_while_it_waits_for_placement_is_not_sent() -> None:
     """Guard against queued copies of a quarantined request that each crash one more replica."""
     world = ForwardWorld()
-    waiting: Deferred[Placed] = Deferred()
+    waiting: Deferred[Placement] = Deferred()
 
-    async def place(_req: RouteRequest, _wanting: Wanting) -> Placed:
+    async def place(_req: RouteRequest, _wanting: PlacementNeeds) -> Placement:
         return await waiting
 
     world.deps = world.deps._replace(place=place)
     results = world.start_request(idempotent=True, body=b"crash")
     work = request_fingerprint("POST", "", "/a", b"crash")
-    world.crashes.on_reported([Loss(work, f"gone{n}", 0) for n in range(LOSSES_MOST)], ())
-    waiting.callback(Placed("r0"))
+    world.crashes.on_reported([ReplicaLoss(work, f"gone{n}", 0) for n in range(MAX_LOSSES)], ())
+    waiting.callback(Placement("r0"))
     assert not world.sends
     result = results[0]
     assert isinstance(result, Err)
@@ -312,12 +312,12 @@
     world.start_request(idempotent=True, body=b"sound")
     world.sends[0].answer()
     for replica in list(world.replicas):
-        world.placed = Placed(replica.id)
+        world.placed = Placement(replica.id)
         world.start_request(idempotent=False, body=b"sound")
         world.start_request(idempotent=False, body=b"crash")
     for send in world.sends[1::2]:
         world.end_replica(send)
-    world.placed = Placed("")
+    world.placed = Placement("")
     held = [
         isinstance(result, Err) and result.err_value.kind is ErrorKind.ENDS_REPLICAS
         for body in (b"sound", b"crash")
@@ -330,11 +330,11 @@
     """Guard against spending all of the remaining time on the pause before a retry."""
     world = ForwardWorld()
     results = world.start_request(idempotent=True, due_ms=600)
-    for _ in range(LOSSES_MOST - 1):
+    for _ in range(MAX_LOSSES - 1):
         world.end_replica(world.sends[-1])
         world.time.advance(100)
     world.time.advance(250)
-    world.sends[LOSSES_MOST - 1].answer()
+    world.sends[MAX_LOSSES - 1].answer()
     assert isinstance(results[0], Ok)
 
 
@@ -362,7 +362,7 @@
     """Guard against an entry that counts its own calls only and chooses full replicas."""
     world = ForwardWorld()
     uses = [ReplicaUse("r0", 6, 0), ReplicaUse("r1", 1, 0), ReplicaUse("r2", 6, 0)]
-    world.book.on_peer_uses("peer", uses, world.time.clock.now())
+    world.book.on_peer_calls("peer", uses, world.time.clock.now())
     for _ in range(4):
         world.start_request(idempotent=True)
     assert {send.replica.id for send in world.sends} == {"r1"}
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -16,7 +16,7 @@
 from papayapier.entry.unread_watch import REVIEW_MS, UnreadWatch
 from papayapier.listen import listen_resource
 from papayapier.metrics import make_metrics
-from papayapier.policy.held_bytes import COPIES_PER_BODY, UNBOUNDED, HeldBytes, Unread
+from papayapier.policy.buffered_bytes import COPIES_PER_BODY, UNBOUNDED, BufferedBytes, Unread
 from tests.log_catcher import LogCatcher
 from tests.raw_client import RawClient, connect, post
 
@@ -32,40 +32,40 @@
 
 def test_longest_unread_is_dropped_first() -> None:
     """Guard against dropping a caller that has read recently."""
-    held = HeldBytes(100)
+    held = BufferedBytes(100)
     unread = [Unread(1, 50, 60), Unread(2, 10, 30), Unread(3, 90, 40)]
-    assert [entry.caller for entry in held.given_up(unread)] == [2]
-    assert held.held() == 100
+    assert [entry.caller for entry in held.callers_to_drop(unread)] == [2]
+    assert held.total() == 100
 
 
 @pytest.mark.parametrize("gone", [1, 2, 3, 4])
 def test_unread_bytes_count_until_disconnect(gone: int) -> None:
     """Guard against counting a disconnected caller's bytes, or subtracting them twice."""
-    held = HeldBytes(200)
+    held = BufferedBytes(200)
     unread = {1: 60, 2: 30, 3: 40}
-    assert held.given_up(Unread(number, 0, size) for number, size in unread.items()) == []
-    held.on_gone(gone)
-    held.on_gone(gone)
-    assert held.held() == sum(unread.values()) - unread.get(gone, 0)
+    assert held.callers_to_drop(Unread(number, 0, size) for number, size in unread.items()) == []
+    held.on_disconnected(gone)
+    held.on_disconnected(gone)
+    assert held.total() == sum(unread.values()) - unread.get(gone, 0)
 
 
 def test_bodies_count_until_they_end() -> None:
     """Guard against bodies beyond the bound, and against counting them after their end."""
-    held = HeldBytes(100)
+    held = BufferedBytes(100)
     held.on_body(30)
-    assert held.held() == 30 * COPIES_PER_BODY
-    assert not held.takes(30)
+    assert held.total() == 30 * COPIES_PER_BODY
+    assert not held.has_capacity(30)
     held.on_body(-30)
-    assert held.takes(50)
-    assert not held.takes(51)
+    assert held.has_capacity(50)
+    assert not held.has_capacity(51)
 
 
 def test_without_a_bound_everything_is_buffered() -> None:
     """Guard against refusing bodies where no bound is set."""
-    held = HeldBytes(UNBOUNDED)
+    held = BufferedBytes(UNBOUNDED)
     held.on_body(1_000_000_000)
-    assert held.takes(1_000_000_000)
-    assert held.given_up([Unread(1, 0, 1_000_000_000)]) == []
+    assert held.has_capacity(1_000_000_000)
+    assert held.callers_to_drop([Unread(1, 0, 1_000_000_000)]) == []
 
 
 class _Answers(_Resource):  # type: ignore[misc]
@@ -108,7 +108,7 @@
         )
         assert isinstance(opened, Ok)
         self.listening = opened.ok_value
-        self.held = HeldBytes(MAX_BYTES)
+        self.held = BufferedBytes(MAX_BYTES)
         self.watch = UnreadWatch(self.clock, self.listening.site, self.held, make_metrics())
         self.watch.start()
         self.clients: list[RawClient] = []
@@ -147,7 +147,7 @@
             await client.until(b"whole")
             durations_ms.append((time.monotonic() - began) * 1_000)
             self.answers.feed()
-            self.max_buffered = max(self.max_buffered, self._unread() + self.held.held())
+            self.max_buffered = max(self.max_buffered, self._unread() + self.held.total())
             await self.clock.sleep(10)
         return sorted(durations_ms)
 
@@ -171,7 +171,7 @@
             assert all(event["unread_ms"] >= 0 for event in ended)
             # Bytes that arrive between two reviews may exceed the bound.
             await self.clock.sleep(2 * REVIEW_MS)
-            assert self.held.held() <= MAX_BYTES
+            assert self.held.total() <= MAX_BYTES
             assert under_load_ms[len(under_load_ms) // 2] <= max(
                 5.0, 3 * before_ms[len(before_ms) // 2]
             )
@@ -186,7 +186,7 @@
             for client in slow:
                 client.write(post("/body", b"y" * 400_000)[:-300_000])
             await self.clock.sleep(300)
-            assert self.held.held() <= MAX_BYTES
+            assert self.held.total() <= MAX_BYTES
             refused = [refused_client for refused_client in slow if refused_client.received]
             assert refused
             assert {refused_client.status() for refused_client in refused} == {503}
@@ -196,7 +196,7 @@
             for client in slow:
                 client.abort()
             await self.clock.sleep(100)
-            assert self.held.held() == 0
+            assert self.held.total() == 0
             complete = await self._connect()
             complete.write(post("/body", b"y" * 400_000))
             await complete.until(b"400000")
@@ -212,7 +212,7 @@
                 client.shrink_receive_buffer()
                 client.stop_reading()
                 client.write(b"GET /stream HTTP/1.1\r\nHost: x\r\n\r\n")
-            while not self.held.held():
+            while not self.held.total():
                 self.answers.feed()
                 await self.clock.sleep(10)
             # No review follows this one.
@@ -222,6 +222,6 @@
             deadline_ms = self.clock.now() + 5_000
             while self.listening.site.connections and self.clock.now() < deadline_ms:
                 await self.clock.sleep(10)
-            assert self.held.held() == 0
+            assert self.held.total() == 0
 
         return Deferred.fromCoroutine(run())
--- a/tests/test_jobs_free_slots.py
+++ b/tests/test_jobs_free_slots.py
@@ -5,20 +5,20 @@
 import pytest
 
 from papayapier.jobs.free_slots import ReplicaFinder, SlotSnapshot, replica_use
-from papayapier.policy.batch_room import SPARE_SLOTS, start_limit
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
-from papayapier.policy.totals import ALL_SHARE, SHARERS, sharers_of
+from papayapier.policy.batch_limits import SPARE_SLOTS, start_limit
+from papayapier.policy.batch_sharers import ALL_SHARE_UP_TO, MAX_SHARERS, sharers_of
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
 from papayapier.upstream.api import Replica
 
 SLOTS = 8
 
 
 def snapshot(sharing: list[str], hidden: list[str]) -> SlotSnapshot:
-    book = LoadBook()
+    book = LoadTracker()
     replica = Replica("r", "lm", "h", 1, "dc")
     book.on_listed([replica], (), {"r": SLOTS})
-    outliers = Outliers()
+    outliers = OutlierDetector()
     outliers.on_listed([replica])
     return SlotSnapshot(random.Random(1), "a", book, outliers, sharing, hidden)
 
@@ -33,7 +33,7 @@
     assert start_limit(replica_use(snapshot(["a", "b"], ["b"]), "r")) == (SLOTS - SPARE_SLOTS) // 2
 
 
-@pytest.mark.parametrize("hubs", range(1, ALL_SHARE + 1))
+@pytest.mark.parametrize("hubs", range(1, ALL_SHARE_UP_TO + 1))
 def test_every_hub_of_a_small_fleet_may_use_every_idle_slot(hubs: int) -> None:
     # Guards against 37 items that wait for 25 s and finish late or never, while 40 of 48 slots are
     # idle. A keeper is added to three others and owns five jobs, without any online call in
@@ -46,8 +46,8 @@
 
 
 def test_few_hubs_share_a_replica_of_a_large_fleet() -> None:
-    names = [f"storage-{number}" for number in range(ALL_SHARE + 3)]
-    assert len(sharers_of("i-1", names)) == SHARERS
+    names = [f"storage-{number}" for number in range(ALL_SHARE_UP_TO + 3)]
+    assert len(sharers_of("i-1", names)) == MAX_SHARERS
 
 
 def test_a_replica_with_free_slots_is_found() -> None:
--- a/tests/test_jobs_progress.py
+++ b/tests/test_jobs_progress.py
@@ -15,7 +15,7 @@
 from papayapier.jobs.owned_job import OwnedJob
 from papayapier.jobs.progress import ItemProgress, SaverDeps, Snapshot
 from papayapier.jobs.records import ItemOutcome
-from papayapier.policy.crashes import Loss
+from papayapier.policy.crash_quarantine import ReplicaLoss
 from papayapier.upstream.event_cutter import NO_EVENT
 from tests.jobs_world import JOB, StartedCoroutine, record
 from tests.log_catcher import LogCatcher
@@ -78,7 +78,7 @@
     def __init__(self, folder: str) -> None:
         self.time = fake_clock()
         self.items: list[ItemProgress] = []
-        self.losses: list[Loss] = []
+        self.losses: list[ReplicaLoss] = []
         self.hangs = False
         self.writes = 0
         self.deps = SaverDeps(
@@ -149,12 +149,12 @@
     # all processes. This happens if replica losses are held in memory only.
     disk = Disk(str(tmp_path))
     Deferred.fromCoroutine(progress.save_regularly(disk.deps, 4))
-    disk.losses = [Loss("w", "r", 0)]
+    disk.losses = [ReplicaLoss("w", "r", 0)]
     disk.time.advance(progress.SAVE_MS)
-    assert progress.load(str(tmp_path)).losses == (Loss("w", "r", 0),)
+    assert progress.load(str(tmp_path)).losses == (ReplicaLoss("w", "r", 0),)
     written = disk.writes
     # Only the age of the losses changes, which causes no write.
-    disk.losses = [Loss("w", "r", 5_000)]
+    disk.losses = [ReplicaLoss("w", "r", 5_000)]
     disk.time.advance(3 * progress.SAVE_MS)
     assert disk.writes == written
 
--- a/tests/test_jobs_runs.py
+++ b/tests/test_jobs_runs.py
@@ -1,7 +1,7 @@
 """Test which items run, which runs are cancelled, and how results of runs are handled."""
 
 from papayapier.jobs.runs import RETRY_DELAY_MS
-from papayapier.policy.outliers import FAILURES_IN_A_ROW
+from papayapier.policy.outliers import CONSECUTIVE_FAILURES
 from tests.jobs_run_world import FAR_MS, RUN_MS, SLOTS, SOON_MS, USABLE_SLOTS, World
 
 
@@ -80,7 +80,7 @@
         world.pump()
         world.time.advance(RETRY_DELAY_MS)
     assert len(world.sent) == 3 * USABLE_SLOTS
-    assert world.sends <= 3 * USABLE_SLOTS + FAILURES_IN_A_ROW
+    assert world.sends <= 3 * USABLE_SLOTS + CONSECUTIVE_FAILURES
 
 
 def test_items_avoid_an_ended_replica_that_is_one_of_two() -> None:
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from papayapier.policy.job_owners import able_to_own
-from papayapier.policy.ownership import owner
-from papayapier.policy.totals import first_sharers
+from papayapier.policy.batch_sharers import first_sharers
+from papayapier.policy.job_owners import possible_owners
+from papayapier.policy.ownership import rendezvous_owner
 from tests.keepers_world import DUE_MS, SLOTS, KeepersWorld, instance_names
 
 
@@ -59,7 +59,7 @@
 
 def owner_of(world: KeepersWorld, job_id: str) -> str:
     """Return the keeper that a job is assigned to."""
-    return owner(job_id, able_to_own(world.live, world.listed))
+    return rendezvous_owner(job_id, possible_owners(world.live, world.listed))
 
 
 def disconnect(world: KeepersWorld, keeper: str) -> None:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -10,7 +10,7 @@
 from papayapier.node.outage_tracker import OutageTracker
 from papayapier.node.processes import NodeList
 from papayapier.peer.messages import NO_OUTAGE
-from papayapier.policy.totals import SHARERS, sharers_of
+from papayapier.policy.batch_sharers import MAX_SHARERS, sharers_of
 from papayapier.store.api import Change
 from papayapier.upstream.api import Replica
 
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize(
     ("replica", "table", "max_count"),
-    [("i-1", Table(), SHARERS + 1), ("i-2", Table(), 1), ("i-2", None, SHARERS + 1)],
+    [("i-1", Table(), MAX_SHARERS + 1), ("i-2", Table(), 1), ("i-2", None, MAX_SHARERS + 1)],
 )
 def test_change_concerns_few_keepers(replica: str, table: Any, max_count: int) -> None:
     """Guard against reporting each change of calls to all keepers.
--- a/tests/test_local_job_store.py
+++ b/tests/test_local_job_store.py
@@ -29,7 +29,7 @@
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.messages import KeepAsk, KeepTell, Message
 from papayapier.peer.open_requests import PeerError
-from papayapier.policy.job_keeping import Copies, holders, patience_ms
+from papayapier.policy.job_copies import Copies, holders, store_wait_ms
 from papayapier.store.api import StoreError
 from tests.jobs_world import JOB, JobServiceWorld, MemoryStore, StartedCoroutine, item, record
 
@@ -234,8 +234,8 @@
     assert len(holders(JOB, keepers, 2)) == 3
     assert holders(JOB, keepers, 2) == holders(JOB, reversed(keepers), 2)
     assert holders(JOB, keepers[:1], 2) == ()
-    assert patience_ms(400, store_away=True) == 0
-    assert patience_ms(400, store_away=False) == 200
+    assert store_wait_ms(400, store_unavailable=True) == 0
+    assert store_wait_ms(400, store_unavailable=False) == 200
 
 
 def test_a_keeper_that_may_run_a_job_is_the_first_to_store_it() -> None:
--- a/tests/test_loss_news.py
+++ b/tests/test_loss_news.py
@@ -15,7 +15,7 @@
     Message,
 )
 from papayapier.peer.topology import LinkPlan
-from papayapier.policy.crashes import ANSWERED_LATELY_MS, LOSSES_MOST, Loss
+from papayapier.policy.crash_quarantine import ANSWERED_RECENTLY_MS, MAX_LOSSES, ReplicaLoss
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
 
 CONNECTION_CUT = Failure(FailureKind.CUT, Sent.MAYBE, "reset", fresh=True)
@@ -103,7 +103,7 @@
 
 
 def lose_at(net: Net, nodes: list[Node]) -> None:
-    for number in range(LOSSES_MOST):
+    for number in range(MAX_LOSSES):
         nodes[number % len(nodes)].lose(f"r{number}")
     net.time.advance(COLLECT_MS)
 
@@ -225,7 +225,7 @@
 def test_losses_restored_from_disk_are_sent() -> None:
     net = Net()
     keeper, entry = net.start("k", "e")
-    keeper.exchange.restore([Loss("w", f"r{number}", 0) for number in range(LOSSES_MOST)])
+    keeper.exchange.restore([ReplicaLoss("w", f"r{number}", 0) for number in range(MAX_LOSSES)])
     assert entry.refuses()
     assert net.sent[LossesTold.__name__] == 1
     assert net.sent[LossesAsk.__name__] == 2
@@ -238,7 +238,7 @@
     # made; then the cut is over. Cause: an unreachable replica was taken for one that has ended.
     net = Net()
     (node,) = net.start("a")
-    at = [Replica(f"r{number}", "lm", "h", 1, "dc") for number in range(LOSSES_MOST)]
+    at = [Replica(f"r{number}", "lm", "h", 1, "dc") for number in range(MAX_LOSSES)]
     cut = Failure(FailureKind.CONNECT, Sent.NO, "no way there", fresh=True, closed=closed)
     for replica in at:
         node.lose(replica.id)
@@ -272,7 +272,7 @@
 
 def lose_to_quarantine(net: Net, node: Node) -> None:
     """Lose as many replicas at one instance at once as quarantine a fingerprint."""
-    for number in range(LOSSES_MOST):
+    for number in range(MAX_LOSSES):
         node.lose(f"r{number}")
     net.time.advance(COLLECT_MS + RESEND_MS)
 
@@ -342,7 +342,7 @@
     nodes = net.start("a", "b")
     answer(nodes[0])
     for _ in range(4):
-        net.time.advance(ANSWERED_LATELY_MS // 2 + 1)
+        net.time.advance(ANSWERED_RECENTLY_MS // 2 + 1)
         nodes[1].lose("r0", "w")
         net.time.advance(COLLECT_MS)
         for node in nodes:
@@ -360,7 +360,7 @@
     nodes = net.start(*hubs, *(f"e{number}" for number in range(5)))
     answer(net.nodes["e1"])
     net.partition = {"e1"}
-    for number in range(LOSSES_MOST):
+    for number in range(MAX_LOSSES):
         net.nodes["e3"].lose(f"r{number}")
     net.time.advance(COLLECT_MS)
     assert net.nodes["e2"].refuses()
--- a/tests/test_node_allowances.py
+++ b/tests/test_node_allowances.py
@@ -21,7 +21,7 @@
 )
 from papayapier.peer.messages import AllowAsk, AllowTell, Message
 from papayapier.peer.open_requests import PeerError
-from papayapier.policy.allowances import Bound, Grants, Said, granters
+from papayapier.policy.allowances import AllowanceMargin, Granter, GrantOutcome, granters
 
 TEAM = Team("yard", 5, 5)
 KEEPERS = frozenset({"k1", "k2", "k3", "k4"})
@@ -54,7 +54,7 @@
     return cast(Result[None, Refusal], results[0])
 
 
-def make_reply(what: Said, after_ms: int = 0, ask: str = "") -> AllowTell:
+def make_reply(what: GrantOutcome, after_ms: int = 0, ask: str = "") -> AllowTell:
     return AllowTell(1, what.value, after_ms, ask)
 
 
@@ -68,29 +68,32 @@
 @pytest.mark.parametrize(
     ("replies", "requested", "kind"),
     [
-        ({FIRST: make_reply(Said.GRANTED)}, [FIRST], None),
-        ({FIRST: make_reply(Said.OVER, 700)}, [FIRST], ErrorKind.OVER_ALLOWANCE),
-        ({SECOND: make_reply(Said.GRANTED)}, [FIRST, SECOND], None),
+        ({FIRST: make_reply(GrantOutcome.GRANTED)}, [FIRST], None),
+        ({FIRST: make_reply(GrantOutcome.OVER, 700)}, [FIRST], ErrorKind.OVER_ALLOWANCE),
+        ({SECOND: make_reply(GrantOutcome.GRANTED)}, [FIRST, SECOND], None),
         ({}, [FIRST, SECOND], ErrorKind.NOT_GRANTED),
         # A granter with a newer view names another granter.
         (
-            {FIRST: make_reply(Said.NOT_HERE, ask=THIRD), THIRD: make_reply(Said.GRANTED)},
+            {
+                FIRST: make_reply(GrantOutcome.NOT_HERE, ask=THIRD),
+                THIRD: make_reply(GrantOutcome.GRANTED),
+            },
             [FIRST, THIRD],
             None,
         ),
         (
             {
-                FIRST: make_reply(Said.NOT_HERE, ask=SECOND),
-                SECOND: make_reply(Said.NOT_HERE, ask=FIRST),
+                FIRST: make_reply(GrantOutcome.NOT_HERE, ask=SECOND),
+                SECOND: make_reply(GrantOutcome.NOT_HERE, ask=FIRST),
             },
             [FIRST, SECOND],
             ErrorKind.NOT_GRANTED,
         ),
         (
             {
-                FIRST: make_reply(Said.NOT_HERE, ask=THIRD),
-                THIRD: make_reply(Said.NOT_HERE, ask=LAST),
-                LAST: make_reply(Said.NOT_HERE, ask="k9"),
+                FIRST: make_reply(GrantOutcome.NOT_HERE, ask=THIRD),
+                THIRD: make_reply(GrantOutcome.NOT_HERE, ask=LAST),
+                LAST: make_reply(GrantOutcome.NOT_HERE, ask="k9"),
             },
             [FIRST, THIRD, LAST],
             ErrorKind.NOT_GRANTED,
@@ -120,7 +123,7 @@
 def test_silent_granter_is_skipped_then_retried() -> None:
     """Guard against each request waiting for a silent granter, or skipping it for ever."""
     hub = Hub()
-    hub.replies = {SECOND: make_reply(Said.GRANTED)}
+    hub.replies = {SECOND: make_reply(GrantOutcome.GRANTED)}
     deps = AllowanceDeps(cast(Any, hub), hub.time.clock, lambda: KEEPERS)
     allow = make_allow(deps)
     for _ in range(3):
@@ -167,13 +170,13 @@
     The limits differ when either the requesting entry or the granter has an outdated configuration.
     """
     time, peers = fake_clock(), Peers()
-    bound = Bound(5_000, 0.1, 20)
+    bound = AllowanceMargin(5_000, 0.1, 20)
     serve_allowances(
         GrantDeps(
             cast(Any, peers),
             time.clock,
             "k1",
-            Grants("k1", bound, time.clock.now()),
+            Granter("k1", bound, time.clock.now()),
             granting=lambda: frozenset({"k1"}),
             listed=lambda: {"k1"},
             leaving=lambda: False,
@@ -185,5 +188,5 @@
     peers.sent.clear()
     for number in range(200):
         peers.handlers[AllowAsk]("e", AllowAsk(number, "yard", *requested))
-    assert [reply.outcome for reply in peers.sent].count(Said.GRANTED.value) == max_granted
+    assert [reply.outcome for reply in peers.sent].count(GrantOutcome.GRANTED.value) == max_granted
     assert peers.sent[-1].retry_after_ms > 0
--- a/tests/test_outage_start.py
+++ b/tests/test_outage_start.py
@@ -18,8 +18,8 @@
 from papayapier.load.pausing import HeldTimer, PausableTimers
 from papayapier.metrics import make_metrics
 from papayapier.policy.batch_share import BatchShare
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
 from papayapier.settings import (
     ConfigSettings,
     Contact,
@@ -298,7 +298,9 @@
     are missing in the first list after an outage.
     """
     view = FleetView(
-        Place("a", "r", 32), Policies(LoadBook(), Outliers(), BatchShare("a")), make_metrics()
+        Place("a", "r", 32),
+        Policies(LoadTracker(), OutlierDetector(), BatchShare("a")),
+        make_metrics(),
     )
     record = Member("b", ENTRY, "", HOST, 1, 2, "dc-a", "local", LIVE)
     view.on_members(MembersChanged([record], []))
--- a/tests/test_place_queue.py
+++ b/tests/test_place_queue.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from papayapier.policy.place_queue import Asked, Given, PlacementRefused, PlaceQueue
-from papayapier.policy.placers import Wanting
-from papayapier.policy.replica_room import ReplicaRoom
+from papayapier.policy.place_queue import Assigned, PlacementRefused, PlacementRequest, PlaceQueue
+from papayapier.policy.placers import PlacementNeeds
+from papayapier.policy.replica_limits import ReplicaLimits
 from papayapier.policy.retry_times import MAX_MS, MIN_MS, RetryTimes
 
 PART = "lm/0"
@@ -22,12 +22,14 @@
 
 def wanting(
     caller: str = "a", rank: int = 0, aim_ms: int = AIM_MS, is_retry: bool = False
-) -> Wanting:
-    return Wanting(caller, rank, aim_ms, LEFT_MS, 0 if is_retry else RETURN_MS)
+) -> PlacementNeeds:
+    return PlacementNeeds(caller, rank, aim_ms, LEFT_MS, 0 if is_retry else RETURN_MS)
 
 
-def asked(ticket: int, want: Wanting, shunned: frozenset[str] = frozenset()) -> Asked:
-    return Asked(ticket, PART, "", "dc", shunned, want)
+def asked(
+    ticket: int, want: PlacementNeeds, shunned: frozenset[str] = frozenset()
+) -> PlacementRequest:
+    return PlacementRequest(ticket, PART, "", "dc", shunned, want)
 
 
 class Fleet:
@@ -44,26 +46,26 @@
     def takes(self, replica: str, _now: int) -> bool:
         return self.open[replica] < self.slots
 
-    def choose(self, request: Asked, within: frozenset[str], _now: int) -> str | None:
-        free = within - request.shunned
+    def choose(self, request: PlacementRequest, within: frozenset[str], _now: int) -> str | None:
+        free = within - request.excluded
         return min(free, key=lambda replica: (self.open[replica], replica)) if free else None
 
-    def decided(self, now: int) -> list[Given | PlacementRefused]:
+    def decided(self, now: int) -> list[Assigned | PlacementRefused]:
         """Return the outcomes that can be decided now, and count the placed calls."""
         results = []
-        for result in self.queue.decided(now):
-            if isinstance(result, Given):
+        for result in self.queue.outcomes(now):
+            if isinstance(result, Assigned):
                 self.open[result.replica] += 1
             results.append(result)
         return results
 
-    def ask(self, ticket: int, now: int, want: Wanting) -> list[Given | PlacementRefused]:
+    def ask(self, ticket: int, now: int, want: PlacementNeeds) -> list[Assigned | PlacementRefused]:
         refused = self.queue.offer(asked(ticket, want), now)
         return [refused] if refused is not None else self.decided(now)
 
 
-def assigned_tickets(results: list[Given | PlacementRefused]) -> list[int]:
-    return [result.asked.ticket for result in results if isinstance(result, Given)]
+def assigned_tickets(results: list[Assigned | PlacementRefused]) -> list[int]:
+    return [result.request.ticket for result in results if isinstance(result, Assigned)]
 
 
 def test_full_replica_gets_no_calls() -> None:
@@ -101,7 +103,7 @@
     for _ in range(100):
         fleet.open["r0"] -= 1
         for outcome in fleet.decided(1):
-            served[outcome.asked.wanting.rank] += 1
+            served[outcome.request.needs.rank] += 1
     assert served[ranks[0]] > served[ranks[1]] > 0
 
 
@@ -140,10 +142,10 @@
     first, retry = wanting("a"), wanting("a", is_retry=True)
     refused = fleet.ask(100, 1_000, first)
     assert isinstance(refused[0], PlacementRefused)
-    assert MIN_MS <= refused[0].after_ms <= MAX_MS
+    assert MIN_MS <= refused[0].retry_after_ms <= MAX_MS
     assert refused[0].waited_ms == 0
     assert fleet.ask(101, 1_000, retry) == []
-    assert fleet.queue.held(101)
+    assert fleet.queue.is_queued(101)
 
 
 def test_request_for_full_replica_does_not_block_others() -> None:
@@ -164,8 +166,8 @@
     fleet.open["r0"] = 1
     fleet.ask(1, 0, wanting(is_retry=True))
     fleet.ask(2, 0, wanting(is_retry=True))
-    assert fleet.queue.leave(1)
-    assert not fleet.queue.leave(1)
+    assert fleet.queue.remove(1)
+    assert not fleet.queue.remove(1)
     fleet.open["r0"] -= 1
     assert assigned_tickets(fleet.decided(1)) == [2]
 
@@ -181,12 +183,12 @@
 
 def test_replica_gets_what_it_completes_until_the_next_call() -> None:
     """Guard against a slow replica whose queue fills, or a fast one that idles between calls."""
-    limits = ReplicaRoom(empty_ms=50)
+    limits = ReplicaLimits(empty_ms=50)
     assert limits.limit("r0", 8, 0) == 8
     for now in range(0, 3_000, 10):
-        limits.on_given("fast", now)
+        limits.on_sent("fast", now)
         if now % 100 == 0:
-            limits.on_given("slow", now)
+            limits.on_sent("slow", now)
     assert limits.limit("fast", 8, 3_000) == 13
     assert limits.limit("slow", 8, 3_000) in (8, 9)
     assert limits.limit("fast", 8, 10_000) == 8
@@ -203,14 +205,14 @@
         self.queued: dict[int, int] = {}
         self.running: list[str] = []
 
-    def take(self, results: list[Given | PlacementRefused]) -> None:
+    def take(self, results: list[Assigned | PlacementRefused]) -> None:
         for result in results:
-            waited = self.now - self.queued.pop(result.asked.ticket)
-            if isinstance(result, Given):
+            waited = self.now - self.queued.pop(result.request.ticket)
+            if isinstance(result, Assigned):
                 assert waited <= LEFT_MS
                 self.running.append(result.replica)
             else:
-                assert result.after_ms >= MIN_MS
+                assert result.retry_after_ms >= MIN_MS
 
     @rule(caller=st.sampled_from("abc"), rank=st.integers(0, 3), is_retry=st.booleans())
     def ask(self, caller: str, rank: int, is_retry: bool) -> None:
@@ -232,7 +234,7 @@
     @rule(data=st.data())
     def leave(self, data: st.DataObject) -> None:
         ticket = data.draw(st.sampled_from(sorted(self.queued)))
-        assert self.fleet.queue.leave(ticket)
+        assert self.fleet.queue.remove(ticket)
         del self.queued[ticket]
 
     @rule(passed=st.integers(1, 2_000))
@@ -247,7 +249,7 @@
 
     @invariant()
     def every_request_is_counted(self) -> None:
-        assert self.fleet.queue.depth() == self.fleet.queue.waiting(PART) == len(self.queued)
+        assert self.fleet.queue.depth() == self.fleet.queue.queued(PART) == len(self.queued)
 
     @invariant()
     def no_request_waits_beside_a_free_slot(self) -> None:
@@ -296,14 +298,14 @@
         in_time = "in_time" if asked_ms == began else "returned"
         results_by_group[group]["late" if now - asked_ms > AIM_MS - 30 else in_time] += 1
 
-    def take(results: list[Given | PlacementRefused], now: int) -> None:
+    def take(results: list[Assigned | PlacementRefused], now: int) -> None:
         for result in results:
-            team = result.asked.wanting.caller
-            began, asked_ms = began_of.pop(result.asked.ticket)
-            if isinstance(result, Given):
+            team = result.request.needs.caller
+            began, asked_ms = began_of.pop(result.request.ticket)
+            if isinstance(result, Assigned):
                 start(began, now, result.replica, team, asked_ms)
             elif began == asked_ms:
-                retries.append((now + result.after_ms, began, team))
+                retries.append((now + result.retry_after_ms, began, team))
             else:
                 results_by_group["loud" if team == "t0" else "calm"]["unserved"] += 1
 
@@ -331,7 +333,7 @@
             if queue_at_placer:
                 began_of[ticket] = (began, now)
                 left = LEFT_MS - (now - began)
-                want = Wanting(team, 0, AIM_MS - 30, left, RETURN_MS if began == now else 0)
+                want = PlacementNeeds(team, 0, AIM_MS - 30, left, RETURN_MS if began == now else 0)
                 take(fleet.ask(ticket, now, want), now)
                 continue
             replica = min(fleet.open, key=lambda free: (fleet.open[free], free))
@@ -377,7 +379,7 @@
 
 def used_share(slots: int, run_ms: int, report_delay_ms: int, empty_ms: int) -> float:
     """Return which share of its slots a replica uses where a request always waits."""
-    limits = ReplicaRoom(empty_ms)
+    limits = ReplicaLimits(empty_ms)
     rand = random.Random(2)
     known_open, queued = 0, 0
     running: list[int] = []
@@ -390,8 +392,8 @@
         for at in [end_ms for end_ms in reported_ends if end_ms <= now]:
             reported_ends.remove(at)
             known_open -= 1
-        while limits.takes("r", known_open, slots, now):
-            limits.on_given("r", now)
+        while limits.has_capacity("r", known_open, slots, now):
+            limits.on_sent("r", now)
             known_open += 1
             queued += 1
         while queued and len(running) < slots:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -23,15 +23,15 @@
 from papayapier.peer.open_requests import PeerError
 from papayapier.peer.placement_messages import PlaceTell
 from papayapier.peer.topology import LinkPlan
-from papayapier.policy.loads import LoadBook, ReplicaUse
-from papayapier.policy.outliers import Outliers
-from papayapier.policy.placers import Placed, Wanting, make_parts, placer_of
+from papayapier.policy.loads import LoadTracker, ReplicaUse
+from papayapier.policy.outliers import OutlierDetector
+from papayapier.policy.placers import Placement, PlacementNeeds, make_partitions, placer_of
 from papayapier.policy.routing import RouteRequest
 from papayapier.store.api import Change
 from papayapier.upstream.api import Replica
 
 HUBS = ["hub-1", "hub-2", "hub-3"]
-WANTING = Wanting("team", 0, 300, 5_000, 75)
+WANTING = PlacementNeeds("team", 0, 300, 5_000, 75)
 
 
 class Hub:
@@ -71,20 +71,20 @@
     """
     time = fake_clock()
     hub = Hub()
-    parts = make_parts([Replica("i-1", "lm", "h", 1, "dc")])
+    parts = make_partitions([Replica("i-1", "lm", "h", 1, "dc")])
     deps = PlacementDeps(
         time.clock,
         random.Random(1),
         cast(Any, hub),
-        LoadBook(),
-        Outliers(),
+        LoadTracker(),
+        OutlierDetector(),
         lambda: list(HUBS),
         lambda: parts,
     )
     place = make_place(deps)
 
     def call() -> str | None:
-        found: list[Placed] = []
+        found: list[Placement] = []
         req = RouteRequest("lm", "", "dc", frozenset())
         Deferred.fromCoroutine(cast(Any, place(req, WANTING))).addCallback(found.append)
         return found[0].replica or None
@@ -108,40 +108,40 @@
     """
     time = fake_clock()
     hub = Hub()
-    load_tracker = LoadBook()
+    load_tracker = LoadTracker()
     task = track_peer_calls(cast(Any, hub), load_tracker, time.clock)
     hub.deliver("entry-1", CallsTold((ReplicaUse("i-1", 2, 0),)))
-    assert load_tracker.online_at("i-1") == 2
+    assert load_tracker.online_calls("i-1") == 2
     time.advance(REPORT_TTL_MS - 1_000)
-    assert load_tracker.online_at("i-1") == 2
+    assert load_tracker.online_calls("i-1") == 2
     time.advance(2_500)
-    assert load_tracker.online_at("i-1") == 0
+    assert load_tracker.online_calls("i-1") == 0
     task.cancel()
 
 
 def test_totals_of_former_hub_are_dropped() -> None:
     """Guard against counting the last totals of an instance that is no longer a hub."""
     hub = Hub()
-    load_tracker = LoadBook()
+    load_tracker = LoadTracker()
     track_totals(cast(Any, hub), load_tracker)
     heartbeat = Heartbeat("hub-1", 1, "live", 0, totals=(ReplicaUse("i-1", 3, 0),))
     hub.deliver("hub-1", heartbeat)
     hub.deliver("keeper-9", heartbeat._replace(totals=(ReplicaUse("i-2", 3, 0),)))
-    assert (load_tracker.online_at("i-1"), load_tracker.online_at("i-2")) == (3, 0)
+    assert (load_tracker.online_calls("i-1"), load_tracker.online_calls("i-2")) == (3, 0)
     hub.hubs = ("hub-2", "hub-3")
     for call in hub.listeners:
         call()
-    assert load_tracker.online_at("i-1") == 0
+    assert load_tracker.online_calls("i-1") == 0
 
 
 def test_only_relevant_totals_are_recorded() -> None:
     """Guard against totals of replicas whose calls are received directly."""
     hub = Hub()
-    load_tracker = LoadBook()
+    load_tracker = LoadTracker()
     track_totals(cast(Any, hub), load_tracker, lambda replica: replica == "i-2")
     totals = (ReplicaUse("i-1", 3, 0), ReplicaUse("i-2", 4, 0))
     hub.deliver("hub-1", Heartbeat("hub-1", 1, "live", 0, totals=totals))
-    assert (load_tracker.online_at("i-1"), load_tracker.online_at("i-2")) == (0, 4)
+    assert (load_tracker.online_calls("i-1"), load_tracker.online_calls("i-2")) == (0, 4)
 
 
 def test_complete_listing_of_processes_is_reported_once() -> None:
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -29,14 +29,20 @@
 from papayapier.peer.open_requests import OpenRequests, PeerError
 from papayapier.peer.placement_messages import PlaceAsk, PlaceLeft, PlaceTell, Unanswered
 from papayapier.peer.topology import LinkPlan
-from papayapier.policy.loads import LoadBook, ReplicaUse
-from papayapier.policy.outliers import Outliers
-from papayapier.policy.placers import NOT_PLACED, Placed, Wanting, make_parts, placer_of
+from papayapier.policy.loads import LoadTracker, ReplicaUse
+from papayapier.policy.outliers import OutlierDetector
+from papayapier.policy.placers import (
+    UNDECIDED,
+    Placement,
+    PlacementNeeds,
+    make_partitions,
+    placer_of,
+)
 from papayapier.policy.routing import RouteRequest
 from papayapier.upstream.api import Replica
 
 SLOTS = 2
-WANTING = Wanting("team", 0, 300, 5_000, 0)
+WANTING = PlacementNeeds("team", 0, 300, 5_000, 0)
 REQ = RouteRequest("lm", "", "dc")
 HUBS = ("hub-1", "hub-2")
 FIRST = placer_of("lm/0", HUBS) or ""
@@ -52,12 +58,12 @@
         self.sent: list[tuple[str, str, Message]] = []
         listed = [Replica(f"r{n}", "lm", "h", n, "dc") for n in range(replicas)]
         self.replicas = listed
-        self.parts = make_parts(listed)
+        self.parts = make_partitions(listed)
         self.endpoints: dict[str, Endpoint] = {}
-        self.load_trackers: dict[str, LoadBook] = {}
+        self.load_trackers: dict[str, LoadTracker] = {}
         self.placers: dict[str, Placer] = {}
         for name in HUBS:
-            load_tracker = LoadBook()
+            load_tracker = LoadTracker()
             load_tracker.on_listed(listed, (), {replica.id: SLOTS for replica in listed})
             endpoint = Endpoint(self, name)
             deps = PlacerDeps(
@@ -65,7 +71,7 @@
                 random.Random(1),
                 cast(Any, endpoint),
                 load_tracker,
-                Outliers(),
+                OutlierDetector(),
                 lambda: self.parts,
                 make_metrics(),
                 0,
@@ -79,14 +85,14 @@
             )
         self.entry = Endpoint(self, "entry")
         self.endpoints["entry"] = self.entry
-        load_tracker = LoadBook()
+        load_tracker = LoadTracker()
         load_tracker.on_listed(listed, ())
         self.deps = PlacementDeps(
             self.time.clock,
             random.Random(1),
             cast(Any, self.entry),
             load_tracker,
-            Outliers(),
+            OutlierDetector(),
             lambda: list(HUBS),
             lambda: self.parts,
             True,
@@ -103,7 +109,7 @@
 
     def report_calls(self, hub: str, calls: int) -> None:
         """Report to a hub how many calls the entry has open at the first replica."""
-        self.load_trackers[hub].on_peer_uses(
+        self.load_trackers[hub].on_peer_calls(
             "entry", (ReplicaUse("r0", calls, 0),), self.time.clock.now()
         )
         self.placers[hub].on_calls()
@@ -161,7 +167,7 @@
     """Hold one placement request."""
 
     def __init__(self, wires: Wires) -> None:
-        self.results: list[Placed] = []
+        self.results: list[Placement] = []
         self.task = Deferred.fromCoroutine(cast(Any, wires.place(REQ, WANTING)))
         self.task.addCallback(self.results.append)
         self.task.addErrback(lambda failure: failure.trap(CancelledError))
@@ -213,7 +219,7 @@
     wires.deps.load_tracker.on_listed(remaining, ())
     for hub in HUBS:
         busy = tuple(ReplicaUse(replica.id, 1, 0) for replica in remaining)
-        wires.load_trackers[hub].on_peer_uses("other", busy, wires.time.clock.now())
+        wires.load_trackers[hub].on_peer_calls("other", busy, wires.time.clock.now())
     call = wires.call()
     assert call.replica in {replica.id for replica in remaining}
     assert [message for _, to, message in wires.sent if to == FIRST][1] == Unanswered(removed.id)
@@ -229,7 +235,7 @@
     """Guard against endless requests to a hub that lists other replicas than the requester."""
     wires = Wires(replicas=3)
     wires.deps.load_tracker.on_listed([], ())
-    assert wires.call().results[0] == NOT_PLACED
+    assert wires.call().results[0] == UNDECIDED
     assert count_sent(wires, PlaceAsk, FIRST) == MAX_REQUESTS
 
 
@@ -240,7 +246,7 @@
     before = len(wires.sent)
     call = wires.call()
     wires.time.advance(NOTIFY_AFTER_MS // 3)
-    wires.load_trackers[FIRST].on_peer_uses("entry", (), wires.time.clock.now())
+    wires.load_trackers[FIRST].on_peer_calls("entry", (), wires.time.clock.now())
     wires.placers[FIRST].on_calls()
     for _ in range(CHECK_DELAY_MS):
         wires.time.advance(1)
@@ -285,7 +291,7 @@
     wires.cut.add(FIRST)
     call = wires.call()
     wires.time.advance(ANSWER_MS)
-    assert call.results == [Placed()]
+    assert call.results == [Placement()]
 
 
 def test_restarted_hub_places_by_reported_calls() -> None:
@@ -332,7 +338,7 @@
     assert wires.call().replica == "r0"
     waiting = wires.call()
     assert waiting.replica is None
-    wires.load_trackers[FIRST].on_peer_gone("entry")
+    wires.load_trackers[FIRST].on_peer_departed("entry")
     wires.placers[FIRST].on_calls()
     wires.time.advance(20)
     assert waiting.replica == "r0"
@@ -345,10 +351,10 @@
     wires.report_calls(FIRST, SLOTS - 1)
     request = PlaceAsk(77, "lm/0", "", "dc", (), "team", 0, 300, 5_000, 0)
     wires.endpoints[FIRST].deliver("entry", request)
-    assert wires.load_trackers[FIRST].online_at("r0") == SLOTS
+    assert wires.load_trackers[FIRST].online_calls("r0") == SLOTS
     wires.time.advance(20)
     wires.report_calls(FIRST, SLOTS - 1)
-    assert wires.load_trackers[FIRST].online_at("r0") == SLOTS - 1
+    assert wires.load_trackers[FIRST].online_calls("r0") == SLOTS - 1
 
 
 def test_unresponsive_replica_gets_no_calls() -> None:
@@ -396,7 +402,7 @@
     wires.time.advance(ANSWER_MS * 2)
     wires.placers[FIRST].leave()
     wires.time.advance(ANSWER_MS)
-    assert call.results == [Placed()]
+    assert call.results == [Placement()]
 
 
 def test_stopping_hub_places_requests_without_objective() -> None:
@@ -450,7 +456,7 @@
         return Err(PeerError.CLOSED)
 
     wires.entry.send_request = closed  # type: ignore[method-assign, assignment]
-    assert wires.call().results == [Placed()]
+    assert wires.call().results == [Placement()]
 
 
 def test_time_of_a_decision() -> None:
@@ -466,7 +472,7 @@
         wires.load_trackers[FIRST],
         wires.placers[FIRST],
     )
-    late = Wanting("", 0, 19_000, 19_000, 0)
+    late = PlacementNeeds("", 0, 19_000, 19_000, 0)
     for number in range(2_000 + 64 * SLOTS):
         hub.deliver("entry", make_request(number, late._replace(caller=f"t{number % 80}")))
     wires.time.advance(3_000)
@@ -477,7 +483,7 @@
         for part in range(3):
             open_at = SLOTS - 1 if part == step % 3 else SLOTS
             use = ReplicaUse(f"r{(3 * step + part) % 64}", open_at, 0)
-            load_tracker.on_peer_uses(f"e{step % 9}", (use,), wires.time.clock.now())
+            load_tracker.on_peer_calls(f"e{step % 9}", (use,), wires.time.clock.now())
             placer.on_calls()
             hub.deliver(
                 "entry", make_request(9_000 + 3 * step + part, late._replace(caller="calm"))
@@ -490,6 +496,6 @@
     assert spent[len(spent) // 10] * 1e6 < 100
 
 
-def make_request(number: int, wanting: Wanting) -> PlaceAsk:
-    times = (wanting.aim_ms, wanting.left_ms, wanting.return_ms)
+def make_request(number: int, wanting: PlacementNeeds) -> PlaceAsk:
+    times = (wanting.objective_ms, wanting.timeout_ms, wanting.retry_within_ms)
     return PlaceAsk(number, "lm/0", "", "dc", (), wanting.caller, wanting.rank, *times)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -7,16 +7,16 @@
 
 from papayapier.config.profiles import BatchRule, RetryRule
 from papayapier.errors import Outcome
-from papayapier.policy.admission import AdmissionQueue, Waiting
+from papayapier.policy.admission import AdmissionQueue, QueuedRequest
 from papayapier.policy.batch_share import BatchShare
-from papayapier.policy.deadlines import JobLoad, at_risk, order
+from papayapier.policy.deadlines import RemainingJob, at_risk, order_jobs
 from papayapier.policy.drain import Drain, DrainPlan
 from papayapier.policy.fair_queue import RANKS
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
-from papayapier.policy.ownership import LeaseView, assign, holder_may_act, wanted
-from papayapier.policy.retries import GiveUp, Retry, RetryBudget, decide
-from papayapier.policy.routing import RouteRequest, choose
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
+from papayapier.policy.ownership import LeaseView, assign_shards, holder_may_act, wanted_shards
+from papayapier.policy.retries import GiveUp, Retry, RetryBudget, retry_or_refuse
+from papayapier.policy.routing import RouteRequest, choose_replica
 from papayapier.upstream.api import Failure, FailureKind, Load, Replica, Sent
 
 REPLICAS = [Replica(f"r{i}", "model", "127.0.0.1", 1, "dc1") for i in range(3)]
@@ -24,23 +24,23 @@
 
 def test_routing_avoids_loaded_and_leaving_replicas() -> None:
     """Guard against calls to a loaded or a leaving replica."""
-    book = LoadBook()
+    book = LoadTracker()
     book.on_listed(REPLICAS, leaving={"r2"})
     book.on_report("r0", Load(30, 0, 32, 7.0, 1_000))
     book.on_report("r1", Load(0, 0, 32, 5.0, 1_000))
     req = RouteRequest("model", "", "dc1")
     rand = random.Random(1)
-    assert {choose(book, Outliers(), req, rand, 1_000) for _ in range(20)} == {"r1"}
+    assert {choose_replica(book, OutlierDetector(), req, rand, 1_000) for _ in range(20)} == {"r1"}
 
 
 def test_queue_starts_and_expires_each_ticket_once() -> None:
     """Guard against tickets that are lost, or started or expired twice."""
     queue = AdmissionQueue(10)
     for ticket in range(4):
-        entry = Waiting(ticket, "caller", "model", "chat", RANKS["normal"], 1_000, 1.0, 0)
+        entry = QueuedRequest(ticket, "caller", "model", "chat", RANKS["normal"], 1_000, 1.0, 0)
         assert queue.offer(entry, 0).is_ok()
-    assert queue.leave(2)
-    assert not queue.leave(2)
+    assert queue.remove(2)
+    assert not queue.remove(2)
     taken = queue.take(0, lambda upstream: True)
     assert taken is not None and taken.ticket == 0
     assert [entry.ticket for entry in queue.expired(1_000)] == [1, 3]
@@ -52,28 +52,28 @@
     unsent = Failure(FailureKind.CONNECT, Sent.NO, "refused")
     sent = Failure(FailureKind.CUT, Sent.MAYBE, "reset")
     rule, budget, rand = RetryRule(), RetryBudget(), random.Random(1)
-    first = decide(unsent, False, 1, rule, 9_000, 0, budget, upstream="m", rand=rand)
+    first = retry_or_refuse(unsent, False, 1, rule, 9_000, 0, budget, upstream="m", rand=rand)
     assert isinstance(first, Retry)
-    second = decide(sent, False, 2, rule, 9_000, 0, budget, upstream="m", rand=rand)
+    second = retry_or_refuse(sent, False, 2, rule, 9_000, 0, budget, upstream="m", rand=rand)
     assert isinstance(second, GiveUp)
     assert second.refusal.outcome is Outcome.UNKNOWN
 
 
 def test_batch_yields_to_online_calls() -> None:
     """Guard against batch streams that stay when online calls need their slots."""
-    book, share = LoadBook(), BatchShare("i1")
+    book, share = LoadTracker(), BatchShare("i1")
     book.on_listed(REPLICAS, leaving=())
     book.on_report("r0", Load(0, 0, 32, 5.0, 0))
     share.set_upstream("r0", "model")
     share.set_rule("model", BatchRule())
-    opened = max(share.room("r0", book, now) for now in range(0, 5_000, 20))
+    opened = max(share.free_streams("r0", book, now) for now in range(0, 5_000, 20))
     assert 0 < opened < 32
     for _ in range(opened):
         book.on_sent("r0", batch=True, now=5_000)
     for _ in range(16):
         book.on_sent("r0", batch=False, now=5_001)
-    assert share.room("r0", book, 5_001) == 0
-    assert share.to_yield("r0", book, 5_001) > 0
+    assert share.free_streams("r0", book, 5_001) == 0
+    assert share.excess_streams("r0", book, 5_001) > 0
 
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=60)
@@ -81,7 +81,7 @@
 def test_shards_are_assigned_once_and_evenly(count: int, shards: int) -> None:
     """Guard against shards with no or several owners, and against uneven shares."""
     instances = [f"i{i}" for i in range(count)]
-    shares = [wanted(instance, instances, range(shards)) for instance in instances]
+    shares = [wanted_shards(instance, instances, range(shards)) for instance in instances]
     assert sorted(shard for share in shares for shard in share) == list(range(shards))
     assert max(map(len, shares)) - min(map(len, shares)) <= 1
 
@@ -89,8 +89,8 @@
 def test_few_shards_move_when_an_instance_departs() -> None:
     """Guard against moving many more shards than the departed instance had."""
     instances = [f"i{i}" for i in range(6)]
-    before = assign(instances, range(32))
-    after = assign(instances[1:], range(32))
+    before = assign_shards(instances, range(32))
+    after = assign_shards(instances[1:], range(32))
     lost = sum(1 for holder in before.values() if holder == "i0")
     moved = sum(1 for shard in before if before[shard] != after[shard])
     assert moved <= lost + 4
@@ -117,8 +117,12 @@
 
 def test_jobs_are_ordered_by_slack() -> None:
     """Guard against serving a job with more slack first, or one without items."""
-    jobs = [JobLoad("a", "x", 9_000, 5), JobLoad("b", "x", 4_000, 5), JobLoad("c", "x", 1_000, 0)]
-    assert order(jobs, 0) == ["b", "a"]
+    jobs = [
+        RemainingJob("a", "x", 9_000, 5),
+        RemainingJob("b", "x", 4_000, 5),
+        RemainingJob("c", "x", 1_000, 0),
+    ]
+    assert order_jobs(jobs, 0) == ["b", "a"]
     assert at_risk(jobs[1], 0.001, 0)
     assert not at_risk(jobs[1], 1.0, 0)
 
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -9,7 +9,7 @@
 
 from papayapier.config.profiles import Urgency
 from papayapier.errors import ErrorKind, Outcome
-from papayapier.policy.admission import AdmissionQueue, Waiting
+from papayapier.policy.admission import AdmissionQueue, QueuedRequest
 from papayapier.policy.fair_queue import RANKS
 
 CALLERS = ["a", "b", "c"]
@@ -23,8 +23,8 @@
     urgency: Urgency = "normal",
     upstream: str = "model",
     at: int = 0,
-) -> Waiting:
-    return Waiting(ticket, caller, upstream, "chat", RANKS[urgency], due_ms, 1.0, at)
+) -> QueuedRequest:
+    return QueuedRequest(ticket, caller, upstream, "chat", RANKS[urgency], due_ms, 1.0, at)
 
 
 def always(_: str) -> bool:
@@ -47,7 +47,7 @@
 
 def serve(offered_per_s: int, due_ms: int, seconds: int, queue: AdmissionQueue) -> Served:
     """Offer requests at a rate to an upstream that runs 50 a second, five at once, 100 ms each."""
-    running: list[tuple[int, Waiting]] = []
+    running: list[tuple[int, QueuedRequest]] = []
     ends: Counter[str] = Counter()
     longest_wait_ms = 0
     for now in range(0, seconds * 1_000, 10):
@@ -105,7 +105,7 @@
     @rule(data=st.data())
     def leave(self, data: st.DataObject) -> None:
         ticket = data.draw(st.integers(0, self.next_ticket - 1))
-        assert self.queue.leave(ticket) == (ticket in self.queued)
+        assert self.queue.remove(ticket) == (ticket in self.queued)
         self.queued.discard(ticket)
 
     @rule(passed=st.integers(0, 500))
@@ -157,7 +157,7 @@
         assert taken is not None
         served[taken.caller] += 1
         if served["single"] and taken.caller != "single":
-            queue.leave(ticket)
+            queue.remove(ticket)
     assert served["single"] <= 11
 
 
--- a/tests/test_policy_allowances.py
+++ b/tests/test_policy_allowances.py
@@ -18,21 +18,27 @@
     run_state_machine_as_test,
 )
 
-from papayapier.policy.allowances import Bound, Grants, Limit, Said, View
+from papayapier.policy.allowances import (
+    Allowance,
+    AllowanceMargin,
+    Granter,
+    GranterView,
+    GrantOutcome,
+)
 from tests.allowance_world import BOUND, Fleet, max_granted
 
-SMALL, LARGE = Limit(5, 5), Limit(106, 106)
+SMALL, LARGE = Allowance(5, 5), Allowance(106, 106)
 SIZES = [(3, 6), (12, 61), (30, 165)]
 TEAMS = [f"team-{n}" for n in range(8)]
 
 
-def demand_at(times: float) -> dict[str, tuple[Limit, float]]:
+def demand_at(times: float) -> dict[str, tuple[Allowance, float]]:
     """Return demand at a multiple of the allowance, for small and large teams."""
     limits = {team: SMALL if n % 2 else LARGE for n, team in enumerate(TEAMS)}
     return {team: (limit, limit.rate_per_s * times) for team, limit in limits.items()}
 
 
-def assert_within_bound(fleet: Fleet, demand: dict[str, tuple[Limit, float]]) -> None:
+def assert_within_bound(fleet: Fleet, demand: dict[str, tuple[Allowance, float]]) -> None:
     for team, (limit, _) in demand.items():
         assert fleet.max_per_window.get(team, 0) <= max_granted(limit), (team, fleet.max_per_window)
 
@@ -142,7 +148,7 @@
 
 def test_lowered_rate_applies_at_once() -> None:
     """Guard against tokens of an earlier, higher rate."""
-    low = Limit(10, 10)
+    low = Allowance(10, 10)
     fleet = Fleet(12, 61)
     fleet.run(10_000, {"team": (LARGE, 60)})
     fleet.max_per_window.clear()
@@ -153,10 +159,10 @@
 
 def test_unlisted_instance_grants_nothing() -> None:
     """Guard against grants by an instance that is not among the granting ones."""
-    grants = Grants("a", BOUND, 0)
-    assert grants.ask("team", SMALL, 1_000).said is Said.NOT_HERE
-    grants.on_view(View(("b", "c"), 2), 1_000)
-    assert grants.ask("team", SMALL, 2_000).said is Said.NOT_HERE
+    grants = Granter("a", BOUND, 0)
+    assert grants.request("team", SMALL, 1_000).outcome is GrantOutcome.NOT_HERE
+    grants.on_view(GranterView(("b", "c"), 2), 1_000)
+    assert grants.request("team", SMALL, 2_000).outcome is GrantOutcome.NOT_HERE
 
 
 def test_retry_times_are_accurate_and_spread() -> None:
@@ -165,16 +171,16 @@
     A caller that retries at the stated time finds a token, unless others retried earlier than
     stated.
     """
-    grants = Grants("a", Bound(5_000, 0.1, 20), 0)
-    grants.on_view(View(("a",), 1), 0)
+    grants = Granter("a", AllowanceMargin(5_000, 0.1, 20), 0)
+    grants.on_view(GranterView(("a",), 1), 0)
     now = 10_000
-    while grants.ask("team", SMALL, now).said is Said.GRANTED:
+    while grants.request("team", SMALL, now).outcome is GrantOutcome.GRANTED:
         pass
-    retry_times = sorted(grants.ask("team", SMALL, now).after_ms for _ in range(6))
+    retry_times = sorted(grants.request("team", SMALL, now).after_ms for _ in range(6))
     assert len(set(retry_times)) == len(retry_times)
     assert retry_times[0] >= 1_000 / SMALL.rate_per_s
     for after_ms in retry_times:
-        assert grants.ask("team", SMALL, now + after_ms + 200).said is Said.GRANTED
+        assert grants.request("team", SMALL, now + after_ms + 200).outcome is GrantOutcome.GRANTED
 
 
 class AllowanceMachine(RuleBasedStateMachine):
@@ -246,10 +252,10 @@
     Return the number of first attempts within the limit, in order of arrival, how many of these
     were refused, and the number granted in total.
     """
-    limit = Limit(150, 150)
-    grants = Grants("me", BOUND, 0)
-    grants.on_view(View(("me",), 1), 0)
-    grants.ask("hot", limit, 0)
+    limit = Allowance(150, 150)
+    grants = Granter("me", BOUND, 0)
+    grants.on_view(GranterView(("me",), 1), 0)
+    grants.request("hot", limit, 0)
     rand = random.Random(4)
     tokens, within_limit, refused, granted = limit.burst, set[int](), set[int](), 0
     retries_at: dict[int, list[int]] = {}
@@ -264,8 +270,8 @@
                 tokens -= 1
                 within_limit.add(request)
         for request in [*first, *retries]:
-            outcome = grants.ask("hot", limit, now, marked and request in retries)
-            if outcome.said is Said.GRANTED:
+            outcome = grants.request("hot", limit, now, marked and request in retries)
+            if outcome.outcome is GrantOutcome.GRANTED:
                 granted += 1
             elif request in first:
                 retries_at.setdefault(now + outcome.after_ms + rand.randrange(3, 12), []).append(
@@ -291,8 +297,8 @@
 
 def test_retries_get_the_remaining_tokens() -> None:
     """Guard against refusing retries of a team below its limit."""
-    limit = Limit(5, 5)
-    grants = Grants("me", BOUND, 0)
-    grants.on_view(View(("me",), 1), 0)
-    grants.ask("calm", limit, 0)
-    assert grants.ask("calm", limit, 3_000, returned=True).said is Said.GRANTED
+    limit = Allowance(5, 5)
+    grants = Granter("me", BOUND, 0)
+    grants.on_view(GranterView(("me",), 1), 0)
+    grants.request("calm", limit, 0)
+    assert grants.request("calm", limit, 3_000, is_retry=True).outcome is GrantOutcome.GRANTED
--- a/tests/test_policy_batch.py
+++ b/tests/test_policy_batch.py
@@ -5,7 +5,7 @@
 
 from papayapier.config.profiles import BatchRule, Isolation
 from papayapier.policy.batch_share import ISOLATION_SETTINGS, BatchShare
-from papayapier.policy.loads import LoadBook, ReplicaUse
+from papayapier.policy.loads import LoadTracker, ReplicaUse
 from papayapier.policy.step_times import StepTimes
 from papayapier.upstream.api import Load, Replica
 
@@ -15,8 +15,8 @@
 
 def make(
     instance: str, instances: list[str], isolation: Isolation = "tail"
-) -> tuple[BatchShare, LoadBook]:
-    book, share = LoadBook(), BatchShare(instance)
+) -> tuple[BatchShare, LoadTracker]:
+    book, share = LoadTracker(), BatchShare(instance)
     book.on_listed([REPLICA], ())
     share.set_upstream("r0", "model")
     share.set_instances(instances)
@@ -24,14 +24,14 @@
     return share, book
 
 
-def settle(share: BatchShare, book: LoadBook, start: int, end: int) -> int:
+def settle(share: BatchShare, book: LoadTracker, start: int, end: int) -> int:
     """Query the limit as often as the running program does, and return the last one."""
     for now in range(start, end, 20):
-        share.limit("r0", book, now)
-    return share.limit("r0", book, end)
+        share.max_streams("r0", book, now)
+    return share.max_streams("r0", book, end)
 
 
-def report(share: BatchShare, book: LoadBook, running: int, now: int) -> None:
+def report(share: BatchShare, book: LoadTracker, running: int, now: int) -> None:
     load = Load(running, 0, SLOTS, 5.0 + 0.06 * running, now)
     book.on_report("r0", load)
     share.on_report("r0", load)
@@ -57,7 +57,7 @@
         settle(share, book, 80_000, 89_980)
         for _ in range(calls):
             book.on_sent("r0", False, 90_000)
-        total += share.limit("r0", book, 90_000)
+        total += share.max_streams("r0", book, 90_000)
     assert total <= SLOTS - ISOLATION_SETTINGS[isolation].spare_slots
 
 
@@ -82,12 +82,12 @@
     share, book = make("i0", ["i0", "i1"], "throughput")
     report(share, book, 1, 0)
     settle(share, book, 50_000, 60_000)
-    for _ in range(share.room("r0", book, 60_000)):
+    for _ in range(share.free_streams("r0", book, 60_000)):
         book.on_sent("r0", True, 60_000)
-    assert share.to_yield("r0", book, 60_000) == 0
+    assert share.excess_streams("r0", book, 60_000) == 0
     for calls in range(1, 4):
         book.on_sent("r0", False, 60_001)
-        assert share.to_yield("r0", book, 60_001) >= calls
+        assert share.excess_streams("r0", book, 60_001) >= calls
 
 
 def test_shares_shrink_when_an_instance_exceeds_its_own() -> None:
@@ -102,8 +102,8 @@
         share, book = make(name, names, "throughput")
         report(share, book, 1, 0)
         settle(share, book, 50_000, 60_000)
-        book.on_peer_uses("i0", [ReplicaUse("r0", 26, 0)], 60_000)
-        limits.append(share.limit("r0", book, 60_010))
+        book.on_peer_calls("i0", [ReplicaUse("r0", 26, 0)], 60_000)
+        limits.append(share.max_streams("r0", book, 60_010))
     assert sum(limits) + 26 <= SLOTS
 
 
@@ -121,8 +121,8 @@
     book.on_sent("r0", True, 1_000)
     assert settle(share, book, 1_000, 2_000) == alone
     assert settle(share, book, 2_000, 10_000) >= 25
-    book.on_peer_uses("i1", [ReplicaUse("r0", 0, 1)], 10_000)
-    assert share.limit("r0", book, 10_200) <= 15
+    book.on_peer_calls("i1", [ReplicaUse("r0", 0, 1)], 10_000)
+    assert share.max_streams("r0", book, 10_200) <= 15
 
 
 def test_simultaneous_starts_do_not_overfill() -> None:
@@ -147,7 +147,7 @@
     report(share, book, 1, 0)
     before = settle(share, book, 50_000, 60_000)
     share.on_report("r0", Load(SLOTS, 6, SLOTS, 6.9, 60_000))
-    assert share.limit("r0", book, 60_010) == before - 3
+    assert share.max_streams("r0", book, 60_010) == before - 3
     share.on_report("r0", Load(20, 2, SLOTS, 6.2, 60_400))
     assert settle(share, book, 60_400, 61_000) == before - 2
 
@@ -181,8 +181,8 @@
         book.on_sent("r0", False, 1_000)
     assert settle(share, book, 1_000, 2_000) <= 2
     for _ in range(28):
-        book.on_done("r0", False, 2_000)
-    assert share.limit("r0", book, 2_010) <= 4
+        book.on_finished("r0", False, 2_000)
+    assert share.max_streams("r0", book, 2_010) <= 4
     spare = ISOLATION_SETTINGS["throughput"].spare_slots
     assert settle(share, book, 2_020, 6_000) == SLOTS - spare
 
@@ -197,7 +197,7 @@
     step_ms = 5.0 + 0.06 * (bounded + 1)
     assert step_ms <= ISOLATION_SETTINGS["tail"].step_factor * 5.06
     assert bounded >= 10
-    book.on_done("r0", False, 3_000)
+    book.on_finished("r0", False, 3_000)
     assert settle(share, book, 28_000, 30_000) > bounded
 
 
@@ -220,7 +220,7 @@
         book.on_report("r0", Load(running, 0, SLOTS, 0.0, now))
         for _ in range(40):
             now += 20
-            share.limit("r0", book, now)
+            share.max_streams("r0", book, now)
             share.on_online_signal("r0", 12.0, 5.0 + 0.06 * running, now)
     book.on_sent("r0", False, now)
     limit = settle(share, book, now, now + 2_000)
--- a/tests/test_policy_batch_order.py
+++ b/tests/test_policy_batch_order.py
@@ -6,7 +6,13 @@
 
 import pytest
 
-from papayapier.policy.batch_order import PUBLISH_MS, RunTimes, Standing, standing, victims
+from papayapier.policy.batch_order import (
+    PUBLISH_MS,
+    ItemRank,
+    RunTimeEstimator,
+    preempted,
+    rank_item,
+)
 
 DUE_MS = 18_000
 EVENTS = 140
@@ -28,14 +34,14 @@
         self.ran_ms = 0
 
 
-Rank = Callable[[RunTimes, Item, int], object]
+Rank = Callable[[RunTimeEstimator, Item, int], object]
 
 
-def feasible_first(times: RunTimes, item: Item, now: int) -> object:
-    return standing(times, item.events, item.due_ms, now)
+def feasible_first(times: RunTimeEstimator, item: Item, now: int) -> object:
+    return rank_item(times, item.events, item.due_ms, now)
 
 
-def by_due(_times: RunTimes, item: Item, _now: int) -> object:
+def by_due(_times: RunTimeEstimator, item: Item, _now: int) -> object:
     return item.due_ms
 
 
@@ -44,7 +50,7 @@
     rand = random.Random(3)
     gap_ms = 10 * EVENTS * EVENT_MS / (slots * load)
     arriving = [Job(int(n * gap_ms), 10) for n in range(int(seconds * 1_000 / gap_ms))]
-    times = RunTimes()
+    times = RunTimeEstimator()
     waiting: list[Item] = []
     running: list[Item] = []
     total = in_time = 0
@@ -89,24 +95,24 @@
 )
 def test_item_that_cannot_be_in_time_is_late(events: int, now: int, late: bool) -> None:
     """Guard against a wrong estimate of the remaining run time."""
-    times = RunTimes()
+    times = RunTimeEstimator()
     times.on_done(EVENTS, EVENTS * EVENT_MS)
-    assert standing(times, events, DUE_MS, now).late is late
+    assert rank_item(times, events, DUE_MS, now).late is late
 
 
 def test_no_item_is_late_early_without_estimate() -> None:
     """Guard against late items while no run time is known."""
-    times = RunTimes()
+    times = RunTimeEstimator()
     times.on_done(0, 5)
-    assert not standing(times, 0, DUE_MS, DUE_MS - PUBLISH_MS).late
+    assert not rank_item(times, 0, DUE_MS, DUE_MS - PUBLISH_MS).late
 
 
 def test_late_runs_are_preempted_first() -> None:
     """Guard against preempting runs that can be in time before late ones."""
     runs = [
-        (Standing(False, 9_000), "soon"),
-        (Standing(False, 30_000), "much time"),
-        (Standing(True, 2_000), "late"),
+        (ItemRank(False, 9_000), "soon"),
+        (ItemRank(False, 30_000), "much time"),
+        (ItemRank(True, 2_000), "late"),
     ]
-    assert victims(runs, 1) == ["late"]
-    assert victims(runs, 2) == ["late", "much time"]
+    assert preempted(runs, 1) == ["late"]
+    assert preempted(runs, 2) == ["late", "much time"]
--- a/tests/test_policy_batch_room.py
+++ b/tests/test_policy_batch_room.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from papayapier.policy.batch_room import NO_PART, SPARE_SLOTS, Use, keep_limit, start_limit
+from papayapier.policy.batch_limits import NO_SHARE, SPARE_SLOTS, SlotUse, keep_limit, start_limit
 
 SLOTS = 8
 ITEM_MS = 5_000
@@ -12,8 +12,8 @@
 STEP_MS = 10
 
 
-def use(online: int, own: int, batch: int, place: int = 0, sharing: int = 1) -> Use:
-    return Use(SLOTS, online, own, batch, place, sharing)
+def use(online: int, own: int, batch: int, place: int = 0, sharing: int = 1) -> SlotUse:
+    return SlotUse(SLOTS, online, own, batch, place, sharing)
 
 
 @pytest.mark.parametrize("online", range(SLOTS + 3))
@@ -48,9 +48,9 @@
 def test_instance_without_share_runs_one_where_half_is_free(others: int) -> None:
     """Guard against instances that learn of calls late filling the slots of those with a share."""
     for batch in range(others + 1):
-        known = use(others - batch, 0, batch, NO_PART, 3)
+        known = use(others - batch, 0, batch, NO_SHARE, 3)
         assert start_limit(known) == (1 if 2 * others < SLOTS else 0)
-        running = use(others - batch, 1, batch + 1, NO_PART, 3)
+        running = use(others - batch, 1, batch + 1, NO_SHARE, 3)
         assert keep_limit(running) == (1 if others < SLOTS else 0)
 
 
--- a/tests/test_policy_crashes.py
+++ b/tests/test_policy_crashes.py
@@ -2,87 +2,87 @@
 
 import pytest
 
-from papayapier.policy.crashes import (
-    ANSWERED_LATELY_MS,
+from papayapier.policy.crash_quarantine import (
+    ANSWERED_RECENTLY_MS,
     FORGET_MS,
     ITEM_PAUSE_MS,
     LISTED_ALIVE_MS,
-    LOSSES_MOST,
     MAX_ANSWERED,
     MAX_FINGERPRINTS,
     MAX_ITEM_LOSSES,
+    MAX_LOSSES,
     MAX_LOSSES_ANSWERED,
     MAX_LOSSES_KEPT,
     MAX_SNAPSHOT_LOSSES,
     QUARANTINE_MS,
     SAME_LOSS_MS,
     SUSPECT_PAUSE_MS,
-    CrashBook,
-    Loss,
+    CrashTracker,
+    ReplicaLoss,
 )
 
 START = 1_000_000
 
 
-def lose(book: CrashBook, count: int, fingerprint: str = "w", now: int = START) -> None:
+def lose(book: CrashTracker, count: int, fingerprint: str = "w", now: int = START) -> None:
     for n in range(count):
-        book.on_lost(fingerprint, f"r{n}", now)
+        book.on_replica_lost(fingerprint, f"r{n}", now)
 
 
-@pytest.mark.parametrize("count", range(LOSSES_MOST + 2))
+@pytest.mark.parametrize("count", range(MAX_LOSSES + 2))
 def test_request_is_quarantined_from_third_loss(count: int) -> None:
     """Guard against quarantining too early, too late, or the wrong request."""
-    book = CrashBook()
+    book = CrashTracker()
     lose(book, count)
-    assert book.hold_ms("w", START) == (QUARANTINE_MS if count >= LOSSES_MOST else 0)
-    assert book.hold_ms("other", START) == 0
+    assert book.quarantine_ms("w", START) == (QUARANTINE_MS if count >= MAX_LOSSES else 0)
+    assert book.quarantine_ms("other", START) == 0
 
 
-@pytest.mark.parametrize("count", range(LOSSES_MOST + 2))
+@pytest.mark.parametrize("count", range(MAX_LOSSES + 2))
 def test_suspect_is_paused_before_resend(count: int) -> None:
     """Guard against suspects being resent at once, together with the request that ends replicas."""
-    book = CrashBook()
+    book = CrashTracker()
     lose(book, count)
-    assert book.apart_ms("w") == (SUSPECT_PAUSE_MS if count == LOSSES_MOST - 1 else 0)
+    assert book.suspect_pause_ms("w") == (SUSPECT_PAUSE_MS if count == MAX_LOSSES - 1 else 0)
     book.on_answered("w")
-    assert book.apart_ms("w") == (SUSPECT_PAUSE_MS if count == LOSSES_MOST else 0)
+    assert book.suspect_pause_ms("w") == (SUSPECT_PAUSE_MS if count == MAX_LOSSES else 0)
 
 
-@pytest.mark.parametrize("count", range(LOSSES_MOST, MAX_LOSSES_KEPT))
+@pytest.mark.parametrize("count", range(MAX_LOSSES, MAX_LOSSES_KEPT))
 def test_recently_answered_request_is_not_quarantined(count: int) -> None:
     """Guard against refusing a frequent request for minutes because it was open beside a crash."""
-    book = CrashBook()
-    book.note_answered("sound", START - 1)
+    book = CrashTracker()
+    book.record_answer("sound", START - 1)
     lose(book, count, "sound")
     lose(book, count, "crash")
     expected = {"crash"} if count < MAX_LOSSES_ANSWERED else {"crash", "sound"}
-    assert book.held(START) == expected
+    assert book.quarantined(START) == expected
 
 
 def test_old_answer_does_not_raise_limit() -> None:
     """Guard against an answer counting as recent for longer than ANSWERED_LATELY_MS."""
-    book = CrashBook()
-    book.note_answered("w", START - ANSWERED_LATELY_MS - 1)
-    lose(book, LOSSES_MOST)
-    assert book.held(START) == {"w"}
+    book = CrashTracker()
+    book.record_answer("w", START - ANSWERED_RECENTLY_MS - 1)
+    lose(book, MAX_LOSSES)
+    assert book.quarantined(START) == {"w"}
 
 
 def test_recent_answers_are_bounded() -> None:
     """Guard against unbounded memory for answered fingerprints."""
-    book = CrashBook()
-    book.note_answered("w", START)
+    book = CrashTracker()
+    book.record_answer("w", START)
     for number in range(MAX_ANSWERED):
-        book.note_answered(f"w{number}", START)
-    lose(book, LOSSES_MOST)
-    assert book.held(START) == {"w"}
+        book.record_answer(f"w{number}", START)
+    lose(book, MAX_LOSSES)
+    assert book.quarantined(START) == {"w"}
 
 
 def test_several_calls_lost_at_one_replica_are_one_loss() -> None:
     """Guard against counting one crash once per open call."""
-    book = CrashBook()
-    for _ in range(LOSSES_MOST):
-        book.on_lost("w", "r", START)
-    assert book.replicas("w") == ["r"]
+    book = CrashTracker()
+    for _ in range(MAX_LOSSES):
+        book.on_replica_lost("w", "r", START)
+    assert book.lost_replicas("w") == ["r"]
 
 
 def test_restarted_replica_counts_as_new_loss() -> None:
@@ -91,43 +91,43 @@
     Losses were counted once per engine name, so that further crashes under a known name did not
     count.
     """
-    book = CrashBook()
-    for number in range(LOSSES_MOST):
+    book = CrashTracker()
+    for number in range(MAX_LOSSES):
         now = START + number * SAME_LOSS_MS
-        book.on_lost("w", "r", now)
+        book.on_replica_lost("w", "r", now)
         book.on_ended("r")
         book.on_alive("r", now + 1)
-    assert book.hold_ms("w", now)
+    assert book.quarantine_ms("w", now)
 
 
 def test_answer_removes_a_loss() -> None:
     """Guard against quarantining a frequent request, which is open wherever a replica ends."""
-    book = CrashBook()
-    lose(book, LOSSES_MOST - 1)
+    book = CrashTracker()
+    lose(book, MAX_LOSSES - 1)
     assert book.on_answered("w")
-    lose(book, LOSSES_MOST)
-    assert not book.hold_ms("w", START)
-    for _ in range(LOSSES_MOST):
+    lose(book, MAX_LOSSES)
+    assert not book.quarantine_ms("w", START)
+    for _ in range(MAX_LOSSES):
         book.on_answered("w")
-    assert book.empty()
+    assert book.is_empty()
 
 
 @pytest.mark.parametrize(("sent", "held"), [(-1, True), (0, False), (1, False)])
 def test_replica_that_answers_later_call_was_not_lost(sent: int, held: bool) -> None:
     """Guard against refusing good requests after reset connections or late answers."""
-    book = CrashBook()
-    lose(book, LOSSES_MOST)
+    book = CrashTracker()
+    lose(book, MAX_LOSSES)
     book.on_alive("r0", START + sent)
-    assert bool(book.hold_ms("w", START)) is held
+    assert bool(book.quarantine_ms("w", START)) is held
 
 
 def test_replica_whose_address_refuses_has_ended() -> None:
     """Guard against an answer of a restarted replica withdrawing a confirmed loss."""
-    book = CrashBook()
-    lose(book, LOSSES_MOST)
+    book = CrashTracker()
+    lose(book, MAX_LOSSES)
     book.on_ended("r0")
     book.on_alive("r0", START + 1)
-    assert book.hold_ms("w", START + 1)
+    assert book.quarantine_ms("w", START + 1)
 
 
 @pytest.mark.parametrize(
@@ -144,83 +144,83 @@
     listed: list[str], fresh: bool, after_ms: int, held: bool
 ) -> None:
     """Guard against losses that stand although the replica is still listed."""
-    book = CrashBook()
-    lose(book, LOSSES_MOST)
+    book = CrashTracker()
+    lose(book, MAX_LOSSES)
     book.on_listed(listed, ())
     book.sweep(START + after_ms, fresh)
-    assert bool(book.hold_ms("w", START + after_ms)) is held
+    assert bool(book.quarantine_ms("w", START + after_ms)) is held
 
 
 def test_leaving_replica_counts_no_loss() -> None:
     """Guard against counting calls that a planned stop cuts off."""
-    book = CrashBook()
+    book = CrashTracker()
     book.on_listed(["r0", "r1", "r2"], ["r0", "r1", "r2"])
     book.on_listed([], [])
-    lose(book, LOSSES_MOST)
-    assert book.empty()
+    lose(book, MAX_LOSSES)
+    assert book.is_empty()
 
 
 def test_request_may_be_tried_once_after_quarantine() -> None:
     """Guard against a quarantine that never ends, or that starts from nothing after it."""
-    book = CrashBook()
-    lose(book, LOSSES_MOST)
+    book = CrashTracker()
+    lose(book, MAX_LOSSES)
     later = START + QUARANTINE_MS
-    assert not book.hold_ms("w", later)
-    book.on_lost("w", "r9", later)
-    assert book.hold_ms("w", later) == QUARANTINE_MS
+    assert not book.quarantine_ms("w", later)
+    book.on_replica_lost("w", "r9", later)
+    assert book.quarantine_ms("w", later) == QUARANTINE_MS
     book.sweep(later + FORGET_MS, True)
-    assert book.empty()
+    assert book.is_empty()
 
 
 @pytest.mark.parametrize(
     ("count", "pause_ms"),
     [
-        (LOSSES_MOST - 1, 0),
-        (LOSSES_MOST, ITEM_PAUSE_MS),
-        (LOSSES_MOST + 1, 2 * ITEM_PAUSE_MS),
+        (MAX_LOSSES - 1, 0),
+        (MAX_LOSSES, ITEM_PAUSE_MS),
+        (MAX_LOSSES + 1, 2 * ITEM_PAUSE_MS),
         (MAX_ITEM_LOSSES - 1, 4 * ITEM_PAUSE_MS),
         (MAX_ITEM_LOSSES, QUARANTINE_MS),
     ],
 )
 def test_items_are_retried_with_growing_pauses(count: int, pause_ms: int) -> None:
     """Guard against giving up an item too early, or retrying it while its replica restarts."""
-    book = CrashBook()
+    book = CrashTracker()
     lose(book, count)
-    assert book.item_hold_ms("w", START) == pause_ms
-    assert book.item_done_for("w") is (count >= MAX_ITEM_LOSSES)
+    assert book.item_pause_ms("w", START) == pause_ms
+    assert book.is_item_exhausted("w") is (count >= MAX_ITEM_LOSSES)
 
 
 def test_reported_losses_count_once() -> None:
     """Guard against counting a loss again that several instances report."""
-    book, other = CrashBook(), CrashBook()
-    lose(book, LOSSES_MOST)
+    book, other = CrashTracker(), CrashTracker()
+    lose(book, MAX_LOSSES)
     reported = book.snapshot(START + 10)
-    assert len(other.on_told(reported, START + 20)) == LOSSES_MOST
-    assert other.on_told(reported, START + 30) == []
-    assert book.on_told([Loss("w", "r0", 0)], START + 40) == []
-    assert other.hold_ms("w", START + 30) == QUARANTINE_MS - 20
+    assert len(other.on_losses_received(reported, START + 20)) == MAX_LOSSES
+    assert other.on_losses_received(reported, START + 30) == []
+    assert book.on_losses_received([ReplicaLoss("w", "r0", 0)], START + 40) == []
+    assert other.quarantine_ms("w", START + 30) == QUARANTINE_MS - 20
 
 
 def test_recorded_losses_are_bounded() -> None:
     """Guard against unbounded memory for losses, and against unbounded snapshots."""
-    book = CrashBook()
+    book = CrashTracker()
     lose(book, MAX_LOSSES_KEPT + 5, "w")
     for number in range(2 * MAX_FINGERPRINTS):
-        book.on_lost(f"w{number}", f"r{number}", START + number)
-    assert len(book.replicas("w")) == MAX_LOSSES_KEPT
+        book.on_replica_lost(f"w{number}", f"r{number}", START + number)
+    assert len(book.lost_replicas("w")) == MAX_LOSSES_KEPT
     reported = book.snapshot(START)
     assert len(reported) == MAX_SNAPSHOT_LOSSES
-    assert [loss.work for loss in reported[:MAX_LOSSES_KEPT]] == ["w"] * MAX_LOSSES_KEPT
-    known = sum(book.knows(f"w{number}") for number in range(2 * MAX_FINGERPRINTS))
+    assert [loss.fingerprint for loss in reported[:MAX_LOSSES_KEPT]] == ["w"] * MAX_LOSSES_KEPT
+    known = sum(book.has_losses(f"w{number}") for number in range(2 * MAX_FINGERPRINTS))
     assert known == MAX_FINGERPRINTS - 1
 
 
 def test_retry_time_is_when_losses_are_confirmed() -> None:
     """Guard against a retry time of the whole quarantine while the losses are unconfirmed."""
-    book = CrashBook()
-    lose(book, LOSSES_MOST)
-    assert book.return_ms("w", START) == LISTED_ALIVE_MS
-    assert book.return_ms("w", START + LISTED_ALIVE_MS) == QUARANTINE_MS - LISTED_ALIVE_MS
-    for number in range(LOSSES_MOST):
+    book = CrashTracker()
+    lose(book, MAX_LOSSES)
+    assert book.retry_after_ms("w", START) == LISTED_ALIVE_MS
+    assert book.retry_after_ms("w", START + LISTED_ALIVE_MS) == QUARANTINE_MS - LISTED_ALIVE_MS
+    for number in range(MAX_LOSSES):
         book.on_ended(f"r{number}")
-    assert book.return_ms("w", START + 1) == QUARANTINE_MS - 1
+    assert book.retry_after_ms("w", START + 1) == QUARANTINE_MS - 1
--- a/tests/test_policy_job_owners.py
+++ b/tests/test_policy_job_owners.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from papayapier.policy.job_owners import able_to_own
-from papayapier.policy.ownership import owner
-from papayapier.policy.totals import sharers_of
+from papayapier.policy.batch_sharers import sharers_of
+from papayapier.policy.job_owners import possible_owners
+from papayapier.policy.ownership import rendezvous_owner
 from tests.keepers_world import instance_names
 
 FLEETS = 40
@@ -17,8 +17,8 @@
 
 def jobs_never_started(keepers: list[str], replicas: list[str]) -> list[str]:
     """Return the jobs owned by a keeper that may start items at no replica."""
-    able = able_to_own(keepers, replicas)
-    owners = {f"job-{n}": owner(f"job-{n}", able) for n in range(JOBS)}
+    able = possible_owners(keepers, replicas)
+    owners = {f"job-{n}": rendezvous_owner(f"job-{n}", able) for n in range(JOBS)}
     able_to_start = {keeper for replica in replicas for keeper in sharers_of(replica, keepers)}
     return [job_id for job_id, keeper in owners.items() if keeper not in able_to_start]
 
@@ -53,11 +53,13 @@
 
 def test_all_may_own_jobs_without_replicas() -> None:
     """Guard against jobs without an owner while no replica is listed."""
-    assert able_to_own(["a", "b"], []) == ("a", "b")
+    assert possible_owners(["a", "b"], []) == ("a", "b")
 
 
 def test_departed_replica_moves_no_owner_in_large_fleet() -> None:
     """Guard against moving jobs in a large fleet whenever a replica departs."""
     rand = random.Random(7)
     running, listed = sorted(instance_names(rand, "keeper", 30)), instance_names(rand, "i", 300)
-    assert able_to_own(running, listed) == able_to_own(running, listed[1:]) == tuple(running)
+    assert (
+        possible_owners(running, listed) == possible_owners(running, listed[1:]) == tuple(running)
+    )
--- a/tests/test_policy_orphans.py
+++ b/tests/test_policy_orphans.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from papayapier.policy.orphans import CHECK_INTERVAL_MS, MAX_WATCHERS, Answered, OrphanWatch
-from papayapier.policy.ownership import owner
+from papayapier.policy.orphans import CHECK_INTERVAL_MS, MAX_WATCHERS, OrphanDetector, RunsReply
+from papayapier.policy.ownership import rendezvous_owner
 from papayapier.policy.rendezvous import score
 
 KEEPERS = [f"keeper-{n}" for n in range(12)]
@@ -23,27 +23,29 @@
 
     def __init__(self, views: dict[str, list[str]]) -> None:
         self.views = views
-        self.watches = {keeper: OrphanWatch(keeper) for keeper in views}
+        self.watches = {keeper: OrphanDetector(keeper) for keeper in views}
         self.now = 0
         self.checks_sent = 0
 
     def runs(self, name: str, job: str) -> bool:
-        return owner(job, self.views[name]) == name or self.watches[name].taken(job)
+        return rendezvous_owner(job, self.views[name]) == name or self.watches[name].is_taken_over(
+            job
+        )
 
     def run(self, ms: int) -> None:
         for _ in range(0, ms, TICK_MS):
             self.now += TICK_MS
             for name, watch in self.watches.items():
-                owners = {job: owner(job, self.views[name]) for job in JOBS}
-                for recipient, jobs in watch.asks(
+                owners = {job: rendezvous_owner(job, self.views[name]) for job in JOBS}
+                for recipient, jobs in watch.due_checks(
                     owners, partial(self.candidates, name), self.now
                 ).items():
                     self.checks_sent += 1
                     if recipient in self.views:
                         runs = frozenset(job for job in jobs if self.runs(recipient, job))
-                        watch.on_answer(jobs, Answered(runs, frozenset()), self.now)
+                        watch.on_reply(jobs, RunsReply(runs, frozenset()), self.now)
                     else:
-                        watch.on_silence(jobs, self.now)
+                        watch.on_no_reply(jobs, self.now)
 
     def candidates(self, name: str, _job: str) -> list[str]:
         return self.views[name]
@@ -56,7 +58,7 @@
     """Guard against needless takeovers, and against more checks than planned."""
     fleet = Fleet(dict.fromkeys(KEEPERS, KEEPERS))
     fleet.run(60_000)
-    assert all(fleet.runners(job) == [owner(job, KEEPERS)] for job in JOBS)
+    assert all(fleet.runners(job) == [rendezvous_owner(job, KEEPERS)] for job in JOBS)
     # Each job is checked by three instances, every six seconds.
     assert (
         fleet.checks_sent
@@ -93,43 +95,43 @@
 
 def test_job_is_returned_once_its_owner_runs_it() -> None:
     """Guard against running a job twice for good."""
-    watch = OrphanWatch("a")
+    watch = OrphanDetector("a")
     owners = {"job": "b"}
     now = 0
-    while not watch.taken("job"):
+    while not watch.is_taken_over("job"):
         now += TICK_MS
-        if watch.asks(owners, lambda _job: ["a", "b"], now):
-            watch.on_silence(["job"], now)
+        if watch.due_checks(owners, lambda _job: ["a", "b"], now):
+            watch.on_no_reply(["job"], now)
     assert now <= 3_000
-    while not watch.asks(owners, lambda _job: ["a", "b"], now):
+    while not watch.due_checks(owners, lambda _job: ["a", "b"], now):
         now += TICK_MS
-    watch.on_answer(["job"], Answered(frozenset(["job"]), frozenset()), now)
-    assert not watch.taken("job")
+    watch.on_reply(["job"], RunsReply(frozenset(["job"]), frozenset()), now)
+    assert not watch.is_taken_over("job")
 
 
 def test_finished_job_is_checked_once() -> None:
     """Guard against endless checks of a finished job, and its takeover."""
-    watch = OrphanWatch("a")
+    watch = OrphanDetector("a")
     checks_sent = 0
     for now in range(0, 60_000, TICK_MS):
-        if watch.asks({"job": "b"}, lambda _job: ["a", "b"], now):
+        if watch.due_checks({"job": "b"}, lambda _job: ["a", "b"], now):
             checks_sent += 1
-            watch.on_answer(["job"], Answered(frozenset(), frozenset(["job"])), now)
-    assert (checks_sent, watch.taken("job")) == (1, False)
+            watch.on_reply(["job"], RunsReply(frozenset(), frozenset(["job"])), now)
+    assert (checks_sent, watch.is_taken_over("job")) == (1, False)
 
 
-def run_until_next_check(watch: OrphanWatch, now: int) -> int:
-    while not watch.asks({"job": "b"}, lambda _job: ["a", "b"], now):
+def run_until_next_check(watch: OrphanDetector, now: int) -> int:
+    while not watch.due_checks({"job": "b"}, lambda _job: ["a", "b"], now):
         now += TICK_MS
     return now
 
 
 def test_job_that_stalls_here_too_is_returned() -> None:
     """Guard against keeping a job that stalls at this instance, too."""
-    watch = OrphanWatch("a")
-    watch.take("job", "b", 0)
-    assert watch.taken("job")
+    watch = OrphanDetector("a")
+    watch.take_over("job", "b", 0)
+    assert watch.is_taken_over("job")
     assert run_until_next_check(watch, 0) == CHECK_INTERVAL_MS
-    watch.give_back("job", CHECK_INTERVAL_MS)
-    assert not watch.taken("job")
+    watch.hand_back("job", CHECK_INTERVAL_MS)
+    assert not watch.is_taken_over("job")
     assert run_until_next_check(watch, CHECK_INTERVAL_MS) == CHECK_INTERVAL_MS
--- a/tests/test_policy_outliers.py
+++ b/tests/test_policy_outliers.py
@@ -5,9 +5,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import FIRST_EJECTION_MS, GOOD_PROBES, Outliers
-from papayapier.policy.routing import RouteRequest, choose
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import FIRST_EJECTION_MS, GOOD_PROBES, OutlierDetector
+from papayapier.policy.routing import RouteRequest, choose_replica
 from papayapier.upstream.api import Replica
 
 
@@ -15,13 +15,13 @@
     return [Replica(f"r{i}", "model", "127.0.0.1", 1, "dc1") for i in range(count)]
 
 
-def make(count: int) -> Outliers:
-    outliers = Outliers()
+def make(count: int) -> OutlierDetector:
+    outliers = OutlierDetector()
     outliers.on_listed(replicas(count))
     return outliers
 
 
-def fail(outliers: Outliers, replica_id: str, times: int, now: int) -> None:
+def fail(outliers: OutlierDetector, replica_id: str, times: int, now: int) -> None:
     for _ in range(times):
         outliers.on_end(replica_id, False, None, now)
 
@@ -45,7 +45,7 @@
     for index, ok, first_token_ms, passed in ends:
         now += passed
         outliers.on_end(f"r{index % count}", ok, first_token_ms, now)
-        out = sum(outliers.ejected(f"r{i}", now) for i in range(count))
+        out = sum(outliers.is_ejected(f"r{i}", now) for i in range(count))
         assert out == 0 or 2 * out < count
 
 
@@ -56,9 +56,9 @@
     spans = []
     for _ in range(3):
         fail(outliers, "r0", 4, now)
-        assert outliers.ejected("r0", now)
+        assert outliers.is_ejected("r0", now)
         start = now
-        while outliers.ejected("r0", now):
+        while outliers.is_ejected("r0", now):
             now += 100
         spans.append(now - start)
         outliers.on_start("r0", now)
@@ -71,7 +71,7 @@
     A replica is down; its ejection ends; many calls are routed in the same millisecond. The end of
     the ejection must not return it to full use.
     """
-    outliers, book = make(5), LoadBook()
+    outliers, book = make(5), LoadTracker()
     book.on_listed(replicas(5), ())
     fail(outliers, "r0", 4, 0)
     healthy = []
@@ -79,18 +79,20 @@
     for _ in range(GOOD_PROBES):
         sent = 0
         for _ in range(50):
-            chosen = choose(book, outliers, RouteRequest("model", "", ""), random.Random(1), now)
+            chosen = choose_replica(
+                book, outliers, RouteRequest("model", "", ""), random.Random(1), now
+            )
             assert chosen is not None
             outliers.on_start(chosen, now)
             sent += chosen == "r0"
         assert sent <= 1
         outliers.on_start("r0", now)
-        assert outliers.ejected("r0", now)
+        assert outliers.is_ejected("r0", now)
         outliers.on_end("r0", True, 10.0, now + 5)
-        healthy.append(outliers.healthy("r0"))
+        healthy.append(outliers.is_healthy("r0"))
         now += 10
     assert healthy == [False] * (GOOD_PROBES - 1) + [True]
-    assert not outliers.returning("r0")
+    assert not outliers.is_returning("r0")
 
 
 def test_lost_probe_does_not_eject_forever() -> None:
@@ -98,13 +100,13 @@
     outliers = make(5)
     fail(outliers, "r0", 4, 0)
     now = FIRST_EJECTION_MS
-    assert not outliers.ejected("r0", now)
+    assert not outliers.is_ejected("r0", now)
     outliers.on_start("r0", now)
-    assert outliers.ejected("r0", now + 1_000)
-    assert not outliers.ejected("r0", now + 60_000)
+    assert outliers.is_ejected("r0", now + 1_000)
+    assert not outliers.is_ejected("r0", now + 60_000)
     outliers.on_start("r0", now + 60_000)
-    outliers.on_dropped("r0")
-    assert not outliers.ejected("r0", now + 60_000)
+    outliers.on_no_result("r0")
+    assert not outliers.is_ejected("r0", now + 60_000)
 
 
 def test_replica_ten_times_slower_is_ejected() -> None:
@@ -113,7 +115,7 @@
     for step in range(20):
         for index in range(5):
             outliers.on_end(f"r{index}", True, 200.0 if index == 3 else 20.0, step)
-    assert [outliers.ejected(f"r{index}", 20) for index in range(5)] == [
+    assert [outliers.is_ejected(f"r{index}", 20) for index in range(5)] == [
         False,
         False,
         False,
@@ -128,7 +130,7 @@
     for step in range(20):
         for index in range(5):
             outliers.on_end(f"r{index}", True, 20.0 + 100 * step, step)
-    assert not any(outliers.ejected(f"r{index}", 20) for index in range(5))
+    assert not any(outliers.is_ejected(f"r{index}", 20) for index in range(5))
 
 
 def test_fast_failing_replica_of_two_attracts_few_calls() -> None:
@@ -137,15 +139,15 @@
     It refuses connections at once, so that it never has a call open; routing goes by open calls,
     and neither replica may be ejected.
     """
-    outliers, book, rand = make(2), LoadBook(), random.Random(1)
+    outliers, book, rand = make(2), LoadTracker(), random.Random(1)
     book.on_listed(replicas(2), ())
     sent = {"r0": 0, "r1": 0}
     ends: list[int] = []
     for now in range(0, 5_000, 10):
         for _ in [end for end in ends if end == now]:
-            book.on_done("r1", False, now)
+            book.on_finished("r1", False, now)
             outliers.on_end("r1", True, 10.0, now)
-        chosen = choose(book, outliers, RouteRequest("model", "", ""), rand, now)
+        chosen = choose_replica(book, outliers, RouteRequest("model", "", ""), rand, now)
         assert chosen is not None
         sent[chosen] += 1
         if chosen == "r0":
@@ -158,10 +160,10 @@
 
 def test_non_idempotent_call_is_no_probe() -> None:
     """Guard against losing a call that cannot be retried to a replica that may be broken."""
-    outliers, book = make(3), LoadBook()
+    outliers, book = make(3), LoadTracker()
     book.on_listed(replicas(3), ())
     fail(outliers, "r0", 4, 0)
     req = RouteRequest("model", "", "", idempotent=False)
     now = FIRST_EJECTION_MS
-    chosen = {choose(book, outliers, req, random.Random(i), now) for i in range(30)}
+    chosen = {choose_replica(book, outliers, req, random.Random(i), now) for i in range(30)}
     assert chosen == {"r1", "r2"}
--- a/tests/test_policy_placers.py
+++ b/tests/test_policy_placers.py
@@ -6,10 +6,10 @@
 from functools import partial
 from typing import NamedTuple
 
-from papayapier.policy.loads import PLACED_REPORTED_MS, LoadBook, ReplicaUse
-from papayapier.policy.outliers import Outliers
-from papayapier.policy.placers import PARTITION_REPLICAS, make_parts, placer_of
-from papayapier.policy.routing import RouteRequest, choose
+from papayapier.policy.loads import PLACED_REPORTED_MS, LoadTracker, ReplicaUse
+from papayapier.policy.outliers import OutlierDetector
+from papayapier.policy.placers import PARTITION_REPLICAS, make_partitions, placer_of
+from papayapier.policy.routing import RouteRequest, choose_replica
 from papayapier.upstream.api import Replica
 
 INSTANCES = 58
@@ -43,8 +43,8 @@
     return found
 
 
-def new_book() -> LoadBook:
-    book = LoadBook()
+def new_book() -> LoadTracker:
+    book = LoadTracker()
     book.on_listed(REPLICAS, (), {replica.id: SLOTS for replica in REPLICAS})
     return book
 
@@ -109,7 +109,7 @@
     """Let each instance choose by totals that are up to 200 ms old."""
     totals: dict[str, int] = {}
     totals_at = -TOTALS_MS
-    outliers = Outliers()
+    outliers = OutlierDetector()
 
     def pick(call: Call) -> str:
         nonlocal totals, totals_at
@@ -120,8 +120,12 @@
             for _ in range(count):
                 book.on_sent(replica, False, call.at)
         book.on_totals("hub", [ReplicaUse(key, count, 0) for key, count in totals.items()])
-        chosen = choose(
-            book, outliers, RouteRequest("lm", call.prompt, "dc", told=True), rand, call.at
+        chosen = choose_replica(
+            book,
+            outliers,
+            RouteRequest("lm", call.prompt, "dc", includes_peers=True),
+            rand,
+            call.at,
         )
         assert chosen is not None
         return chosen
@@ -132,18 +136,18 @@
 def choose_by_placer(fleet: Fleet, rand: random.Random) -> Strategy:
     """Let one instance choose, which learns of each call some 25 ms late."""
     book = new_book()
-    outliers = Outliers()
-    req = RouteRequest("lm", "", "dc", told=True, fresh=True)
+    outliers = OutlierDetector()
+    req = RouteRequest("lm", "", "dc", includes_peers=True, fresh=True)
 
     def pick(call: Call) -> str:
-        chosen = choose(book, outliers, req._replace(prefix=call.prompt), rand, call.at)
+        chosen = choose_replica(book, outliers, req._replace(prefix=call.prompt), rand, call.at)
         assert chosen is not None
         book.on_placed(str(call.instance), chosen, call.at)
         return chosen
 
     def send(instance: int, now: int) -> None:
         uses = fleet.uses(instance)
-        fleet.at(now + TRANSFER_MS, lambda then: book.on_peer_uses(str(instance), uses, then))
+        fleet.at(now + TRANSFER_MS, lambda then: book.on_peer_calls(str(instance), uses, then))
 
     return Strategy(
         pick, lambda instance, now: fleet.at(now + REPORT_DELAY_MS, partial(send, instance))
@@ -168,26 +172,26 @@
     """Guard against counting a placed call twice or not at all."""
     book = new_book()
     book.on_placed("a", "i-1", NOW)
-    assert book.online_at("i-1") == 1
-    book.on_peer_uses("a", [], NOW + PLACED_REPORTED_MS - 1)
-    assert book.online_at("i-1") == 1
-    book.on_peer_uses("a", [ReplicaUse("i-1", 1, 0)], NOW + PLACED_REPORTED_MS)
-    assert book.online_at("i-1") == 1
+    assert book.online_calls("i-1") == 1
+    book.on_peer_calls("a", [], NOW + PLACED_REPORTED_MS - 1)
+    assert book.online_calls("i-1") == 1
+    book.on_peer_calls("a", [ReplicaUse("i-1", 1, 0)], NOW + PLACED_REPORTED_MS)
+    assert book.online_calls("i-1") == 1
 
 
 def test_call_placed_for_a_lost_peer_is_forgotten() -> None:
     """Guard against calls of a lost peer that occupy slots for ever."""
     book = new_book()
     book.on_placed("a", "i-1", NOW)
-    book.on_peer_gone("a")
-    assert book.online_at("i-1") == 0
+    book.on_peer_departed("a")
+    assert book.online_calls("i-1") == 0
 
 
 def test_partitions_are_bounded_and_of_one_upstream() -> None:
     """Guard against partitions that are too large or mix upstreams."""
     many = [Replica(f"m-{n}", "lm", "h", 1, "dc") for n in range(10 * PARTITION_REPLICAS)]
     few = [Replica(f"f-{n}", "app", "h", 1, "dc") for n in range(3)]
-    partitions = make_parts([*many, *few])
+    partitions = make_partitions([*many, *few])
     assert partitions.keys["app"] == ["app/0"]
     assert partitions.members["app/0"] == {replica.id for replica in few}
     assert len(partitions.keys["lm"]) == 10
@@ -205,5 +209,5 @@
 def test_only_replicas_of_a_partition_are_chosen() -> None:
     """Guard against a placer that uses replicas of another partition."""
     within = frozenset({"i-3"})
-    req = RouteRequest("lm", "", "dc", told=True, fresh=True, within=within)
-    assert choose(new_book(), Outliers(), req, random.Random(1), NOW) == "i-3"
+    req = RouteRequest("lm", "", "dc", includes_peers=True, fresh=True, candidates=within)
+    assert choose_replica(new_book(), OutlierDetector(), req, random.Random(1), NOW) == "i-3"
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -15,7 +15,7 @@
     GiveUp,
     Retry,
     RetryBudget,
-    decide,
+    retry_or_refuse,
 )
 from papayapier.upstream.api import Failure, FailureKind, Sent
 
@@ -39,7 +39,7 @@
     now = 0
     earlier = Sent.NO
     for attempt, failure in enumerate(failures, start=1):
-        decision = decide(
+        decision = retry_or_refuse(
             failure, idempotent, attempt, RULE, 60_000, now, budget, "model", rand, earlier
         )
         maybe_ran = Sent.MAYBE in (failure.sent, earlier)
@@ -67,7 +67,7 @@
         requests.extend([now] * requested)
         for _ in range(requested):
             budget.on_request("model", now)
-        retries.extend(now for _ in range(failed) if budget.spend("model", now))
+        retries.extend(now for _ in range(failed) if budget.try_spend("model", now))
         since = now - RETRY_WINDOW_MS
         recent = sum(1 for at in requests if at > since)
         spent = sum(1 for at in retries if at > since + RETRY_WINDOW_MS // 10)
@@ -87,7 +87,9 @@
         budget.on_request("model", now)
         for attempt in range(1, 4):
             sends += 1
-            decision = decide(failure, True, attempt, RULE, 60_000, now, budget, "model", rand)
+            decision = retry_or_refuse(
+                failure, True, attempt, RULE, 60_000, now, budget, "model", rand
+            )
             if isinstance(decision, GiveUp):
                 break
     assert sends <= 1_101
@@ -101,8 +103,8 @@
     """
     budget, rand = RetryBudget(), random.Random(1)
     silent = Failure(FailureKind.SILENT, Sent.MAYBE, "no byte")
-    first = decide(silent, True, 1, RULE, 60_000, 0, budget, "model", rand)
-    second = decide(silent, True, 2, RULE, 60_000, 0, budget, "model", rand)
+    first = retry_or_refuse(silent, True, 1, RULE, 60_000, 0, budget, "model", rand)
+    second = retry_or_refuse(silent, True, 2, RULE, 60_000, 0, budget, "model", rand)
     assert isinstance(first, Retry) and first.fresh_connection and not first.exclude
     assert isinstance(second, Retry) and second.exclude
 
@@ -111,9 +113,9 @@
     """Guard against a false "not run" where it is not stated what earlier attempts did."""
     budget, rand = RetryBudget(), random.Random(1)
     unsent = Failure(FailureKind.CONNECT, Sent.NO, "refused")
-    last = decide(unsent, True, 3, RULE, 60_000, 0, budget, "model", rand)
+    last = retry_or_refuse(unsent, True, 3, RULE, 60_000, 0, budget, "model", rand)
     assert isinstance(last, GiveUp) and last.refusal.outcome is Outcome.UNKNOWN
-    reported = decide(unsent, True, 3, RULE, 60_000, 0, budget, "model", rand, Sent.NO)
+    reported = retry_or_refuse(unsent, True, 3, RULE, 60_000, 0, budget, "model", rand, Sent.NO)
     assert isinstance(reported, GiveUp) and reported.refusal.outcome is Outcome.NOT_RUN
 
 
@@ -121,7 +123,7 @@
     """Guard against a retry that would start after the due time."""
     budget, rand = RetryBudget(), random.Random(1)
     busy = Failure(FailureKind.STATUS, Sent.NO, "busy", 503)
-    decision = decide(busy, True, 1, RULE, 1_005, 1_000, budget, "model", rand, Sent.NO)
+    decision = retry_or_refuse(busy, True, 1, RULE, 1_005, 1_000, budget, "model", rand, Sent.NO)
     assert isinstance(decision, GiveUp)
     assert decision.refusal.kind is ErrorKind.UPSTREAM_FAILED
 
@@ -131,7 +133,7 @@
     cut = Failure(FailureKind.CUT, Sent.MAYBE, "cut")
     rand = random.Random(1)
     decisions = [
-        decide(cut, True, 1, RULE, 60_000, now, budget, "model", rand, Sent.NO, at)
+        retry_or_refuse(cut, True, 1, RULE, 60_000, now, budget, "model", rand, Sent.NO, at)
         for _ in range(calls)
     ]
     return sum(1 for decision in decisions if isinstance(decision, Retry))
@@ -170,7 +172,7 @@
     broken = Failure(FailureKind.STATUS, Sent.MAYBE, "failed", 500)
     at = FailedAt("e1", 8, 9)
     decisions = [
-        decide(broken, True, 1, RULE, 60_000, 0, budget, "model", rand, Sent.NO, at)
+        retry_or_refuse(broken, True, 1, RULE, 60_000, 0, budget, "model", rand, Sent.NO, at)
         for _ in range(20)
     ]
     assert sum(1 for decision in decisions if isinstance(decision, Retry)) == RETRY_FLOOR
--- a/tests/test_policy_routing.py
+++ b/tests/test_policy_routing.py
@@ -3,9 +3,9 @@
 import random
 from collections import Counter
 
-from papayapier.policy.loads import LoadBook, ReplicaUse
-from papayapier.policy.outliers import Outliers
-from papayapier.policy.routing import RouteRequest, choose, free_calls
+from papayapier.policy.loads import LoadTracker, ReplicaUse
+from papayapier.policy.outliers import OutlierDetector
+from papayapier.policy.routing import RouteRequest, choose_replica, free_capacity
 from papayapier.policy.subsets import subset
 from papayapier.upstream.api import Load, Replica
 
@@ -16,18 +16,20 @@
     return [Replica(f"r{i}", "model", "127.0.0.1", 1, f"dc{i % 3}") for i in range(count)]
 
 
-def make(count: int) -> tuple[LoadBook, Outliers]:
-    book, outliers = LoadBook(), Outliers()
+def make(count: int) -> tuple[LoadTracker, OutlierDetector]:
+    book, outliers = LoadTracker(), OutlierDetector()
     book.on_listed(replicas(count), ())
     outliers.on_listed(replicas(count))
     return book, outliers
 
 
-def route_many(book: LoadBook, outliers: Outliers, req: RouteRequest, count: int) -> Counter[str]:
+def route_many(
+    book: LoadTracker, outliers: OutlierDetector, req: RouteRequest, count: int
+) -> Counter[str]:
     rand = random.Random(1)
     sent: Counter[str] = Counter()
     for _ in range(count):
-        chosen = choose(book, outliers, req, rand, 1_000)
+        chosen = choose_replica(book, outliers, req, rand, 1_000)
         assert chosen is not None
         book.on_sent(chosen, False, 1_000)
         sent[chosen] += 1
@@ -71,18 +73,20 @@
     for _ in range(4):
         outliers.on_end("r0", False, None, 1_000)
     req = RouteRequest("model", "", "", frozenset({"r1", "r2"}))
-    assert choose(book, outliers, req, random.Random(1), 1_000) == "r0"
+    assert choose_replica(book, outliers, req, random.Random(1), 1_000) == "r0"
     everything = req._replace(exclude=frozenset({"r0", "r1", "r2"}))
-    assert choose(book, outliers, everything, random.Random(1), 1_000) is None
+    assert choose_replica(book, outliers, everything, random.Random(1), 1_000) is None
 
 
 def test_prefix_keeps_its_replica_until_that_is_loaded() -> None:
     """Guard against cache misses, and against overload by a frequent prefix."""
     book, outliers = make(6)
     req = RouteRequest("model", "you are a gate clerk", "")
-    preferred = choose(book, outliers, req, random.Random(1), 1_000)
+    preferred = choose_replica(book, outliers, req, random.Random(1), 1_000)
     assert preferred is not None
-    assert {choose(book, outliers, req, random.Random(i), 1_000) for i in range(20)} == {preferred}
+    assert {choose_replica(book, outliers, req, random.Random(i), 1_000) for i in range(20)} == {
+        preferred
+    }
     sent = route_many(book, outliers, req, 120)
     assert sent[preferred] <= 60
     assert len(sent) >= 4
@@ -96,15 +100,15 @@
     """
     book, outliers = make(1)
     for peer in ("a", "b", "c"):
-        book.on_peer_uses(peer, [ReplicaUse("r0", 6, 0)], 900)
+        book.on_peer_calls(peer, [ReplicaUse("r0", 6, 0)], 900)
     book.on_report("r0", Load(24, 0, SLOTS, 6.0, 1_000))
     sent = 0
-    while free_calls(book, outliers, "model", 1_000) > 0:
+    while free_capacity(book, outliers, "model", 1_000) > 0:
         book.on_sent("r0", False, 1_000)
         sent += 1
     assert 2 <= sent <= 5
-    book.on_done("r0", False, 1_001)
-    assert free_calls(book, outliers, "model", 1_001) > 0
+    book.on_finished("r0", False, 1_001)
+    assert free_capacity(book, outliers, "model", 1_001) > 0
 
 
 def test_batch_calls_take_no_capacity_from_online_calls() -> None:
@@ -113,7 +117,7 @@
     for _ in range(SLOTS):
         book.on_sent("r0", True, 900)
     book.on_report("r0", Load(SLOTS, 0, SLOTS, 6.9, 1_200))
-    assert free_calls(book, outliers, "model", 1_200) >= SLOTS
+    assert free_capacity(book, outliers, "model", 1_200) >= SLOTS
 
 
 def test_subsets_are_bounded_and_even() -> None:
@@ -144,9 +148,9 @@
 def test_peer_change_counts_as_far_as_newer_than_report() -> None:
     """Guard against counting a peer's calls twice that the load report includes."""
     book, _ = make(1)
-    book.on_peer_uses("a", [ReplicaUse("r0", 4, 0)], 500)
+    book.on_peer_calls("a", [ReplicaUse("r0", 4, 0)], 500)
     book.on_report("r0", Load(4, 0, SLOTS, 6.0, 950))
-    book.on_peer_uses("a", [ReplicaUse("r0", 14, 0)], 1_000)
+    book.on_peer_calls("a", [ReplicaUse("r0", 14, 0)], 1_000)
     assert 4 < book.estimate("r0", 1_000) < 14
     book.on_report("r0", Load(14, 0, SLOTS, 6.0, 1_250))
     assert book.estimate("r0", 1_250) == 14
@@ -155,10 +159,10 @@
 def test_departed_peer_leaves_no_calls() -> None:
     """Guard against calls of a departed peer that count for ever."""
     book, _ = make(1)
-    book.on_peer_uses("a", [ReplicaUse("r0", 3, 2)], 500)
-    assert (book.online_at("r0"), book.batch_at("r0")) == (3, 2)
-    book.on_peer_gone("a")
-    assert (book.online_at("r0"), book.batch_at("r0")) == (0, 0)
+    book.on_peer_calls("a", [ReplicaUse("r0", 3, 2)], 500)
+    assert (book.online_calls("r0"), book.batch_calls("r0")) == (3, 2)
+    book.on_peer_departed("a")
+    assert (book.online_calls("r0"), book.batch_calls("r0")) == (0, 0)
     assert book.batch_peers(500, 1_000) == frozenset()
 
 
@@ -181,7 +185,7 @@
     book.on_report("r0", Load(0, 0, SLOTS, 5.0, 0))
     for now in range(0, 60_000, 10):
         book.on_sent("r0", False, now)
-        book.on_done("r0", False, now)
+        book.on_finished("r0", False, now)
     assert book.change_count("r0") <= 1_000
     assert book.estimate("r0", 60_000) == 0
 
@@ -192,12 +196,12 @@
     Calls with frequent prompts arrive, and others have filled the replicas that have them cached. A
     bound of a quarter above the mean load exceeds their slots as soon as the fleet is busy.
     """
-    book = LoadBook()
+    book = LoadTracker()
     replicas_of_lm = [Replica(f"r{n}", "lm", "h", n, "dc") for n in range(4)]
     book.on_listed(replicas_of_lm, (), {replica.id: 7 for replica in replicas_of_lm})
     uses = [ReplicaUse("r0", 8, 0), *(ReplicaUse(f"r{n}", 6, 0) for n in range(1, 4))]
-    book.on_peer_uses("peer", uses, 1)
+    book.on_peer_calls("peer", uses, 1)
     rand = random.Random(1)
     for number in range(50):
-        req = RouteRequest("lm", f"prompt-{number}", "dc", told=True)
-        assert choose(book, Outliers(), req, rand, 2) != "r0"
+        req = RouteRequest("lm", f"prompt-{number}", "dc", includes_peers=True)
+        assert choose_replica(book, OutlierDetector(), req, rand, 2) != "r0"
--- a/tests/test_replica_list.py
+++ b/tests/test_replica_list.py
@@ -10,8 +10,8 @@
     ReplicaList,
     ReplicaListDeps,
 )
-from papayapier.policy.loads import LoadBook
-from papayapier.policy.outliers import Outliers
+from papayapier.policy.loads import LoadTracker
+from papayapier.policy.outliers import OutlierDetector
 from papayapier.store.api import Change
 from papayapier.upstream.api import Replica
 from tests.log_catcher import LogCatcher
@@ -134,7 +134,7 @@
     that was kept under the name alone would apply to the new boot.
     """
     world = World()
-    load_tracker, outliers = LoadBook(), Outliers()
+    load_tracker, outliers = LoadTracker(), OutlierDetector()
     before = Replica("a/1", "lm", "h", 1, "dc", "a")
     after = before._replace(id="a/2")
     load_tracker.on_listed([before], set(), {"a/1": 8})
@@ -148,8 +148,8 @@
     assert [entry.id for entry in reported] == ["a/2"]
     load_tracker.on_listed([after], set(), {"a/2": 8})
     outliers.on_listed([after])
-    assert (load_tracker.online_at("a/2"), outliers.ejected("a/2", 0)) == (0, False)
-    assert [entry.id for entry in load_tracker.usable("lm", 0)] == ["a/2"]
+    assert (load_tracker.online_calls("a/2"), outliers.is_ejected("a/2", 0)) == (0, False)
+    assert [entry.id for entry in load_tracker.usable_replicas("lm", 0)] == ["a/2"]
     world.list.on_moved("a/1")
     assert "a/2" in world.names()
     world.list.on_moved("a/2")
--- a/tests/test_send_windows.py
+++ b/tests/test_send_windows.py
@@ -15,7 +15,7 @@
 from papayapier.clock import fake_clock
 from papayapier.dispatch.crash_watch import CrashListeners, CrashWatch
 from papayapier.dispatch.lost_sends import request_fingerprint
-from papayapier.policy.crashes import ITEM_PAUSE_MS, LOSSES_MOST, CrashBook, Loss
+from papayapier.policy.crash_quarantine import ITEM_PAUSE_MS, MAX_LOSSES, CrashTracker, ReplicaLoss
 from papayapier.policy.send_windows import MAX_WINDOWS, SEND_PERIOD_MS, WINDOW_MS, ms_to_window
 from papayapier.upstream.api import FailureKind, Replica, Sent
 from tests.dispatch_world import BODY, CHAT, DispatchWorld
@@ -89,11 +89,11 @@
     )
 
 
-def lost_twice(*fingerprints: str) -> CrashBook:
-    book = CrashBook()
+def lost_twice(*fingerprints: str) -> CrashTracker:
+    book = CrashTracker()
     for fingerprint in fingerprints:
-        book.on_told(
-            [Loss(fingerprint, f"r{number}", 0) for number in range(LOSSES_MOST - 1)], START
+        book.on_losses_received(
+            [ReplicaLoss(fingerprint, f"r{number}", 0) for number in range(MAX_LOSSES - 1)], START
         )
     return book
 
@@ -101,11 +101,17 @@
 def test_request_without_other_suspects_does_not_wait() -> None:
     """Guard against delaying requests that share no lost replica with another suspect."""
     book = lost_twice("w")
-    book.on_told(
-        [Loss("other", "r0", 0), Loss("elsewhere", "r8", 0), Loss("elsewhere", "r9", 0)], START
+    book.on_losses_received(
+        [
+            ReplicaLoss("other", "r0", 0),
+            ReplicaLoss("elsewhere", "r8", 0),
+            ReplicaLoss("elsewhere", "r9", 0),
+        ],
+        START,
     )
     assert [
-        book.turns.wait_ms(fingerprint, START) for fingerprint in ("w", "other", "elsewhere", "new")
+        book.send_windows.wait_ms(fingerprint, START)
+        for fingerprint in ("w", "other", "elsewhere", "new")
     ] == [0] * 4
 
 
@@ -113,38 +119,41 @@
     """Guard against sending all queued copies in one window, each ending a replica."""
     book = lost_twice("w0", "w1")
     now = START + WINDOW_MS
-    assert [book.turns.take("w0", now), book.turns.take("w0", now)] == [True, False]
-    assert book.turns.take("w0", now + book.turns.wait_ms("w0", now))
+    assert [book.send_windows.try_send("w0", now), book.send_windows.try_send("w0", now)] == [
+        True,
+        False,
+    ]
+    assert book.send_windows.try_send("w0", now + book.send_windows.wait_ms("w0", now))
 
 
 def test_answer_ends_the_windows() -> None:
     """Guard against waits after one of the suspects has been answered."""
     book = lost_twice("w0", "w1")
     book.on_answered("w0")
-    assert [book.turns.wait_ms(fingerprint, START) for fingerprint in ("w0", "w1")] == [0, 0]
+    assert [book.send_windows.wait_ms(fingerprint, START) for fingerprint in ("w0", "w1")] == [0, 0]
 
 
 def test_third_loss_ends_the_windows() -> None:
     """Guard against waits after one of the suspects has been quarantined."""
     book = lost_twice("w0", "w1")
-    book.on_told([Loss("w1", "r7", 0)], START)
-    assert not book.turns.wait_ms("w0", START)
-    assert book.hold_ms("w1", START)
+    book.on_losses_received([ReplicaLoss("w1", "r7", 0)], START)
+    assert not book.send_windows.wait_ms("w0", START)
+    assert book.quarantine_ms("w1", START)
 
 
 def test_item_waits_until_online_suspects_had_windows() -> None:
     """Guard against an item that ends replicas in the send window of an online request."""
     book = lost_twice("item", "question")
-    assert book.item_hold_ms("item", START) == ITEM_PAUSE_MS
-    assert not book.item_hold_ms("item", START + ITEM_PAUSE_MS)
-    assert not lost_twice("item").item_hold_ms("item", START)
+    assert book.item_pause_ms("item", START) == ITEM_PAUSE_MS
+    assert not book.item_pause_ms("item", START + ITEM_PAUSE_MS)
+    assert not lost_twice("item").item_pause_ms("item", START)
 
 
-def losses_of(*fingerprints: str) -> list[Loss]:
+def losses_of(*fingerprints: str) -> list[ReplicaLoss]:
     return [
-        Loss(fingerprint, f"gone{n}", 0)
+        ReplicaLoss(fingerprint, f"gone{n}", 0)
         for fingerprint in fingerprints
-        for n in range(LOSSES_MOST - 1)
+        for n in range(MAX_LOSSES - 1)
     ]
 
 
@@ -189,12 +198,12 @@
             entry.crashes.connect(self._hearers(entry.crashes, others))
 
     def _hearers(self, watch: CrashWatch, others: list[CrashWatch]) -> CrashListeners:
-        def on_lost(loss: Loss) -> None:
+        def on_lost(loss: ReplicaLoss) -> None:
             self.time.clock.call_later(
                 REPORT_DELAY_MS, lambda: reported([loss._replace(age_ms=REPORT_DELAY_MS)], ())
             )
 
-        def reported(losses: list[Loss], answered: Any) -> None:
+        def reported(losses: list[ReplicaLoss], answered: Any) -> None:
             for other in others:
                 other.on_reported(losses, answered)
 
@@ -270,6 +279,6 @@
         fleet = simulate(seed, entries, replicas, back_ms)
         assert not any(fleet.held(FREQUENT)), seed
         assert all(fleet.held(CRASH))
-        assert fleet.lost == LOSSES_MOST
+        assert fleet.lost == MAX_LOSSES
         last = fleet.ends[FREQUENT][-LAST:-IN_PROGRESS]
         assert last and all(end.is_ok() for ends in last for end in ends)
