--- a/misc/measure_batch.py
+++ b/misc/measure_batch.py
@@ -229,15 +229,15 @@
         cfg=BatchSettings(),
         instance="measure",
         boot=1,
-        profile={"notes": Profile("notes", "lm", "batch", 86_400_000, True)}.get,
+        find_profile={"notes": Profile("notes", "lm", "batch", 86_400_000, True)}.get,
         live_instances=lambda: ["measure"] * instances,
-        tell_peers=lambda _: None,
+        broadcast=lambda _: None,
         metrics=make_metrics(),
     )
 
 
 async def _upload(batch: Batch, clock: Clock, items: int) -> str:
-    intake = batch.new_file(CALLER, "measure.jsonl", "batch")
+    intake = batch.start_upload(CALLER, "measure.jsonl", "batch")
     for start in range(0, items, CHUNK_LINES):
         lines = [_make_line(n) for n in range(start, min(items, start + CHUNK_LINES))]
         refusal = await intake.feed(b"".join(lines))
@@ -254,10 +254,10 @@
 
 
 async def _count_output(batch: Batch, job_id: str) -> int:
-    output = (await batch.views.output(CALLER, f"file-out-{job_id}")).unwrap()
+    output = (await batch.reader.find_output(CALLER, f"file-out-{job_id}")).unwrap()
     failed: list[Any] = []
     count = 0
-    async for chunk in batch.views.output_lines(output, failed.append):
+    async for chunk in batch.reader.output_lines(output, failed.append):
         count += chunk.count(b"\n")
     assert not failed, failed
     return count
--- a/papayapier/batch/api.py
+++ b/papayapier/batch/api.py
@@ -33,7 +33,7 @@
     due_wall_ms: int
     still_allowed: Callable[[], bool]
 
-    def work(self) -> str:
+    def fingerprint(self) -> str:
         """Return the request fingerprint, the same on every instance and for every attempt."""
         return request_fingerprint(self.method, self.profile.upstream, self.path, self.body)
 
@@ -47,9 +47,9 @@
     registers a callback for when the capacity may have grown.
     """
 
-    room: Callable[[str], int]
+    free_slots: Callable[[str], int]
     run: Callable[[ItemCall], Awaitable[Result[Reply, Refusal]]]
-    watch_room: Callable[[Callable[[], None]], None]
+    watch_capacity: Callable[[Callable[[], None]], None]
 
 
 class BatchDeps(NamedTuple):
@@ -68,8 +68,8 @@
     cfg: BatchSettings
     instance: str
     boot: int
-    profile: Callable[[str], Profile | None]
+    find_profile: Callable[[str], Profile | None]
     live_instances: Callable[[], Sequence[str]]
-    tell_peers: Callable[[Message], object]
+    broadcast: Callable[[Message], object]
     metrics: Metrics
     lease_store: Store | None = None
--- a/papayapier/batch/deadline_risk.py
+++ b/papayapier/batch/deadline_risk.py
@@ -76,7 +76,7 @@
         """Assess a job that has no items left on this instance, from its recorded progress."""
         ended_items = job.items_done()
         elapsed = max(1, now - job.first_seen_ms)
-        left = job.record.items() - ended_items
+        left = job.record.item_count() - ended_items
         load = self._runner.scheduler.load(job)._replace(
             items_left=left, rate=ended_items / elapsed
         )
--- a/papayapier/batch/expiry.py
+++ b/papayapier/batch/expiry.py
@@ -12,7 +12,7 @@
 
 from papayapier import codec, events
 from papayapier.batch import keys, store_access
-from papayapier.batch.files import EXPIRY_MARKER_VALUE, FILE_KIND
+from papayapier.batch.file_upload import EXPIRY_MARKER_VALUE, FILE_KIND
 from papayapier.batch.job_completion import JOB_KIND
 from papayapier.batch.lookup import find_file, unavailable
 from papayapier.batch.records import FileRecord
--- a/papayapier/batch/files.py
+++ b/papayapier/batch/file_upload.py
@@ -43,7 +43,7 @@
     expires_ms: int
 
 
-class FileIntake:
+class FileUpload:
     """Store one file while it is uploaded."""
 
     __slots__ = (
@@ -113,7 +113,7 @@
         if refusal is not None:
             return Err(refusal)
         events.emit(
-            events.FILE_STORED, file=record.file_id, caller=record.caller, items=record.items()
+            events.FILE_STORED, file=record.file_id, caller=record.caller, items=record.item_count()
         )
         return Ok(record)
 
--- a/papayapier/batch/item_submitter.py
+++ b/papayapier/batch/item_submitter.py
@@ -85,7 +85,7 @@
 
     def _submit_slice(self, upstream: str, jobs: list[ActiveJob]) -> bool:
         """Pass one slice of an upstream's items; return whether to continue at once."""
-        free_slots = self._deps.dispatch.room(upstream)
+        free_slots = self._deps.dispatch.free_slots(upstream)
         slots_left = min(free_slots, ITEMS_PER_SLICE)
         if self.buffered_bytes() >= self._memory_limit():
             slots_left = 0
--- a/papayapier/batch/job_completion.py
+++ b/papayapier/batch/job_completion.py
@@ -14,10 +14,10 @@
 from papayapier import codec, events
 from papayapier.batch import keys, store_access
 from papayapier.batch.active_jobs import ActiveJob
-from papayapier.batch.opening import OpenError, Unreadable, read_results
 from papayapier.batch.records import Checkpoint, FileRecord, JobRecord, JobState, Tally
 from papayapier.batch.registry import JobRegistry
 from papayapier.batch.results import cancelled_tally, view_task
+from papayapier.batch.task_input import ReadError, Unreadable, read_results
 from papayapier.peer.messages import JobChanged
 from papayapier.store.api import StoreError
 
@@ -175,7 +175,7 @@
                 state=record.state.value,
                 **record.tally._asdict(),
             )
-        self._deps.tell_peers(JobChanged(record.job_id, job.version))
+        self._deps.broadcast(JobChanged(record.job_id, job.version))
         self._registry.remove(record.job_id)
 
     async def _extend_input_retention(self, record: JobRecord, until_ms: int) -> bool:
@@ -191,7 +191,7 @@
         written = await store_access.update(self._deps, key, value, read.ok_value.version)
         return isinstance(written, Ok)
 
-    def _report(self, job: ActiveJob, error: OpenError) -> None:
+    def _report(self, job: ActiveJob, error: ReadError) -> None:
         if isinstance(error, Unreadable):
             events.emit(events.INPUT_MISSING, key=error.key, reason=error.reason)
 
--- a/papayapier/batch/view.py
+++ b/papayapier/batch/job_reader.py
@@ -14,7 +14,6 @@
 from papayapier.batch.job_completion import refresh_recorded, sum_tallies
 from papayapier.batch.jobs import caller_prefix
 from papayapier.batch.lookup import FoundJob, find_file, find_job, unavailable
-from papayapier.batch.opening import OpenError, read_chunk, read_results
 from papayapier.batch.records import FileRecord, ItemResult, JobState
 from papayapier.batch.results import (
     ERROR_STATES,
@@ -28,6 +27,7 @@
     stream_lines,
     view_task,
 )
+from papayapier.batch.task_input import ReadError, read_chunk, read_results
 from papayapier.batch.tasks import TaskSpan, locate_item, split_tasks
 from papayapier.errors import ErrorKind, Refusal, not_run
 from papayapier.store.api import StoreError
@@ -37,13 +37,13 @@
     from papayapier.batch.api import BatchDeps
     from papayapier.batch.registry import JobRegistry
 
-OUTPUT_FILE: Final = "file-out-"
-ERROR_FILE: Final = "file-err-"
+OUTPUT_FILE_PREFIX: Final = "file-out-"
+ERROR_FILE_PREFIX: Final = "file-err-"
 LIST_INTERVAL_MS: Final = 1_000
 MAX_TALLIES_PER_READ: Final = 16
 
 
-class ItemView(NamedTuple):
+class StoredItem(NamedTuple):
     """Hold what is stored of one item; result is None until the item has ended."""
 
     job: FoundJob
@@ -65,7 +65,7 @@
         self._deps = deps
         self._registry = registry
 
-    async def job(self, caller: str, job_id: str) -> Result[FoundJob, Refusal]:
+    async def get_job(self, caller: str, job_id: str) -> Result[FoundJob, Refusal]:
         """Return a job with its current counts."""
         found = await find_job(self._deps, caller, job_id)
         if isinstance(found, Err) or found.ok_value.ended:
@@ -91,7 +91,9 @@
             if isinstance(read, Ok):
                 active_job.tallies[task] = read.ok_value.tally
 
-    async def jobs(self, caller: str, after: str, limit: int) -> Result[list[FoundJob], Refusal]:
+    async def list_jobs(
+        self, caller: str, after: str, limit: int
+    ) -> Result[list[FoundJob], Refusal]:
         """List a caller's jobs by id: up to limit + 1 ids that follow after."""
         prefix = caller_prefix(caller)
         job_ids: set[str] = set()
@@ -110,7 +112,9 @@
                 return job
         return Ok(found)
 
-    async def item(self, caller: str, job_id: str, custom_id: str) -> Result[ItemView, Refusal]:
+    async def get_item(
+        self, caller: str, job_id: str, custom_id: str
+    ) -> Result[StoredItem, Refusal]:
         """Return what is stored of one item."""
         found = await find_job(self._deps, caller, job_id)
         if isinstance(found, Err):
@@ -124,7 +128,7 @@
             split_tasks(chunks, job.record.task_items), chunks, item_index.ok_value
         )
         result = await self._result_of(job, span, item)
-        return result.map(lambda found_result: ItemView(job, span, found_result))
+        return result.map(lambda found_result: StoredItem(job, span, found_result))
 
     async def _item_index(self, job: FoundJob, custom_id: str) -> Result[int, Refusal]:
         """Find the index of an id by the hashes stored with the input file."""
@@ -160,22 +164,22 @@
             results = cancelled_results(job.record, view, chunk.ok_value, span)
         return Ok(next((result for result in results if result.item == item), None))
 
-    async def file(self, caller: str, file_id: str) -> Result[FileRecord, Refusal]:
+    async def get_file(self, caller: str, file_id: str) -> Result[FileRecord, Refusal]:
         """Return the record of an input file."""
         found = await find_file(self._deps, caller, file_id)
         return found.map(lambda file: file.record)
 
-    async def output(self, caller: str, file_id: str) -> Result[OutputFile, Refusal]:
+    async def find_output(self, caller: str, file_id: str) -> Result[OutputFile, Refusal]:
         """Find the job to which the id of an output file belongs."""
-        errors = file_id.startswith(ERROR_FILE)
-        prefix = ERROR_FILE if errors else OUTPUT_FILE
+        errors = file_id.startswith(ERROR_FILE_PREFIX)
+        prefix = ERROR_FILE_PREFIX if errors else OUTPUT_FILE_PREFIX
         if not file_id.startswith(prefix):
             return Err(not_run(ErrorKind.NOT_FOUND, f"no file is named {file_id}"))
         found = await find_job(self._deps, caller, file_id.removeprefix(prefix))
         return found.map(lambda job: OutputFile(job, errors))
 
     def output_lines(
-        self, output: OutputFile, on_error: Callable[[OpenError], None]
+        self, output: OutputFile, on_error: Callable[[ReadError], None]
     ) -> AsyncIterator[bytes]:
         """Yield the lines of an output file, task by task."""
         job = output.job
@@ -183,7 +187,7 @@
         return stream_lines(self._deps, job.record, cancel_version(job), states, on_error)
 
     async def input_lines(
-        self, file: FileRecord, on_error: Callable[[OpenError], None]
+        self, file: FileRecord, on_error: Callable[[ReadError], None]
     ) -> AsyncIterator[bytes]:
         """Yield the lines of an input file, chunk by chunk."""
         for chunk in range(len(file.chunks)):
@@ -204,7 +208,7 @@
     return job.record.cancel_version
 
 
-def refusal_of(error: OpenError) -> Refusal:
+def refusal_of(error: ReadError) -> Refusal:
     """Return the refusal for a stored object that cannot be read."""
     if isinstance(error, StoreError):
         return unavailable()
--- a/papayapier/batch/jobs.py
+++ b/papayapier/batch/jobs.py
@@ -93,7 +93,7 @@
         return Ok(found)
 
     async def _accept_new(self, request: JobRequest) -> Result[FoundJob, Refusal]:
-        profile = self._deps.profile(request.profile)
+        profile = self._deps.find_profile(request.profile)
         if profile is None:
             reason = f"no profile is named {request.profile}"
             return Err(not_run(ErrorKind.UNKNOWN_PROFILE, reason))
@@ -125,12 +125,12 @@
             if ended is not None:
                 return ended
         self._registry.apply_record(record, created.ok_value)
-        deps.tell_peers(JobChanged(record.job_id, created.ok_value))
+        deps.broadcast(JobChanged(record.job_id, created.ok_value))
         events.emit(
             events.JOB_ACCEPTED,
             job=record.job_id,
             caller=record.caller,
-            items=record.items(),
+            items=record.item_count(),
             due_ms=record.due_ms,
         )
         return Ok(FoundJob(record, created.ok_value, False))
@@ -183,7 +183,9 @@
         deps = self._deps
         now = deps.clock.wall()
         instances = len(deps.live_instances())
-        size = choose_task_items(file.items(), deps.cfg.chunk_items, instances, profile.idempotent)
+        size = choose_task_items(
+            file.item_count(), deps.cfg.chunk_items, instances, profile.idempotent
+        )
         return JobRecord(
             job_id=_job_id(request.caller, request.key or f"{deps.rand.getrandbits(128):032x}"),
             caller=request.caller,
@@ -236,7 +238,7 @@
 
     def _on_cancelled(self, record: JobRecord, version: int) -> FoundJob:
         self._registry.apply_record(record, version)
-        self._deps.tell_peers(JobChanged(record.job_id, version))
+        self._deps.broadcast(JobChanged(record.job_id, version))
         events.emit(events.JOB_CANCELLED, job=record.job_id, caller=record.caller)
         return FoundJob(record, version, False)
 
--- a/papayapier/batch/lease_manager.py
+++ b/papayapier/batch/lease_manager.py
@@ -286,7 +286,7 @@
         written = await self._write(shard, record, self._shard_leases[shard].version)
         self._drop_shard_if(shard, machine.released())
         if isinstance(written, Ok):
-            self._deps.tell_peers(ShardsReleased([shard]))
+            self._deps.broadcast(ShardsReleased([shard]))
 
     async def _delete_stale_sessions(self) -> None:
         """Delete the session of a run that ended long ago and holds no lease."""
@@ -309,7 +309,7 @@
         self._loop.stop()
         for shard in shards:
             self._drop_shard_if(shard, self._machines[shard].released())
-        self._deps.tell_peers(ShardsReleased(shards))
+        self._deps.broadcast(ShardsReleased(shards))
 
     async def _stop_shard(self, shard: int) -> None:
         await self._callbacks.hand_over(shard, HAND_OVER_TIMEOUT_MS)
--- a/papayapier/batch/records.py
+++ b/papayapier/batch/records.py
@@ -47,7 +47,7 @@
     id_blocks: int = 0
     deleted: bool = False
 
-    def items(self) -> int:
+    def item_count(self) -> int:
         """Return the number of items."""
         return sum(self.chunks)
 
@@ -108,7 +108,7 @@
     ended_ms: int = 0
     expires_ms: int = 0
 
-    def items(self) -> int:
+    def item_count(self) -> int:
         """Return the number of items."""
         return sum(self.chunks)
 
--- a/papayapier/batch/results.py
+++ b/papayapier/batch/results.py
@@ -14,7 +14,6 @@
 
 from papayapier import codec
 from papayapier.batch import keys, store_access
-from papayapier.batch.opening import OpenError, Unreadable, read_chunk, read_spilled
 from papayapier.batch.records import (
     Checkpoint,
     InputItem,
@@ -25,6 +24,7 @@
     TaskResults,
     tally_of,
 )
+from papayapier.batch.task_input import ReadError, Unreadable, read_chunk, read_spilled
 from papayapier.batch.tasks import TaskSpan, split_tasks
 from papayapier.store.api import Store, Stored, StoreError
 
@@ -48,7 +48,7 @@
 
 async def view_task(
     store: Store, record: JobRecord, span: TaskSpan, cancel_version: int
-) -> Result[TaskView, OpenError]:
+) -> Result[TaskView, ReadError]:
     """Read what is stored of a task, up to the cancel if there was one."""
     final = await _get(store, keys.results_key(record.job_id, span.task))
     if isinstance(final, Err):
@@ -63,7 +63,7 @@
     return await _view_progress(store, span, progress.ok_value, cancel_version)
 
 
-async def _view_final(store: Store, span: TaskSpan, stored: Stored) -> Result[TaskView, OpenError]:
+async def _view_final(store: Store, span: TaskSpan, stored: Stored) -> Result[TaskView, ReadError]:
     final = codec.unpack(stored.value, TaskResults)
     if isinstance(final, Err):
         return Err(Unreadable(stored.key, final.err_value))
@@ -75,7 +75,7 @@
 
 async def _view_progress(
     store: Store, span: TaskSpan, stored: Stored, cancel_version: int
-) -> Result[TaskView, OpenError]:
+) -> Result[TaskView, ReadError]:
     checkpoint = codec.unpack(stored.value, Checkpoint)
     if isinstance(checkpoint, Err):
         return Err(Unreadable(stored.key, checkpoint.err_value))
@@ -139,7 +139,7 @@
     record: JobRecord,
     cancel_version: int,
     states: frozenset[ItemState],
-    on_error: Callable[[OpenError], None],
+    on_error: Callable[[ReadError], None],
 ) -> AsyncIterator[bytes]:
     """Yield the lines of a job's output, task by task."""
     for span in split_tasks(record.chunks, record.task_items):
@@ -158,12 +158,12 @@
         # Encoding a complete task at once would delay online requests.
         for start in range(0, len(selected), LINES_PER_PIECE):
             piece = selected[start : start + LINES_PER_PIECE]
-            yield b"".join(output_line(record, span, result) for result in piece)
+            yield b"".join(encode_output_line(record, span, result) for result in piece)
 
 
 async def _cancelled_items(
     deps: "BatchDeps", record: JobRecord, view: TaskView, span: TaskSpan
-) -> Result[list[ItemResult], OpenError]:
+) -> Result[list[ItemResult], ReadError]:
     if not view.open_items:
         return Ok([])
     chunk = await read_chunk_with_retry(deps, record.file_id, span.chunk)
@@ -172,7 +172,7 @@
 
 async def _view_with_retry(
     deps: "BatchDeps", record: JobRecord, span: TaskSpan, cancel_version: int
-) -> Result[TaskView, OpenError]:
+) -> Result[TaskView, ReadError]:
     return await store_access.retry_while_unavailable(
         deps, READ_TIMEOUT_MS, lambda: view_task(deps.store, record, span, cancel_version)
     )
@@ -180,7 +180,7 @@
 
 async def read_chunk_with_retry(
     deps: "BatchDeps", file_id: str, chunk: int
-) -> Result[list[InputItem], OpenError]:
+) -> Result[list[InputItem], ReadError]:
     """Read one chunk of an input file; retry for a limited time while the store is unavailable."""
     return await store_access.retry_while_unavailable(
         deps, READ_TIMEOUT_MS, lambda: read_chunk(deps.store, file_id, chunk)
@@ -198,7 +198,7 @@
     return msgspec.json.encode(line) + b"\n"
 
 
-def output_line(record: JobRecord, span: TaskSpan, result: ItemResult) -> bytes:
+def encode_output_line(record: JobRecord, span: TaskSpan, result: ItemResult) -> bytes:
     """Encode one item's result as a line of an OpenAI-style output file."""
     request_id = f"{record.job_id}-{span.task}-{result.item}"
     line = {
--- a/papayapier/batch/runner.py
+++ b/papayapier/batch/runner.py
@@ -13,8 +13,8 @@
 from papayapier.batch.fair_scheduling import FairScheduler, ItemRates
 from papayapier.batch.item_sender import ItemSender
 from papayapier.batch.item_submitter import ItemSubmitter, SubmitterCallbacks
-from papayapier.batch.opening import Grant
 from papayapier.batch.records import Tally
+from papayapier.batch.task_input import Grant
 from papayapier.batch.task_opener import TaskOpener
 
 if TYPE_CHECKING:
@@ -84,7 +84,7 @@
         )
         self._tick_timer: Timer | None = None
         self._stopping = False
-        deps.dispatch.watch_room(self._submit_soon)
+        deps.dispatch.watch_capacity(self._submit_soon)
 
     # Jobs and shards
 
@@ -172,7 +172,7 @@
     def profile_of(self, job: ActiveJob) -> "Profile":
         """Return the current profile; a job accepted as non-idempotent stays non-idempotent."""
         accepted = job.record.profile
-        current = self._deps.profile(accepted.name) or accepted
+        current = self._deps.find_profile(accepted.name) or accepted
         if current.idempotent and not accepted.idempotent:
             return current._replace(idempotent=False)
         return current
--- a/papayapier/batch/start.py
+++ b/papayapier/batch/start.py
@@ -10,15 +10,15 @@
 from papayapier.batch.api import BatchDeps
 from papayapier.batch.deadline_risk import DeadlineRiskMonitor
 from papayapier.batch.expiry import ExpiryCleaner, delete_file
-from papayapier.batch.files import FileIntake
+from papayapier.batch.file_upload import FileUpload
 from papayapier.batch.job_completion import JobFinisher, refresh_recorded
+from papayapier.batch.job_reader import JobReader
 from papayapier.batch.jobs import BatchJobService
 from papayapier.batch.lease_manager import LeaseCallbacks, LeaseManager
-from papayapier.batch.opening import Grant
 from papayapier.batch.records import FileRecord, JobState
 from papayapier.batch.registry import JobListeners, JobRegistry
 from papayapier.batch.runner import LeaseQueries, Runner, RunnerCallbacks
-from papayapier.batch.view import JobReader
+from papayapier.batch.task_input import Grant
 from papayapier.errors import Refusal
 from papayapier.peer.messages import JobChanged, Message, ShardsReleased
 from papayapier.store.watch import Backoff
@@ -42,16 +42,16 @@
 
     deps: BatchDeps
     jobs: BatchJobService
-    views: JobReader
+    reader: JobReader
     registry: JobRegistry
     on_peer: Callable[[Message], None]
     on_members_changed: Callable[[], None]
     status: Callable[[], BatchStatus]
     stop: Callable[[], Awaitable[None]]
 
-    def new_file(self, caller: str, name: str, purpose: str) -> FileIntake:
+    def start_upload(self, caller: str, name: str, purpose: str) -> FileUpload:
         """Start the upload of an input file."""
-        return FileIntake(self.deps, caller, name, purpose)
+        return FileUpload(self.deps, caller, name, purpose)
 
     async def delete_file(self, caller: str, file_id: str) -> Result[FileRecord, Refusal]:
         """Delete an input file that no active job uses."""
@@ -65,7 +65,7 @@
     return Batch(
         deps=deps,
         jobs=BatchJobService(deps, components.registry),
-        views=JobReader(deps, components.registry),
+        reader=JobReader(deps, components.registry),
         registry=components.registry,
         on_peer=components.on_peer,
         on_members_changed=components.lease_manager.wake,
--- a/papayapier/batch/opening.py
+++ b/papayapier/batch/task_input.py
@@ -36,12 +36,12 @@
     key: str
 
 
-OpenError = StoreError | Unreadable | Sealed
+ReadError = StoreError | Unreadable | Sealed
 
 
 async def open_task(
     deps: "BatchDeps", job: ActiveJob, task: int, grant: Grant, idempotent: bool
-) -> Result[OpenTask, OpenError]:
+) -> Result[OpenTask, ReadError]:
     """Read the input and the checkpoint of a task."""
     span = job.spans[task]
     chunk = await read_chunk(deps.store, job.record.file_id, span.chunk)
@@ -81,7 +81,7 @@
     rules: TaskRules,
     checkpoint: Checkpoint,
     version: int,
-) -> Result[TaskState, OpenError]:
+) -> Result[TaskState, ReadError]:
     spilled = await read_spilled(deps.store, checkpoint.spilled)
     if isinstance(spilled, Err):
         return spilled
@@ -106,7 +106,7 @@
             events.emit(events.ITEMS_LOST, state=name, items=count)
 
 
-async def read_chunk(store: Store, file_id: str, chunk: int) -> Result[list[InputItem], OpenError]:
+async def read_chunk(store: Store, file_id: str, chunk: int) -> Result[list[InputItem], ReadError]:
     """Read one chunk of an input file."""
     key = keys.chunk_key(file_id, chunk)
     read = await store.get(key)
@@ -118,7 +118,7 @@
     return items.map_err(lambda why: Unreadable(key, why))
 
 
-async def read_spilled(store: Store, parts: list[str]) -> Result[list[ItemResult], OpenError]:
+async def read_spilled(store: Store, parts: list[str]) -> Result[list[ItemResult], ReadError]:
     """Read the results that are stored in separate objects."""
     results: list[ItemResult] = []
     for key in parts:
@@ -132,7 +132,7 @@
     return Ok(results)
 
 
-async def read_results(store: Store, job_id: str, task: int) -> Result[TaskResults, OpenError]:
+async def read_results(store: Store, job_id: str, task: int) -> Result[TaskResults, ReadError]:
     """Read the recorded results of a finished task, without the spilled objects."""
     key = keys.results_key(job_id, task)
     read = await store.get(key)
--- a/papayapier/batch/task_opener.py
+++ b/papayapier/batch/task_opener.py
@@ -10,8 +10,8 @@
 from papayapier import events
 from papayapier.batch import background
 from papayapier.batch.active_jobs import ActiveJob, OpenTask
-from papayapier.batch.opening import Grant, OpenError, Unreadable, open_task
 from papayapier.batch.records import MAX_CHUNK_BYTES
+from papayapier.batch.task_input import Grant, ReadError, Unreadable, open_task
 from papayapier.store.api import StoreError
 from papayapier.store.watch import Backoff
 
@@ -115,7 +115,7 @@
             return
         self._on_opened(opened.ok_value)
 
-    def _on_open_failed(self, job: ActiveJob, task: int, error: OpenError) -> None:
+    def _on_open_failed(self, job: ActiveJob, task: int, error: ReadError) -> None:
         pause: float = UNREADABLE_PAUSE_MS
         if isinstance(error, StoreError):
             pause = self._pauses.next_ms()
--- a/papayapier/compose.py
+++ b/papayapier/compose.py
@@ -220,9 +220,9 @@
             cfg=base.cfg.batch,
             instance=base.cfg.instance.id,
             boot=base.boot,
-            profile=config.book.profile,
+            find_profile=config.book.profile,
             live_instances=fleet.view.live_entries,
-            tell_peers=hub.broadcast,
+            broadcast=hub.broadcast,
             metrics=base.metrics,
         )
     )
--- a/papayapier/dispatch/item_dispatch.py
+++ b/papayapier/dispatch/item_dispatch.py
@@ -93,7 +93,7 @@
 
     async def _wait_while_quarantined(self, item: Item) -> Refusal | None:
         """Wait while an item is quarantined; return the refusal of one without attempts left."""
-        crashes, get_fingerprint = self._deps.crashes, item.call.work
+        crashes, get_fingerprint = self._deps.crashes, item.call.fingerprint
         while quarantine_ms := crashes.item_pause_ms(get_fingerprint):
             refusal = crashes.item_refusal(item.call.call_id, get_fingerprint)
             if refusal is not None:
@@ -202,7 +202,9 @@
                 self._deps.outliers.on_no_result(replica.id)
         if isinstance(result, Err) and rejection(result.err_value) is None:
             item.maybe_sent = item.maybe_sent or result.err_value.sent is Sent.MAYBE
-        self._deps.crashes.on_send_finished(item.call.call_id, item.call.work, replica, result, now)
+        self._deps.crashes.on_send_finished(
+            item.call.call_id, item.call.fingerprint, replica, result, now
+        )
         self._report_result(item, replica, result)
         return result
 
--- a/papayapier/entry/batch_bodies.py
+++ b/papayapier/entry/batch_bodies.py
@@ -7,9 +7,14 @@
 
 import msgspec
 
+from papayapier.batch.job_reader import (
+    ERROR_FILE_PREFIX,
+    OUTPUT_FILE_PREFIX,
+    OutputFile,
+    StoredItem,
+)
 from papayapier.batch.lookup import FoundJob
 from papayapier.batch.records import FileRecord, ItemResult, JobRecord, JobState, Tally
-from papayapier.batch.view import ERROR_FILE, OUTPUT_FILE, ItemView, OutputFile
 from papayapier.clock import MS_PER_S
 
 STATUS: Final[dict[JobState, str]] = {
@@ -114,7 +119,7 @@
         expires_at=record.expires_ms // MS_PER_S,
         filename=record.name,
         purpose=record.purpose,
-        items=record.items(),
+        items=record.item_count(),
     )
 
 
@@ -152,7 +157,7 @@
         input_file_id=record.file_id,
         completion_window=record.window,
         status=STATUS[state],
-        output_file_id=OUTPUT_FILE + record.job_id,
+        output_file_id=OUTPUT_FILE_PREFIX + record.job_id,
         error_file_id=_error_file(found),
         created_at=record.created_ms // MS_PER_S,
         in_progress_at=record.created_ms // MS_PER_S,
@@ -171,14 +176,16 @@
     tally = found.record.tally
     if found.ended and tally.completed == tally.total():
         return None
-    return ERROR_FILE + found.record.job_id
+    return ERROR_FILE_PREFIX + found.record.job_id
 
 
 def _counts(record: JobRecord, tally: Tally) -> Counts:
-    return Counts(record.items(), tally.completed, tally.failed, tally.unknown, tally.cancelled)
+    return Counts(
+        record.item_count(), tally.completed, tally.failed, tally.unknown, tally.cancelled
+    )
 
 
-def item_body(custom_id: str, view: ItemView, line: bytes | None) -> ItemBody:
+def item_body(custom_id: str, view: StoredItem, line: bytes | None) -> ItemBody:
     """Describe one item."""
     result: ItemResult | None = view.result
     if result is None or line is None:
--- a/papayapier/entry/batch_routes.py
+++ b/papayapier/entry/batch_routes.py
@@ -9,11 +9,11 @@
 from twisted.internet.defer import Deferred
 
 from papayapier import codec, events
+from papayapier.batch.job_reader import ERROR_FILE_PREFIX, OUTPUT_FILE_PREFIX
 from papayapier.batch.jobs import JobRequest
-from papayapier.batch.opening import OpenError
-from papayapier.batch.results import output_line
+from papayapier.batch.results import encode_output_line
 from papayapier.batch.start import Batch
-from papayapier.batch.view import ERROR_FILE, OUTPUT_FILE
+from papayapier.batch.task_input import ReadError
 from papayapier.clock import MS_PER_S
 from papayapier.entry import batch_bodies as bodies
 from papayapier.entry.answers import refuse, reply_json
@@ -106,7 +106,7 @@
         if isinstance(caller, Err):
             return refuse(request, caller.err_value)
         name = (request.getHeader("x-papayapier-filename") or "input.jsonl")[:MAX_NAME_CHARS]
-        intake = self._batch.new_file(caller.ok_value, name, PURPOSE)
+        intake = self._batch.start_upload(caller.ok_value, name, PURPOSE)
         stored = await read_upload(request, self._batch.deps.clock, intake)
         if isinstance(stored, Err):
             await intake.abandon()
@@ -117,12 +117,12 @@
         caller = self._auth(request)
         if isinstance(caller, Err):
             return refuse(request, caller.err_value)
-        if file_id.startswith((OUTPUT_FILE, ERROR_FILE)):
-            output = await self._batch.views.output(caller.ok_value, file_id)
+        if file_id.startswith((OUTPUT_FILE_PREFIX, ERROR_FILE_PREFIX)):
+            output = await self._batch.reader.find_output(caller.ok_value, file_id)
             return _write_result(
                 request, output.map(lambda output_file: bodies.output_body(file_id, output_file))
             )
-        file = await self._batch.views.file(caller.ok_value, file_id)
+        file = await self._batch.reader.get_file(caller.ok_value, file_id)
         return _write_result(request, file.map(bodies.file_body))
 
     async def delete_file(self, request: "WebRequest", file_id: str) -> bytes:
@@ -140,23 +140,23 @@
         caller = self._auth(request)
         if isinstance(caller, Err):
             return refuse(request, caller.err_value)
-        views = self._batch.views
-        errors: list[OpenError] = []
+        views = self._batch.reader
+        errors: list[ReadError] = []
         lines: AsyncIterator[bytes]
-        if file_id.startswith((OUTPUT_FILE, ERROR_FILE)):
-            output = await views.output(caller.ok_value, file_id)
+        if file_id.startswith((OUTPUT_FILE_PREFIX, ERROR_FILE_PREFIX)):
+            output = await views.find_output(caller.ok_value, file_id)
             if isinstance(output, Err):
                 return refuse(request, output.err_value)
             lines = views.output_lines(output.ok_value, errors.append)
         else:
-            file = await views.file(caller.ok_value, file_id)
+            file = await views.get_file(caller.ok_value, file_id)
             if isinstance(file, Err):
                 return refuse(request, file.err_value)
             lines = views.input_lines(file.ok_value, errors.append)
         return await self._stream(request, lines, errors)
 
     async def _stream(
-        self, request: "WebRequest", lines: AsyncIterator[bytes], errors: list[OpenError]
+        self, request: "WebRequest", lines: AsyncIterator[bytes], errors: list[ReadError]
     ) -> bytes | None:
         request.setHeader(b"Content-Type", JSONL_TYPE)
         await write_all(request, lines)
@@ -186,7 +186,7 @@
         if limit is None:
             reason = f"limit: expected a number from 1 to {MAX_LIST_LIMIT}"
             return refuse(request, not_run(ErrorKind.BAD_REQUEST, reason))
-        found = await self._batch.views.jobs(caller.ok_value, after, limit)
+        found = await self._batch.reader.list_jobs(caller.ok_value, after, limit)
         return _write_result(request, found.map(lambda jobs: bodies.batch_list(jobs, limit)))
 
     async def job(self, request: "WebRequest", job_id: str) -> bytes:
@@ -194,7 +194,7 @@
         caller = self._auth(request)
         if isinstance(caller, Err):
             return refuse(request, caller.err_value)
-        found = await self._batch.views.job(caller.ok_value, job_id)
+        found = await self._batch.reader.get_job(caller.ok_value, job_id)
         return _write_result(request, found.map(bodies.batch_body))
 
     async def cancel(self, request: "WebRequest", job_id: str) -> bytes:
@@ -210,11 +210,11 @@
         caller = self._auth(request)
         if isinstance(caller, Err):
             return refuse(request, caller.err_value)
-        view = await self._batch.views.item(caller.ok_value, job_id, custom_id)
+        view = await self._batch.reader.get_item(caller.ok_value, job_id, custom_id)
         if isinstance(view, Err):
             return refuse(request, view.err_value)
         job, span, result = view.ok_value
-        line = None if result is None else output_line(job.record, span, result)
+        line = None if result is None else encode_output_line(job.record, span, result)
         return reply_json(request, bodies.item_body(custom_id, view.ok_value, line))
 
 
--- a/papayapier/entry/uploads.py
+++ b/papayapier/entry/uploads.py
@@ -13,7 +13,7 @@
 from werkzeug.http import parse_options_header
 from werkzeug.sansio.multipart import Data, Epilogue, Field, File, MultipartDecoder, NeedData
 
-from papayapier.batch.files import FileIntake
+from papayapier.batch.file_upload import FileUpload
 from papayapier.errors import ErrorKind, Refusal, not_run
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
 
 
 async def read_upload(
-    request: "WebRequest", clock: "Clock", intake: FileIntake
+    request: "WebRequest", clock: "Clock", intake: FileUpload
 ) -> "Result[FileRecord, Refusal]":
     """Store an uploaded file: a form with the fields file and purpose, or a JSONL body."""
     kind, options = parse_options_header(request.getHeader("content-type"))
@@ -49,7 +49,7 @@
     return await intake.finish() if refusal is None else Err(refusal)
 
 
-async def _read_body(request: "WebRequest", clock: "Clock", intake: FileIntake) -> Refusal | None:
+async def _read_body(request: "WebRequest", clock: "Clock", intake: FileUpload) -> Refusal | None:
     while chunk := request.content.read(CHUNK_BYTES):
         refusal = await intake.feed(chunk)
         if refusal is not None:
@@ -60,7 +60,7 @@
 
 
 async def _read_form(
-    request: "WebRequest", clock: "Clock", intake: FileIntake, boundary: bytes
+    request: "WebRequest", clock: "Clock", intake: FileUpload, boundary: bytes
 ) -> Refusal | None:
     form = _Form(intake, boundary)
     while True:
@@ -76,7 +76,7 @@
 class _Form:
     """Pass on the file field of a form, and check the other fields."""
 
-    def __init__(self, intake: FileIntake, boundary: bytes) -> None:
+    def __init__(self, intake: FileUpload, boundary: bytes) -> None:
         self._intake = intake
         self._decoder = MultipartDecoder(boundary, max_form_memory_size=None)
         self._part = _Part("", False)
--- a/tests/batch_world.py
+++ b/tests/batch_world.py
@@ -238,9 +238,9 @@
             cfg=self.cfg,
             instance=name,
             boot=self.rand.getrandbits(32),
-            profile=self.profiles.get,
+            find_profile=self.profiles.get,
             live_instances=lambda: list(self.instances),
-            tell_peers=lambda message: self._broadcast(name, message),
+            broadcast=lambda message: self._broadcast(name, message),
             metrics=make_metrics(),
         )
         self.instances[name] = start_batch(deps)
@@ -278,7 +278,7 @@
 
     def upload(self, batch: Batch, count: int) -> FileRecord:
         """Upload a file with the given number of items."""
-        intake = batch.new_file(CALLER, "in.jsonl", "batch")
+        intake = batch.start_upload(CALLER, "in.jsonl", "batch")
         for n in range(count):
             line = {"custom_id": f"c{n}", "url": URL, "body": {"n": n}}
             assert result_now(intake.feed(json.dumps(line).encode() + b"\n")) is None
@@ -300,16 +300,20 @@
 
     def job(self, batch: Batch, found: FoundJob) -> FoundJob:
         """Read a job."""
-        done: Result[FoundJob, Refusal] = result_now(batch.views.job(CALLER, found.record.job_id))
+        done: Result[FoundJob, Refusal] = result_now(
+            batch.reader.get_job(CALLER, found.record.job_id)
+        )
         return done.unwrap()
 
     def lines(self, batch: Batch, found: FoundJob) -> list[Any]:
         """Return every line of a job's results and errors."""
         lines: list[Any] = []
         for prefix in ("file-out-", "file-err-"):
-            output = result_now(batch.views.output(CALLER, prefix + found.record.job_id)).unwrap()
+            output = result_now(
+                batch.reader.find_output(CALLER, prefix + found.record.job_id)
+            ).unwrap()
             errors: list[Any] = []
-            text = result_now(_join_pieces(batch.views.output_lines(output, errors.append)))
+            text = result_now(_join_pieces(batch.reader.output_lines(output, errors.append)))
             assert not errors
             lines += [json.loads(line) for line in text.splitlines()]
         return lines
--- a/tests/test_batch_jobs.py
+++ b/tests/test_batch_jobs.py
@@ -34,9 +34,9 @@
     job = world.job(batch, found)
     assert job.ended, job.record
     lines = world.lines(batch, found)
-    expected = {f"c{n}" for n in range(job.record.items())}
+    expected = {f"c{n}" for n in range(job.record.item_count())}
     assert Counter(line["custom_id"] for line in lines) == Counter(expected)
-    assert sum(job.record.tally) == job.record.items()
+    assert sum(job.record.tally) == job.record.item_count()
     assert states(lines) == Counter({k: v for k, v in job.record.tally._asdict().items() if v})
     return states(lines)
 
--- a/tests/test_batch_parts.py
+++ b/tests/test_batch_parts.py
@@ -11,7 +11,7 @@
 
 from papayapier.batch import ids, keys, store_access
 from papayapier.batch.fair_scheduling import caller_limits
-from papayapier.batch.files import FileIntake
+from papayapier.batch.file_upload import FileUpload
 from papayapier.batch.lines import LineError, endpoint_of, parse_line
 from papayapier.batch.placement import assign_shards
 from papayapier.batch.tasks import choose_task_items, locate_item, split_tasks
@@ -63,9 +63,9 @@
 
 
 class TestFileIntake:
-    def intake(self, **cfg: int) -> tuple[World, FileIntake]:
+    def intake(self, **cfg: int) -> tuple[World, FileUpload]:
         world = World(BatchSettings(shards=1, **cfg))
-        return world, world.start("a").new_file(CALLER, "in", "batch")
+        return world, world.start("a").start_upload(CALLER, "in", "batch")
 
     @DERANDOMIZED
     @given(count=st.integers(1, 25), cuts=st.lists(st.integers(1, 90), min_size=1, max_size=9))
@@ -78,7 +78,7 @@
             assert result_now(intake.feed(piece)) is None
         record = world.run_until_done(intake.finish()).unwrap()
         assert record.items() == count and max(record.chunks) <= 10
-        lines = result_now(join_pieces(world.instances["a"].views.input_lines(record, print)))
+        lines = result_now(join_pieces(world.instances["a"].reader.input_lines(record, print)))
         assert [json.loads(entry)["body"]["n"] for entry in lines.splitlines()] == list(
             range(count)
         )
@@ -188,7 +188,7 @@
         early = world.request(file)._replace(due_ms=world.clock.wall() + 60_000)
         result_now(batch.jobs.accept(early)).unwrap()
         later = world.request(file)._replace(due_ms=world.clock.wall() + DAY_MS)
-        intake = batch.new_file("karavany", "in", "batch")
+        intake = batch.start_upload("karavany", "in", "batch")
         result_now(intake.feed(line()))
         small = later._replace(
             caller="karavany", file_id=result_now(intake.finish()).unwrap().file_id
--- a/tests/test_config_operate.py
+++ b/tests/test_config_operate.py
@@ -212,7 +212,7 @@
         add_batch_routes(app, batch, job_auth((ANA,)), refuse_new_work)
         port = self._serve(app)
         item = {"custom_id": "van/1", "url": URL, "body": {"n": 1}}
-        intake = batch.new_file("yard", "notes.jsonl", "batch")
+        intake = batch.start_upload("yard", "notes.jsonl", "batch")
         assert (await intake.feed(json.dumps(item).encode() + b"\n")) is None
         file = (await intake.finish()).unwrap()
         wanted = JobRequest("yard", "", file.file_id, URL, "24h", {}, "notes", 0)
