--- a/misc/bench_upstream.py
+++ b/misc/bench_upstream.py
@@ -33,7 +33,7 @@
 from papayapier.standin.engine import start_engine
 from papayapier.standin.engine_steps import EngineParams
 from papayapier.upstream.api import Call, Replica
-from papayapier.upstream.client import make_upstreams
+from papayapier.upstream.client import make_upstream_client
 
 reactor = cast(Any, installed_reactor)
 
@@ -150,7 +150,7 @@
     # All streams connect at once and overflow the stand-in's listen queue, so that connecting
     # may take longer than the default timeout.
     cfg = UpstreamSettings(connect_timeout_ms=DUE_MS)
-    upstreams = make_upstreams(reactor, clock, cfg, make_metrics())
+    upstreams = make_upstream_client(reactor, clock, cfg, make_metrics())
     replica = Replica("one", "chat", HOST, port, "dc")
 
     async def make_call(tokens: int, stream: bool) -> None:
--- a/misc/measure_spread.py
+++ b/misc/measure_spread.py
@@ -21,10 +21,10 @@
 
 from papayapier import codec
 from papayapier.clock import Clock, real_clock
-from papayapier.config.accept import Change
+from papayapier.config.accept import ChangeRequest
 from papayapier.config.profiles import Profile
 from papayapier.config.records import PROFILES, Subject
-from papayapier.config.start import Config, ConfigDeps, start_config
+from papayapier.config.start import ConfigDeps, ConfigService, start_config
 from papayapier.metrics import Metrics, make_metrics
 from papayapier.peer.hub import Identity, PeerHub
 from papayapier.peer.messages import ConfigAsk, ConfigPush, ConfigTell, Heartbeat
@@ -105,7 +105,7 @@
     """Hold the components of one instance."""
 
     name: str
-    config: Config
+    config: ConfigService
     hub: PeerHub
     store: Store
     metrics: Metrics
@@ -130,10 +130,10 @@
         metrics = make_metrics()
         platform = PlatformSettings(HOST, self.platform.port)
         store = http_store(self._reactor, self.clock, platform, metrics)
-        configs: list[Config] = []
+        configs: list[ConfigService] = []
 
         def heartbeat() -> Heartbeat:
-            registry = configs[0].book
+            registry = configs[0].registry
             return Heartbeat(name, 1, "serving", registry.version(), (), registry.digest())
 
         identity = Identity(name, 1, HOST, "dc-a", "local")
@@ -149,7 +149,7 @@
                 store=store if channels.watch else store._replace(watch=self._silent_watch),
                 settings=cfg,
                 metrics=metrics,
-                tell=hub.send,
+                send=hub.send,
                 broadcast=hub.broadcast if channels.push else lambda _message: None,
                 peers=lambda: [view.id for view in hub.views() if view.up],
                 queued_under=lambda _name: 0,
@@ -160,7 +160,7 @@
         configs.append(config)
         for kind in (ConfigPush, ConfigAsk, ConfigTell, Heartbeat):
             if kind is not Heartbeat or channels.heartbeat:
-                hub.subscribe(kind, config.on_peer)
+                hub.subscribe(kind, config.on_peer_message)
         port = hub.start().unwrap()
         node = Node(name, config, hub, store, metrics)
         self.nodes.append(node)
@@ -185,7 +185,7 @@
     async def wait_ready(self, node: Node) -> float:
         """Wait until an instance is ready and return how long that took in ms."""
         started = self.clock.timers.seconds()
-        while node.config.ready(self.clock.now()).is_err():
+        while node.config.check_ready(self.clock.now()).is_err():
             await self.clock.sleep(1)
         return (self.clock.timers.seconds() - started) * 1_000
 
@@ -204,18 +204,18 @@
         node = self.rand.choice(self.nodes)
         name = f"p{number % profiles}"
         key = Subject(PROFILES, name).key
-        old_version = node.config.book.version_of(key)
+        old_version = node.config.registry.version_of(key)
         times: dict[str, float] = {}
         done: Deferred[None] = Deferred()
         for receiver in self.nodes:
-            receiver.config.book.watch(
+            receiver.config.registry.watch(
                 self._arrival_callback(receiver.name, key, old_version, times, done)
             )
         start_s = self.clock.timers.seconds()
         document = make_profile(name, 1_000 + number)
         reason = "measure"
         accepted = await node.config.accept(
-            Change(
+            ChangeRequest(
                 Subject(PROFILES, name), document, old_version, reason, f"change-{number:06}", "me"
             )
         )
@@ -298,7 +298,7 @@
         cluster.platform.switches["outage"] = outage
         node = cluster.add_node(f"new-{len(results)}")
         ready_ms = await cluster.wait_ready(node)
-        count = len(node.config.book.profiles())
+        count = len(node.config.registry.profiles())
         results.append(StartResult(case, count, ready_ms))
         cluster.platform.switches["outage"] = False
         cluster.members = [m for m in cluster.members if m.id != node.name]
--- a/papayapier/components.py
+++ b/papayapier/components.py
@@ -6,21 +6,21 @@
 from papayapier.batch.start import Batch
 from papayapier.claims.service import Claims
 from papayapier.clock import Clock
-from papayapier.config.start import Config
+from papayapier.config.start import ConfigService
 from papayapier.dispatch.crash_watch import CrashWatch
 from papayapier.dispatch.item_dispatch import ItemDispatch
 from papayapier.dispatch.online import OnlineDispatch
 from papayapier.fleet_view import FleetView, Policies
 from papayapier.metrics import Metrics
-from papayapier.orders.controller import OrderControl
+from papayapier.orders.controller import OrderController
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.loss_exchange import LossExchange
 from papayapier.policy.drain import Drain
 from papayapier.settings import Settings
 from papayapier.store.api import Store
 from papayapier.store.budget import Budget
-from papayapier.upstream.api import Upstreams
-from papayapier.upstream.reports import Reports
+from papayapier.upstream.api import UpstreamClient
+from papayapier.upstream.load_polls import LoadPolls
 
 
 class Base(NamedTuple):
@@ -43,8 +43,8 @@
     policies: Policies
     view: FleetView
     crash_watch: CrashWatch
-    upstreams: Upstreams
-    reports: Reports
+    upstreams: UpstreamClient
+    reports: LoadPolls
 
 
 class Services(NamedTuple):
@@ -52,9 +52,9 @@
 
     hub: PeerHub
     loss_exchange: LossExchange
-    config: Config
+    config: ConfigService
     online: OnlineDispatch
     item_dispatch: ItemDispatch
     batch: Batch
     claims: Claims
-    orders: OrderControl
+    orders: OrderController
--- a/papayapier/compose.py
+++ b/papayapier/compose.py
@@ -16,7 +16,7 @@
 from papayapier.claims.service import ClaimDeps, Claims
 from papayapier.clock import Clock
 from papayapier.components import Base, Fleet, Services
-from papayapier.config.start import Config, ConfigDeps, start_config
+from papayapier.config.start import ConfigDeps, ConfigService, start_config
 from papayapier.dispatch.api import DispatchDeps
 from papayapier.dispatch.crash_watch import CrashWatch
 from papayapier.dispatch.item_dispatch import ItemDispatch
@@ -33,7 +33,11 @@
 from papayapier.listen import next_reactor_iteration
 from papayapier.membership import MembershipDeps, make_membership, reach_platform
 from papayapier.metrics import make_metrics
-from papayapier.orders.controller import OrderControl, OrdersDeps, start_orders
+from papayapier.orders.controller import (
+    OrderController,
+    OrderControllerDeps,
+    start_order_controller,
+)
 from papayapier.peer.hub import Identity, PeerHub
 from papayapier.peer.loss_exchange import LossExchange, LossExchangeDeps
 from papayapier.peer.messages import (
@@ -57,9 +61,9 @@
 from papayapier.settings import Settings
 from papayapier.store.budget import Priority, make_budget
 from papayapier.store.http import http_store
-from papayapier.upstream.client import make_upstreams
-from papayapier.upstream.orders import make_orders
-from papayapier.upstream.reports import OnReport, make_reports
+from papayapier.upstream.client import make_upstream_client
+from papayapier.upstream.engine_control import make_engine_control
+from papayapier.upstream.load_polls import LoadPollHandlers, make_load_polls
 
 BOOT_BITS: Final = 48
 CLAIM_WRITER_TIMEOUT_MS: Final = 500
@@ -107,13 +111,13 @@
     own_instance = Place(cfg.instance.id, cfg.instance.region, cfg.upstream.subset)
     view = FleetView(own_instance, policies, base.metrics)
     crash_watch = CrashWatch(base.clock, base.metrics, lambda: base.budget.down_since() is None)
-    upstreams = make_upstreams(base.reactor, base.clock, cfg.upstream, base.metrics)
-    reports = make_reports(
+    upstreams = make_upstream_client(base.reactor, base.clock, cfg.upstream, base.metrics)
+    reports = make_load_polls(
         base.clock,
         base.rand,
         cfg.upstream.load_poll_ms,
         upstreams.load,
-        OnReport(view.on_load, crash_watch.on_poll_failed),
+        LoadPollHandlers(view.on_load, crash_watch.on_poll_failed),
         lambda replica: policies.book.reported_ms(replica.id),
     )
     return Fleet(policies, view, crash_watch, upstreams, reports)
@@ -123,7 +127,7 @@
     cfg = base.cfg
 
     def make_heartbeat() -> Heartbeat:
-        profiles = config.book
+        profiles = config.registry
         uses = tuple(fleet.policies.book.own_uses())
         return Heartbeat(
             cfg.instance.id,
@@ -184,7 +188,7 @@
     )
 
 
-def _start_config(base: Base, fleet: Fleet, hub: PeerHub, online: OnlineDispatch) -> Config:
+def _start_config(base: Base, fleet: Fleet, hub: PeerHub, online: OnlineDispatch) -> ConfigService:
     def send_to_peer(peer_id: str, message: Message) -> None:
         hub.send(peer_id, message)
 
@@ -195,7 +199,7 @@
             store=base.budget.view(Priority.CONFIG),
             settings=base.cfg.config,
             metrics=base.metrics,
-            tell=send_to_peer,
+            send=send_to_peer,
             broadcast=hub.broadcast,
             peers=lambda: [view.id for view in hub.views() if view.up],
             queued_under=online.queued_for_profile,
@@ -206,7 +210,7 @@
 
 
 def _start_batch(
-    base: Base, fleet: Fleet, hub: PeerHub, item_dispatch: ItemDispatch, config: Config
+    base: Base, fleet: Fleet, hub: PeerHub, item_dispatch: ItemDispatch, config: ConfigService
 ) -> Batch:
     return start_batch(
         BatchDeps(
@@ -220,7 +224,7 @@
             cfg=base.cfg.batch,
             instance=base.cfg.instance.id,
             boot=base.boot,
-            find_profile=config.book.profile,
+            find_profile=config.registry.profile,
             live_instances=fleet.view.live_entries,
             broadcast=hub.broadcast,
             metrics=base.metrics,
@@ -253,19 +257,21 @@
     )
 
 
-def _start_orders(base: Base, fleet: Fleet, config: Config) -> OrderControl:
-    return start_orders(
-        OrdersDeps(
+def _start_orders(base: Base, fleet: Fleet, config: ConfigService) -> OrderController:
+    return start_order_controller(
+        OrderControllerDeps(
             clock=base.clock,
             rand=base.rand,
             store=base.budget.view(Priority.LEASE),
             cfg=base.cfg.orders,
             instance=base.cfg.instance.id,
-            orders=make_orders(base.reactor, base.clock, base.cfg.upstream),
-            wanted=lambda: list(config.book.upstreams().values()),
+            engine_control=make_engine_control(base.reactor, base.clock, base.cfg.upstream),
+            wanted_upstreams=lambda: list(config.registry.upstreams().values()),
             replicas=lambda: fleet.view.listed_replicas(base.clock.now()),
             instances=fleet.view.live_entries,
-            need=lambda upstream: fleet.view.replicas_needed(upstream, base.clock.now()),
+            required_serving=lambda upstream: fleet.view.replicas_needed(
+                upstream, base.clock.now()
+            ),
         )
     )
 
@@ -274,7 +280,7 @@
     """Route messages from peers to the components that handle them."""
     hub = services.hub
     for kind in (Heartbeat, ConfigPush, ConfigAsk, ConfigTell):
-        hub.subscribe(kind, services.config.on_peer)
+        hub.subscribe(kind, services.config.on_peer_message)
     hub.subscribe(JobChanged, lambda _peer_id, message: services.batch.on_peer(message))
     hub.subscribe(ShardsReleased, lambda _peer_id, message: services.batch.on_peer(message))
     hub.subscribe(Heartbeat, make_peer_calls_handler(fleet.policies.book, base.clock.now))
@@ -289,11 +295,11 @@
         fleet.view.on_peers(hub.live(), silent)
 
     def on_profiles_changed(_key: str, _version: int) -> None:
-        fleet.view.on_profiles(services.config.book.profiles().values())
+        fleet.view.on_profiles(services.config.registry.profiles().values())
 
     hub.subscribe(ClaimAsk, on_claim_request)
     hub.on_change(on_peers_changed)
-    services.config.book.watch(on_profiles_changed)
+    services.config.registry.watch(on_profiles_changed)
 
 
 async def _close_after_failed_start(base: Base, fleet: Fleet, services: Services) -> None:
--- a/papayapier/config/accept.py
+++ b/papayapier/config/accept.py
@@ -16,7 +16,7 @@
 
 from papayapier import events
 from papayapier.clock import Clock
-from papayapier.config import checks, records, trail
+from papayapier.config import audit_trail, checks, records
 from papayapier.config.checks import CheckDeps, Problem
 from papayapier.config.records import AuditEntry, Document, FieldChange, Record, Subject
 from papayapier.errors import ErrorKind, Refusal, not_run, unknown
@@ -31,7 +31,7 @@
 CHANGE_ID_PATTERN: Final = re.compile(r"[A-Za-z0-9._:-]{8,64}")
 
 
-class Change(NamedTuple):
+class ChangeRequest(NamedTuple):
     """Describe a requested change; a document of None deletes, a based_on of 0 creates.
 
     change_id stays the same when the operator repeats the call. strand allows a change after
@@ -43,8 +43,8 @@
     based_on: int
     reason: str
     change_id: str
-    who: str
-    strand: bool = False
+    operator: str
+    allow_stranding: bool = False
 
 
 class Accepted(NamedTuple):
@@ -94,7 +94,7 @@
 _AcceptResult = Result[Accepted, Rejected]
 
 
-async def accept_change(deps: AcceptDeps, change: Change) -> _AcceptResult:
+async def accept_change(deps: AcceptDeps, change: ChangeRequest) -> _AcceptResult:
     """Accept a change, or return why it was rejected and what is known of its outcome."""
     problems = _call_problems(change)
     if problems:
@@ -102,7 +102,7 @@
     check_result = checks.check_change(deps.checks, change.subject, change.document)
     if check_result.errors:
         return Err(_bad_request(check_result.errors))
-    if check_result.stranded and not change.strand:
+    if check_result.stranded and not change.allow_stranding:
         return Err(_bad_request(check_result.warnings))
     document = checks.as_document(check_result.wanted)
     return await _Acceptance(deps, change, document, check_result.warnings).run()
@@ -115,7 +115,11 @@
     """
 
     def __init__(
-        self, deps: AcceptDeps, change: Change, document: Document | None, warnings: list[Problem]
+        self,
+        deps: AcceptDeps,
+        change: ChangeRequest,
+        document: Document | None,
+        warnings: list[Problem],
     ) -> None:
         self._deps = deps
         self._change = change
@@ -168,12 +172,12 @@
         """
         history = stored.record["history"]
         if history and self._change.based_on < history[0]["based_on"]:
-            match await trail.read_spilled(self._deps.store, self._change.subject):
+            match await audit_trail.read_spilled(self._deps.store, self._change.subject):
                 case Err(error):
                     return Err(error)
                 case Ok(older):
                     history = [*older, *history]
-        entry = trail.find(history, self._change.change_id)
+        entry = audit_trail.find(history, self._change.change_id)
         if entry is None:
             return Ok(None)
         if entry["content"] != records.content_hash(self._document):
@@ -181,7 +185,7 @@
             return Ok(Err(Rejected(not_run(ErrorKind.KEY_CONFLICT, reason), [])))
         return Ok(
             self._accept_repeated(
-                stored, entry, trail.version_of_entry(history, entry, stored.version)
+                stored, entry, audit_trail.version_of_entry(history, entry, stored.version)
             )
         )
 
@@ -210,7 +214,7 @@
 
     def _conflict(self, stored: _StoredObject) -> Rejected:
         subject = self._change.subject
-        events.emit(events.CONFIG_CONFLICT, key=subject.key, who=self._change.who)
+        events.emit(events.CONFIG_CONFLICT, key=subject.key, who=self._change.operator)
         if not stored.record["history"]:
             reason = f"based on version {self._change.based_on}, but {subject.name} does not exist"
             return Rejected(not_run(ErrorKind.VERSION_CONFLICT, reason), [])
@@ -220,7 +224,9 @@
         )
 
     async def _write(self, stored: _StoredObject) -> _AcceptResult | None:
-        match await trail.spill(self._deps.store, self._change.subject, stored.record["history"]):
+        match await audit_trail.spill(
+            self._deps.store, self._change.subject, stored.record["history"]
+        ):
             case Err(error):
                 return self._unavailable(error)
         entry = self._entry(stored)
@@ -257,7 +263,7 @@
             seq=history[-1]["seq"] + 1 if history else 1,
             change_id=self._change.change_id,
             at_ms=self._deps.clock.wall(),
-            who=self._change.who,
+            who=self._change.operator,
             action=_action(before, self._document),
             reason=self._change.reason,
             based_on=stored.version,
@@ -266,7 +272,7 @@
         )
 
     def _record(self, stored: _StoredObject, entry: AuditEntry) -> Record:
-        retained = trail.retained(stored.record["history"])
+        retained = audit_trail.retained(stored.record["history"])
         return Record(document=self._document, history=[*retained, entry])
 
     def _unavailable(self, error: StoreError) -> _AcceptResult:
@@ -288,7 +294,7 @@
             return _StoredObject(stored.version, stored.value, _EMPTY_RECORD, unreadable=True)
 
 
-def _call_problems(change: Change) -> list[Problem]:
+def _call_problems(change: ChangeRequest) -> list[Problem]:
     problems = []
     if not NAME_PATTERN.fullmatch(change.subject.name):
         problems.append(Problem("name", f"must match {NAME_PATTERN.pattern}"))
@@ -302,7 +308,7 @@
 
 
 def _bad_request(problems: list[Problem]) -> Rejected:
-    return Rejected(not_run(ErrorKind.BAD_REQUEST, checks.describe(problems)), problems)
+    return Rejected(not_run(ErrorKind.BAD_REQUEST, checks.describe_problems(problems)), problems)
 
 
 def _action(before: Document | None, after: Document | None) -> str:
--- a/papayapier/config/trail.py
+++ b/papayapier/config/audit_trail.py
@@ -14,7 +14,7 @@
 from papayapier.store.api import Entry, Listing, Store, StoreError
 
 PAGE_KEYS: Final = 1_000
-LIMIT_DEFAULT: Final = 100
+DEFAULT_LIMIT: Final = 100
 MAX_SPILL_ATTEMPTS: Final = 3
 
 
@@ -25,7 +25,7 @@
     name: str = ""
     who: str = ""
     since_ms: int = 0
-    limit: int = LIMIT_DEFAULT
+    limit: int = DEFAULT_LIMIT
 
 
 class AuditLine(NamedTuple):
@@ -71,7 +71,7 @@
 async def read_spilled(store: Store, subject: Subject) -> Result[list[AuditEntry], StoreError]:
     """Read the spilled entries of an object, oldest first."""
     found: list[AuditEntry] = []
-    match await list_all(store, subject.audit_prefix):
+    match await list_all_pages(store, subject.audit_prefix):
         case Err(error):
             return Err(error)
         case Ok(listed):
@@ -86,7 +86,7 @@
     return Ok(found)
 
 
-async def list_all(store: Store, prefix: str) -> Result[Listing, StoreError]:
+async def list_all_pages(store: Store, prefix: str) -> Result[Listing, StoreError]:
     """List all keys under a prefix, page by page, with the revision of the first page."""
     found: list[Entry] = []
     revision: int | None = None
@@ -145,7 +145,7 @@
     prefix = records.CONFIG_PREFIX
     if audit_filter.kind:
         prefix += f"{audit_filter.kind}/{audit_filter.name}"
-    match await list_all(store, prefix):
+    match await list_all_pages(store, prefix):
         case Err(error):
             return Err(error)
         case Ok(listed):
--- a/papayapier/config/checks.py
+++ b/papayapier/config/checks.py
@@ -68,7 +68,7 @@
             return CheckResult(wanted, _rule_errors(subject, wanted), [])
 
 
-def describe(problems: list[Problem]) -> str:
+def describe_problems(problems: list[Problem]) -> str:
     """Join problems into one line."""
     return "; ".join(f"{p.path}: {p.reason}" if p.path else p.reason for p in problems)
 
--- a/papayapier/config/config_file.py
+++ b/papayapier/config/config_file.py
@@ -10,7 +10,7 @@
 
 from papayapier import codec, events
 from papayapier.clock import Clock
-from papayapier.config.book import ProfileBook
+from papayapier.config.profile_registry import ProfileRegistry
 from papayapier.data_folder import DelayedSave, read_file, replace_file
 from papayapier.peer.messages import ConfigPush
 
@@ -27,7 +27,7 @@
 class ConfigFile:
     """Load the copy at start and save it after changes; without a folder do nothing."""
 
-    def __init__(self, folder: str, clock: Clock, registry: ProfileBook) -> None:
+    def __init__(self, folder: str, clock: Clock, registry: ProfileRegistry) -> None:
         self._folder = folder
         self._registry = registry
         self._saving = DelayedSave(clock, SAVE_DELAY_MS, self._save)
--- a/papayapier/config/fetch.py
+++ b/papayapier/config/fetch.py
@@ -16,7 +16,7 @@
 
 from papayapier import events
 from papayapier.clock import Clock
-from papayapier.config.book import ProfileBook
+from papayapier.config.profile_registry import ProfileRegistry
 from papayapier.store.api import Store, StoreError
 from papayapier.store.watch import Backoff
 
@@ -34,7 +34,7 @@
     clock: Clock
     rand: random.Random
     store: Store
-    registry: ProfileBook
+    registry: ProfileRegistry
     is_urgent: Callable[[], bool]
     on_fetched: Callable[[str, int, bytes], None]
 
@@ -50,7 +50,7 @@
 
     def request(self, key: str, version: int) -> None:
         """Read an object unless the version comes into force from another source first."""
-        if self._stopped or not self._deps.registry.lacks(key, version):
+        if self._stopped or not self._deps.registry.needs(key, version):
             return
         self._requested[key] = max(version, self._requested.get(key, 0))
         if self._task is None:
@@ -81,7 +81,7 @@
         self._task = None
 
     def _drop_applied(self) -> bool:
-        lacks = self._deps.registry.lacks
+        lacks = self._deps.registry.needs
         self._requested = {key: v for key, v in self._requested.items() if lacks(key, v)}
         return bool(self._requested)
 
--- a/papayapier/config/keys.py
+++ b/papayapier/config/keys.py
@@ -17,7 +17,7 @@
 MAX_KEY_BYTES: Final = 1_024
 
 
-def digest_of(key: bytes) -> bytes:
+def key_digest(key: bytes) -> bytes:
     """Return the digest by which a key is stored."""
     return hashlib.sha256(key).digest()
 
@@ -33,7 +33,7 @@
     return key
 
 
-class KeyRing(Generic[Holder]):
+class KeyRegistry(Generic[Holder]):
     """Map the digests of keys to the holders of the keys."""
 
     def __init__(self, holders: Iterable[tuple[bytes, Holder]]) -> None:
@@ -44,7 +44,7 @@
         key = bearer_key(authorization)
         if key is None:
             return None
-        digest = digest_of(key)
+        digest = key_digest(key)
         found = self._holders.get(digest)
         if found is None or not hmac.compare_digest(found[0], digest):
             return None
--- a/papayapier/config/book.py
+++ b/papayapier/config/profile_registry.py
@@ -37,7 +37,7 @@
     wanted: Wanted | None
 
 
-class ProfileBook:
+class ProfileRegistry:
     """Hold all configuration objects in force, by key."""
 
     __slots__ = ("_buckets", "_listeners", "_objects", "_unreadable", "_version")
@@ -82,7 +82,7 @@
         current = self._objects.get(key)
         return current.version if current else 0
 
-    def lacks(self, key: str, version: int) -> bool:
+    def needs(self, key: str, version: int) -> bool:
         """Return whether a version should be fetched; one that could not be decoded should not."""
         return version > max(self.version_of(key), self._unreadable.get(key, 0))
 
--- a/papayapier/config/route_table.py
+++ b/papayapier/config/route_table.py
@@ -12,11 +12,11 @@
 from result import Ok, Result
 
 from papayapier.config.profiles import Profile, RetryRule
-from papayapier.config.teams import ANYBODY, Team, Teams
+from papayapier.config.teams import ANONYMOUS_TEAM, Team, Teams
 from papayapier.errors import Refusal
 
 
-class WorkKind(Enum):
+class RouteKind(Enum):
     """List the kinds of route, which decide what may be retried."""
 
     IDEMPOTENT = "idempotent"
@@ -25,7 +25,7 @@
     JOB = "job"
 
 
-class Share(NamedTuple):
+class UpstreamShare(NamedTuple):
     """Define an upstream's weight in the requests of a route."""
 
     upstream: str
@@ -45,24 +45,26 @@
     name: str
     host: str
     prefix: str
-    kind: WorkKind
-    shares: tuple[Share, ...]
+    kind: RouteKind
+    shares: tuple[UpstreamShare, ...]
     timeout_ms: int
     objective_ms: int
     attempts: int
     rank: int
     resumable: bool
-    by_prompt: bool
+    route_by_prompt: bool
     due_ms: int = 0
     give_up_ms: int = 0
     public: bool = False
 
-    def repeatable(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Return whether a request may run more than once."""
-        return self.kind is WorkKind.IDEMPOTENT or (self.kind is WorkKind.STREAM and self.resumable)
+        return self.kind is RouteKind.IDEMPOTENT or (
+            self.kind is RouteKind.STREAM and self.resumable
+        )
 
 
-class Limits(NamedTuple):
+class CallerRequestLimits(NamedTuple):
     """Limit the size of a caller's request and the time in which it must be received."""
 
     header_bytes: int
@@ -77,7 +79,7 @@
     version: int
     routes: tuple[Route, ...]
     upstreams: tuple[str, ...]
-    limits: Limits
+    limits: CallerRequestLimits
     teams: Teams | None = None
 
 
@@ -87,7 +89,7 @@
     def __init__(self, cfg: RoutingConfig) -> None:
         self.cfg = cfg
         self._by_host: dict[str, list[Route]] = {}
-        jobs = (route for route in cfg.routes if route.kind is WorkKind.JOB)
+        jobs = (route for route in cfg.routes if route.kind is RouteKind.JOB)
         self.job_upstreams = frozenset(share.upstream for route in jobs for share in route.shares)
         for route in cfg.routes:
             self._by_host.setdefault(route.host.lower(), []).append(route)
@@ -105,14 +107,16 @@
     def has_public_jobs(self, host: str) -> bool:
         """Return whether a host has routes for batch jobs, all of them without a key."""
         name = host.partition(":")[0].lower()
-        jobs = [route for route in self._by_host.get(name, ()) if route.kind is WorkKind.JOB]
+        jobs = [route for route in self._by_host.get(name, ()) if route.kind is RouteKind.JOB]
         return bool(jobs) and all(route.public for route in jobs)
 
-    def asker(self, public: bool, authorization: Sequence[bytes]) -> Result[Team | None, Refusal]:
+    def authenticate(
+        self, public: bool, authorization: Sequence[bytes]
+    ) -> Result[Team | None, Refusal]:
         """Return the team of a request: ANYBODY on public routes, None if no teams are defined."""
         if self.cfg.teams is None:
             return Ok(None)
-        return Ok(ANYBODY) if public else self.cfg.teams.asker(authorization)
+        return Ok(ANONYMOUS_TEAM) if public else self.cfg.teams.authenticate(authorization)
 
 
 URGENT_RANK: Final = 0
@@ -129,7 +133,7 @@
         upstream=_pick_upstream(route, rand),
         urgency="urgent" if rank == URGENT_RANK else "normal",
         due_ms=route.timeout_ms,
-        idempotent=route.repeatable(),
+        idempotent=route.is_repeatable(),
         retry=RetryRule(route.attempts),
     )
 
--- a/papayapier/config/routing_book.py
+++ b/papayapier/config/routing_registry.py
@@ -12,7 +12,7 @@
 STORE: Final = "store"
 
 
-class RoutingBook:
+class RoutingRegistry:
     """Hold the newest routing configuration received; read decodes one."""
 
     def __init__(self, key: str, read: "Callable[[bytes], Result[RoutingConfig, str]]") -> None:
@@ -42,9 +42,9 @@
         if change.deleted:
             events.emit(events.CONFIG_MISSING, key=change.key)
             return
-        self.offer(change.version, change.value, STORE)
+        self.apply_if_newer(change.version, change.value, STORE)
 
-    def offer(self, revision: int, value: bytes, source: str) -> bool:
+    def apply_if_newer(self, revision: int, value: bytes, source: str) -> bool:
         """Apply a configuration if it is newer; return whether it was applied."""
         if revision <= self.revision:
             return False
--- a/papayapier/config/start.py
+++ b/papayapier/config/start.py
@@ -7,13 +7,13 @@
 from result import Result
 
 from papayapier.clock import Clock
-from papayapier.config import accept, checks, trail
-from papayapier.config.accept import AcceptDeps, Accepted, Change, Rejected
-from papayapier.config.book import ProfileBook
+from papayapier.config import accept, audit_trail, checks
+from papayapier.config.accept import AcceptDeps, Accepted, ChangeRequest, Rejected
+from papayapier.config.audit_trail import AuditFilter, AuditLine
 from papayapier.config.checks import CheckDeps, CheckResult
+from papayapier.config.profile_registry import ProfileRegistry
 from papayapier.config.records import PROFILES, Subject, Wanted
 from papayapier.config.sync import ConfigSync, ConfigSyncDeps
-from papayapier.config.trail import AuditFilter, AuditLine
 from papayapier.metrics import Metrics
 from papayapier.peer.messages import Message
 from papayapier.peer.topology import LinkPlan
@@ -36,7 +36,7 @@
     store: Store
     settings: ConfigSettings
     metrics: Metrics
-    tell: Callable[[str, Message], object]
+    send: Callable[[str, Message], object]
     broadcast: Callable[[Message], object]
     peers: Callable[[], Sequence[str]]
     queued_under: Callable[[str], int]
@@ -44,21 +44,21 @@
     plan: Callable[[], LinkPlan] = lambda: FOLLOW_EVERYWHERE
 
 
-class Config(NamedTuple):
+class ConfigService(NamedTuple):
     """Group the functions of the configuration service of one instance."""
 
-    book: ProfileBook
-    on_peer: Callable[[str, Message], None]
+    registry: ProfileRegistry
+    on_peer_message: Callable[[str, Message], None]
     check: Callable[[Subject, object], CheckResult]
-    accept: Callable[[Change], Awaitable[Result[Accepted, Rejected]]]
+    accept: Callable[[ChangeRequest], Awaitable[Result[Accepted, Rejected]]]
     audit: Callable[[AuditFilter], Awaitable[Result[list[AuditLine], StoreError]]]
-    ready: Callable[[int], Result[None, str]]
+    check_ready: Callable[[int], Result[None, str]]
     stop: Callable[[], Awaitable[None]]
 
 
-def start_config(deps: ConfigDeps) -> Config:
+def start_config(deps: ConfigDeps) -> ConfigService:
     """Start polling and watching the store, and return the functions of the service."""
-    registry = ProfileBook()
+    registry = ProfileRegistry()
     sync = ConfigSync(
         ConfigSyncDeps(
             deps.clock,
@@ -66,7 +66,7 @@
             deps.store,
             deps.settings,
             deps.metrics,
-            deps.tell,
+            deps.send,
             deps.broadcast,
             deps.peers,
             deps.plan,
@@ -78,18 +78,18 @@
     )
     accept_deps = AcceptDeps(deps.clock, deps.rand, deps.store, check_deps, sync.on_accepted)
     sync.start()
-    return Config(
-        book=registry,
-        on_peer=sync.on_peer,
+    return ConfigService(
+        registry=registry,
+        on_peer_message=sync.on_peer,
         check=lambda subject, document: checks.check_change(check_deps, subject, document),
         accept=lambda change: accept.accept_change(accept_deps, change),
-        audit=lambda audit_filter: trail.audit(deps.store, audit_filter),
-        ready=sync.check_current,
+        audit=lambda audit_filter: audit_trail.audit(deps.store, audit_filter),
+        check_ready=sync.check_current,
         stop=sync.stop,
     )
 
 
-def _current(registry: ProfileBook, subject: Subject) -> Wanted | None:
+def _current(registry: ProfileRegistry, subject: Subject) -> Wanted | None:
     if subject.kind == PROFILES:
         return registry.profile(subject.name)
     return registry.upstream(subject.name)
--- a/papayapier/config/store_follower.py
+++ b/papayapier/config/store_follower.py
@@ -12,8 +12,8 @@
 
 from papayapier import events
 from papayapier.clock import Clock, Timer
-from papayapier.config.book import ProfileBook
 from papayapier.config.fetch import FetchDeps, Fetcher
+from papayapier.config.profile_registry import ProfileRegistry
 from papayapier.config.records import CONFIG_PREFIX
 from papayapier.settings import ConfigSettings
 from papayapier.store.api import Change, Store
@@ -33,7 +33,7 @@
     rand: random.Random
     store: Store
     settings: ConfigSettings
-    registry: ProfileBook
+    registry: ProfileRegistry
     must_follow: Callable[[], bool]
     on_fetched: Callable[[str, int, bytes], None]
 
--- a/papayapier/config/sync.py
+++ b/papayapier/config/sync.py
@@ -2,7 +2,7 @@
 
 A push from the accepting instance arrives first. The watch on the store, the peers' heartbeats
 (see gap_detector) and a slow poll are fallbacks, each of which is sufficient alone, because pushes,
-watches and peer links can fail without an error. All sources call ProfileBook.apply, which
+watches and peer links can fail without an error. All sources call ProfileRegistry.apply, which
 accepts only higher versions, so they may overlap in any order.
 """
 
@@ -15,9 +15,9 @@
 from papayapier import events
 from papayapier.clock import MS_PER_S, Clock
 from papayapier.config import records
-from papayapier.config.book import ProfileBook
 from papayapier.config.config_file import ConfigFile
 from papayapier.config.gap_detector import GapDetector
+from papayapier.config.profile_registry import ProfileRegistry
 from papayapier.config.store_follower import FollowDeps, StoreFollower
 from papayapier.metrics import Metrics
 from papayapier.peer.messages import ConfigAsk, ConfigPush, ConfigTell, Heartbeat, Message
@@ -50,7 +50,7 @@
 class ConfigSync:
     """Keep the registry of this instance up to date, and send missing objects to peers."""
 
-    def __init__(self, deps: ConfigSyncDeps, registry: ProfileBook) -> None:
+    def __init__(self, deps: ConfigSyncDeps, registry: ProfileRegistry) -> None:
         self._deps = deps
         self._registry = registry
         self._config_file = ConfigFile(deps.settings.data_folder, deps.clock, registry)
--- a/papayapier/config/teams.py
+++ b/papayapier/config/teams.py
@@ -10,7 +10,7 @@
 
 from result import Err, Ok, Result
 
-from papayapier.config.keys import KeyRing
+from papayapier.config.keys import KeyRegistry
 from papayapier.errors import ErrorKind, Refusal, not_run
 
 
@@ -26,13 +26,13 @@
     burst: float = 0.0
     rank: int | None = None
 
-    def limited(self) -> bool:
+    def is_limited(self) -> bool:
         """Return whether the team has a rate limit."""
         return self.rate_per_s > 0
 
 
 # The team of requests on a public route, if teams are defined.
-ANYBODY: Final = Team("")
+ANONYMOUS_TEAM: Final = Team("")
 
 
 class Teams:
@@ -41,14 +41,14 @@
     def __init__(self, teams: Iterable[tuple[Team, Sequence[bytes]]]) -> None:
         """Create the registry from each team and the digests of its keys."""
         listed = list(teams)
-        self._keys = KeyRing((digest, team) for team, digests in listed for digest in digests)
+        self._keys = KeyRegistry((digest, team) for team, digests in listed for digest in digests)
         self._by_name = {team.name: team for team, _ in listed}
 
-    def named(self, name: str) -> Team | None:
+    def by_name(self, name: str) -> Team | None:
         """Return the team with a name, or None."""
         return self._by_name.get(name)
 
-    def asker(self, authorization: Sequence[bytes]) -> Result[Team, Refusal]:
+    def authenticate(self, authorization: Sequence[bytes]) -> Result[Team, Refusal]:
         """Return the team whose key is in the Authorization header."""
         team = self._keys.holder(authorization)
         if team is None:
@@ -56,12 +56,12 @@
         return Ok(team)
 
 
-def name_of(team: Team | None) -> str:
+def team_name(team: Team | None) -> str:
     """Return the name of the requesting team; empty if there is none."""
     return "" if team is None else team.name
 
 
-def may_use(owner: str, team: str) -> bool:
+def may_access(owner: str, team: str) -> bool:
     """Return whether a team may read, end or resubmit what a team has created.
 
     Objects created without a key are accessible to everyone, and requests without a required
--- a/papayapier/dispatch/api.py
+++ b/papayapier/dispatch/api.py
@@ -15,7 +15,7 @@
 from papayapier.policy.loads import LoadTracker
 from papayapier.policy.outliers import OutlierDetector
 from papayapier.policy.retries import RetryBudget
-from papayapier.upstream.api import Token, Upstreams
+from papayapier.upstream.api import Token, UpstreamClient
 
 
 class OnlineRequest(NamedTuple):
@@ -61,6 +61,6 @@
     budget: RetryBudget
     first_bytes: FirstByteTimes
     share: BatchShare
-    upstreams: Upstreams
+    upstreams: UpstreamClient
     metrics: Metrics
     on_uses_changed: Callable[[], None]
--- a/papayapier/dispatch/attempts.py
+++ b/papayapier/dispatch/attempts.py
@@ -172,8 +172,8 @@
         content_type=req.content_type,
         stream=req.generates,
         due_ms=req.due_ms,
-        fresh=progress.history.fresh,
-        plain=not req.generates,
+        new_connection=progress.history.fresh,
+        plain_service=not req.generates,
         first_byte_ms=first_byte_ms,
     )
 
@@ -202,7 +202,7 @@
     now = deps.clock.now()
     upstream = req.profile.upstream
     if isinstance(result, Err):
-        if result.err_value.kind is FailureKind.SILENT:
+        if result.err_value.kind is FailureKind.TIMED_OUT:
             deps.first_bytes.observe(upstream, lasted_ms)
         if counts_against_replica(result.err_value):
             deps.outliers.on_end(replica.id, False, None, now)
--- a/papayapier/dispatch/crash_watch.py
+++ b/papayapier/dispatch/crash_watch.py
@@ -124,7 +124,7 @@
         if isinstance(result, Ok) or _replica_answered(result.err_value):
             self._book.on_alive(replica.id, started_ms)
             self._record_answer(get_fingerprint)
-        elif result.err_value.closed:
+        elif result.err_value.connection_refused:
             self._book.on_ended(replica.id)
         elif is_lost(result.err_value):
             self._record_loss(request_id, get_fingerprint(), replica, result.err_value)
@@ -132,7 +132,7 @@
 
     def on_poll_failed(self, replica: Replica, failure: Failure) -> None:
         """Record the failure of a call other than a send, such as a load poll."""
-        if failure.closed:
+        if failure.connection_refused:
             self._book.on_ended(replica.id)
 
     def on_reported(
--- a/papayapier/dispatch/failure_attribution.py
+++ b/papayapier/dispatch/failure_attribution.py
@@ -26,7 +26,9 @@
     }
 )
 # These count against the replica only on a new connection.
-FRESH_ONLY_KINDS: Final = frozenset({FailureKind.SILENT, FailureKind.CUT, FailureKind.DUE})
+FRESH_ONLY_KINDS: Final = frozenset(
+    {FailureKind.TIMED_OUT, FailureKind.TRUNCATED, FailureKind.DEADLINE}
+)
 
 
 def rejection(failure: Failure) -> Refusal | None:
@@ -43,4 +45,4 @@
     """Return whether a failure counts against the replica."""
     if failure.kind is FailureKind.CANCELLED or rejection(failure) is not None:
         return False
-    return failure.fresh or failure.kind not in FRESH_ONLY_KINDS
+    return failure.new_connection or failure.kind not in FRESH_ONLY_KINDS
--- a/papayapier/dispatch/forward_state.py
+++ b/papayapier/dispatch/forward_state.py
@@ -7,7 +7,7 @@
 from papayapier.dispatch.lost_sends import request_fingerprint
 from papayapier.dispatch.relayed_stream import CallerStream, RelayedStream
 from papayapier.dispatch.retrying import SendHistory
-from papayapier.upstream.event_cutter import NO_EVENT
+from papayapier.upstream.event_splitter import NO_EVENT
 
 if TYPE_CHECKING:
     import random
@@ -25,7 +25,7 @@
     from papayapier.policy.retries import RetryBudget
     from papayapier.policy.routing import RouteRequest
     from papayapier.upstream.api import Replica
-    from papayapier.upstream.raw import RawAnswer, SendRaw
+    from papayapier.upstream.forward_call import ForwardAnswer, ForwardCallSender
 
 
 class RawRequest(NamedTuple):
@@ -83,7 +83,7 @@
     queue: "AdmissionQueue"
     budget: "RetryBudget"
     first_bytes: "FirstByteTimes"
-    send: "SendRaw"
+    send: "ForwardCallSender"
     make_headers: "Callable[[Headers, Replica, int | None, int], Headers]"
     metrics: "Metrics"
     on_uses_changed: "Callable[[], None]"
@@ -115,7 +115,7 @@
         self.placed_with_capacity = False
         # Sends whose replica a placer chose; for the others it was chosen here.
         self.placed_sends = 0
-        self.failed_answer: RawAnswer | None = None
+        self.failed_answer: ForwardAnswer | None = None
         self.stream = None if caller_stream is None else _relay_stream(req, caller_stream)
 
     def has_begun(self) -> bool:
--- a/papayapier/dispatch/forwarding.py
+++ b/papayapier/dispatch/forwarding.py
@@ -28,12 +28,14 @@
 from papayapier.policy.routing import RouteRequest, pick_replica
 from papayapier.policy.waiting import start_by_ms, wait_limit_ms
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
-from papayapier.upstream.event_cutter import NO_EVENT
-from papayapier.upstream.raw import Answered, RawAnswer, RawCall
+from papayapier.upstream.event_splitter import NO_EVENT
+from papayapier.upstream.forward_call import ForwardAnswer, ForwardCall, ForwardedAnswer
 
 NO_REPLICA_RETRY_MS: Final = 200
 # Failures of a replica that is unreachable, removed, or resets each connection and so looks idle.
-NO_ANSWER_KINDS: Final = frozenset({FailureKind.SILENT, FailureKind.CONNECT, FailureKind.CUT})
+NO_ANSWER_KINDS: Final = frozenset(
+    {FailureKind.TIMED_OUT, FailureKind.CONNECT, FailureKind.TRUNCATED}
+)
 # After an answer that the request did not run, another replica is tried. This many rejections are
 # enough to find a free one among a dozen, and bound the cost of a request.
 MAX_REJECTIONS: Final = 4
@@ -41,7 +43,7 @@
 
 async def forward(
     deps: ForwardDeps, req: RawRequest, caller_stream: CallerStream | None
-) -> Result[Answered, Refusal]:
+) -> Result[ForwardedAnswer, Refusal]:
     """Return a replica's complete answer, or a refusal whose outcome covers every send made.
 
     A successful streamed answer is written to caller_stream, and only its status is returned.
@@ -88,7 +90,7 @@
 
 
 def _log_result(
-    deps: ForwardDeps, req: RawRequest, progress: ForwardProgress, answer: Answered
+    deps: ForwardDeps, req: RawRequest, progress: ForwardProgress, answer: ForwardedAnswer
 ) -> None:
     """Log the result of a request and where its time was spent, in one line."""
     now = deps.clock.now()
@@ -115,7 +117,7 @@
 
 def _finish(
     deps: ForwardDeps, req: RawRequest, progress: ForwardProgress, refusal: Refusal
-) -> Result[Answered, Refusal]:
+) -> Result[ForwardedAnswer, Refusal]:
     """Return a replica's own error answer if there is one, else the refusal.
 
     The replica's answer says more than a refusal, but does not fit a caller that has received part
@@ -183,7 +185,7 @@
 
 async def _send_once(
     deps: ForwardDeps, req: RawRequest, replica: Replica, progress: ForwardProgress
-) -> Result[Answered, Failure]:
+) -> Result[ForwardedAnswer, Failure]:
     progress.history.send_count += 1
     progress.replicas.append(replica.id)
     started_ms = deps.clock.now()
@@ -203,16 +205,16 @@
     _report_result(deps, req, replica, result, progress, started_ms)
     if (
         isinstance(result, Ok)
-        and isinstance(result.ok_value, RawAnswer)
-        and not result.ok_value.good()
+        and isinstance(result.ok_value, ForwardAnswer)
+        and not result.ok_value.is_success()
     ):
         return _classify_answer(req, result.ok_value, progress)
     return result
 
 
 def _classify_answer(
-    req: RawRequest, answer: RawAnswer, progress: ForwardProgress
-) -> Result[Answered, Failure]:
+    req: RawRequest, answer: ForwardAnswer, progress: ForwardProgress
+) -> Result[ForwardedAnswer, Failure]:
     """Return an error status as the answer, or as a failure if another replica may succeed.
 
     It is never the answer to a stream that has begun: its caller would take that for complete.
@@ -227,7 +229,7 @@
 
 def _call(
     deps: ForwardDeps, req: RawRequest, replica: Replica, progress: ForwardProgress, now: int
-) -> RawCall:
+) -> ForwardCall:
     left_ms = req.due_ms - now
     attempts_left = req.profile.retry.attempts - progress.history.send_count + 1
     wait_ms = NO_LIMIT
@@ -239,7 +241,7 @@
             else times.limit_ms(upstream, left_ms, attempts_left)
         )
     last_event = progress.stream.last_event() if progress.stream is not None else NO_EVENT
-    return RawCall(
+    return ForwardCall(
         req.request_id,
         req.method,
         req.target,
@@ -256,7 +258,7 @@
     deps: ForwardDeps,
     req: RawRequest,
     replica: Replica,
-    result: Result[Answered, Failure],
+    result: Result[ForwardedAnswer, Failure],
     progress: ForwardProgress,
     started_ms: int,
 ) -> None:
@@ -272,7 +274,7 @@
     failure = result.err_value
     if failure.kind in NO_ANSWER_KINDS and not first_byte_ms:
         deps.on_unanswered(replica)
-    if failure.kind is FailureKind.SILENT and not first_byte_ms:
+    if failure.kind is FailureKind.TIMED_OUT and not first_byte_ms:
         deps.first_bytes.observe(req.profile.upstream, now - started_ms)
     if failure.sent is Sent.NO and failure.kind is FailureKind.STATUS:
         return
--- a/papayapier/dispatch/item_dispatch.py
+++ b/papayapier/dispatch/item_dispatch.py
@@ -230,8 +230,8 @@
             stream=item.generates(),
             # An item past its due time is still run, because it must end with a result.
             due_ms=now + max(left_ms, MIN_ITEM_TIMEOUT_MS),
-            fresh=item.fresh,
-            plain=not item.generates(),
+            new_connection=item.fresh,
+            plain_service=not item.generates(),
         )
 
     def _report_result(self, item: Item, replica: Replica, result: Result[Reply, Failure]) -> None:
--- a/papayapier/dispatch/lost_sends.py
+++ b/papayapier/dispatch/lost_sends.py
@@ -14,7 +14,7 @@
 # 64 bits: among a million requests at once, the probability of a collision is 3 in 10^8.
 FINGERPRINT_BYTES: Final = 8
 # Failures of a call whose replica ends: its connection is reset, or nothing more arrives.
-LOSS_KINDS: Final = frozenset({FailureKind.CUT, FailureKind.SILENT, FailureKind.DUE})
+LOSS_KINDS: Final = frozenset({FailureKind.TRUNCATED, FailureKind.TIMED_OUT, FailureKind.DEADLINE})
 
 
 def request_fingerprint(method: str, host: str, target: str, body: bytes, team: str = "") -> str:
--- a/papayapier/dispatch/relayed_stream.py
+++ b/papayapier/dispatch/relayed_stream.py
@@ -3,17 +3,17 @@
 from typing import TYPE_CHECKING, Protocol
 
 from papayapier.upstream.api import FailureKind
-from papayapier.upstream.event_cutter import NO_EVENT, EventCutter, first_id
+from papayapier.upstream.event_splitter import NO_EVENT, EventSplitter, parse_first_id
 from papayapier.upstream.phases import Fault
 
 if TYPE_CHECKING:
-    from papayapier.upstream.exchange import Head
+    from papayapier.upstream.exchange import ResponseHead
 
 
 class CallerStream(Protocol):
     """Describe the caller's side of a streamed answer."""
 
-    def begin(self, answer: "Head") -> None:
+    def begin(self, answer: "ResponseHead") -> None:
         """Send the head."""
 
     def write(self, data: bytes) -> None:
@@ -27,7 +27,7 @@
 
     def __init__(self, caller_stream: CallerStream, last_event: int, resumable: bool) -> None:
         self._caller_stream = caller_stream
-        self._cutter = EventCutter(last_event)
+        self._cutter = EventSplitter(last_event)
         # The next event is the first from a replica that was asked to resume the stream.
         self._resumed = resumable and last_event != NO_EVENT
         self.started = False
@@ -38,11 +38,11 @@
         return self._cutter.last_id
 
     def restart(self) -> None:
-        self._cutter.restart()
+        self._cutter.discard_partial()
         self._resumed = self._cutter.last_id != NO_EVENT
         self.first_data_ms = 0
 
-    def on_head(self, head: "Head") -> None:
+    def on_head(self, head: "ResponseHead") -> None:
         if not self.started:
             self.started = True
             self._caller_stream.begin(head)
@@ -52,23 +52,25 @@
         previous_id = self._cutter.last_id
         complete_events = self._cutter.feed(data)
         if complete_events is None:
-            return Fault(FailureKind.BROKEN, "an event is too long")
+            return Fault(FailureKind.INVALID, "an event is too long")
         if not complete_events:
             return None
-        first_event_id = first_id(complete_events) if self._resumed else NO_EVENT
+        first_event_id = parse_first_id(complete_events) if self._resumed else NO_EVENT
         if first_event_id not in (NO_EVENT, previous_id + 1):
             self._cutter.last_id = previous_id
-            return Fault(FailureKind.BROKEN, f"event {first_event_id} came after {previous_id}")
+            return Fault(FailureKind.INVALID, f"event {first_event_id} came after {previous_id}")
         self._resumed = False
         self._caller_stream.write(complete_events)
         return None
 
     def on_end(self, declared: bool) -> Fault | None:
         self.declared = declared
-        rest = self._cutter.rest()
+        rest = self._cutter.remainder()
         if not declared and rest.strip():
             # A killed process closes its connections just like one that has completed its answer.
-            return Fault(FailureKind.CUT, "the connection closed within an event of the stream")
+            return Fault(
+                FailureKind.TRUNCATED, "the connection closed within an event of the stream"
+            )
         if rest:
             self._caller_stream.write(rest)
         return None
--- a/papayapier/dispatch/retrying.py
+++ b/papayapier/dispatch/retrying.py
@@ -137,7 +137,7 @@
 
     At most half of the remaining time is spent waiting; the rest is left for the send itself.
     """
-    if failure.kind is not FailureKind.CUT:
+    if failure.kind is not FailureKind.TRUNCATED:
         return 0
     least_ms = deps.crashes.retry_spacing_ms(get_fingerprint)
     if not least_ms:
--- a/papayapier/entry/callers.py
+++ b/papayapier/entry/callers.py
@@ -6,7 +6,7 @@
 
 from result import Err, Ok, Result
 
-from papayapier.config.keys import KeyRing
+from papayapier.config.keys import KeyRegistry
 from papayapier.errors import ErrorKind, Refusal, not_run
 
 if TYPE_CHECKING:
@@ -26,9 +26,9 @@
 
 
 @lru_cache
-def _ring(entries: "tuple[KeyEntry, ...]") -> KeyRing[str]:
+def _ring(entries: "tuple[KeyEntry, ...]") -> KeyRegistry[str]:
     """Build and cache the key ring of a list; of two entries with one key, the first counts."""
-    return KeyRing((bytes.fromhex(entry.key_sha256), entry.name) for entry in reversed(entries))
+    return KeyRegistry((bytes.fromhex(entry.key_sha256), entry.name) for entry in reversed(entries))
 
 
 def caller_auth(entries: "tuple[KeyEntry, ...]") -> CallerAuth:
--- a/papayapier/entry/forward_routes.py
+++ b/papayapier/entry/forward_routes.py
@@ -10,8 +10,8 @@
 
 from papayapier import events
 from papayapier.clock import MS_PER_S
-from papayapier.config.route_table import Route, RouteTable, WorkKind, pick_profile
-from papayapier.config.teams import Team, name_of
+from papayapier.config.route_table import Route, RouteKind, RouteTable, pick_profile
+from papayapier.config.teams import Team, team_name
 from papayapier.dispatch.forward_state import RawRequest
 from papayapier.dispatch.forwarding import forward
 from papayapier.dispatch.start_queue import StartQueue, StartRequest
@@ -19,8 +19,8 @@
 from papayapier.errors import ErrorKind, Refusal, not_run
 from papayapier.invariants import Promise, check
 from papayapier.policy.waiting import is_repeated, wait_limit_ms
-from papayapier.upstream.event_cutter import NO_EVENT
-from papayapier.upstream.raw import Answered, PassedOn, RawAnswer
+from papayapier.upstream.event_splitter import NO_EVENT
+from papayapier.upstream.forward_call import ForwardAnswer, ForwardedAnswer, StreamedAnswer
 
 if TYPE_CHECKING:
     import random
@@ -31,7 +31,7 @@
     from papayapier.clock import Clock
     from papayapier.dispatch.forward_state import ForwardDeps
     from papayapier.metrics import Metrics
-    from papayapier.upstream.exchange import Head
+    from papayapier.upstream.exchange import ResponseHead
 
 # Twisted's annotations of this class are incomplete.
 _Resource: Any = Resource
@@ -155,24 +155,26 @@
     host = request.getHeader("host") or ""
     call = routes.jobs.parse_call(request)
     if call is not None:
-        team_result = table.asker(table.has_public_jobs(host), _presented_keys(routes, request))
+        team_result = table.authenticate(
+            table.has_public_jobs(host), _presented_keys(routes, request)
+        )
         if isinstance(team_result, Err):
             refuse_forwarded(routes.refusals, request, "", team_result.err_value)
             return
         request.detached = True
-        await routes.jobs.perform(request, call, name_of(team_result.ok_value))
+        await routes.jobs.perform(request, call, team_name(team_result.ok_value))
         return
     route = table.find(host, request.path.decode("latin-1"))
     if route is None:
         reason = f"no route for host {host}, configuration {table.cfg.version}"
         refuse_forwarded(routes.refusals, request, "", not_run(ErrorKind.NOT_FOUND, reason))
         return
-    team_result = table.asker(route.public, _presented_keys(routes, request))
+    team_result = table.authenticate(route.public, _presented_keys(routes, request))
     if isinstance(team_result, Err):
         refuse_forwarded(routes.refusals, request, route.name, team_result.err_value)
-    elif route.kind is WorkKind.JOB:
+    elif route.kind is RouteKind.JOB:
         request.detached = True
-        await routes.jobs.submit(request, route, name_of(team_result.ok_value))
+        await routes.jobs.submit(request, route, team_name(team_result.ok_value))
     else:
         await _forward(routes, request, route, team_result.ok_value)
 
@@ -194,7 +196,7 @@
         return
     caller_stream = _CallerStream(routes, request, req) if req.stream else None
 
-    async def send() -> Result[Answered, Refusal]:
+    async def send() -> Result[ForwardedAnswer, Refusal]:
         return await forward(routes.forward, req, caller_stream)
 
     try:
@@ -210,8 +212,8 @@
     routes: ForwardRouteDeps,
     req: RawRequest,
     team: Team | None,
-    send: "Callable[[], Awaitable[Result[Answered, Refusal]]]",
-) -> Result[Answered, Refusal]:
+    send: "Callable[[], Awaitable[Result[ForwardedAnswer, Refusal]]]",
+) -> Result[ForwardedAnswer, Refusal]:
     """Run a request once its team may send it and the queue admits it."""
     allowed = Ok(None) if team is None else await _request_allowance(routes, req, team)
     if isinstance(allowed, Err):
@@ -278,12 +280,12 @@
             target=request.uri.decode("latin-1"),
             headers=headers,
             body=request.take_body(),
-            stream=route.kind is WorkKind.STREAM,
-            prompt=_shared_prompt(request.getHeader(names.prompt)) if route.by_prompt else "",
+            stream=route.kind is RouteKind.STREAM,
+            prompt=_shared_prompt(request.getHeader(names.prompt)) if route.route_by_prompt else "",
             due_ms=now + limit_ms,
             last_event=last_id,
             arrived_ms=now,
-            team=name_of(team),
+            team=team_name(team),
             rank=rank,
             objective_ms=route.objective_ms,
             is_retry=is_retry,
@@ -312,7 +314,7 @@
         self._req = req
         self.started = False
 
-    def begin(self, answer: "Head") -> None:
+    def begin(self, answer: "ResponseHead") -> None:
         self.started = True
         _write_head(self._routes, self._request, answer.status, answer.headers)
 
@@ -336,7 +338,7 @@
     routes: ForwardRouteDeps,
     request: Any,
     req: RawRequest,
-    result: Result[Answered, Refusal],
+    result: Result[ForwardedAnswer, Refusal],
     caller_stream: _CallerStream | None,
 ) -> None:
     name = req.profile.name
@@ -359,11 +361,11 @@
     routes: ForwardRouteDeps,
     request: Any,
     req: RawRequest,
-    answer: Answered,
+    answer: ForwardedAnswer,
     has_begun: bool,
 ) -> None:
     """End an answer that was streamed, or write one of which nothing has been sent yet."""
-    is_consistent = isinstance(answer, PassedOn) == has_begun
+    is_consistent = isinstance(answer, StreamedAnswer) == has_begun
     check(is_consistent, Promise.ANSWER_OWN, request=req.request_id, status=answer.status)
     if not is_consistent:
         request.channel.transport.abortConnection()
@@ -372,12 +374,12 @@
     routes.metrics.requests.labels(name, "answered").inc()
     latency_s = (routes.clock.now() - req.arrived_ms) / MS_PER_S
     routes.metrics.latency.labels(name).observe(latency_s)
-    if isinstance(answer, RawAnswer):
+    if isinstance(answer, ForwardAnswer):
         _write_answer(routes, request, answer)
     request.finish()
 
 
-def _write_answer(routes: ForwardRouteDeps, request: Any, answer: RawAnswer) -> None:
+def _write_answer(routes: ForwardRouteDeps, request: Any, answer: ForwardAnswer) -> None:
     _write_head(routes, request, answer.status, answer.headers)
     request.setHeader(b"Content-Length", str(len(answer.body)).encode())
     request.write(answer.body)
--- a/papayapier/entry/operator_routes.py
+++ b/papayapier/entry/operator_routes.py
@@ -11,9 +11,9 @@
 from twisted.internet.defer import Deferred
 
 from papayapier import codec
-from papayapier.config.accept import Accepted, Change, Rejected
+from papayapier.config.accept import Accepted, ChangeRequest, Rejected
+from papayapier.config.audit_trail import DEFAULT_LIMIT, AuditFilter
 from papayapier.config.records import PROFILES, UPSTREAMS, Subject
-from papayapier.config.trail import LIMIT_DEFAULT, AuditFilter
 from papayapier.entry import operator_bodies as bodies
 from papayapier.entry.answers import ErrorBody, refuse, reply_json
 from papayapier.entry.operator_auth import operator_auth
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from papayapier.config.start import Config
+    from papayapier.config.start import ConfigService
     from papayapier.entry.operator_auth import OperatorAuth
     from papayapier.entry.web import WebRequest
     from papayapier.orders.controller import OrdersView
@@ -46,7 +46,7 @@
 class OperatorDeps(NamedTuple):
     """Group the dependencies of the routes; without orders there is no route for them."""
 
-    config: "Config"
+    config: "ConfigService"
     operators: "tuple[KeyEntry, ...]"
     status: "Callable[[], bodies.Status]"
     orders: "Callable[[], OrdersView] | None" = None
@@ -55,7 +55,7 @@
 class _Routes(NamedTuple):
     """Group what each route depends on."""
 
-    config: "Config"
+    config: "ConfigService"
     auth: "OperatorAuth"
 
 
@@ -118,7 +118,7 @@
     operator = routes.auth(request)
     if isinstance(operator, Err):
         return refuse(request, operator.err_value)
-    registry = routes.config.book
+    registry = routes.config.registry
     found = registry.profiles() if kind == PROFILES else registry.upstreams()
     items = [
         bodies.ItemBody(name, registry.version_of(Subject(kind, name).key), desired)
@@ -131,7 +131,7 @@
     operator = routes.auth(request)
     if isinstance(operator, Err):
         return refuse(request, operator.err_value)
-    registry = routes.config.book
+    registry = routes.config.registry
     kind, name = subject
     desired = registry.profile(name) if kind == PROFILES else registry.upstream(name)
     if desired is None:
@@ -166,7 +166,9 @@
     if document is None:
         message = f"{subject.kind.removesuffix('s')}: is null; use DELETE to delete"
         return refuse(request, not_run(ErrorKind.BAD_REQUEST, message))
-    change = Change(subject, document, based_on, reason, change_id, operator.ok_value, strand)
+    change = ChangeRequest(
+        subject, document, based_on, reason, change_id, operator.ok_value, strand
+    )
     return _write_result(request, subject, await routes.config.accept(change))
 
 
@@ -178,7 +180,7 @@
     if isinstance(body, Err):
         return refuse(request, body.err_value)
     based_on, reason, change_id, strand = body.ok_value
-    change = Change(subject, None, based_on, reason, change_id, operator.ok_value, strand)
+    change = ChangeRequest(subject, None, based_on, reason, change_id, operator.ok_value, strand)
     return _write_result(request, subject, await routes.config.accept(change))
 
 
@@ -220,7 +222,7 @@
     parameters = {key.decode(): values[-1].decode() for key, values in arguments.items()}
     kind = parameters.get("kind", "")
     since = parameters.get("since", "0")
-    limit = parameters.get("limit", str(LIMIT_DEFAULT))
+    limit = parameters.get("limit", str(DEFAULT_LIMIT))
     if kind not in ("", PROFILES, UPSTREAMS):
         return Err(f"kind: expected {PROFILES} or {UPSTREAMS}, got {kind}")
     if not since.isdigit():
--- a/papayapier/http_apis.py
+++ b/papayapier/http_apis.py
@@ -46,7 +46,7 @@
             metrics=base.metrics,
             auth=auth,
             max_body_bytes=cfg.entry.max_body_bytes,
-            profile=services.config.book.profile,
+            profile=services.config.registry.profile,
             upstream_names=fleet.view.upstream_names,
             run=make_claimed_runner(services.online, services.claims),
             get_refusal=readiness.get_refusal,
@@ -56,7 +56,7 @@
     operator = Klein()
     add_health_routes(operator, readiness.not_ready_reason, base.metrics)
     add_batch_routes(operator, services.batch, job_auth(cfg.operator.operators), refuse_new_work)
-    status = FleetStatus(cfg.instance, services.config.book, services.hub, readiness)
+    status = FleetStatus(cfg.instance, services.config.registry, services.hub, readiness)
     add_operator_routes(
         operator,
         OperatorDeps(services.config, cfg.operator.operators, status.current, services.orders.show),
--- a/papayapier/instance.py
+++ b/papayapier/instance.py
@@ -14,21 +14,21 @@
     from papayapier.batch.start import Batch
     from papayapier.claims.service import Claims
     from papayapier.clock import Clock, Timer
-    from papayapier.config.start import Config
+    from papayapier.config.start import ConfigService
     from papayapier.dispatch.item_dispatch import ItemDispatch
     from papayapier.dispatch.online import OnlineDispatch
     from papayapier.fleet_view import FleetView
     from papayapier.listen import Listening
     from papayapier.metrics import Metrics
-    from papayapier.orders.controller import OrderControl
+    from papayapier.orders.controller import OrderController
     from papayapier.peer.hub import PeerHub
     from papayapier.peer.loss_exchange import LossExchange
     from papayapier.policy.drain import Drain
     from papayapier.store.api import Store
     from papayapier.store.members import MemberFollower, MemberReporter
     from papayapier.store.members_file import MembersFile
-    from papayapier.upstream.api import Upstreams
-    from papayapier.upstream.reports import Reports
+    from papayapier.upstream.api import UpstreamClient
+    from papayapier.upstream.load_polls import LoadPolls
 
 CHECK_INTERVAL_MS: Final = 250
 CLAIMS_DRAIN_TIMEOUT_MS: Final = 10_000
@@ -51,14 +51,14 @@
     drain: "Drain"
     hub: "PeerHub"
     loss_exchange: "LossExchange"
-    config: "Config"
+    config: "ConfigService"
     online: "OnlineDispatch"
     item_dispatch: "ItemDispatch"
     batch: "Batch"
     claims: "Claims"
-    orders: "OrderControl"
-    reports: "Reports"
-    upstreams: "Upstreams"
+    orders: "OrderController"
+    reports: "LoadPolls"
+    upstreams: "UpstreamClient"
     follower: "MemberFollower"
     reporter: "MemberReporter"
     store: "Store"
@@ -70,7 +70,7 @@
     """Decide whether this instance should receive requests."""
 
     def __init__(
-        self, clock: "Clock", drain: "Drain", config: "Config", fleet: "FleetView"
+        self, clock: "Clock", drain: "Drain", config: "ConfigService", fleet: "FleetView"
     ) -> None:
         self._clock = clock
         self._drain = drain
@@ -93,7 +93,7 @@
     def _reason(self) -> str:
         if self._drain.state() != "serving":
             return "the instance is leaving"
-        fresh = self._config.ready(self._clock.now())
+        fresh = self._config.check_ready(self._clock.now())
         if isinstance(fresh, Err):
             return fresh.err_value
         if not self._fleet.upstream_names():
--- a/papayapier/jobs/item_run.py
+++ b/papayapier/jobs/item_run.py
@@ -3,12 +3,12 @@
 from typing import TYPE_CHECKING
 
 from papayapier.upstream.api import FailureKind
-from papayapier.upstream.event_cutter import NO_EVENT, EventCutter, read_events
+from papayapier.upstream.event_splitter import NO_EVENT, EventSplitter, parse_events
 from papayapier.upstream.phases import Fault
 
 if TYPE_CHECKING:
     from papayapier.jobs.owned_job import ItemState
-    from papayapier.upstream.exchange import Head
+    from papayapier.upstream.exchange import ResponseHead
 
 
 class ItemReceiver:
@@ -16,11 +16,11 @@
 
     def __init__(self, state: "ItemState") -> None:
         self._state = state
-        self._cutter = EventCutter(state.last_event)
+        self._cutter = EventSplitter(state.last_event)
         self._first = True
         self.first_ms = 0
 
-    def on_head(self, _head: "Head") -> None:
+    def on_head(self, _head: "ResponseHead") -> None:
         """Ignore the head of a successful response."""
 
     def on_data(self, data: bytes, now_ms: int) -> Fault | None:
@@ -28,8 +28,8 @@
         self.first_ms = self.first_ms or now_ms
         complete = self._cutter.feed(data)
         if complete is None:
-            return Fault(FailureKind.BROKEN, "event exceeds the size limit")
-        for event in read_events(complete):
+            return Fault(FailureKind.INVALID, "event exceeds the size limit")
+        for event in parse_events(complete):
             fault = self._add(event.id, event.data)
             if fault is not None:
                 return fault
@@ -38,10 +38,10 @@
 
     def on_end(self, _declared: bool) -> Fault | None:
         """Check that the stream ended after a complete event."""
-        if self._cutter.rest().strip():
-            return Fault(FailureKind.CUT, "stream ended within an event")
+        if self._cutter.remainder().strip():
+            return Fault(FailureKind.TRUNCATED, "stream ended within an event")
         if not self._state.texts:
-            return Fault(FailureKind.CUT, "stream ended without an event")
+            return Fault(FailureKind.TRUNCATED, "stream ended without an event")
         return None
 
     def _add(self, event_id: int, data: str) -> Fault | None:
@@ -49,7 +49,7 @@
         # Joining the events of two runs with a gap or an overlap would produce a text that no
         # replica has sent, and nothing but reading it would reveal that.
         if last != NO_EVENT and event_id != last + 1:
-            return Fault(FailureKind.BROKEN, f"event {event_id} received after event {last}")
+            return Fault(FailureKind.INVALID, f"event {event_id} received after event {last}")
         self._state.last_event = event_id
         self._state.texts.append(data)
         return None
--- a/papayapier/jobs/job_service.py
+++ b/papayapier/jobs/job_service.py
@@ -15,7 +15,7 @@
 
 from papayapier import events
 from papayapier.clock import Clock
-from papayapier.config.teams import may_use
+from papayapier.config.teams import may_access
 from papayapier.errors import ErrorKind, Refusal, not_run, unknown
 from papayapier.jobs.commits import WrittenGroup
 from papayapier.jobs.groups import read_groups, read_with_items
@@ -263,7 +263,7 @@
             record = read_record(found.ok_value.value)
             if isinstance(record, Err):
                 return Err(unknown(ErrorKind.INTERNAL, record.err_value))
-            if not may_use(record.ok_value.team, team):
+            if not may_access(record.ok_value.team, team):
                 return Err(_read_refusal(job_id, StoreError.NOT_FOUND))
             if record.ok_value.ended:
                 return Ok(None)
@@ -314,7 +314,7 @@
     async def _view(self, job_id: str, team: str) -> Result[_View, Refusal]:
         """Return a job's view to its own team; for any other team the job does not exist."""
         found = await self._view_of_any_team(job_id)
-        if isinstance(found, Ok) and not may_use(found.ok_value.record.team, team):
+        if isinstance(found, Ok) and not may_access(found.ok_value.record.team, team):
             return Err(_read_refusal(job_id, StoreError.NOT_FOUND))
         return found
 
@@ -393,7 +393,7 @@
 def _resubmitted(job_id: str, team: str, value: bytes) -> Result[None, Refusal]:
     """Accept the resubmission of a job, unless its id belongs to a job of another team."""
     record = read_record(value)
-    if isinstance(record, Ok) and not may_use(record.ok_value.team, team):
+    if isinstance(record, Ok) and not may_access(record.ok_value.team, team):
         return Err(not_run(ErrorKind.KEY_CONFLICT, f"job {job_id} belongs to another team"))
     events.emit(events.JOB_RESENT, job=job_id)
     return Ok(None)
--- a/papayapier/jobs/owned_job.py
+++ b/papayapier/jobs/owned_job.py
@@ -6,7 +6,7 @@
 from papayapier.jobs.progress import ItemProgress
 from papayapier.jobs.records import ItemOutcome, ItemResult, JobItem, JobRecord, ResultGroup
 from papayapier.policy.handover import STALLED_MS, STALLED_RUNNING_MS
-from papayapier.upstream.event_cutter import NO_EVENT
+from papayapier.upstream.event_splitter import NO_EVENT
 
 NO_DELAY: Final = 0
 
--- a/papayapier/jobs/runs.py
+++ b/papayapier/jobs/runs.py
@@ -30,7 +30,12 @@
 from papayapier.policy.loads import LoadTracker
 from papayapier.policy.outliers import OutlierDetector
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
-from papayapier.upstream.raw import Answered, PassedOn, RawCall, SendRaw
+from papayapier.upstream.forward_call import (
+    ForwardCall,
+    ForwardCallSender,
+    ForwardedAnswer,
+    StreamedAnswer,
+)
 
 # Far longer than a run usually takes; a run that reaches this limit is resumed at another replica.
 MAX_RUN_MS: Final = 60_000
@@ -55,7 +60,7 @@
     load_tracker: LoadTracker
     outliers: OutlierDetector
     crashes: CrashWatch
-    send: SendRaw
+    send: ForwardCallSender
     make_headers: Callable[[Headers, Replica, int | None, int], Headers]
     with_team: Callable[[Headers, str], Headers]
     decode_body: Callable[[Any], bytes]
@@ -236,7 +241,7 @@
     async def _run(self, job: OwnedJob, route: Route, state: ItemState, replica: Replica) -> None:
         receiver = ItemReceiver(state)
         began_ms = self._deps.clock.now()
-        sent: Result[Answered, Failure] | None = None
+        sent: Result[ForwardedAnswer, Failure] | None = None
         try:
             sent = await self._deps.send(replica, self._call(job, state, replica), receiver)
         except CancelledError:
@@ -256,12 +261,12 @@
             self._on_run_result(job, route, state, replica, sent)
         self._on_slot_freed()
 
-    def _call(self, job: OwnedJob, state: ItemState, replica: Replica) -> RawCall:
+    def _call(self, job: OwnedJob, state: ItemState, replica: Replica) -> ForwardCall:
         headers = Headers({name: [value] for name, value in state.item.headers.items()})
         headers.setRawHeaders(b"Host", [job.record.host.encode()])
         headers.setRawHeaders(self._deps.request_id, [state.item.id.encode()])
         named = self._deps.with_team(headers, job.record.team)
-        return RawCall(
+        return ForwardCall(
             state.item.id,
             "POST",
             state.item.path,
@@ -310,7 +315,7 @@
         route: Route,
         state: ItemState,
         replica: Replica,
-        sent: Result[Answered, Failure],
+        sent: Result[ForwardedAnswer, Failure],
     ) -> None:
         if state.item.id not in job.items:
             return
@@ -326,7 +331,7 @@
             self._log_quarantine(job, state)
             return
         answer = sent.ok_value
-        if isinstance(answer, PassedOn):
+        if isinstance(answer, StreamedAnswer):
             self._deps.outliers.on_end(replica.id, True, None, now)
             self._times_at(replica.upstream).on_done(len(state.texts), state.ran_ms)
             events.emit(
--- a/papayapier/node/allowances.py
+++ b/papayapier/node/allowances.py
@@ -104,7 +104,7 @@
     client = _GranterClient(deps)
 
     async def allow(team: Team, retried: bool) -> Result[None, Refusal]:
-        if not team.limited():
+        if not team.is_limited():
             return Ok(None)
         candidates = client.granters_in_order(team.name)
         requested: set[str] = set()
@@ -157,7 +157,7 @@
 def _limit_of(deps: GrantDeps, request: AllowAsk | TakeOverAsk) -> Allowance:
     """Return the lower of the requester's limit and this instance's: either may be outdated."""
     known = deps.team(request.team)
-    if known is None or not known.limited():
+    if known is None or not known.is_limited():
         return Allowance(request.rate_per_s, request.burst)
     return Allowance(min(request.rate_per_s, known.rate_per_s), min(request.burst, known.burst))
 
--- a/papayapier/node/base.py
+++ b/papayapier/node/base.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import Deferred
 
 from papayapier.clock import Clock
-from papayapier.config.routing_book import RoutingBook
+from papayapier.config.routing_registry import RoutingRegistry
 from papayapier.dispatch.crash_watch import CrashWatch
 from papayapier.jobs.notifications import SentNotifications
 from papayapier.metrics import Metrics, make_metrics
@@ -49,8 +49,12 @@
 from papayapier.store.budget import Budget, Priority, make_budget
 from papayapier.store.mirror import IsRelevant, Mirror, always_relevant
 from papayapier.store.watch import Follower, FollowIntervals, log_failure
-from papayapier.upstream.links import Links
-from papayapier.upstream.raw import RawDeps, SendRaw, make_raw_send
+from papayapier.upstream.connection_pools import ConnectionPools
+from papayapier.upstream.forward_call import (
+    ForwardCallDeps,
+    ForwardCallSender,
+    make_forward_call_sender,
+)
 
 BOOT_BITS: Final = 48
 # Time from the notification that a call has ended until the next call starts in its slot: receive,
@@ -75,14 +79,14 @@
     load_tracker: LoadTracker
     outliers: OutlierDetector
     crashes: CrashWatch
-    routing: RoutingBook
+    routing: RoutingRegistry
     replicas: ReplicaList
     group_notifications: SentNotifications
     outage_tracker: OutageTracker
     nodes: NodeList
     hub: PeerHub
-    links: Links
-    send: SendRaw
+    links: ConnectionPools
+    send: ForwardCallSender
     # Returns the store, called directly or relayed through a peer.
     view: Callable[[Priority], Store]
     loss_exchange: LossExchange
@@ -109,7 +113,7 @@
     drain = Drain(DrainPlan(cfg.stop.balancer_lag_ms, cfg.stop.limit_ms()))
     load_tracker = LoadTracker()
     outliers = OutlierDetector()
-    routing = RoutingBook(CONFIG_KEY, read_configuration)
+    routing = RoutingRegistry(CONFIG_KEY, read_configuration)
     group_notifications = SentNotifications()
     boot = rand.getrandbits(BOOT_BITS)
 
@@ -155,7 +159,7 @@
     listening = hub.start()
     if isinstance(listening, Err):
         return listening
-    links = Links(reactor, clock, cfg.upstream)
+    links = ConnectionPools(reactor, clock, cfg.upstream)
     outage_tracker = OutageTracker(clock, budget)
     crashes = CrashWatch(
         clock, metrics, lambda: is_list_current(outage_tracker.last_return_ms(), clock.now())
@@ -165,7 +169,7 @@
             clock, REPLICAS_PREFIX, read_replica, outage_tracker.last_return_ms, on_replicas, defer
         )
     )
-    send = RawDeps(links, decode_facts, load_tracker.on_report, replicas.on_moved, metrics)
+    send = ForwardCallDeps(links, decode_facts, load_tracker.on_report, replicas.on_moved, metrics)
     relay = RelayDeps(clock, rand, hub, lambda: budget.down_since() is not None)
     placement_deps = PlacementDeps(
         clock,
@@ -212,7 +216,7 @@
         nodes=nodes,
         hub=hub,
         links=links,
-        send=make_raw_send(send),
+        send=make_forward_call_sender(send),
         view=lambda priority: with_relay(budget.view(priority), relay),
         loss_exchange=loss_exchange,
         mirror_deps=MirrorDeps(
@@ -402,7 +406,7 @@
     def on_push(peer_id: str, message: Message) -> None:
         assert isinstance(message, ConfigPush)
         if message.key == base.routing.key:
-            base.routing.offer(message.version, message.value, peer_id)
+            base.routing.apply_if_newer(message.version, message.value, peer_id)
 
     hub.on_change(on_peers)
     hub.subscribe(ConfigPush, on_push)
--- a/papayapier/node/keeper.py
+++ b/papayapier/node/keeper.py
@@ -178,7 +178,7 @@
     def team(name: str) -> Team | None:
         table = base.routing.table()
         teams = table.cfg.teams if table is not None else None
-        return teams.named(name) if teams is not None else None
+        return teams.by_name(name) if teams is not None else None
 
     serve_allowances(
         GrantDeps(
--- a/papayapier/node/replica_list.py
+++ b/papayapier/node/replica_list.py
@@ -162,7 +162,7 @@
             for entry in added:
                 upstream = entry.replica.upstream
                 events.emit(
-                    events.REPLICA_ADDED, replica=entry.replica.own_name(), upstream=upstream
+                    events.REPLICA_ADDED, replica=entry.replica.effective_name(), upstream=upstream
                 )
         self._published = list(self._listed.values())
         self._deps.changed(self._published)
--- a/papayapier/operate/configuration.py
+++ b/papayapier/operate/configuration.py
@@ -275,7 +275,7 @@
         return Err(f"{path}: name: this field is required")
     verdict = checks.check_document(Subject(object_type.kind, name), document)
     if verdict.errors:
-        return Err(f"{path}: {checks.describe(verdict.errors)}")
+        return Err(f"{path}: {checks.describe_problems(verdict.errors)}")
     return Ok((name, checks.as_document(verdict.wanted)))
 
 
--- a/papayapier/orders/controller.py
+++ b/papayapier/orders/controller.py
@@ -28,7 +28,7 @@
 from papayapier.settings import OrderSettings
 from papayapier.store.api import Store
 from papayapier.upstream.api import Replica, Sent
-from papayapier.upstream.orders import EngineControl, Order
+from papayapier.upstream.engine_control import EngineControl, Order
 
 TICK_BUSY_MS: Final = 250
 TICK_IDLE_MS: Final = 2_000
@@ -52,7 +52,7 @@
     serving: bool
 
 
-class OrdersDeps(NamedTuple):
+class OrderControllerDeps(NamedTuple):
     """Group the dependencies of the order controller.
 
     wanted returns the wanted state of all upstreams, replicas the listed replicas that are not
@@ -65,11 +65,11 @@
     store: Store
     cfg: OrderSettings
     instance: str
-    orders: EngineControl
-    wanted: Callable[[], Sequence[UpstreamWanted]]
+    engine_control: EngineControl
+    wanted_upstreams: Callable[[], Sequence[UpstreamWanted]]
     replicas: Callable[[], Sequence[ListedReplica]]
     instances: Callable[[], Sequence[str]]
-    need: Callable[[str], int]
+    required_serving: Callable[[str], int]
 
 
 class OrderInProgress(NamedTuple):
@@ -99,28 +99,28 @@
     lately: list[RecentOrderEvent]
 
 
-class OrderControl(NamedTuple):
+class OrderController(NamedTuple):
     """Group the functions of the order controller of one instance."""
 
     show: Callable[[], OrdersView]
     stop: Callable[[], Awaitable[None]]
 
 
-def start_orders(deps: OrdersDeps) -> OrderControl:
+def start_order_controller(deps: OrderControllerDeps) -> OrderController:
     """Start to compete for the controller's lease, and to send orders while holding it."""
     controller = Controller(deps)
     controller.start()
-    return OrderControl(controller.show, controller.stop)
+    return OrderController(controller.show, controller.stop)
 
 
 class Controller:
     """Run the steps that the plan decides on while the lease is held."""
 
-    def __init__(self, deps: OrdersDeps) -> None:
+    def __init__(self, deps: OrderControllerDeps) -> None:
         self._deps = deps
         load_gap_ms = MS_PER_MIN // deps.cfg.loads_per_min
         limits = OrderLimits(deps.cfg.lease_ms, load_gap_ms, deps.cfg.loads_at_once)
-        self._plan = OrderPlan(limits, deps.need)
+        self._plan = OrderPlan(limits, deps.required_serving)
         self._wanted: list[UpstreamWanted] = []
         self._replicas: dict[str, Replica] = {}
         self._read_slots = DeferredSemaphore(MAX_CONCURRENT_READS)
@@ -164,7 +164,7 @@
     async def _maintain_lease(self) -> None:
         while True:
             # Without any wanted state no orders are needed, so the lease is not acquired.
-            if self._deps.wanted() or self._lease.is_held():
+            if self._deps.wanted_upstreams() or self._lease.is_held():
                 await self._lease.renew_or_acquire()
             pause_ms = self._deps.cfg.renew_ms * self._deps.rand.uniform(0.8, 1.0)
             await self._deps.clock.sleep(pause_ms)
@@ -189,7 +189,7 @@
             self._report_event(event)
 
     def _update_inputs(self) -> None:
-        wanted = list(self._deps.wanted())
+        wanted = list(self._deps.wanted_upstreams())
         if wanted != self._wanted:
             self._wanted = wanted
             self._plan.set_wanted(wanted)
@@ -211,7 +211,7 @@
         self._plan.on_answer(replica.id, order.order_id, answer, self._deps.clock.now())
 
     async def _send(self, replica: Replica, order: Order) -> AnswerOutcome:
-        match await self._deps.orders.send_order(replica, order):
+        match await self._deps.engine_control.send_order(replica, order):
             case Ok(answer) if answer.accepted:
                 return AnswerOutcome.ACCEPTED
             case Ok(answer):
@@ -228,7 +228,7 @@
         await self._read_slots.acquire()
         try:
             requested_ms = self._deps.clock.now()
-            read = await self._deps.orders.read_state(replica)
+            read = await self._deps.engine_control.read_state(replica)
         finally:
             self._read_slots.release()
         if isinstance(read, Ok):
--- a/papayapier/orders/items.py
+++ b/papayapier/orders/items.py
@@ -6,7 +6,7 @@
 from result import Err, Ok, Result
 
 from papayapier.config.upstreams import UpstreamWanted
-from papayapier.upstream.orders import EngineState, Order, OrderKind
+from papayapier.upstream.engine_control import EngineState, Order, OrderKind
 
 ORDER_ID_PARTS: Final = 3
 
--- a/papayapier/orders/plan.py
+++ b/papayapier/orders/plan.py
@@ -33,7 +33,7 @@
     ReplicaInfo,
     ReplicaTracker,
 )
-from papayapier.upstream.orders import EngineState, Order
+from papayapier.upstream.engine_control import EngineState, Order
 
 ROLES_WAIT_MS: Final = 10_000
 
--- a/papayapier/orders/replica_tracker.py
+++ b/papayapier/orders/replica_tracker.py
@@ -7,7 +7,7 @@
 
 from papayapier.orders.items import Item, in_effect, parse_order_id
 from papayapier.orders.order_machine import OrderData, OrderMachine, start_order_machine
-from papayapier.upstream.orders import EngineState, Order, OrderKind
+from papayapier.upstream.engine_control import EngineState, Order, OrderKind
 
 MAX_STATE_AGE_MS: Final = 2_000
 BUSY_READ_MS: Final = 1_000
--- a/papayapier/platform/configuration.py
+++ b/papayapier/platform/configuration.py
@@ -6,18 +6,24 @@
 from result import Err, Ok, Result
 
 from papayapier.clock import MS_PER_S
-from papayapier.config.keys import digest_of
-from papayapier.config.route_table import Limits, Route, RoutingConfig, Share, WorkKind
+from papayapier.config.keys import key_digest
+from papayapier.config.route_table import (
+    CallerRequestLimits,
+    Route,
+    RouteKind,
+    RoutingConfig,
+    UpstreamShare,
+)
 from papayapier.config.teams import Team, Teams
 
 CONFIG_PREFIX: Final = "config/"
 CONFIG_KEY: Final = "config/main"
 
 _KINDS: Final = {
-    "idempotent": WorkKind.IDEMPOTENT,
-    "non_idempotent": WorkKind.AT_MOST_ONCE,
-    "streaming": WorkKind.STREAM,
-    "batch_job": WorkKind.JOB,
+    "idempotent": RouteKind.IDEMPOTENT,
+    "non_idempotent": RouteKind.AT_MOST_ONCE,
+    "streaming": RouteKind.STREAM,
+    "batch_job": RouteKind.JOB,
 }
 
 
@@ -94,7 +100,7 @@
             wire["version"],
             routes,
             tuple(service["name"] for service in wire["services"]),
-            Limits(
+            CallerRequestLimits(
                 limits["maxHeaderBytes"],
                 limits["maxBodyBytes"],
                 int(limits["headerTimeoutMs"]),
@@ -111,7 +117,7 @@
     teams = []
     for team in wire:
         name = team["name"]
-        digests = [digest_of(key.encode()) for key in team["apiKeys"]]
+        digests = [key_digest(key.encode()) for key in team["apiKeys"]]
         for digest in digests:
             if owners.setdefault(digest, name) != name:
                 raise ValueError(f"tenants: {name}: apiKeys: another team has the same key")
@@ -129,9 +135,9 @@
     if kind is None:
         raise ValueError(f"routes: {wire['name']}: kind: unknown kind {wire['kind']}")
     split = wire.get("trafficSplit") or []
-    shares = tuple(Share(part["service"], part["weight"]) for part in split)
+    shares = tuple(UpstreamShare(part["service"], part["weight"]) for part in split)
     if not shares:
-        shares = (Share(wire.get("service", ""), 1.0),)
+        shares = (UpstreamShare(wire.get("service", ""), 1.0),)
     if not all(share.upstream for share in shares):
         raise ValueError(f"routes: {wire['name']}: service: missing")
     return Route(
@@ -145,7 +151,7 @@
         attempts=max(1, wire.get("maxAttempts", 1)),
         rank=wire.get("priority", 0),
         resumable=wire.get("resumable", False),
-        by_prompt=wire.get("stickySessions", False),
+        route_by_prompt=wire.get("stickySessions", False),
         due_ms=int(wire.get("runTargetMs", 0)),
         give_up_ms=int(wire.get("maxWaitS", 0) * MS_PER_S),
         public=wire.get("public", False),
--- a/papayapier/platform/headers.py
+++ b/papayapier/platform/headers.py
@@ -6,7 +6,7 @@
 from twisted.web.http_headers import Headers
 
 from papayapier.upstream.api import Load, Replica
-from papayapier.upstream.raw import AnswerFacts
+from papayapier.upstream.forward_call import AnswerMetadata
 
 REQUEST_ID: Final = b"X-Request-Id"
 # The remaining time that the caller will wait, in milliseconds; not a point in time.
@@ -80,7 +80,7 @@
     left_ms None omits the time limit; last_event is -1 for a stream from its start.
     """
     out = headers.copy()
-    out.setRawHeaders(_EXPECT_REPLICA, [replica.own_name().encode()])
+    out.setRawHeaders(_EXPECT_REPLICA, [replica.effective_name().encode()])
     if left_ms is not None:
         out.setRawHeaders(TIME_LEFT, [str(max(1, left_ms)).encode()])
     if last_event >= 0:
@@ -88,18 +88,18 @@
     return out
 
 
-def decode_facts(status: int, headers: Headers, now_ms: int) -> AnswerFacts:
+def decode_facts(status: int, headers: Headers, now_ms: int) -> AnswerMetadata:
     """Decode what the head of an answer says about the execution of the request."""
     stated_load = _first_value(headers, _LOAD)
     load = _load(stated_load, now_ms)
-    return AnswerFacts(
+    return AnswerMetadata(
         request_id=_first_value(headers, REQUEST_ID),
         signed=headers.hasHeader(_SIGNATURE),
         not_run=headers.hasHeader(_NOT_RUN) or status == _MISDIRECTED,
-        moved=status == _MISDIRECTED,
+        address_reassigned=status == _MISDIRECTED,
         encoded=headers.hasHeader(b"Content-Encoding"),
         load=load,
-        load_unread=bool(stated_load) and load is None,
+        load_unreadable=bool(stated_load) and load is None,
     )
 
 
@@ -117,4 +117,4 @@
     if len(parts) < LOAD_FIGURES or not all(part.strip().isdecimal() for part in parts):
         return None
     running, waiting, slots = (int(part) for part in parts)
-    return Load(running, waiting, slots, 0.0, now_ms, lagging=False)
+    return Load(running, waiting, slots, 0.0, now_ms, delayed=False)
--- a/papayapier/platform/replicas.py
+++ b/papayapier/platform/replicas.py
@@ -47,7 +47,7 @@
         return Err(f"slots: {wire['slots']} is not a positive number")
     replica = Replica(replica_id, wire["service"], host, port, wire["zone"])
     if "born" in wire:
-        replica = replica._replace(id=f"{replica_id}/{wire['born']}", known_as=replica_id)
+        replica = replica._replace(id=f"{replica_id}/{wire['born']}", announced_name=replica_id)
     return Ok(ListedReplica(replica, wire["slots"], wire["state"] == "draining"))
 
 
--- a/papayapier/policy/loads.py
+++ b/papayapier/policy/loads.py
@@ -354,7 +354,7 @@
         row.change_since_report += _change_after(change, self._measured_ms(row.load))
 
     def _measured_ms(self, load: Load) -> int:
-        return load.at_ms - self._report_lag_ms if load.lagging else load.at_ms
+        return load.at_ms - self._report_lag_ms if load.delayed else load.at_ms
 
     def _forget_unlisted(self, listed: set[str]) -> None:
         for replica_id in [known for known in self._rows if known not in listed]:
--- a/papayapier/policy/retries.py
+++ b/papayapier/policy/retries.py
@@ -23,7 +23,9 @@
 MAX_BACKOFF_MS: Final = 500
 BUSY_STATUSES: Final = frozenset({429, 503})
 # How calls fail that were open at a crashed replica, or sent before its crash was noticed.
-REPLICA_LOST_KINDS: Final = frozenset({FailureKind.CONNECT, FailureKind.SILENT, FailureKind.CUT})
+REPLICA_LOST_KINDS: Final = frozenset(
+    {FailureKind.CONNECT, FailureKind.TIMED_OUT, FailureKind.TRUNCATED}
+)
 
 
 class Retry(NamedTuple):
@@ -166,7 +168,7 @@
     outcome = Outcome.UNKNOWN if maybe_ran else Outcome.NOT_RUN
     if failure.kind is FailureKind.CANCELLED:
         return GiveUp(Refusal(ErrorKind.CANCELLED, outcome, failure.reason))
-    if failure.kind is FailureKind.DUE:
+    if failure.kind is FailureKind.DEADLINE:
         return GiveUp(Refusal(ErrorKind.DEADLINE, outcome, failure.reason))
     after_ms = _backoff(failure, attempts_made, rand)
     refusal = Refusal(_kind(failure, maybe_ran, idempotent), outcome, failure.reason, after_ms)
@@ -194,9 +196,9 @@
     """
     if attempts_made > 1:
         return False
-    if failure.kind is FailureKind.SILENT:
+    if failure.kind is FailureKind.TIMED_OUT:
         return True
-    return failure.kind is FailureKind.CUT and failure.sent is Sent.NO
+    return failure.kind is FailureKind.TRUNCATED and failure.sent is Sent.NO
 
 
 def _backoff(failure: Failure, attempts_made: int, rand: random.Random) -> int:
@@ -209,7 +211,7 @@
 def _kind(failure: Failure, maybe_ran: bool, idempotent: bool) -> ErrorKind:
     if maybe_ran and not idempotent:
         return ErrorKind.OUTCOME_UNKNOWN
-    if failure.kind in (FailureKind.BROKEN, FailureKind.WRONG_ID):
+    if failure.kind in (FailureKind.INVALID, FailureKind.WRONG_ID):
         return ErrorKind.BROKEN_ANSWER
     return ErrorKind.UPSTREAM_FAILED
 
--- a/papayapier/status.py
+++ b/papayapier/status.py
@@ -6,7 +6,7 @@
 from papayapier.peer.messages import Heartbeat, Message
 
 if TYPE_CHECKING:
-    from papayapier.config.book import ProfileBook
+    from papayapier.config.profile_registry import ProfileRegistry
     from papayapier.instance import Readiness
     from papayapier.peer.hub import PeerHub
     from papayapier.peer.peer_state import PeerView
@@ -21,7 +21,7 @@
     def __init__(
         self,
         own_settings: "InstanceSettings",
-        profiles: "ProfileBook",
+        profiles: "ProfileRegistry",
         hub: "PeerHub",
         readiness: "Readiness",
     ) -> None:
--- a/papayapier/upstream/answers.py
+++ b/papayapier/upstream/answers.py
@@ -83,7 +83,7 @@
         """Append received bytes; return a Fault when the body exceeds the limit."""
         self._size += len(data)
         if self._size > self._limit:
-            return Fault(FailureKind.BROKEN, f"answer longer than {self._limit} bytes")
+            return Fault(FailureKind.INVALID, f"answer longer than {self._limit} bytes")
         self._chunks.append(data)
         return None
 
@@ -91,7 +91,7 @@
         """Check that the body had a declared length; without one, truncation is undetectable."""
         if declared:
             return None
-        return Fault(FailureKind.CUT, "answer has no declared length")
+        return Fault(FailureKind.TRUNCATED, "answer has no declared length")
 
     def body(self) -> bytes:
         """Return the collected body."""
@@ -108,15 +108,15 @@
     try:
         answer = _ANSWER_DECODER.decode(body)
     except msgspec.MsgspecError as exc:
-        return Err(Fault(FailureKind.BROKEN, f"answer cannot be decoded: {exc}"))
+        return Err(Fault(FailureKind.INVALID, f"answer cannot be decoded: {exc}"))
     if answer["id"] != request_id:
         return Err(wrong_id_fault(answer["id"], request_id))
     if not answer["choices"]:
-        return Err(Fault(FailureKind.BROKEN, "answer has no choices"))
+        return Err(Fault(FailureKind.INVALID, "answer has no choices"))
     choice = answer["choices"][0]
     finish_reason = choice["finish_reason"]
     if not finish_reason:
-        return Err(Fault(FailureKind.BROKEN, "answer has no finish_reason"))
+        return Err(Fault(FailureKind.INVALID, "answer has no finish_reason"))
     usage = answer.get("usage")
     tokens = usage["completion_tokens"] if usage else 0
     return Ok(ParsedAnswer(_text(choice), tokens, finish_reason))
@@ -136,7 +136,7 @@
     if len(parts) != 3 or not all(part.isascii() and part.isdigit() for part in parts):
         return None
     running, waiting, slots = map(int, parts)
-    return Load(running, waiting, slots, 0.0, now_ms, lagging=False)
+    return Load(running, waiting, slots, 0.0, now_ms, delayed=False)
 
 
 def parse_load(status: int, body: bytes, now_ms: int) -> Result[Load, Failure]:
@@ -146,7 +146,9 @@
     try:
         report = _LOAD_DECODER.decode(body)
     except msgspec.MsgspecError as exc:
-        return Err(Failure(FailureKind.BROKEN, Sent.MAYBE, f"load report cannot be decoded: {exc}"))
+        return Err(
+            Failure(FailureKind.INVALID, Sent.MAYBE, f"load report cannot be decoded: {exc}")
+        )
     step_ms = report.get("step_ms", 0.0)
     return Ok(Load(report["running"], report["waiting"], report["slots"], step_ms, now_ms))
 
--- a/papayapier/upstream/api.py
+++ b/papayapier/upstream/api.py
@@ -23,11 +23,11 @@
     host: str
     port: int
     data_centre: str
-    known_as: str = ""
+    announced_name: str = ""
 
-    def own_name(self) -> str:
+    def effective_name(self) -> str:
         """Return the name by which the replica identifies itself."""
-        return self.known_as or self.id
+        return self.announced_name or self.id
 
 
 class Call(NamedTuple):
@@ -48,8 +48,8 @@
     content_type: str
     stream: bool
     due_ms: int
-    fresh: bool = False
-    plain: bool = False
+    new_connection: bool = False
+    plain_service: bool = False
     first_byte_ms: int = 0
 
 
@@ -64,12 +64,12 @@
     """List the ways in which a call to a replica can fail."""
 
     CONNECT = "connect"
-    SILENT = "silent"
-    CUT = "cut"
-    BROKEN = "broken"
+    TIMED_OUT = "silent"
+    TRUNCATED = "cut"
+    INVALID = "broken"
     WRONG_ID = "wrong_id"
     STATUS = "status"
-    DUE = "due"
+    DEADLINE = "due"
     CANCELLED = "cancelled"
 
 
@@ -86,8 +86,8 @@
     sent: Sent
     reason: str
     status: int = 0
-    fresh: bool = False
-    closed: bool = False
+    new_connection: bool = False
+    connection_refused: bool = False
 
 
 class Load(NamedTuple):
@@ -102,7 +102,7 @@
     slots: int
     step_ms: float
     at_ms: int
-    lagging: bool = True
+    delayed: bool = True
 
 
 class Reply(NamedTuple):
@@ -131,7 +131,7 @@
 Send = Callable[[Replica, Call, OnToken], Awaitable[Result[Reply, Failure]]]
 
 
-class Upstreams(NamedTuple):
+class UpstreamClient(NamedTuple):
     """Group the functions that send requests to replicas.
 
     send finishes at the call's due time at the latest. Cancelling the Deferred that wraps it
--- a/papayapier/upstream/client.py
+++ b/papayapier/upstream/client.py
@@ -25,22 +25,22 @@
     Replica,
     Reply,
     Sent,
-    Upstreams,
+    UpstreamClient,
 )
 from papayapier.upstream.cancels import CancelQueue
+from papayapier.upstream.connection_pools import ConnectionPools
 from papayapier.upstream.control import ControlRequest, make_control_sender
 from papayapier.upstream.exchange import OutgoingRequest
-from papayapier.upstream.links import Links
 from papayapier.upstream.replies import ReplyReader, is_engine_call
 
 ANSWERED: Final = "answered"
 
 
-def make_upstreams(
+def make_upstream_client(
     reactor: Any, clock: Clock, cfg: UpstreamSettings, metrics: Metrics
-) -> Upstreams:
+) -> UpstreamClient:
     """Create the functions that send requests to replicas."""
-    pools = Links(reactor, clock, cfg)
+    pools = ConnectionPools(reactor, clock, cfg)
     send_control = make_control_sender(pools)
     cancels = CancelQueue(send_control)
 
@@ -66,7 +66,7 @@
         cancels.clear()
         await pools.close()
 
-    return Upstreams(send, load, cancels.send, close)
+    return UpstreamClient(send, load, cancels.send, close)
 
 
 def _outgoing_request(call: Call) -> OutgoingRequest:
@@ -83,7 +83,7 @@
         headers,
         call.body,
         call.due_ms,
-        call.fresh,
+        call.new_connection,
         call.first_byte_ms,
     )
 
--- a/papayapier/upstream/links.py
+++ b/papayapier/upstream/connection_pools.py
@@ -13,7 +13,7 @@
 FORGET_AFTER_MS: Final = 60_000
 
 
-class Links:
+class ConnectionPools:
     """Hold the connection pools by replica address, and the running exchanges."""
 
     def __init__(self, reactor: Any, clock: Clock, cfg: UpstreamSettings) -> None:
--- a/papayapier/upstream/control.py
+++ b/papayapier/upstream/control.py
@@ -8,8 +8,8 @@
 
 from papayapier.upstream.answers import BodyCollector
 from papayapier.upstream.api import Failure, Replica
-from papayapier.upstream.exchange import AnswerHandler, Head, OnData, OutgoingRequest
-from papayapier.upstream.links import Links
+from papayapier.upstream.connection_pools import ConnectionPools
+from papayapier.upstream.exchange import AnswerHandler, OnData, OutgoingRequest, ResponseHead
 from papayapier.upstream.phases import Fault
 
 MAX_ANSWER_BYTES: Final = 4_000_000
@@ -34,7 +34,7 @@
 SendControl = Callable[[Replica, ControlRequest], Awaitable[Result[ControlAnswer, Failure]]]
 
 
-def make_control_sender(pools: Links) -> SendControl:
+def make_control_sender(pools: ConnectionPools) -> SendControl:
     """Create the function that sends control requests.
 
     A control request times out after the progress limit of a stream. A load poll that hangs on
@@ -48,7 +48,7 @@
         collector = BodyCollector(MAX_ANSWER_BYTES)
         statuses: list[int] = []
 
-        def on_head(head: Head) -> Result[OnData, Fault]:
+        def on_head(head: ResponseHead) -> Result[OnData, Fault]:
             statuses.append(head.status)
             return Ok(collector.add)
 
--- a/papayapier/upstream/orders.py
+++ b/papayapier/upstream/engine_control.py
@@ -15,13 +15,13 @@
 from papayapier.clock import Clock
 from papayapier.settings import UpstreamSettings
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
+from papayapier.upstream.connection_pools import ConnectionPools
 from papayapier.upstream.control import (
     ControlAnswer,
     ControlRequest,
     SendControl,
     make_control_sender,
 )
-from papayapier.upstream.links import Links
 
 OK: Final = 200
 CONFLICT: Final = 409
@@ -128,9 +128,9 @@
     next: int
 
 
-def make_orders(reactor: Any, clock: Clock, cfg: UpstreamSettings) -> EngineControl:
+def make_engine_control(reactor: Any, clock: Clock, cfg: UpstreamSettings) -> EngineControl:
     """Create the control calls, on connections separate from those for requests."""
-    pools = Links(reactor, clock, cfg)
+    pools = ConnectionPools(reactor, clock, cfg)
     send_control = make_control_sender(pools)
 
     async def send_order(replica: Replica, order: Order) -> Result[OrderAnswer, Failure]:
@@ -179,7 +179,7 @@
     try:
         return Ok(msgspec.json.decode(answer.body, type=kind))
     except msgspec.MsgspecError as exc:
-        return Err(Failure(FailureKind.BROKEN, Sent.MAYBE, f"answer cannot be decoded: {exc}"))
+        return Err(Failure(FailureKind.INVALID, Sent.MAYBE, f"answer cannot be decoded: {exc}"))
 
 
 def _refused(answer: ControlAnswer) -> Failure:
--- a/papayapier/upstream/event_cutter.py
+++ b/papayapier/upstream/event_splitter.py
@@ -11,7 +11,7 @@
 ID_FIELD: Final = b"\nid:"
 
 
-class EventCutter:
+class EventSplitter:
     """Buffer the bytes of an incomplete event, and track the id of the last complete one."""
 
     __slots__ = ("_buffer", "last_id")
@@ -30,11 +30,11 @@
             self._update_last_id(complete)
         return None if len(self._buffer) > MAX_EVENT_BYTES else complete
 
-    def restart(self) -> None:
+    def discard_partial(self) -> None:
         """Drop the incomplete event of a stream that was interrupted."""
         self._buffer = b""
 
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Return the bytes after the last complete event of a stream that has ended."""
         return self._buffer
 
@@ -47,7 +47,7 @@
             self.last_id = found
 
 
-def first_id(complete: bytes) -> int:
+def parse_first_id(complete: bytes) -> int:
     """Return the first event id in these complete events, or NO_EVENT."""
     if complete.startswith(ID_FIELD[1:]):
         return _id_at(complete, -1)
@@ -74,7 +74,7 @@
     data: str
 
 
-def read_events(complete: bytes) -> list[Event]:
+def parse_events(complete: bytes) -> list[Event]:
     """Parse complete events and return those that carry data."""
     found = []
     for part in complete.replace(b"\r\n", b"\n").split(b"\n\n"):
--- a/papayapier/upstream/exchange.py
+++ b/papayapier/upstream/exchange.py
@@ -37,7 +37,7 @@
     first_byte_ms: int = 0
 
 
-class Head(NamedTuple):
+class ResponseHead(NamedTuple):
     """Hold the status and headers of an answer; at_ms is when they were received."""
 
     status: int
@@ -56,7 +56,7 @@
     declared length and is therefore known to be complete.
     """
 
-    on_head: Callable[[Head], Result[OnData, Fault]]
+    on_head: Callable[[ResponseHead], Result[OnData, Fault]]
     on_end: Callable[[bool], Fault | None]
 
 
@@ -64,10 +64,10 @@
 
 # Events that are logged for failures caused by the replica or by the network path to it.
 _FAILURE_EVENTS: Final = {
-    FailureKind.SILENT: events.CONNECTION_CONDEMNED,
+    FailureKind.TIMED_OUT: events.CONNECTION_CONDEMNED,
     FailureKind.WRONG_ID: events.CONNECTION_CONDEMNED,
-    FailureKind.CUT: events.BROKEN_ANSWER,
-    FailureKind.BROKEN: events.BROKEN_ANSWER,
+    FailureKind.TRUNCATED: events.BROKEN_ANSWER,
+    FailureKind.INVALID: events.BROKEN_ANSWER,
 }
 
 
@@ -106,7 +106,9 @@
     def start(self) -> None:
         """Send the request."""
         if self._last_progress_ms >= self._outgoing.due_ms:
-            self._finish(Fault(FailureKind.DUE, "the due time passed before the request was sent"))
+            self._finish(
+                Fault(FailureKind.DEADLINE, "the due time passed before the request was sent")
+            )
             return
         self._start_timer()
         outgoing = self._outgoing
@@ -118,7 +120,7 @@
                 outgoing.method.encode(), url.encode(), outgoing.headers, body
             )
         except ValueError as exc:
-            self._finish(Fault(FailureKind.BROKEN, f"request cannot be encoded: {exc}"))
+            self._finish(Fault(FailureKind.INVALID, f"request cannot be encoded: {exc}"))
             return
         self._request.addCallbacks(self._on_response, self._on_request_failed)
 
@@ -164,7 +166,7 @@
         self._head_received = True
         self._last_progress_ms = int(self._clock.now())
         data_handler = self._handler.on_head(
-            Head(response.code, response.headers, self._last_progress_ms)
+            ResponseHead(response.code, response.headers, self._last_progress_ms)
         )
         if isinstance(data_handler, Err):
             self._finish(data_handler.err_value)
@@ -203,7 +205,7 @@
         self._timer = None
         now_ms = self._clock.now()
         if now_ms >= self._outgoing.due_ms:
-            self._finish(Fault(FailureKind.DUE, "the due time has passed"))
+            self._finish(Fault(FailureKind.DEADLINE, "the due time has passed"))
         elif now_ms >= self._last_progress_ms + self._phases.limit_ms():
             self._finish(self._phases.timeout_fault())
         else:
@@ -237,10 +239,10 @@
 
     def _may_be_path_failure(self, fault: Fault) -> bool:
         """Return whether the failure may be caused by the network path to the replica."""
-        if fault.kind is FailureKind.DUE:
+        if fault.kind is FailureKind.DEADLINE:
             # A call with a close due time ends before the silence reaches its limit.
             return not self._head_received
-        return fault.kind in (FailureKind.SILENT, FailureKind.CUT)
+        return fault.kind in (FailureKind.TIMED_OUT, FailureKind.TRUNCATED)
 
     def _failure(self, fault: Fault) -> Failure:
         check(
--- a/papayapier/upstream/raw.py
+++ b/papayapier/upstream/forward_call.py
@@ -14,8 +14,8 @@
 from papayapier.metrics import Metrics
 from papayapier.upstream.answers import BodyCollector
 from papayapier.upstream.api import Failure, FailureKind, Load, Replica, Sent
-from papayapier.upstream.exchange import AnswerHandler, Head, OnData, OutgoingRequest
-from papayapier.upstream.links import Links
+from papayapier.upstream.connection_pools import ConnectionPools
+from papayapier.upstream.exchange import AnswerHandler, OnData, OutgoingRequest, ResponseHead
 from papayapier.upstream.phases import Fault
 
 # Far above the size of real answers; bounds the memory that one faulty replica can use.
@@ -23,7 +23,7 @@
 ANSWERED: Final = "answered"
 
 
-class AnswerFacts(NamedTuple):
+class AnswerMetadata(NamedTuple):
     """Hold what the status and headers of an answer say about the request.
 
     signed: the replica itself produced the answer. not_run: the replica states that it did not
@@ -35,13 +35,13 @@
     request_id: str
     signed: bool
     not_run: bool
-    moved: bool
+    address_reassigned: bool
     encoded: bool
     load: Load | None
-    load_unread: bool = False
+    load_unreadable: bool = False
 
 
-class RawCall(NamedTuple):
+class ForwardCall(NamedTuple):
     """Describe one request to forward; first_byte_ms of 0 applies the limit of the settings."""
 
     request_id: str
@@ -55,36 +55,36 @@
     first_byte_ms: int = 0
 
 
-class RawAnswer(NamedTuple):
+class ForwardAnswer(NamedTuple):
     """Hold a complete answer of which nothing has been passed on to the caller yet."""
 
     status: int
     headers: Headers
     body: bytes
 
-    def good(self) -> bool:
+    def is_success(self) -> bool:
         """Return whether the status is a success."""
-        return is_good(self.status)
+        return is_success(self.status)
 
 
-class PassedOn(NamedTuple):
-    """Report a complete successful answer that was already passed on to its StreamTaker."""
+class StreamedAnswer(NamedTuple):
+    """Report a complete successful answer that was already passed on to its StreamConsumer."""
 
     status: int
 
 
-Answered = RawAnswer | PassedOn
+ForwardedAnswer = ForwardAnswer | StreamedAnswer
 
 
-def is_good(status: int) -> bool:
+def is_success(status: int) -> bool:
     """Return whether a status is a success."""
     return 200 <= status < 300
 
 
-class StreamTaker(Protocol):
+class StreamConsumer(Protocol):
     """Consume a streamed answer; a Fault ends the stream."""
 
-    def on_head(self, head: Head) -> None:
+    def on_head(self, head: ResponseHead) -> None:
         """Handle the status and headers of a successful answer."""
 
     def on_data(self, data: bytes, now_ms: int) -> Fault | None:
@@ -94,33 +94,35 @@
         """Handle the end of the body; declared: its length or its last chunk confirmed the end."""
 
 
-ReadFacts = Callable[[int, Headers, int], AnswerFacts]
+ReadMetadata = Callable[[int, Headers, int], AnswerMetadata]
 OnLoad = Callable[[str, Load], None]
-SendRaw = Callable[[Replica, RawCall, StreamTaker | None], Awaitable[Result[Answered, Failure]]]
+ForwardCallSender = Callable[
+    [Replica, ForwardCall, StreamConsumer | None], Awaitable[Result[ForwardedAnswer, Failure]]
+]
 
 
-class RawDeps(NamedTuple):
+class ForwardCallDeps(NamedTuple):
     """Group the dependencies of make_raw_send.
 
     on_load is called with the load that an answer reports, on_moved with the id of a replica
     whose address now belongs to another replica.
     """
 
-    pools: Links
-    read_facts: ReadFacts
+    pools: ConnectionPools
+    read_metadata: ReadMetadata
     on_load: OnLoad
-    on_moved: Callable[[str], None]
+    on_address_reassigned: Callable[[str], None]
     metrics: Metrics
 
 
-def make_raw_send(deps: RawDeps) -> SendRaw:
+def make_forward_call_sender(deps: ForwardCallDeps) -> ForwardCallSender:
     """Create the function that forwards a request to a replica."""
     pools, metrics = deps.pools, deps.metrics
 
     async def send(
-        replica: Replica, call: RawCall, consumer: StreamTaker | None
-    ) -> Result[Answered, Failure]:
-        reader = _AnswerReader(call, consumer, deps.read_facts)
+        replica: Replica, call: ForwardCall, consumer: StreamConsumer | None
+    ) -> Result[ForwardedAnswer, Failure]:
+        reader = _AnswerReader(call, consumer, deps.read_metadata)
         outgoing = OutgoingRequest(
             call.method,
             call.target,
@@ -133,10 +135,10 @@
         result = await pools.run(replica, outgoing, reader.handler())
         if reader.metadata is not None and reader.metadata.load is not None:
             deps.on_load(replica.id, reader.metadata.load)
-        if reader.metadata is not None and reader.metadata.load_unread:
+        if reader.metadata is not None and reader.metadata.load_unreadable:
             metrics.loads_unread.labels(replica.upstream).inc()
-        if reader.metadata is not None and reader.metadata.moved:
-            deps.on_moved(replica.id)
+        if reader.metadata is not None and reader.metadata.address_reassigned:
+            deps.on_address_reassigned(replica.id)
         if isinstance(result, Ok):
             metrics.upstream_calls.labels(replica.upstream, ANSWERED).inc()
             return Ok(reader.answer())
@@ -154,27 +156,29 @@
 
     __slots__ = ("_body", "_call", "_consumer", "_consuming", "_head", "_read_facts", "metadata")
 
-    def __init__(self, call: RawCall, consumer: StreamTaker | None, read_facts: ReadFacts) -> None:
+    def __init__(
+        self, call: ForwardCall, consumer: StreamConsumer | None, read_facts: ReadMetadata
+    ) -> None:
         self._call = call
         self._consumer = consumer
         self._read_facts = read_facts
-        self._head: Head | None = None
+        self._head: ResponseHead | None = None
         self._body = BodyCollector(MAX_BODY_BYTES)
         self._consuming = False
-        self.metadata: AnswerFacts | None = None
+        self.metadata: AnswerMetadata | None = None
 
     def handler(self) -> AnswerHandler:
         """Return the callbacks that process the answer."""
         return AnswerHandler(self._on_head, self._on_end)
 
-    def answer(self) -> Answered:
+    def answer(self) -> ForwardedAnswer:
         """Return the answer after a successful exchange."""
         assert self._head is not None
         if self._consuming:
-            return PassedOn(self._head.status)
-        return RawAnswer(self._head.status, self._head.headers, self._body.body())
+            return StreamedAnswer(self._head.status)
+        return ForwardAnswer(self._head.status, self._head.headers, self._body.body())
 
-    def _on_head(self, head: Head) -> Result[OnData, Fault]:
+    def _on_head(self, head: ResponseHead) -> Result[OnData, Fault]:
         metadata = self._read_facts(head.status, head.headers, head.at_ms)
         self._head = head
         if metadata.request_id and metadata.request_id != self._call.request_id:
@@ -185,10 +189,12 @@
         if metadata.not_run:
             return Ok(self._body.add)
         if not metadata.signed:
-            return Err(Fault(FailureKind.BROKEN, f"status {head.status} without replica signature"))
+            return Err(
+                Fault(FailureKind.INVALID, f"status {head.status} without replica signature")
+            )
         if metadata.encoded:
-            return Err(Fault(FailureKind.BROKEN, "the body has a content encoding"))
-        if self._consumer is None or not is_good(head.status):
+            return Err(Fault(FailureKind.INVALID, "the body has a content encoding"))
+        if self._consumer is None or not is_success(head.status):
             return Ok(self._body.add)
         self._consuming = True
         self._consumer.on_head(head)
--- a/papayapier/upstream/reports.py
+++ b/papayapier/upstream/load_polls.py
@@ -28,14 +28,14 @@
 GetLastReportMs = Callable[[Replica], int]
 
 
-class OnReport(NamedTuple):
+class LoadPollHandlers(NamedTuple):
     """Group the callbacks for the results of polls."""
 
     on_load: Callable[[Replica, Load], None]
     on_failure: Callable[[Replica, Failure], None]
 
 
-class Reports(NamedTuple):
+class LoadPolls(NamedTuple):
     """Group the functions that control polling.
 
     poll replaces the set of replicas to poll; close stops all polls.
@@ -45,20 +45,20 @@
     close: Callable[[], None]
 
 
-def make_reports(
+def make_load_polls(
     clock: Clock,
     rand: random.Random,
     every_ms: int,
     read_load: ReadLoad,
-    on_report: OnReport,
+    on_report: LoadPollHandlers,
     get_last_report_ms: GetLastReportMs = lambda _replica: 0,
-) -> Reports:
+) -> LoadPolls:
     """Create the polls, of no replica at first.
 
     get_last_report_ms returns when a load of the replica was last received with an answer, or 0.
     """
     polls = _Polls(clock, rand, every_ms, read_load, on_report, get_last_report_ms)
-    return Reports(polls.poll, partial(polls.poll, ()))
+    return LoadPolls(polls.poll, partial(polls.poll, ()))
 
 
 class _Polls:
@@ -70,7 +70,7 @@
         rand: random.Random,
         every_ms: int,
         read_load: ReadLoad,
-        on_report: OnReport,
+        on_report: LoadPollHandlers,
         get_last_report_ms: GetLastReportMs,
     ) -> None:
         self._clock = clock
--- a/papayapier/upstream/phases.py
+++ b/papayapier/upstream/phases.py
@@ -57,10 +57,10 @@
     Fault(FailureKind.CONNECT, "connecting timed out")
 )
 _waiting.upon(Phases.timeout_fault).loop().returns(
-    Fault(FailureKind.SILENT, "timed out waiting for the answer's body")
+    Fault(FailureKind.TIMED_OUT, "timed out waiting for the answer's body")
 )
 _receiving.upon(Phases.timeout_fault).loop().returns(
-    Fault(FailureKind.SILENT, "timed out waiting for more of the answer's body")
+    Fault(FailureKind.TIMED_OUT, "timed out waiting for more of the answer's body")
 )
 
 
@@ -86,12 +86,12 @@
 
 @_waiting.upon(Phases.connection_lost_fault).loop()
 def _answer_lost(_: Phases, __: UpstreamSettings, reason: str) -> Fault:
-    return Fault(FailureKind.CUT, f"connection lost before the answer's body: {reason}")
+    return Fault(FailureKind.TRUNCATED, f"connection lost before the answer's body: {reason}")
 
 
 @_receiving.upon(Phases.connection_lost_fault).loop()
 def _progress_lost(_: Phases, __: UpstreamSettings, reason: str) -> Fault:
-    return Fault(FailureKind.CUT, f"answer truncated: {reason}")
+    return Fault(FailureKind.TRUNCATED, f"answer truncated: {reason}")
 
 
 make_phases = _builder.build()
--- a/papayapier/upstream/replies.py
+++ b/papayapier/upstream/replies.py
@@ -8,7 +8,7 @@
 from papayapier.upstream.answers import BodyCollector
 from papayapier.upstream.api import Call, FailureKind, Load, OnToken, Reply
 from papayapier.upstream.engine_calls import ENGINE_PATHS
-from papayapier.upstream.exchange import AnswerHandler, Head, OnData
+from papayapier.upstream.exchange import AnswerHandler, OnData, ResponseHead
 from papayapier.upstream.phases import Fault
 from papayapier.upstream.sse import StreamReader
 
@@ -21,7 +21,7 @@
 
 def is_engine_call(call: Call) -> bool:
     """Return whether the answer must have the format of a model engine's."""
-    return call.stream or (call.path in ENGINE_PATHS and not call.plain)
+    return call.stream or (call.path in ENGINE_PATHS and not call.plain_service)
 
 
 class ReplyReader:
@@ -32,7 +32,7 @@
     def __init__(self, call: Call, on_token: OnToken, start_ms: int) -> None:
         self._call = call
         self._start_ms = start_ms
-        self._head: Head | None = None
+        self._head: ResponseHead | None = None
         self._load: Load | None = None
         self._body = BodyCollector(MAX_BODY_BYTES)
         self._parsed = answers.EMPTY_ANSWER
@@ -60,7 +60,7 @@
             total_ms=total_ms,
         )
 
-    def _on_head(self, head: Head) -> Result[OnData, Fault]:
+    def _on_head(self, head: ResponseHead) -> Result[OnData, Fault]:
         self._head = head
         self._load = answers.parse_load_header(head.headers, head.at_ms)
         answer_id = answers.header_text(head.headers, answers.REQUEST_ID_HEADER)
@@ -88,7 +88,7 @@
         self._parsed = parsed.ok_value
         return None
 
-    def _is_refusal(self, head: Head) -> bool:
+    def _is_refusal(self, head: ResponseHead) -> bool:
         """Return whether the status means that the replica did not answer the call.
 
         A plain service's answer is passed to the caller whatever its status. A server error
@@ -99,6 +99,6 @@
         has_id = bool(answers.header_text(head.headers, answers.REQUEST_ID_HEADER))
         return head.status >= FIRST_SERVER_ERROR and not has_id
 
-    def _refusal_fault(self, head: Head) -> Fault:
+    def _refusal_fault(self, head: ResponseHead) -> Fault:
         text = self._body.body().decode("utf-8", "replace")[:MAX_REASON_CHARS]
         return Fault(FailureKind.STATUS, f"status {head.status}: {text}", head.status)
--- a/papayapier/upstream/sse.py
+++ b/papayapier/upstream/sse.py
@@ -80,7 +80,7 @@
         parts = data.split(b"\n\n")
         self._buffer = parts.pop()
         if len(self._buffer) > MAX_EVENT_BYTES:
-            return Fault(FailureKind.BROKEN, f"event longer than {MAX_EVENT_BYTES} bytes")
+            return Fault(FailureKind.INVALID, f"event longer than {MAX_EVENT_BYTES} bytes")
         for part in parts:
             payload = _event_data(part)
             fault = self._process(payload, now_ms) if payload else None
@@ -91,21 +91,21 @@
     def end(self) -> Fault | None:
         """Check that the stream ended with [DONE] and a finish_reason."""
         if not self._complete:
-            return Fault(FailureKind.CUT, "stream ended without [DONE]")
+            return Fault(FailureKind.TRUNCATED, "stream ended without [DONE]")
         if not self._finish_reason:
-            return Fault(FailureKind.BROKEN, "stream has no finish_reason")
+            return Fault(FailureKind.INVALID, "stream has no finish_reason")
         return None
 
     def _process(self, payload: bytes, now_ms: int) -> Fault | None:
         if self._complete:
-            return Fault(FailureKind.BROKEN, "stream continues after [DONE]")
+            return Fault(FailureKind.INVALID, "stream continues after [DONE]")
         if payload == DONE:
             self._complete = True
             return None
         try:
             chunk = _CHUNK.decode(payload)
         except msgspec.MsgspecError as exc:
-            return Fault(FailureKind.BROKEN, f"stream chunk cannot be decoded: {exc}")
+            return Fault(FailureKind.INVALID, f"stream chunk cannot be decoded: {exc}")
         if chunk["id"] != self._request_id:
             return wrong_id_fault(chunk["id"], self._request_id)
         if not chunk["choices"]:
@@ -128,7 +128,7 @@
         self._texts.append(text)
         self._chars += len(text)
         if self._chars > MAX_TEXT_CHARS:
-            return Fault(FailureKind.BROKEN, f"answer longer than {MAX_TEXT_CHARS} characters")
+            return Fault(FailureKind.INVALID, f"answer longer than {MAX_TEXT_CHARS} characters")
         self._on_token(Token(text, payload, now_ms))
         return None
 
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -37,7 +37,7 @@
     Reply,
     Sent,
     Token,
-    Upstreams,
+    UpstreamClient,
 )
 
 CHAT = "/v1/chat/completions"
@@ -80,7 +80,7 @@
         self.done.callback(Ok(reply))
 
     def fail(self, kind: FailureKind, sent: Sent = Sent.MAYBE, status: int = 0) -> None:
-        self.done.callback(Err(Failure(kind, sent, kind.value, status, fresh=True)))
+        self.done.callback(Err(Failure(kind, sent, kind.value, status, new_connection=True)))
 
     def _cancel(self) -> None:
         self.cancelled = True
@@ -124,7 +124,7 @@
             budget=RetryBudget(),
             first_bytes=FirstByteTimes(),
             share=SlotShare("entry-1"),
-            upstreams=Upstreams(self._send, _never, _never, _never),
+            upstreams=UpstreamClient(self._send, _never, _never, _never),
             metrics=self.metrics,
             on_uses_changed=lambda: None,
         )
@@ -153,7 +153,7 @@
 
     def end_replica(self, send: Send) -> None:
         """End the replica of an open send; a new replica is listed in its place."""
-        send.fail(FailureKind.CUT)
+        send.fail(FailureKind.TRUNCATED)
         ended_replica = send.replica
         self.replicas.remove(ended_replica)
         self.replicas.append(ended_replica._replace(id=f"{ended_replica.id}+"))
--- a/tests/forward_world.py
+++ b/tests/forward_world.py
@@ -22,26 +22,33 @@
 from papayapier.policy.retries import RetryBudget
 from papayapier.policy.routing import RouteRequest
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
-from papayapier.upstream.event_cutter import NO_EVENT
-from papayapier.upstream.exchange import Head
-from papayapier.upstream.raw import Answered, PassedOn, RawAnswer, RawCall, StreamTaker, is_good
+from papayapier.upstream.event_splitter import NO_EVENT
+from papayapier.upstream.exchange import ResponseHead
+from papayapier.upstream.forward_call import (
+    ForwardAnswer,
+    ForwardCall,
+    ForwardedAnswer,
+    StreamConsumer,
+    StreamedAnswer,
+    is_success,
+)
 
-ForwardResult = Result[Answered, Refusal]
+ForwardResult = Result[ForwardedAnswer, Refusal]
 
 
 class Send:
     """Record one send to a replica."""
 
-    def __init__(self, replica: Replica, call: RawCall, taker: StreamTaker | None) -> None:
+    def __init__(self, replica: Replica, call: ForwardCall, taker: StreamConsumer | None) -> None:
         self.replica = replica
         self.call = call
         self.taker = taker
-        self.done: Deferred[Result[Answered, Failure]] = Deferred(lambda _: self._cancel())
+        self.done: Deferred[Result[ForwardedAnswer, Failure]] = Deferred(lambda _: self._cancel())
 
     def events(self, *numbers: int) -> None:
         """Send complete events of a stream."""
         assert self.taker is not None
-        self.taker.on_head(Head(200, Headers(), 0))
+        self.taker.on_head(ResponseHead(200, Headers(), 0))
         for number in numbers:
             self.data(f"id: {number}\ndata: {number}\n\n".encode())
 
@@ -50,14 +57,14 @@
         assert self.taker.on_data(data, 1) is None
 
     def answer(self, status: int = 200, body: bytes = b"whole") -> None:
-        if self.taker is not None and is_good(status):
+        if self.taker is not None and is_success(status):
             assert self.taker.on_end(True) is None
-            self.done.callback(Ok(PassedOn(status)))
+            self.done.callback(Ok(StreamedAnswer(status)))
             return
-        self.done.callback(Ok(RawAnswer(status, Headers(), body)))
+        self.done.callback(Ok(ForwardAnswer(status, Headers(), body)))
 
     def fail(self, kind: FailureKind, sent: Sent, status: int = 0) -> None:
-        self.done.callback(Err(Failure(kind, sent, kind.value, status, fresh=True)))
+        self.done.callback(Err(Failure(kind, sent, kind.value, status, new_connection=True)))
 
     def _cancel(self) -> None:
         self.fail(FailureKind.CANCELLED, Sent.MAYBE)
@@ -70,7 +77,7 @@
         self.heads = 0
         self.body = b""
 
-    def begin(self, answer: Head) -> None:
+    def begin(self, answer: ResponseHead) -> None:
         self.heads += 1
 
     def write(self, data: bytes) -> None:
@@ -117,8 +124,8 @@
         return self.placed
 
     async def _send(
-        self, replica: Replica, call: RawCall, taker: StreamTaker | None
-    ) -> Result[Answered, Failure]:
+        self, replica: Replica, call: ForwardCall, taker: StreamConsumer | None
+    ) -> Result[ForwardedAnswer, Failure]:
         send = Send(replica, call, taker)
         self.sends.append(send)
         return await send.done
@@ -151,7 +158,7 @@
             for open_send in self.sends
             if open_send.replica == ended_replica and not open_send.done.called
         ]:
-            open_send.fail(FailureKind.CUT, Sent.MAYBE)
+            open_send.fail(FailureKind.TRUNCATED, Sent.MAYBE)
         self.replicas.remove(ended_replica)
         self._last_number += 1
         self.replicas.append(Replica(f"r{self._last_number}", "lm", "h", self._last_number, "dc"))
--- a/tests/jobs_run_world.py
+++ b/tests/jobs_run_world.py
@@ -17,7 +17,7 @@
 from papayapier.policy.loads import LoadTracker
 from papayapier.policy.outliers import OutlierDetector
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
-from papayapier.upstream.raw import Answered, PassedOn, RawCall
+from papayapier.upstream.forward_call import ForwardCall, ForwardedAnswer, StreamedAnswer
 
 if TYPE_CHECKING:
     from papayapier.config.route_table import Route
@@ -58,7 +58,7 @@
         self.closed: set[str] = set()
         self.crashes = CrashWatch(self.time.clock, make_metrics(), lambda: True)
         self.list_replicas()
-        self.calls: dict[str, RawCall] = {}
+        self.calls: dict[str, ForwardCall] = {}
         self.of_team: Any = lambda headers, _team: headers
         self.sends = 0
         self.sent: dict[str, Deferred[Any]] = {}
@@ -98,15 +98,15 @@
         self.of_team = with_team
 
     async def _send(
-        self, replica: Replica, call: RawCall, _taker: Any
-    ) -> Result[Answered, Failure]:
+        self, replica: Replica, call: ForwardCall, _taker: Any
+    ) -> Result[ForwardedAnswer, Failure]:
         self.sends += 1
         if replica.id in self.closed:
-            return Err(Failure(FailureKind.CONNECT, Sent.NO, "refused", fresh=True))
+            return Err(Failure(FailureKind.CONNECT, Sent.NO, "refused", new_connection=True))
         self.calls[call.request_id] = call
         self.sent[call.request_id] = Deferred(lambda _: None)
         try:
-            sent: Result[Answered, Failure] = await self.sent[call.request_id]
+            sent: Result[ForwardedAnswer, Failure] = await self.sent[call.request_id]
             return sent
         finally:
             del self.sent[call.request_id]
@@ -129,10 +129,10 @@
 
     def end(self, state: ItemState) -> None:
         state.texts = ["x"] * EVENTS
-        self.sent[state.item.id].callback(Ok(PassedOn(200)))
+        self.sent[state.item.id].callback(Ok(StreamedAnswer(200)))
 
     def lose(self, state: ItemState, kind: FailureKind, sent: Sent) -> None:
-        self.sent[state.item.id].callback(Err(Failure(kind, sent, kind.value, fresh=True)))
+        self.sent[state.item.id].callback(Err(Failure(kind, sent, kind.value, new_connection=True)))
 
     def pump(self) -> None:
         self.runs.run_round(self.jobs)
--- a/tests/keepers_world.py
+++ b/tests/keepers_world.py
@@ -29,7 +29,7 @@
 from papayapier.policy.outliers import OutlierDetector
 from papayapier.store.api import Change
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
-from papayapier.upstream.raw import Answered, PassedOn, RawCall
+from papayapier.upstream.forward_call import ForwardCall, ForwardedAnswer, StreamedAnswer
 from tests.jobs_run_world import EVENTS, RouteTo
 from tests.jobs_world import MemoryStore, record
 
@@ -230,16 +230,16 @@
                 keeper.load_tracker.on_peer_calls(name, uses, self.time.clock.now())
 
     async def send(
-        self, name: str, replica: Replica, call: RawCall, taker: Any
-    ) -> Result[Answered, Failure]:
+        self, name: str, replica: Replica, call: ForwardCall, taker: Any
+    ) -> Result[ForwardedAnswer, Failure]:
         """Run an item at a replica."""
         unresponsive = replica.id in self.unresponsive or replica.id not in self.listed
         if unresponsive or (name, replica.id) in self.cut:
-            return Err(Failure(FailureKind.CONNECT, Sent.NO, "refused", fresh=True))
+            return Err(Failure(FailureKind.CONNECT, Sent.NO, "refused", new_connection=True))
         self.started[call.request_id] += 1
         await self.time.clock.sleep(RUN_MS)
         if replica.id in self.unresponsive or replica.id not in self.listed:
-            return Err(Failure(FailureKind.CUT, Sent.MAYBE, "reset", fresh=True))
+            return Err(Failure(FailureKind.TRUNCATED, Sent.MAYBE, "reset", new_connection=True))
         taker._state.texts = ["x"] * EVENTS
         self.runs[call.request_id] += 1
-        return Ok(PassedOn(200))
+        return Ok(StreamedAnswer(200))
--- a/tests/orders_world.py
+++ b/tests/orders_world.py
@@ -11,14 +11,20 @@
 from papayapier.config.upstreams import OrderRule, UpstreamWanted
 from papayapier.orders.controller import (
     ListedReplica,
-    OrderControl,
-    OrdersDeps,
-    start_orders,
+    OrderController,
+    OrderControllerDeps,
+    start_order_controller,
 )
 from papayapier.orders.plan import OrderLimits
 from papayapier.settings import OrderSettings
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
-from papayapier.upstream.orders import EngineControl, EngineState, Order, OrderAnswer, OrderKind
+from papayapier.upstream.engine_control import (
+    EngineControl,
+    EngineState,
+    Order,
+    OrderAnswer,
+    OrderKind,
+)
 from tests.fake_store import FakePlatform
 
 LONGEST_MS = 20_000
@@ -97,7 +103,7 @@
         }
         self.sent: list[tuple[int, str, str, Order]] = []
         self.lose_answers = 0
-        self.controls: dict[str, OrderControl] = {}
+        self.controls: dict[str, OrderController] = {}
         for name in names:
             self.start(name)
 
@@ -107,28 +113,28 @@
             answer = self.engines[replica.id].accept(order)
             if self.lose_answers:
                 self.lose_answers -= 1
-                return Err(Failure(FailureKind.CUT, Sent.MAYBE, "cut"))
+                return Err(Failure(FailureKind.TRUNCATED, Sent.MAYBE, "cut"))
             return Ok(answer)
 
         async def read_state(replica: Replica) -> Result[EngineState, Failure]:
             return Ok(self.engines[replica.id].read())
 
         unused: Any = None
-        self.controls[name] = start_orders(
-            OrdersDeps(
+        self.controls[name] = start_order_controller(
+            OrderControllerDeps(
                 clock=self.time.clock,
                 rand=random.Random(name),
                 store=self.platform.store(name),
                 cfg=OrderSettings(),
                 instance=name,
-                orders=EngineControl(send_order, read_state, unused, unused, unused),
-                wanted=lambda: self.wanted,
+                engine_control=EngineControl(send_order, read_state, unused, unused, unused),
+                wanted_upstreams=lambda: self.wanted,
                 replicas=lambda: [
                     ListedReplica(Replica(id, "pass", "127.0.0.1", 1, "dc-a"), True)
                     for id in self.engines
                 ],
                 instances=lambda: sorted(self.controls),
-                need=lambda _: 0,
+                required_serving=lambda _: 0,
             )
         )
 
@@ -146,5 +152,5 @@
         return [engine.read().version for engine in self.engines.values()]
 
 
-async def _stop(control: OrderControl) -> None:
+async def _stop(control: OrderController) -> None:
     await control.stop()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,13 +10,13 @@
 
 from papayapier import codec, invariants
 from papayapier.clock import FakeClock, fake_clock
-from papayapier.config import records, trail
-from papayapier.config.accept import Accepted, Change, Rejected
-from papayapier.config.book import ProfileBook
+from papayapier.config import audit_trail, records
+from papayapier.config.accept import Accepted, ChangeRequest, Rejected
+from papayapier.config.audit_trail import AuditFilter
 from papayapier.config.checks import MAX_URGENT_DUE_MS, check_document
+from papayapier.config.profile_registry import ProfileRegistry
 from papayapier.config.records import PROFILES, Subject
-from papayapier.config.start import Config, ConfigDeps, start_config
-from papayapier.config.trail import AuditFilter
+from papayapier.config.start import ConfigDeps, ConfigService, start_config
 from papayapier.errors import ErrorKind, Outcome
 from papayapier.metrics import make_metrics
 from papayapier.peer.messages import Heartbeat, Message
@@ -46,14 +46,14 @@
         self.silent: set[tuple[str, str]] = set()
         self.queued = 0
         self.cfg = cfg or ConfigSettings(poll_ms=POLL_MS)
-        self.configs: dict[str, Config] = {}
+        self.configs: dict[str, ConfigService] = {}
         for name in names:
             self.start(name)
 
-    def start(self, name: str, cfg: ConfigSettings | None = None) -> Config:
+    def start(self, name: str, cfg: ConfigSettings | None = None) -> ConfigService:
         def tell(peer: str, message: Message) -> None:
             if (name, peer) not in self.silent and peer in self.configs:
-                self.configs[peer].on_peer(name, message)
+                self.configs[peer].on_peer_message(name, message)
 
         def broadcast(message: Message) -> None:
             for peer in list(self.configs):
@@ -66,7 +66,7 @@
             store=self.platform.store(name),
             settings=cfg or self.cfg,
             metrics=make_metrics(),
-            tell=tell,
+            send=tell,
             broadcast=broadcast,
             peers=lambda: [peer for peer in self.configs if peer != name],
             queued_under=lambda _: self.queued,
@@ -81,17 +81,17 @@
 
     def send_heartbeat(self, name: str) -> None:
         """Send one instance's heartbeat to all others."""
-        book = self.configs[name].book
+        book = self.configs[name].registry
         message = Heartbeat(name, 1, "live", book.version(), (), book.digest())
         for peer in self.configs:
             if peer != name and (name, peer) not in self.silent:
-                self.configs[peer].on_peer(name, message)
+                self.configs[peer].on_peer_message(name, message)
 
     def run(self, ms: int, step_ms: int = 50) -> None:
         for _ in range(ms // step_ms):
             self.time.advance(step_ms)
 
-    def apply(self, name: str, change: Change) -> Result[Accepted, Rejected]:
+    def apply(self, name: str, change: ChangeRequest) -> Result[Accepted, Rejected]:
         done = Deferred.fromCoroutine(accept_on(self.configs[name], change))
         for _ in range(400):
             if done.called:
@@ -101,11 +101,11 @@
         return outcome
 
     def due(self, name: str) -> int | None:
-        profile = self.configs[name].book.profile("gate")
+        profile = self.configs[name].registry.profile("gate")
         return profile.due_ms if profile else None
 
 
-async def accept_on(config: Config, change: Change) -> Result[Accepted, Rejected]:
+async def accept_on(config: ConfigService, change: ChangeRequest) -> Result[Accepted, Rejected]:
     return await config.accept(change)
 
 
@@ -135,10 +135,10 @@
 
 def change(
     due_ms: int | None, based_on: int, change_id: str = "", who: str = "ana", strand: bool = False
-) -> Change:
+) -> ChangeRequest:
     document = None if due_ms is None else gate(due_ms)
     change_id = change_id or f"change-{due_ms}-{based_on}-{who}"
-    return Change(GATE, document, based_on, "test", change_id, who, strand)
+    return ChangeRequest(GATE, document, based_on, "test", change_id, who, strand)
 
 
 def test_change_is_in_force_everywhere_at_once_and_in_the_trail() -> None:
@@ -278,7 +278,7 @@
 
 def test_lower_version_is_never_applied() -> None:
     """An older object that arrives late must not replace a newer one."""
-    book = ProfileBook()
+    book = ProfileRegistry()
     new = records.encode(records.Record(document=gate(3_000), history=[]))
     old = records.encode(records.Record(document=gate(2_000), history=[]))
     assert book.apply(GATE.key, 9, new)
@@ -290,7 +290,7 @@
 
 def test_record_of_a_newer_release_is_applied() -> None:
     """Unknown fields of a newer release must not prevent an object from being applied."""
-    book = ProfileBook()
+    book = ProfileRegistry()
     document = gate(3_000, retry={"attempts": 2, "later": 1}, later=[])
     value = codec.to_json({"document": document, "history": [], "later": {}})
     assert book.apply(GATE.key, 1, value)
@@ -307,9 +307,11 @@
     fleet.silent = {("a", "c")}
     fleet.apply("a", change(2_000, 0))
     fleet.silent = set()
-    other = Change(Subject(PROFILES, "chat"), gate(name="chat"), 0, "test", "change-chat", "ana")
+    other = ChangeRequest(
+        Subject(PROFILES, "chat"), gate(name="chat"), 0, "test", "change-chat", "ana"
+    )
     fleet.apply("a", other)
-    books = [fleet.configs[name].book for name in "ac"]
+    books = [fleet.configs[name].registry for name in "ac"]
     assert books[0].version() == books[1].version()
     assert fleet.due("c") is None
     for _ in range(2):
@@ -351,7 +353,7 @@
     others = fleet.platform.calls["list"] + fleet.platform.calls["watch"] - before
     assert others <= 3
     fleet.run(4_000)
-    assert all(c.ready(fleet.time.clock.now()).is_ok() for c in fleet.configs.values())
+    assert all(c.check_ready(fleet.time.clock.now()).is_ok() for c in fleet.configs.values())
 
 
 def test_restart_in_an_outage_requests_peers_and_is_ready_only_then() -> None:
@@ -366,9 +368,9 @@
     fleet.platform.down = True
     restarted = fleet.start("b")
     fleet.run(1_000)
-    assert restarted.ready(fleet.time.clock.now()).is_err()
+    assert restarted.check_ready(fleet.time.clock.now()).is_err()
     fleet.send_heartbeat("a")
-    assert restarted.ready(fleet.time.clock.now()) == Ok(None)
+    assert restarted.check_ready(fleet.time.clock.now()) == Ok(None)
     assert fleet.due("b") == 2_000
 
 
@@ -380,7 +382,7 @@
         fleet.start(name)
     for name in "abab":
         fleet.send_heartbeat(name)
-    assert all(c.ready(fleet.time.clock.now()).is_err() for c in fleet.configs.values())
+    assert all(c.check_ready(fleet.time.clock.now()).is_err() for c in fleet.configs.values())
 
 
 def test_folder_is_used_but_a_peer_has_precedence(tmp_path: Any) -> None:
@@ -399,10 +401,10 @@
     fleet.platform.down = True
     restarted = fleet.start("b", with_folder)
     assert fleet.due("b") == 2_000
-    assert restarted.ready(fleet.time.clock.now()).is_err()
+    assert restarted.check_ready(fleet.time.clock.now()).is_err()
     fleet.send_heartbeat("a")
     assert fleet.due("b") == 3_000
-    assert restarted.ready(fleet.time.clock.now()).is_ok()
+    assert restarted.check_ready(fleet.time.clock.now()).is_ok()
 
 
 def test_isolated_instance_becomes_not_ready() -> None:
@@ -411,10 +413,10 @@
     fleet.platform.cut = {"b"}
     fleet.run(35_000, 500)
     now = fleet.time.clock.now()
-    assert fleet.configs["a"].ready(now).is_ok()
-    assert "reached" in fleet.configs["b"].ready(now).unwrap_err()
+    assert fleet.configs["a"].check_ready(now).is_ok()
+    assert "reached" in fleet.configs["b"].check_ready(now).unwrap_err()
     fleet.send_heartbeat("a")
-    assert fleet.configs["b"].ready(now).is_ok()
+    assert fleet.configs["b"].check_ready(now).is_ok()
 
 
 def test_object_removed_by_hand_stays_in_force() -> None:
@@ -439,4 +441,4 @@
     since = fleet.time.clock.wall() - 500
     assert [x.entry["who"] for x in wait(audit(AuditFilter(since_ms=since))).unwrap()] == ["rui"]
     fleet.platform.down = True
-    assert isinstance(wait(trail.audit(fleet.platform.store(), AuditFilter())), Err)
+    assert isinstance(wait(audit_trail.audit(fleet.platform.store(), AuditFilter())), Err)
--- a/tests/test_config_machine.py
+++ b/tests/test_config_machine.py
@@ -9,9 +9,9 @@
 from twisted.internet.defer import Deferred
 
 from papayapier.config import records
-from papayapier.config.accept import Change
+from papayapier.config.accept import ChangeRequest
+from papayapier.config.audit_trail import AuditFilter
 from papayapier.config.records import PROFILES, Subject
-from papayapier.config.trail import AuditFilter
 from papayapier.errors import Outcome
 from tests.fake_store import Fault
 from tests.test_config import Fleet, accept_on, gate, wait
@@ -44,11 +44,11 @@
     def _change(self, on: str, profile: str, document: object, stale: bool) -> None:
         subject = Subject(PROFILES, profile)
         config = self.fleet.configs[on]
-        exists = config.book.profile(profile) is not None
-        based_on = config.book.version_of(subject.key) if exists else 0
+        exists = config.registry.profile(profile) is not None
+        based_on = config.registry.version_of(subject.key) if exists else 0
         self.number += 1
         change_id = f"change-{self.number:05}"
-        wanted = Change(subject, document, max(0, based_on - stale), "r", change_id, on)
+        wanted = ChangeRequest(subject, document, max(0, based_on - stale), "r", change_id, on)
         self.running[change_id] = Deferred.fromCoroutine(accept_on(config, wanted))
 
     @rule(fault=FAULTS, call=CALLS, store=NAMES, delay=st.sampled_from([0, 30, 700]))
@@ -80,7 +80,7 @@
     @invariant()
     def versions_only_increase(self) -> None:
         for name, config in self.fleet.configs.items():
-            for item in config.book.objects():
+            for item in config.registry.objects():
                 assert item.version >= self.lowest.get((name, item.key), 0)
                 self.lowest[name, item.key] = item.version
 
@@ -102,8 +102,8 @@
             if key.startswith(records.CONFIG_PREFIX)
         }
         for config in self.fleet.configs.values():
-            assert {item.key: item.version for item in config.book.objects()} == stored
-        assert len({config.book.digest() for config in self.fleet.configs.values()}) == 1
+            assert {item.key: item.version for item in config.registry.objects()} == stored
+        assert len({config.registry.digest() for config in self.fleet.configs.values()}) == 1
 
     def _check_trail(self) -> dict[str, int]:
         """Replay each object's trail; return the version that each change id got."""
@@ -115,7 +115,7 @@
                 assert fields.get(change["path"]) == change["before"]
                 fields[change["path"]] = change["after"]
         for name, fields in replayed.items():
-            profile = self.fleet.configs["b"].book.profile(name)
+            profile = self.fleet.configs["b"].registry.profile(name)
             assert fields["due_ms"] == (profile.due_ms if profile else None)
         got = {line.entry["change_id"]: line.version for line in lines}
         assert len(got) == len(lines)
--- a/tests/test_config_operate.py
+++ b/tests/test_config_operate.py
@@ -55,7 +55,7 @@
                 store=self.platform.store(),
                 settings=ConfigSettings(),
                 metrics=make_metrics(),
-                tell=lambda _peer, _message: None,
+                send=lambda _peer, _message: None,
                 broadcast=lambda _message: None,
                 peers=list,
                 queued_under=lambda _: 0,
--- a/tests/test_crashing_work.py
+++ b/tests/test_crashing_work.py
@@ -54,7 +54,7 @@
     for _ in range(300):
         world.pump()
         if item.item.id in world.sent:
-            world.lose(item, FailureKind.CUT, Sent.MAYBE)
+            world.lose(item, FailureKind.TRUNCATED, Sent.MAYBE)
             world.replace("lm")
         world.time.advance(1_000)
     assert world.sends == MAX_ITEM_LOSSES
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -61,12 +61,12 @@
 FAILURES = st.sampled_from(
     [
         (FailureKind.CONNECT, Sent.NO),
-        (FailureKind.CUT, Sent.NO),
-        (FailureKind.CUT, Sent.MAYBE),
-        (FailureKind.SILENT, Sent.MAYBE),
-        (FailureKind.BROKEN, Sent.MAYBE),
-        (FailureKind.DUE, Sent.NO),
-        (FailureKind.DUE, Sent.MAYBE),
+        (FailureKind.TRUNCATED, Sent.NO),
+        (FailureKind.TRUNCATED, Sent.MAYBE),
+        (FailureKind.TIMED_OUT, Sent.MAYBE),
+        (FailureKind.INVALID, Sent.MAYBE),
+        (FailureKind.DEADLINE, Sent.NO),
+        (FailureKind.DEADLINE, Sent.MAYBE),
     ]
 )
 
@@ -106,7 +106,7 @@
         world = DispatchWorld(lm=2)
         pending = begin(world)
         world.sends[0].token("we ")
-        world.sends[0].fail(FailureKind.CUT)
+        world.sends[0].fail(FailureKind.TRUNCATED)
         world.sends[1].fail(FailureKind.STATUS, status=400)
         assert outcome(pending) is Outcome.UNKNOWN
 
@@ -134,8 +134,8 @@
     pending = world.send_request(GATE)
     world.sends[0].fail(FailureKind.CONNECT, Sent.NO)
     assert world.sends[1].replica != world.sends[0].replica
-    assert all(send.call.fresh for send in world.sends)
-    world.sends[1].fail(FailureKind.SILENT)
+    assert all(send.call.new_connection for send in world.sends)
+    world.sends[1].fail(FailureKind.TIMED_OUT)
     world.advance(2_000)
     assert len(world.sends) == 2
     refusal = result(pending).unwrap_err()
@@ -152,7 +152,7 @@
     pending = world.send_request(call_id="abc", on_token=seen.append)
     world.advance(30)
     world.sends[0].token("we ", "open ")
-    world.sends[0].fail(FailureKind.CUT)
+    world.sends[0].fail(FailureKind.TRUNCATED)
     second = world.sends[1]
     assert second.replica != world.sends[0].replica
     assert (second.call.call_id, second.call.request_id) == ("abc", "abc-2")
@@ -171,7 +171,7 @@
     world = DispatchWorld(lm=2)
     pending = world.send_request(QUESTIONS._replace(idempotent=False))
     world.sends[0].token("we ")
-    world.sends[0].fail(FailureKind.CUT)
+    world.sends[0].fail(FailureKind.TRUNCATED)
     assert outcome(pending) is Outcome.UNKNOWN
     assert len(world.sends) == 1
 
@@ -406,7 +406,7 @@
     asked = world.send_request(due_ms=9_000)
     assert world.sends[0].call.first_byte_ms == 3_000
     world.advance(3_000)
-    world.sends[0].fail(FailureKind.SILENT)
+    world.sends[0].fail(FailureKind.TIMED_OUT)
     world.advance(50)
     assert 0 < world.sends[1].call.first_byte_ms <= 3_000
     world.sends[1].answer()
@@ -429,7 +429,7 @@
     world.list_replicas(leaving=["lm-0"])
     for send in list(world.sends):
         if not send.done.called:
-            send.fail(FailureKind.CUT)
+            send.fail(FailureKind.TRUNCATED)
     world.advance(100)
     assert {send.replica.id for send in world.sends[3:]} == {"lm-1"}
     world.list_replicas(leaving=["lm-0", "lm-1"])
@@ -549,7 +549,7 @@
         return len(asked) < 4
 
     pending = world.run_item(allowed=allowed)
-    world.sends[0].fail(FailureKind.CUT)
+    world.sends[0].fail(FailureKind.TRUNCATED)
     world.sends[1].fail(FailureKind.STATUS, status=503)
     world.advance(100)
     assert (asked, len(world.sends)) == ([0, 1, 2], 3)
--- a/tests/test_event_splitter.py
+++ b/tests/test_event_splitter.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from papayapier.upstream.event_cutter import MAX_EVENT_BYTES, EventCutter, read_events
+from papayapier.upstream.event_splitter import MAX_EVENT_BYTES, EventSplitter, parse_events
 
 STREAM = b"".join(f"id: {n}\ndata: piece {n}\n\n".encode() for n in range(1, 8))
 
@@ -15,7 +15,7 @@
 @given(st.lists(st.integers(0, len(STREAM)), max_size=12))
 def test_any_split_of_the_bytes_gives_the_same_stream(positions: list[int]) -> None:
     """The result must not depend on how the network splits the bytes."""
-    splitter = EventCutter()
+    splitter = EventSplitter()
     edges = [0, *sorted(positions), len(STREAM)]
     parts = [STREAM[a:b] for a, b in pairwise(edges)]
     out = b"".join(splitter.feed(part) or b"" for part in parts)
@@ -28,12 +28,12 @@
 
     A replica fails in the middle of event 3, and another one continues after event 2.
     """
-    splitter = EventCutter()
+    splitter = EventSplitter()
     assert splitter.feed(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda") == (
         b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
     )
     assert splitter.last_id == 2
-    splitter.restart()
+    splitter.discard_partial()
     assert splitter.feed(b"id: 3\ndata: c\n\n") == b"id: 3\ndata: c\n\n"
 
 
@@ -49,17 +49,17 @@
 )
 def test_ids_are_read_from_their_own_field(data: bytes, last: int) -> None:
     """An id in the data, or one that is not a number, must not be taken for an event id."""
-    splitter = EventCutter()
+    splitter = EventSplitter()
     assert splitter.feed(data) == data
     assert splitter.last_id == last
 
 
 def test_an_endless_event_is_refused() -> None:
     """An event without an end must not exhaust the memory."""
-    assert EventCutter().feed(b"data: " + b"x" * (MAX_EVENT_BYTES + 1)) is None
+    assert EventSplitter().feed(b"data: " + b"x" * (MAX_EVENT_BYTES + 1)) is None
 
 
 def test_events_with_several_data_lines_are_joined() -> None:
     """Data lines of one event are joined, and comments are skipped."""
-    events = read_events(b"id: 1\ndata: a\ndata: b\n\n: comment\n\nid: 2\ndata:c\n\n")
+    events = parse_events(b"id: 1\ndata: a\ndata: b\n\n: comment\n\nid: 2\ndata:c\n\n")
     assert [(event.id, event.data) for event in events] == [(1, "a\nb"), (2, "c")]
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -67,7 +67,7 @@
     first = read_replica("i-1", entry(born=4)).unwrap().replica
     second = read_replica("i-1", entry(born=5)).unwrap().replica
     assert first.id != second.id
-    assert (first.own_name(), second.own_name()) == ("i-1", "i-1")
+    assert (first.effective_name(), second.effective_name()) == ("i-1", "i-1")
 
 
 JSON: Final = st.recursive(
--- a/tests/test_forward_routes.py
+++ b/tests/test_forward_routes.py
@@ -19,7 +19,7 @@
     _run,
 )
 from papayapier.errors import ErrorKind, Refusal, not_run, unknown
-from papayapier.upstream.raw import Answered, PassedOn, RawAnswer
+from papayapier.upstream.forward_call import ForwardAnswer, ForwardedAnswer, StreamedAnswer
 from tests.forward_world import ForwardWorld
 
 
@@ -70,10 +70,11 @@
 
 
 @pytest.mark.parametrize(
-    ("has_begun", "answer"), [(True, RawAnswer(500, Headers(), b"failed")), (False, PassedOn(200))]
+    ("has_begun", "answer"),
+    [(True, ForwardAnswer(500, Headers(), b"failed")), (False, StreamedAnswer(200))],
 )
 def test_an_answer_that_contradicts_what_was_sent_aborts_the_connection(
-    has_begun: bool, answer: Answered
+    has_begun: bool, answer: ForwardedAnswer
 ) -> None:
     """Guard against ending a stream with a last chunk although it is not complete."""
     before = invariants.broken_count()
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -13,14 +13,14 @@
 from papayapier.policy.placers import Placement, PlacementNeeds
 from papayapier.policy.routing import RouteRequest
 from papayapier.upstream.api import FailureKind, Sent
-from papayapier.upstream.raw import RawAnswer
+from papayapier.upstream.forward_call import ForwardAnswer
 from tests.forward_world import Caller, ForwardResult, ForwardWorld
 from tests.log_catcher import LogCatcher
 
 LOST = [
-    (FailureKind.CUT, Sent.MAYBE),
-    (FailureKind.SILENT, Sent.MAYBE),
-    (FailureKind.BROKEN, Sent.MAYBE),
+    (FailureKind.TRUNCATED, Sent.MAYBE),
+    (FailureKind.TIMED_OUT, Sent.MAYBE),
+    (FailureKind.INVALID, Sent.MAYBE),
     (FailureKind.WRONG_ID, Sent.MAYBE),
 ]
 
@@ -110,7 +110,7 @@
     """Guard against a refusal as not_run although an earlier send may have run."""
     world = ForwardWorld()
     results = world.start_request(idempotent=True, attempts=2)
-    world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
+    world.sends[0].fail(FailureKind.TRUNCATED, Sent.MAYBE)
     world.time.advance(1_000)
     for _ in range(6):
         if results:
@@ -128,7 +128,7 @@
     results = world.start_request(idempotent=True, attempts=2)
     world.sends[0].answer(500, b"first")
     world.time.advance(1_000)
-    world.sends[1].fail(FailureKind.CUT, Sent.MAYBE)
+    world.sends[1].fail(FailureKind.TRUNCATED, Sent.MAYBE)
     world.time.advance(1_000)
     assert results[0].unwrap().status == 500
 
@@ -140,7 +140,7 @@
         world.start_request(idempotent=True, attempts=2)
         world.sends[0].answer(500)
         world.time.advance(1_000)
-        world.sends[1].fail(FailureKind.CUT, Sent.MAYBE)
+        world.sends[1].fail(FailureKind.TRUNCATED, Sent.MAYBE)
     (result,) = logs.fields(events.REQUEST_ENDED)
     assert (result["status"], result["kept"]) == (500, True)
 
@@ -151,7 +151,7 @@
     with LogCatcher().applicationbound() as logs:
         world.start_request(idempotent=True, caller=Caller())
         world.sends[0].events(1, 2)
-        world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
+        world.sends[0].fail(FailureKind.TRUNCATED, Sent.MAYBE)
         world.time.advance(100)
     (retried,) = logs.fields(events.REQUEST_RETRIED)
     assert (retried["kind"], retried["last_event"]) == ("cut", 2)
@@ -162,7 +162,7 @@
     world = ForwardWorld()
     results = world.start_request(idempotent=False)
     world.sends[0].answer(500, b"failed")
-    assert results[0] == Ok(RawAnswer(500, Headers(), b"failed"))
+    assert results[0] == Ok(ForwardAnswer(500, Headers(), b"failed"))
     assert len(world.sends) == 1
 
 
@@ -176,7 +176,7 @@
     results = world.start_request(idempotent=True, caller=caller)
     world.sends[0].events(1, 2)
     world.sends[0].data(b"id: 3\nda")
-    world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
+    world.sends[0].fail(FailureKind.TRUNCATED, Sent.MAYBE)
     world.time.advance(100)
     assert world.sends[1].replica != world.sends[0].replica
     world.sends[1].events(3, 4)
@@ -199,10 +199,10 @@
         world.list_replicas()
     if given_up_for == "time":
         world.time.advance(5_000)
-    world.sends[1].fail(FailureKind.CUT, Sent.MAYBE)
+    world.sends[1].fail(FailureKind.TRUNCATED, Sent.MAYBE)
     world.time.advance(1_000)
     if given_up_for == "attempts":
-        world.sends[2].fail(FailureKind.CUT, Sent.MAYBE)
+        world.sends[2].fail(FailureKind.TRUNCATED, Sent.MAYBE)
     assert isinstance(results[0], Err), results
 
 
@@ -212,7 +212,7 @@
     world = ForwardWorld()
     results = world.start_request(idempotent=True, caller=Caller(), attempts=2)
     world.sends[0].events(1, 2)
-    world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
+    world.sends[0].fail(FailureKind.TRUNCATED, Sent.MAYBE)
     world.time.advance(1_000)
     world.sends[1].answer(status, b"failed")
     world.time.advance(1_000)
@@ -225,7 +225,7 @@
     caller = Caller()
     results = world.start_request(idempotent=True, caller=caller)
     world.sends[0].events(1)
-    world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
+    world.sends[0].fail(FailureKind.TRUNCATED, Sent.MAYBE)
     world.time.advance(1_000)
     world.sends[1].answer(404, b"failed")
     world.time.advance(1_000)
@@ -242,7 +242,7 @@
     caller = Caller()
     world.start_request(idempotent=True, caller=caller)
     world.sends[0].events(1, 2)
-    world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
+    world.sends[0].fail(FailureKind.TRUNCATED, Sent.MAYBE)
     world.time.advance(1_000)
     taker = world.sends[1].taker
     assert taker is not None
@@ -344,7 +344,7 @@
     caller = Caller()
     results = world.start_request(idempotent=False, caller=caller)
     world.sends[0].events(1)
-    world.sends[0].fail(FailureKind.CUT, Sent.MAYBE)
+    world.sends[0].fail(FailureKind.TRUNCATED, Sent.MAYBE)
     assert isinstance(results[0], Err)
     assert len(world.sends) == 1
 
@@ -371,12 +371,12 @@
 @pytest.mark.parametrize(
     ("kind", "began", "notified"),
     [
-        (FailureKind.SILENT, False, True),
+        (FailureKind.TIMED_OUT, False, True),
         (FailureKind.CONNECT, False, True),
-        (FailureKind.CUT, False, True),
-        (FailureKind.SILENT, True, False),
-        (FailureKind.CUT, True, False),
-        (FailureKind.DUE, False, False),
+        (FailureKind.TRUNCATED, False, True),
+        (FailureKind.TIMED_OUT, True, False),
+        (FailureKind.TRUNCATED, True, False),
+        (FailureKind.DEADLINE, False, False),
     ],
 )
 def test_the_placer_is_notified_of_replicas_that_do_not_answer(
--- a/tests/test_jobs_progress.py
+++ b/tests/test_jobs_progress.py
@@ -16,7 +16,7 @@
 from papayapier.jobs.progress import ItemProgress, SaverDeps, Snapshot
 from papayapier.jobs.records import ItemOutcome
 from papayapier.policy.crash_quarantine import ReplicaLoss
-from papayapier.upstream.event_cutter import NO_EVENT
+from papayapier.upstream.event_splitter import NO_EVENT
 from tests.jobs_world import JOB, StartedCoroutine, record
 from tests.log_catcher import LogCatcher
 
--- a/tests/test_jobs_runner.py
+++ b/tests/test_jobs_runner.py
@@ -10,7 +10,7 @@
 from papayapier.jobs.records import JobRecord, encode, group_key, job_key, read_group
 from papayapier.jobs.runner import SAVED_PROGRESS_KEPT_MS, JobRunner, RunnerDeps
 from papayapier.store.api import Change, StoreError
-from papayapier.upstream.raw import PassedOn
+from papayapier.upstream.forward_call import StreamedAnswer
 from tests.jobs_run_world import EVENTS, RouteTo, World
 from tests.jobs_world import JOB, MemoryStore, group, record
 
@@ -55,7 +55,7 @@
     def finish(self, item_id: str) -> None:
         job = self.runner._owned[JOB]
         job.items[item_id].texts = ["x"] * EVENTS
-        self.sent[item_id].callback(Ok(PassedOn(200)))
+        self.sent[item_id].callback(Ok(StreamedAnswer(200)))
 
     def listed(self, number: int) -> list[str]:
         read = read_group(self.memory.objects[group_key(JOB, number)][1]).unwrap()
--- a/tests/test_loss_news.py
+++ b/tests/test_loss_news.py
@@ -18,7 +18,7 @@
 from papayapier.policy.crash_quarantine import ANSWERED_RECENTLY_MS, MAX_LOSSES, ReplicaLoss
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
 
-CONNECTION_CUT = Failure(FailureKind.CUT, Sent.MAYBE, "reset", fresh=True)
+CONNECTION_CUT = Failure(FailureKind.TRUNCATED, Sent.MAYBE, "reset", new_connection=True)
 
 
 class Net:
@@ -239,7 +239,9 @@
     net = Net()
     (node,) = net.start("a")
     at = [Replica(f"r{number}", "lm", "h", 1, "dc") for number in range(MAX_LOSSES)]
-    cut = Failure(FailureKind.CONNECT, Sent.NO, "no way there", fresh=True, closed=closed)
+    cut = Failure(
+        FailureKind.CONNECT, Sent.NO, "no way there", new_connection=True, connection_refused=closed
+    )
     for replica in at:
         node.lose(replica.id)
         node.watch.on_send_finished("r", lambda: "w", replica, Err(cut), 0)
--- a/tests/test_lost_sends.py
+++ b/tests/test_lost_sends.py
@@ -30,14 +30,14 @@
 @pytest.mark.parametrize(
     ("kind", "sent", "lost"),
     [
-        (FailureKind.CUT, Sent.MAYBE, True),
-        (FailureKind.SILENT, Sent.MAYBE, True),
-        (FailureKind.DUE, Sent.MAYBE, True),
+        (FailureKind.TRUNCATED, Sent.MAYBE, True),
+        (FailureKind.TIMED_OUT, Sent.MAYBE, True),
+        (FailureKind.DEADLINE, Sent.MAYBE, True),
         # Nothing can have reached the replica.
-        (FailureKind.CUT, Sent.NO, False),
+        (FailureKind.TRUNCATED, Sent.NO, False),
         (FailureKind.CONNECT, Sent.NO, False),
         # The replica answered, or the caller disconnected.
-        (FailureKind.BROKEN, Sent.MAYBE, False),
+        (FailureKind.INVALID, Sent.MAYBE, False),
         (FailureKind.STATUS, Sent.MAYBE, False),
         (FailureKind.CANCELLED, Sent.MAYBE, False),
     ],
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -4,7 +4,7 @@
 
 from papayapier.config.upstreams import RoleCount
 from papayapier.orders.items import assign_roles, parse_order_id
-from papayapier.upstream.orders import OrderKind
+from papayapier.upstream.engine_control import OrderKind
 from tests.orders_world import LEASE_MS, LONGEST_MS, World, wanted_pass
 
 
--- a/tests/test_orders_http.py
+++ b/tests/test_orders_http.py
@@ -9,12 +9,12 @@
 
 from papayapier.clock import real_clock
 from papayapier.config.upstreams import OrderRule, RoleCount, UpstreamWanted
-from papayapier.orders.controller import ListedReplica, OrdersDeps, start_orders
+from papayapier.orders.controller import ListedReplica, OrderControllerDeps, start_order_controller
 from papayapier.settings import OrderSettings, UpstreamSettings
 from papayapier.standin.engine import EngineServer, start_engine
 from papayapier.standin.engine_steps import EngineParams
 from papayapier.upstream.api import Replica
-from papayapier.upstream.orders import make_orders
+from papayapier.upstream.engine_control import make_engine_control
 from tests.fake_store import FakePlatform
 
 HOST = "127.0.0.1"
@@ -46,19 +46,19 @@
             ListedReplica(Replica(f"r{n}", "pass", HOST, engine.port, "dc-a"), True)
             for n, engine in enumerate(engines)
         ]
-        orders = make_orders(reactor, clock, UpstreamSettings())
-        control = start_orders(
-            OrdersDeps(
+        orders = make_engine_control(reactor, clock, UpstreamSettings())
+        control = start_order_controller(
+            OrderControllerDeps(
                 clock=clock,
                 rand=random.Random(1),
                 store=FakePlatform(clock).store(),
                 cfg=OrderSettings(loads_per_min=10_000),
                 instance="entry-1",
-                orders=orders,
-                wanted=lambda: [WANTED],
+                engine_control=orders,
+                wanted_upstreams=lambda: [WANTED],
                 replicas=lambda: replicas,
                 instances=lambda: ["entry-1"],
-                need=lambda _: 0,
+                required_serving=lambda _: 0,
             )
         )
         self.addCleanup(lambda: Deferred.fromCoroutine(_stop(control, orders)))
--- a/tests/test_orders_machine.py
+++ b/tests/test_orders_machine.py
@@ -8,7 +8,7 @@
 from papayapier.orders.items import missing_items
 from papayapier.orders.plan import OrderPlan, ReadState, SendOrder
 from papayapier.orders.replica_tracker import AnswerOutcome, ReplicaInfo
-from papayapier.upstream.orders import Order, OrderKind
+from papayapier.upstream.engine_control import Order, OrderKind
 from tests.orders_world import GAP_MS, LIMITS, FakeEngine, wanted_pass
 
 
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -7,8 +7,8 @@
 from result import Err, Ok
 from twisted.web.http_headers import Headers
 
-from papayapier.config.route_table import RouteTable, WorkKind
-from papayapier.config.routing_book import RoutingBook
+from papayapier.config.route_table import RouteKind, RouteTable
+from papayapier.config.routing_registry import RoutingRegistry
 from papayapier.jobs.job_service import ResultsPage
 from papayapier.jobs.records import ItemOutcome, ItemResult
 from papayapier.platform import headers, job_calls
@@ -27,7 +27,7 @@
 
 def test_routes_define_which_requests_may_be_repeated() -> None:
     cfg = read_configuration(encoded()).unwrap()
-    repeatable = {route.name: route.repeatable() for route in cfg.routes}
+    repeatable = {route.name: route.is_repeatable() for route in cfg.routes}
     assert repeatable == {
         "look": True,
         "once": False,
@@ -35,7 +35,7 @@
         "ask-again": True,
         "job": False,
     }
-    job = next(route for route in cfg.routes if route.kind is WorkKind.JOB)
+    job = next(route for route in cfg.routes if route.kind is RouteKind.JOB)
     assert (job.due_ms, job.give_up_ms) == (10_000, 60_000)
 
 
@@ -61,11 +61,11 @@
 def test_an_older_configuration_is_never_applied() -> None:
     # Symptom: a route that was removed is served again.
     # Sequence: a newer version arrives from a peer; the store's older answer arrives late.
-    book = RoutingBook(CONFIG_KEY, read_configuration)
+    book = RoutingRegistry(CONFIG_KEY, read_configuration)
     book.on_change(Change(CONFIG_KEY, 7, False, encoded(3)))
-    assert book.offer(9, encoded(5), "peer")
+    assert book.apply_if_newer(9, encoded(5), "peer")
     book.on_change(Change(CONFIG_KEY, 8, False, encoded(4)))
-    assert not book.offer(10, encoded(4), "peer")
+    assert not book.apply_if_newer(10, encoded(4), "peer")
     book.on_change(Change(CONFIG_KEY, 11, False, b"{}"))
     book.on_change(Change(CONFIG_KEY, 12, True))
     assert book.version() == 5
@@ -105,10 +105,10 @@
 @pytest.mark.parametrize(
     ("text", "load"),
     [
-        ("3,1,8", Load(3, 1, 8, 0.0, 5, lagging=False)),
+        ("3,1,8", Load(3, 1, 8, 0.0, 5, delayed=False)),
         # Failure: the load of replicas that report more figures is ignored.
-        ("3,0,8,140", Load(3, 0, 8, 0.0, 5, lagging=False)),
-        ("3, 0, 8, wild, 7", Load(3, 0, 8, 0.0, 5, lagging=False)),
+        ("3,0,8,140", Load(3, 0, 8, 0.0, 5, delayed=False)),
+        ("3, 0, 8, wild, 7", Load(3, 0, 8, 0.0, 5, delayed=False)),
         ("3,1", None),
         ("a,b,c", None),
         ("3,,8,100", None),
@@ -119,7 +119,7 @@
 def test_the_load_header_of_an_answer_is_decoded(text: str, load: Load | None) -> None:
     facts = headers.decode_facts(200, Headers({"X-Server-Load": [text]}), 5)
     assert facts.load == load
-    assert facts.load_unread is (load is None and bool(text))
+    assert facts.load_unreadable is (load is None and bool(text))
 
 
 def test_which_answers_state_that_a_request_was_not_run() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -50,7 +50,7 @@
 def test_non_idempotent_call_is_retried_only_when_unsent() -> None:
     """Guard against running a non-idempotent call twice."""
     unsent = Failure(FailureKind.CONNECT, Sent.NO, "refused")
-    sent = Failure(FailureKind.CUT, Sent.MAYBE, "reset")
+    sent = Failure(FailureKind.TRUNCATED, Sent.MAYBE, "reset")
     rule, budget, rand = RetryRule(), RetryBudget(), random.Random(1)
     first = retry_or_refuse(unsent, False, 1, rule, 9_000, 0, budget, upstream="m", rand=rand)
     assert isinstance(first, Retry)
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -102,7 +102,7 @@
     be at fault only when a new one is silent, too.
     """
     budget, rand = RetryBudget(), random.Random(1)
-    silent = Failure(FailureKind.SILENT, Sent.MAYBE, "no byte")
+    silent = Failure(FailureKind.TIMED_OUT, Sent.MAYBE, "no byte")
     first = retry_or_refuse(silent, True, 1, RULE, 60_000, 0, budget, "model", rand)
     second = retry_or_refuse(silent, True, 2, RULE, 60_000, 0, budget, "model", rand)
     assert isinstance(first, Retry) and first.fresh_connection and not first.exclude
@@ -130,7 +130,7 @@
 
 def _retries(budget: RetryBudget, calls: int, at: FailedAt, now: int = 0) -> int:
     """Count the calls that get a retry after all of them were cut at one replica."""
-    cut = Failure(FailureKind.CUT, Sent.MAYBE, "cut")
+    cut = Failure(FailureKind.TRUNCATED, Sent.MAYBE, "cut")
     rand = random.Random(1)
     decisions = [
         retry_or_refuse(cut, True, 1, RULE, 60_000, now, budget, "model", rand, Sent.NO, at)
--- a/tests/test_policy_routing.py
+++ b/tests/test_policy_routing.py
@@ -173,7 +173,7 @@
     reports arrive before the response is processed at the stream's end.
     """
     book, _ = make(1)
-    at_beginning = Load(1, 0, SLOTS, 0.0, 1_000, lagging=False)
+    at_beginning = Load(1, 0, SLOTS, 0.0, 1_000, delayed=False)
     book.on_report("r0", Load(30, 0, SLOTS, 6.8, 5_000))
     book.on_report("r0", at_beginning)
     assert book.estimate("r0", 5_000) == 30
--- a/tests/test_replica_list.py
+++ b/tests/test_replica_list.py
@@ -22,7 +22,9 @@
         return Err("bad")
     replica = Replica(replica_id, "lm", "h", 1, "dc")
     if value.startswith(b"born "):
-        replica = replica._replace(id=f"{replica_id}/{value[5:].decode()}", known_as=replica_id)
+        replica = replica._replace(
+            id=f"{replica_id}/{value[5:].decode()}", announced_name=replica_id
+        )
     return Ok(ListedReplica(replica, 8, value == b"leaving"))
 
 
@@ -144,7 +146,9 @@
         outliers.on_end("a/1", False, None, 0)
     world.change("a", b"born 1")
     world.change("a", b"born 2")
-    reported = [entry.replica for entry in world.reported[-1] if entry.replica.own_name() == "a"]
+    reported = [
+        entry.replica for entry in world.reported[-1] if entry.replica.effective_name() == "a"
+    ]
     assert [entry.id for entry in reported] == ["a/2"]
     load_tracker.on_listed([after], set(), {"a/2": 8})
     outliers.on_listed([after])
--- a/tests/test_send_windows.py
+++ b/tests/test_send_windows.py
@@ -242,7 +242,7 @@
         )
         for other in [other for entry in self.entries for other in entry.sends]:
             if other.replica.id == ended_replica.id and not other.done.called:
-                other.fail(FailureKind.CUT, Sent.MAYBE)
+                other.fail(FailureKind.TRUNCATED, Sent.MAYBE)
 
     def _list(self, change: Callable[[list[Replica]], list[Replica]]) -> None:
         for entry in self.entries:
--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -7,9 +7,9 @@
 from result import Err, Ok
 from twisted.web.http_headers import Headers
 
-from papayapier.config.keys import MAX_KEY_BYTES, KeyRing, bearer_key, digest_of
+from papayapier.config.keys import MAX_KEY_BYTES, KeyRegistry, bearer_key, key_digest
 from papayapier.config.route_table import RouteTable, pick_profile
-from papayapier.config.teams import ANYBODY, Team, may_use
+from papayapier.config.teams import ANONYMOUS_TEAM, Team, may_access
 from papayapier.dispatch.lost_sends import request_fingerprint
 from papayapier.entry.forward_refusals import refusal_status
 from papayapier.errors import ErrorKind, not_run
@@ -51,7 +51,7 @@
 )
 def test_unknown_and_malformed_keys_are_refused(shown: list[bytes]) -> None:
     """A missing, unknown or malformed key is refused, and the reason must not contain a key."""
-    asker = table(*TEAMS).asker(False, shown)
+    asker = table(*TEAMS).authenticate(False, shown)
     assert isinstance(asker, Err)
     assert asker.err_value.kind is ErrorKind.UNAUTHORIZED
     assert refusal_status(asker.err_value) == 401
@@ -61,16 +61,16 @@
 @pytest.mark.parametrize("shown", [f"Bearer {KEY}", f"bearer  {KEY} ", "Bearer second"])
 def test_each_key_of_a_team_is_accepted(shown: str) -> None:
     """Each of a team's keys identifies the team, whatever the case and spaces of the scheme."""
-    asker = table(*TEAMS).asker(False, [shown.encode()])
+    asker = table(*TEAMS).authenticate(False, [shown.encode()])
     assert asker == Ok(Team("yard", 5.5, 7, 1))
 
 
 def test_public_routes_and_no_teams_require_no_key() -> None:
     """Keys are required only on routes that are not public, and only if teams are defined."""
-    assert table(*TEAMS).asker(True, []) == Ok(ANYBODY)
+    assert table(*TEAMS).authenticate(True, []) == Ok(ANONYMOUS_TEAM)
     bare = RouteTable(read_configuration(json.dumps(configuration()).encode()).unwrap())
-    assert bare.asker(False, []) == Ok(None)
-    assert isinstance(table().asker(False, [b"Bearer x"]), Err)
+    assert bare.authenticate(False, []) == Ok(None)
+    assert isinstance(table().authenticate(False, [b"Bearer x"]), Err)
 
 
 def test_a_host_of_public_jobs_requires_no_key() -> None:
@@ -106,7 +106,7 @@
 
 def test_only_digests_are_stored() -> None:
     """Keys themselves must not be kept in memory; a key of the maximum length is accepted."""
-    ring = KeyRing([(digest_of(KEY.encode()), "yard")])
+    ring = KeyRegistry([(key_digest(KEY.encode()), "yard")])
     assert KEY not in repr(vars(ring))
     assert bearer_key([b"Bearer " + b"k" * MAX_KEY_BYTES]) is not None
 
@@ -143,7 +143,7 @@
 )
 def test_jobs_are_accessible_to_their_team_only(owner: str, team: str, allowed: bool) -> None:
     """Reading, resubmitting and ending a job require its team, on every instance."""
-    assert may_use(owner, team) is allowed
+    assert may_access(owner, team) is allowed
     world = JobServiceWorld()
     items = (item("a"),)
     submitted = world.begin(world.service.submit(JOB, "h", "/j", items, 1_000, 0, owner))
--- a/tests/test_unframed_answers.py
+++ b/tests/test_unframed_answers.py
@@ -14,9 +14,14 @@
 from papayapier.platform.headers import decode_facts
 from papayapier.settings import UpstreamSettings
 from papayapier.upstream.api import FailureKind, Replica, Sent
-from papayapier.upstream.event_cutter import NO_EVENT
-from papayapier.upstream.links import Links
-from papayapier.upstream.raw import RawCall, RawDeps, StreamTaker, make_raw_send
+from papayapier.upstream.connection_pools import ConnectionPools
+from papayapier.upstream.event_splitter import NO_EVENT
+from papayapier.upstream.forward_call import (
+    ForwardCall,
+    ForwardCallDeps,
+    StreamConsumer,
+    make_forward_call_sender,
+)
 from tests.forward_world import Caller
 from tests.raw_server import RawConnection, RawServer
 
@@ -36,11 +41,11 @@
         self.clock = real_clock()
         self.server = RawServer()
         self.port = reactor.listenTCP(0, self.server, interface="127.0.0.1")
-        self.links = Links(reactor, self.clock, UpstreamSettings())
-        deps = RawDeps(
+        self.links = ConnectionPools(reactor, self.clock, UpstreamSettings())
+        deps = ForwardCallDeps(
             self.links, decode_facts, lambda _i, _l: None, lambda _i: None, make_metrics()
         )
-        self.send = make_raw_send(deps)
+        self.send = make_forward_call_sender(deps)
 
     def tearDown(self) -> Any:
         async def close() -> None:
@@ -57,7 +62,7 @@
         end: Any,
         fresh: bool = True,
         body: bytes = b"half of",
-        consumer: StreamTaker | None = None,
+        consumer: StreamConsumer | None = None,
     ) -> Any:
         def respond(conn: RawConnection, _head: bytes) -> None:
             conn.write(HEAD + body)
@@ -66,7 +71,9 @@
         self.server.respond = respond
         replica = Replica("i-1", "app", "127.0.0.1", self.port.getHost().port, "z")
         due_ms = self.clock.now() + 5_000
-        call = RawCall("r-1", "GET", "/x", Headers({}), b"", due_ms, fresh, consumer is not None)
+        call = ForwardCall(
+            "r-1", "GET", "/x", Headers({}), b"", due_ms, fresh, consumer is not None
+        )
         return await self.send(replica, call, consumer)
 
     def test_answer_is_complete_after_a_close(self) -> Any:
@@ -89,7 +96,10 @@
         async def run() -> None:
             result = await self._answer(lambda conn: conn.transport.abortConnection(), fresh)
             assert isinstance(result, Err), result
-            assert (result.err_value.kind, result.err_value.sent) == (FailureKind.CUT, Sent.MAYBE)
+            assert (result.err_value.kind, result.err_value.sent) == (
+                FailureKind.TRUNCATED,
+                Sent.MAYBE,
+            )
 
         return Deferred.fromCoroutine(run())
 
@@ -123,7 +133,10 @@
         async def run() -> None:
             result, passed = await self._stream(EVENT + b"id: 2\nda")
             assert isinstance(result, Err), result
-            assert (result.err_value.kind, result.err_value.sent) == (FailureKind.CUT, Sent.MAYBE)
+            assert (result.err_value.kind, result.err_value.sent) == (
+                FailureKind.TRUNCATED,
+                Sent.MAYBE,
+            )
             assert passed == EVENT
 
         return Deferred.fromCoroutine(run())
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -19,7 +19,7 @@
 from papayapier.upstream import replies, sse
 from papayapier.upstream.api import Call, Failure, FailureKind, Replica, Reply, Sent, Token
 from papayapier.upstream.cancels import MAX_IN_FLIGHT
-from papayapier.upstream.client import make_upstreams
+from papayapier.upstream.client import make_upstream_client
 from tests.raw_server import (
     DONE,
     LAST_EVENT,
@@ -54,7 +54,7 @@
         self.fake = fake_clock()
         self.tokens: list[Token] = []
         self.metrics = make_metrics()
-        self.ups = make_upstreams(reactor, self.fake.clock, CFG, self.metrics)
+        self.ups = make_upstream_client(reactor, self.fake.clock, CFG, self.metrics)
 
     def tearDown(self) -> Any:
         return Deferred.fromCoroutine(self.close_all())
@@ -141,15 +141,18 @@
         """A refused connect must be reported as not sent, because nothing can have run."""
         await maybeDeferred(self.port.stopListening)
         failure = await self.failure()
-        equal((failure.kind, failure.sent, failure.fresh), (FailureKind.CONNECT, Sent.NO, True))
-        assert failure.closed
+        equal(
+            (failure.kind, failure.sent, failure.new_connection),
+            (FailureKind.CONNECT, Sent.NO, True),
+        )
+        assert failure.connection_refused
 
     async def test_connect_timeout(self) -> None:
         """A call must not hang when the replica's machine is off and nothing answers the connect.
 
         It is reported as not sent, and not as a refused connection.
         """
-        self.ups = make_upstreams(
+        self.ups = make_upstream_client(
             cast(Any, MemoryReactorClock)(), self.fake.clock, CFG, make_metrics()
         )
         sending = self.send()
@@ -161,13 +164,13 @@
     async def test_due_before_it_is_sent(self) -> None:
         """A call whose due time has passed must not open a connection."""
         failure = await self.failure(due_ms=0)
-        equal((failure.kind, failure.sent), (FailureKind.DUE, Sent.NO))
+        equal((failure.kind, failure.sent), (FailureKind.DEADLINE, Sent.NO))
         equal(self.server.connections, [])
 
     async def test_unencodable_path(self) -> None:
         """A path that cannot be encoded must be reported as not sent."""
         failure = await self.failure(path="/a b")
-        equal((failure.kind, failure.sent), (FailureKind.BROKEN, Sent.NO))
+        equal((failure.kind, failure.sent), (FailureKind.INVALID, Sent.NO))
 
     async def test_idle_connection_that_the_replica_has_closed(self) -> None:
         """A call must not be written to an idle connection that the replica has closed.
@@ -201,7 +204,9 @@
         conn = await self.server.next_request()
         self.fake.elapse(CFG.first_byte_ms)
         failure = (await sending).err_value
-        equal((failure.kind, failure.sent, failure.fresh), (FailureKind.SILENT, Sent.MAYBE, True))
+        equal(
+            (failure.kind, failure.sent, failure.fresh), (FailureKind.TIMED_OUT, Sent.MAYBE, True)
+        )
         await conn.closed
 
     async def test_head_arrives_long_before_the_first_token(self) -> None:
@@ -229,7 +234,7 @@
         equal(sending.called, False)
         self.fake.elapse(1)
         failure = (await sending).err_value
-        equal((failure.kind, failure.sent), (FailureKind.SILENT, Sent.MAYBE))
+        equal((failure.kind, failure.sent), (FailureKind.TIMED_OUT, Sent.MAYBE))
 
     async def test_answer_that_arrived_in_a_pause_is_used(self) -> None:
         """An answer that arrived while the process was paused must be used.
@@ -271,12 +276,12 @@
         the next call would fail on the other, although the replica is healthy.
         """
         failure = await self.time_out_on_one_of_two(CFG.first_byte_ms, 60_000)
-        equal((failure.kind, failure.fresh), (FailureKind.SILENT, False))
+        equal((failure.kind, failure.new_connection), (FailureKind.TIMED_OUT, False))
 
     async def test_call_that_is_due_soon_drops_all_idle_connections(self) -> None:
         """The same must hold when the call's due time passes before the silence limit."""
         failure = await self.time_out_on_one_of_two(100, 101)
-        equal((failure.kind, failure.fresh), (FailureKind.DUE, False))
+        equal((failure.kind, failure.new_connection), (FailureKind.DEADLINE, False))
 
     async def test_due(self) -> None:
         """A call must end at its due time, even if that is before the first-byte limit."""
@@ -284,7 +289,7 @@
         conn = await self.server.next_request()
         self.fake.elapse(100)
         failure = (await sending).err_value
-        equal((failure.kind, failure.sent), (FailureKind.DUE, Sent.MAYBE))
+        equal((failure.kind, failure.sent), (FailureKind.DEADLINE, Sent.MAYBE))
         await conn.closed
 
     async def test_late_answer_is_dropped(self) -> None:
@@ -313,7 +318,7 @@
         requested = self.server.next_request()
         sending = self.send(**changes)
         conn = await requested
-        if kind is FailureKind.CUT:
+        if kind is FailureKind.TRUNCATED:
             conn.close()
         failure = (await sending).err_value
         equal((failure.kind, failure.sent), (kind, Sent.MAYBE))
@@ -324,24 +329,26 @@
 
         The replica crashes while it sends the body.
         """
-        await self.check_broken(with_length(complete_body())[:-5], FailureKind.CUT, stream=False)
+        await self.check_broken(
+            with_length(complete_body())[:-5], FailureKind.TRUNCATED, stream=False
+        )
 
     async def test_truncated_stream(self) -> None:
         """A stream without its last HTTP chunk is incomplete, even after [DONE]."""
-        await self.check_broken(chunked(stream_event("a "), end=b""), FailureKind.CUT)
-        await self.check_broken(chunked(LAST_EVENT, DONE, end=b""), FailureKind.CUT)
+        await self.check_broken(chunked(stream_event("a "), end=b""), FailureKind.TRUNCATED)
+        await self.check_broken(chunked(LAST_EVENT, DONE, end=b""), FailureKind.TRUNCATED)
 
     async def test_connection_lost_before_an_answer(self) -> None:
         """A connection that closes before the answer must be reported as possibly sent."""
-        await self.check_broken(b"", FailureKind.CUT)
+        await self.check_broken(b"", FailureKind.TRUNCATED)
 
     async def test_stream_without_its_end(self) -> None:
         """A stream without [DONE] or a finish_reason must not count as complete.
 
         The engine aborts the generation but ends the HTTP body in order.
         """
-        await self.check_broken(chunked(stream_event("a "), LAST_EVENT), FailureKind.CUT)
-        await self.check_broken(chunked(stream_event("a "), DONE), FailureKind.BROKEN)
+        await self.check_broken(chunked(stream_event("a "), LAST_EVENT), FailureKind.TRUNCATED)
+        await self.check_broken(chunked(stream_event("a "), DONE), FailureKind.INVALID)
 
     async def test_wrong_id(self) -> None:
         """An answer to another request must not reach the caller.
@@ -375,9 +382,11 @@
 
     async def test_malformed(self) -> None:
         """Answers with missing fields, and data after the end of a stream, must be rejected."""
-        await self.check_broken(with_length(b'{"id":"r1"}'), FailureKind.BROKEN, stream=False)
-        await self.check_broken(chunked(b"data: {}\n\n"), FailureKind.BROKEN)
-        await self.check_broken(chunked(LAST_EVENT, DONE, stream_event("more")), FailureKind.BROKEN)
+        await self.check_broken(with_length(b'{"id":"r1"}'), FailureKind.INVALID, stream=False)
+        await self.check_broken(chunked(b"data: {}\n\n"), FailureKind.INVALID)
+        await self.check_broken(
+            chunked(LAST_EVENT, DONE, stream_event("more")), FailureKind.INVALID
+        )
 
     def bound(self, module: object, name: str, value: int) -> None:
         cast(Any, self).patch(module, name, value)
@@ -386,10 +395,10 @@
         """An endless answer must not exhaust the instance's memory."""
         self.bound(replies, "MAX_BODY_BYTES", 10)
         self.bound(sse, "MAX_EVENT_BYTES", 10)
-        await self.check_broken(with_length(complete_body()), FailureKind.BROKEN, stream=False)
-        await self.check_broken(chunked(b"data: 0123456789"), FailureKind.BROKEN)
+        await self.check_broken(with_length(complete_body()), FailureKind.INVALID, stream=False)
+        await self.check_broken(chunked(b"data: 0123456789"), FailureKind.INVALID)
         self.bound(sse, "MAX_TEXT_CHARS", 3)
-        await self.check_broken(chunked(stream_event("abcd")), FailureKind.BROKEN)
+        await self.check_broken(chunked(stream_event("abcd")), FailureKind.INVALID)
 
     async def test_unsolicited_bytes(self) -> None:
         """A second answer on an idle connection must not be read as the answer to the next call."""
--- a/tests/test_upstream_parts.py
+++ b/tests/test_upstream_parts.py
@@ -15,11 +15,11 @@
 
 from papayapier.clock import fake_clock
 from papayapier.upstream.api import Failure, FailureKind, Load, Replica, Sent, Token
+from papayapier.upstream.connection_pools import FORGET_AFTER_MS, ConnectionPools
 from papayapier.upstream.engine_calls import PREFIX_CHARS, parse_generation, streaming_body
+from papayapier.upstream.engine_control import Order, OrderAnswer, OrderKind, make_engine_control
 from papayapier.upstream.exchange import AnswerHandler, OutgoingRequest
-from papayapier.upstream.links import FORGET_AFTER_MS, Links
-from papayapier.upstream.orders import Order, OrderAnswer, OrderKind, make_orders
-from papayapier.upstream.reports import OnReport, make_reports
+from papayapier.upstream.load_polls import LoadPollHandlers, make_load_polls
 from papayapier.upstream.sse import StreamReader
 from tests.raw_server import DONE, LAST_EVENT, stream_event, with_length
 from tests.test_upstream import CFG, UpstreamTestCase, equal, reactor
@@ -93,9 +93,9 @@
         self.fake = fake_clock()
         self.pending: list[tuple[str, Deferred[Result[Load, Failure]]]] = []
         self.results: list[object] = []
-        handlers = OnReport(lambda _, load: self.results.append(load), self._fail)
+        handlers = LoadPollHandlers(lambda _, load: self.results.append(load), self._fail)
         rand = random.Random(1)
-        self.polls = make_reports(self.fake.clock, rand, 100, self._read, handlers)
+        self.polls = make_load_polls(self.fake.clock, rand, 100, self._read, handlers)
 
     async def _read(self, replica: Replica) -> Result[Load, Failure]:
         answer: Deferred[Result[Load, Failure]] = Deferred()
@@ -119,12 +119,12 @@
     load = Load(1, 0, 4, 5.0, 0)
     recorder.pending[0][1].callback(Ok(load))
     recorder.fake.advance(121)
-    recorder.pending[1][1].callback(Err(Failure(FailureKind.SILENT, Sent.MAYBE, "")))
+    recorder.pending[1][1].callback(Err(Failure(FailureKind.TIMED_OUT, Sent.MAYBE, "")))
     recorder.fake.advance(79)
     assert len(recorder.pending) == 2
     recorder.fake.advance(42)
     assert len(recorder.pending) == 3
-    assert recorder.results == [load, FailureKind.SILENT]
+    assert recorder.results == [load, FailureKind.TIMED_OUT]
     recorder.polls.close()
 
 
@@ -145,7 +145,7 @@
 def test_pools_of_replaced_replicas_are_dropped() -> None:
     """Connection pools of old addresses must not accumulate when replicas are replaced."""
     fake = fake_clock()
-    links = Links(cast(Any, MemoryReactorClock)(), fake.clock, CFG)
+    links = ConnectionPools(cast(Any, MemoryReactorClock)(), fake.clock, CFG)
     out = OutgoingRequest("GET", "/load", Headers(), b"", 10**9, False)
     for port in range(1, 5):
         links.run(_replica("a")._replace(port=port), out, NO_HANDLER).cancel()
@@ -158,7 +158,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.engine_control = make_orders(reactor, self.fake.clock, CFG)
+        self.engine_control = make_engine_control(reactor, self.fake.clock, CFG)
 
     async def close_all(self) -> None:
         await self.engine_control.close()
@@ -178,7 +178,7 @@
         failed = await self.send_order(with_length(b"oh", status=500))
         equal((failed.err_value.kind, failed.err_value.status), (FailureKind.STATUS, 500))
         broken = await self.send_order(with_length(b"[]"))
-        equal(broken.err_value.kind, FailureKind.BROKEN)
+        equal(broken.err_value.kind, FailureKind.INVALID)
 
     async def test_reads(self) -> None:
         """State, models and cache events are parsed; unknown fields are ignored."""
