--- a/misc/claims_cost.py
+++ b/misc/claims_cost.py
@@ -86,7 +86,7 @@
             )
             started += 1
             next_arrival_ms += rng.expovariate(rate) * MS_PER_S
-        fake.advance(1)
+        fake.jump(1)
     writes = sum(platform.writes.values())
     claim_times_ms.sort()
     return Row(
--- a/misc/make_docs.py
+++ b/misc/make_docs.py
@@ -53,8 +53,8 @@
         "| kind | HTTP status | a later retry can help | meaning |",
         "| --- | --- | --- | --- |",
     ]
-    for kind, answer in errors.ANSWERS.items():
-        retry = "yes" if answer.retry else "no"
+    for kind, answer in errors.ERROR_RESPONSES.items():
+        retry = "yes" if answer.is_retryable else "no"
         lines.append(f"| {kind.value} | {answer.status} | {retry} | {answer.description} |")
     return "\n".join(lines) + "\n"
 
--- a/papayapier/batch/commits.py
+++ b/papayapier/batch/commits.py
@@ -18,7 +18,7 @@
 from papayapier.batch import background, keys, store_access
 from papayapier.batch.active_jobs import OpenTask
 from papayapier.batch.records import SPILL_THRESHOLD_BYTES, JobState, Tally
-from papayapier.invariants import Promise, check
+from papayapier.invariants import Invariant, check_invariant
 from papayapier.store.api import StoreError
 from papayapier.store.watch import Backoff
 
@@ -188,9 +188,9 @@
             await self._deps.clock.sleep(pauses.next_ms())
 
     def _check_cancel(self, task: OpenTask) -> None:
-        check(
+        check_invariant(
             task.job.record.state is JobState.RUNNING,
-            Promise.CANCEL_STOPS,
+            Invariant.CANCEL_STOPS,
             job=task.job.record.job_id,
         )
 
--- a/papayapier/batch/expiry.py
+++ b/papayapier/batch/expiry.py
@@ -17,7 +17,7 @@
 from papayapier.batch.lookup import find_file, unavailable
 from papayapier.batch.records import FileRecord
 from papayapier.batch.registry import JobRegistry
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 from papayapier.store.api import Entry, StoreError
 
 if TYPE_CHECKING:
@@ -146,7 +146,7 @@
     """Mark a file as deleted; its objects are deleted later, when no request can use them."""
     if any(job.record.file_id == file_id for job in registry.jobs.values()):
         reason = f"an active job uses file {file_id}"
-        return Err(not_run(ErrorKind.STILL_RUNNING, reason))
+        return Err(not_run_refusal(ErrorKind.STILL_RUNNING, reason))
     found = await find_file(deps, caller, file_id)
     if isinstance(found, Err):
         return found
--- a/papayapier/batch/file_upload.py
+++ b/papayapier/batch/file_upload.py
@@ -18,7 +18,7 @@
 from papayapier.batch.ids import BUCKET_COUNT, IdIndex
 from papayapier.batch.lines import LineError, LineSplitter, endpoint_of, parse_line
 from papayapier.batch.records import MAX_CHUNK_BYTES, MAX_LINE_BYTES, FileRecord, InputItem
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 
 if TYPE_CHECKING:
     from papayapier.batch.api import BatchDeps
@@ -89,7 +89,7 @@
         self._byte_count += len(data)
         if self._byte_count > self._deps.cfg.max_file_bytes:
             reason = f"the file has more than {self._deps.cfg.max_file_bytes} bytes"
-            return not_run(ErrorKind.TOO_LARGE, reason)
+            return not_run_refusal(ErrorKind.TOO_LARGE, reason)
         for line in self._splitter.feed(data):
             refusal = await self._process_line(line)
             if refusal is not None:
@@ -141,7 +141,7 @@
     async def _add_item(self, item: InputItem) -> Refusal | None:
         if self._line > self._deps.cfg.max_items:
             reason = f"line {self._line}: over {self._deps.cfg.max_items} items"
-            return not_run(ErrorKind.TOO_LARGE, reason)
+            return not_run_refusal(ErrorKind.TOO_LARGE, reason)
         self._endpoints.add(endpoint_of(item.url))
         if len(self._endpoints) > MAX_ENDPOINTS:
             return self._refuse(LineError(self._line, f"over {MAX_ENDPOINTS} endpoints"))
@@ -178,7 +178,7 @@
 
     async def _check_complete(self) -> Refusal | None:
         if not self._items and not self._counts:
-            return not_run(ErrorKind.BAD_REQUEST, "the file has no items")
+            return not_run_refusal(ErrorKind.BAD_REQUEST, "the file has no items")
         for bucket in range(BUCKET_COUNT):
             duplicate = self._index.duplicate(bucket)
             if duplicate is not None:
@@ -224,10 +224,10 @@
             deps, STORE_TIMEOUT_MS, lambda: store_access.create(deps, key, value)
         )
         reason = "the file is not stored: the store does not answer"
-        return written.map_err(lambda _: not_run(ErrorKind.STORE_UNAVAILABLE, reason))
+        return written.map_err(lambda _: not_run_refusal(ErrorKind.STORE_UNAVAILABLE, reason))
 
     def _refuse(self, error: LineError) -> Refusal:
         events.emit(
             events.FILE_REFUSED, caller=self.head.caller, line=error.line, reason=error.reason
         )
-        return not_run(ErrorKind.BAD_REQUEST, f"line {error.line}: {error.reason}")
+        return not_run_refusal(ErrorKind.BAD_REQUEST, f"line {error.line}: {error.reason}")
--- a/papayapier/batch/item_sender.py
+++ b/papayapier/batch/item_sender.py
@@ -13,7 +13,7 @@
 from papayapier.batch.lines import ENGINE_URLS, SERVICE_URL
 from papayapier.batch.outcomes import ResendItem, classify
 from papayapier.batch.records import InputItem, ItemResult, ItemState
-from papayapier.errors import ErrorKind, Refusal, unknown
+from papayapier.errors import ErrorKind, Refusal, unknown_refusal
 from papayapier.upstream.api import Reply
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
         run = ItemRun()
         task.running[item] = run
         coroutine = self._run(task, item, run, profile)
-        failed = unknown(ErrorKind.INTERNAL, "the dispatch failed")
+        failed = unknown_refusal(ErrorKind.INTERNAL, "the dispatch failed")
         run.deferred = background.start(
             coroutine, f"item {item}", lambda: self._on_outcome(task, item, run, Err(failed))
         )
@@ -86,7 +86,7 @@
             task.state.requeue(item, self._deps.clock.now())
         else:
             reason = "stopped while it was running"
-            refusal = unknown(ErrorKind.OUTCOME_UNKNOWN, reason)
+            refusal = unknown_refusal(ErrorKind.OUTCOME_UNKNOWN, reason)
             self._apply_outcome(task, item, Err(refusal))
         self._on_change(task)
 
--- a/papayapier/batch/job_reader.py
+++ b/papayapier/batch/job_reader.py
@@ -29,7 +29,7 @@
 )
 from papayapier.batch.task_input import ReadError, read_chunk, read_results
 from papayapier.batch.tasks import TaskSpan, locate_item, split_tasks
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 from papayapier.store.api import StoreError
 
 if TYPE_CHECKING:
@@ -132,7 +132,7 @@
 
     async def _item_index(self, job: FoundJob, custom_id: str) -> Result[int, Refusal]:
         """Find the index of an id by the hashes stored with the input file."""
-        missing = not_run(ErrorKind.NOT_FOUND, f"the job has no item {custom_id}")
+        missing = not_run_refusal(ErrorKind.NOT_FOUND, f"the job has no item {custom_id}")
         file = await find_file(self._deps, job.record.caller, job.record.file_id, deleted=True)
         if isinstance(file, Err):
             return file
@@ -174,7 +174,7 @@
         errors = file_id.startswith(ERROR_FILE_PREFIX)
         prefix = ERROR_FILE_PREFIX if errors else OUTPUT_FILE_PREFIX
         if not file_id.startswith(prefix):
-            return Err(not_run(ErrorKind.NOT_FOUND, f"no file is named {file_id}"))
+            return Err(not_run_refusal(ErrorKind.NOT_FOUND, f"no file is named {file_id}"))
         found = await find_job(self._deps, caller, file_id.removeprefix(prefix))
         return found.map(lambda job: OutputFile(job, errors))
 
@@ -212,4 +212,4 @@
     """Return the refusal for a stored object that cannot be read."""
     if isinstance(error, StoreError):
         return unavailable()
-    return not_run(ErrorKind.INTERNAL, f"{error.key} is not readable")
+    return not_run_refusal(ErrorKind.INTERNAL, f"{error.key} is not readable")
--- a/papayapier/batch/jobs.py
+++ b/papayapier/batch/jobs.py
@@ -17,7 +17,7 @@
 from papayapier.batch.lookup import RETRY_AFTER_MS, FoundJob, find_file, find_job, unavailable
 from papayapier.batch.records import FileRecord, JobRecord, JobState
 from papayapier.batch.tasks import choose_task_items
-from papayapier.errors import ErrorKind, Refusal, not_run, unknown
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal, unknown_refusal
 from papayapier.peer.messages import JobChanged
 from papayapier.store.api import StoreError
 
@@ -71,7 +71,7 @@
         if found.err_value.kind is ErrorKind.NOT_FOUND:
             return None
         reason = "it is unknown whether a job with this key was accepted before"
-        return Err(unknown(found.err_value.kind, reason, RETRY_AFTER_MS))
+        return Err(unknown_refusal(found.err_value.kind, reason, RETRY_AFTER_MS))
 
     async def _match_existing(
         self, request: JobRequest, found: FoundJob
@@ -88,7 +88,7 @@
             matches = isinstance(file, Ok) and file.ok_value.record.sha256 == record.file_sha256
         if not matches:
             reason = f"the key was used for job {record.job_id} with different content"
-            return Err(not_run(ErrorKind.KEY_CONFLICT, reason))
+            return Err(not_run_refusal(ErrorKind.KEY_CONFLICT, reason))
         events.emit(events.JOB_RESENT, job=record.job_id, caller=record.caller)
         return Ok(found)
 
@@ -96,17 +96,17 @@
         profile = self._deps.find_profile(request.profile)
         if profile is None:
             reason = f"no profile is named {request.profile}"
-            return Err(not_run(ErrorKind.UNKNOWN_PROFILE, reason))
+            return Err(not_run_refusal(ErrorKind.UNKNOWN_PROFILE, reason))
         window = _window_ms(request.window)
         if window is None:
             reason = f"completion_window: expected a number with s, m, h or d, got {request.window}"
-            return Err(not_run(ErrorKind.BAD_REQUEST, reason))
+            return Err(not_run_refusal(ErrorKind.BAD_REQUEST, reason))
         file = await self._usable_file(request.caller, request.file_id)
         if isinstance(file, Err):
             return file
         invalid_reason = _invalid_reason(request, file.ok_value)
         if invalid_reason:
-            return Err(not_run(ErrorKind.BAD_REQUEST, invalid_reason))
+            return Err(not_run_refusal(ErrorKind.BAD_REQUEST, invalid_reason))
         return await self._create(
             request, self._new_record(request, profile, window, file.ok_value)
         )
@@ -150,8 +150,8 @@
             # The write may have taken effect or may still do so. A retry with the same key finds
             # the job if it exists.
             reason = "it is unknown whether the job was stored"
-            return Err(unknown(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
-        return Err(not_run(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
+            return Err(unknown_refusal(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
+        return Err(not_run_refusal(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
 
     async def _undo_if_ended(
         self, request: JobRequest, record: JobRecord, version: int
@@ -172,7 +172,7 @@
         await store_access.delete(self._deps, keys.active_key(record.job_id), version)
         ended = codec.unpack(read.ok_value.value, JobRecord)
         if isinstance(ended, Err):
-            return Err(not_run(ErrorKind.INTERNAL, "the job's record is not readable"))
+            return Err(not_run_refusal(ErrorKind.INTERNAL, "the job's record is not readable"))
         return await self._match_existing(
             request, FoundJob(ended.ok_value, read.ok_value.version, True)
         )
@@ -210,7 +210,7 @@
             return file
         record = file.ok_value.record
         if record.expires_ms - self._deps.clock.wall() < MIN_FILE_LIFETIME_MS:
-            return Err(not_run(ErrorKind.NOT_FOUND, f"file {file_id} has expired"))
+            return Err(not_run_refusal(ErrorKind.NOT_FOUND, f"file {file_id} has expired"))
         return Ok(record)
 
     async def cancel(self, caller: str, job_id: str) -> Result[FoundJob, Refusal]:
@@ -231,10 +231,10 @@
                 return Ok(self._on_cancelled(record, written.ok_value))
             if written.err_value is StoreError.LOST:
                 reason = "it is unknown whether the cancel was stored"
-                return Err(unknown(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
+                return Err(unknown_refusal(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
             if written.err_value is not StoreError.CONFLICT:
                 return Err(unavailable())
-        return Err(not_run(ErrorKind.VERSION_CONFLICT, "the job's record keeps changing"))
+        return Err(not_run_refusal(ErrorKind.VERSION_CONFLICT, "the job's record keeps changing"))
 
     def _on_cancelled(self, record: JobRecord, version: int) -> FoundJob:
         self._registry.apply_record(record, version)
--- a/papayapier/batch/task_state.py
+++ b/papayapier/batch/task_state.py
@@ -29,7 +29,7 @@
     tally_of,
 )
 from papayapier.errors import ErrorKind
-from papayapier.invariants import Promise, check
+from papayapier.invariants import Invariant, check_invariant
 
 RESULT_OVERHEAD_BYTES: Final = 64
 
@@ -174,12 +174,14 @@
             index = self._pending.popleft()
         else:
             return None
-        check(
+        check_invariant(
             index not in self.ended and index not in self._running,
-            Promise.COMPLETE_ONCE,
+            Invariant.COMPLETE_ONCE,
             item=index,
         )
-        check(self.rules.idempotent or index in self._intents, Promise.AT_MOST_ONCE, item=index)
+        check_invariant(
+            self.rules.idempotent or index in self._intents, Invariant.AT_MOST_ONCE, item=index
+        )
         self._running.add(index)
         return index
 
@@ -199,9 +201,9 @@
 
     def end_item(self, result: ItemResult) -> None:
         """Record the outcome of a running item."""
-        check(
+        check_invariant(
             result.item in self._running and result.item not in self.ended,
-            Promise.COMPLETE_ONCE,
+            Invariant.COMPLETE_ONCE,
             item=result.item,
         )
         self._running.discard(result.item)
@@ -302,8 +304,10 @@
 
     def final_results(self, writer: str, fence: int) -> TaskResults:
         """Return the results of the complete task."""
-        check(len(self.ended) == self.size, Promise.COMPLETE_ONCE, left=self.remaining())
-        check(self.tally.total() == self.size, Promise.COMPLETE_ONCE, tally=self.tally)
+        check_invariant(
+            len(self.ended) == self.size, Invariant.COMPLETE_ONCE, left=self.remaining()
+        )
+        check_invariant(self.tally.total() == self.size, Invariant.COMPLETE_ONCE, tally=self.tally)
         results = [self._results[index] for index in sorted(self._results)]
         return TaskResults(writer, fence, self.tally, results, list(self._spilled))
 
@@ -312,7 +316,7 @@
         return self._results.get(index)
 
     def _count_result(self, result: ItemResult) -> None:
-        check(result.item not in self.ended, Promise.COMPLETE_ONCE, item=result.item)
+        check_invariant(result.item not in self.ended, Invariant.COMPLETE_ONCE, item=result.item)
         self.ended.add(result.item)
         self._intents.discard(result.item)
         self.tally = self.tally.plus(tally_of([result]))
--- a/papayapier/claims/api.py
+++ b/papayapier/claims/api.py
@@ -6,7 +6,7 @@
 from result import Result
 
 from papayapier.claims.records import SavedAnswer
-from papayapier.errors import ErrorKind, Refusal, not_run, unknown
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal, unknown_refusal
 
 RETRY_AFTER_MS: Final = 1_000
 RUNNING: Final = "running"
@@ -54,13 +54,13 @@
 
 def key_conflict() -> Refusal:
     """Return the refusal of a key that was used for another request."""
-    return not_run(ErrorKind.KEY_CONFLICT, "the key was used for another request")
+    return not_run_refusal(ErrorKind.KEY_CONFLICT, "the key was used for another request")
 
 
 def still_running() -> Refusal:
     """Return the refusal of a delivery while another delivery with its key is running."""
     reason = "another delivery with this key is running"
-    return unknown(ErrorKind.STILL_RUNNING, reason, RETRY_AFTER_MS)
+    return unknown_refusal(ErrorKind.STILL_RUNNING, reason, RETRY_AFTER_MS)
 
 
 def store_down() -> Refusal:
@@ -69,4 +69,4 @@
         "the key could not be claimed, so this delivery was not sent; "
         "it could not be determined whether an earlier delivery with this key ran"
     )
-    return not_run(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS)
+    return not_run_refusal(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS)
--- a/papayapier/claims/service.py
+++ b/papayapier/claims/service.py
@@ -54,8 +54,8 @@
     shard_of,
 )
 from papayapier.clock import Clock
-from papayapier.errors import ErrorKind, not_run, unknown
-from papayapier.invariants import Promise, check
+from papayapier.errors import ErrorKind, not_run_refusal, unknown_refusal
+from papayapier.invariants import Invariant, check_invariant
 from papayapier.metrics import Metrics
 from papayapier.settings import ClaimSettings
 from papayapier.store.api import Store
@@ -137,7 +137,7 @@
         """Store the answer of a request that was sent, whether it succeeded or not."""
         attempt = self._attempts.by_token(token)
         sent = attempt is not None and attempt.state is AttemptState.SENDING
-        check(sent, Promise.AT_MOST_ONCE, token=token.hex(), end="finish")
+        check_invariant(sent, Invariant.AT_MOST_ONCE, token=token.hex(), end="finish")
         if attempt is None or not sent:
             return
         self._attempts.end(attempt, AttemptState.DONE, answer)
@@ -151,7 +151,7 @@
         """Free the key of a request that was not sent."""
         attempt = self._attempts.by_token(token)
         is_sending = attempt is not None and attempt.state is AttemptState.SENDING
-        check(is_sending, Promise.NOT_RUN_TRUE, token=token.hex(), end="abandon")
+        check_invariant(is_sending, Invariant.NOT_RUN_TRUE, token=token.hex(), end="abandon")
         if attempt is None or not is_sending:
             return
         self._attempts.end(attempt, AttemptState.ABANDONED, None)
@@ -202,7 +202,7 @@
     async def _claim(self, req: _Request, supersedes: Token | None) -> BeginResult | RetryBegin:
         """Write a claim for this delivery."""
         if self._deps.clock.now() >= req.due_ms:
-            return Err(not_run(ErrorKind.DEADLINE, "no time was left to claim the key"))
+            return Err(not_run_refusal(ErrorKind.DEADLINE, "no time was left to claim the key"))
         attempt = self._attempts.add(req.id, self._new_token(), req.content)
         op = Op(OpKind.CLAIM, req.id, attempt.token, req.content)
         op.supersedes = supersedes
@@ -226,12 +226,12 @@
         if isinstance(end, Found) and end.record is not None:
             return await self._decide(req, end.record, may_claim=True)
         if isinstance(end, Stored):
-            return Err(not_run(ErrorKind.DEADLINE, "the key was claimed too late"))
+            return Err(not_run_refusal(ErrorKind.DEADLINE, "the key was claimed too late"))
         if known.record is not None and not self._is_free(known.record):
             return await self._decide(req, known.record, may_claim=False)
         if known.record is None and known.archived:
             reason = "a record of an earlier delivery exists, but it cannot be read"
-            return Err(unknown(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
+            return Err(unknown_refusal(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
         return Err(store_down())
 
     def _give_up(self, attempt: Attempt, op: Op) -> None:
@@ -257,7 +257,9 @@
         self._attempts.forget(attempt)
         if op.kind is OpKind.FINISH:
             is_stored = isinstance(op.result, Stored)
-            check(is_stored, Promise.AT_MOST_ONCE, token=attempt.token.hex(), end="superseded")
+            check_invariant(
+                is_stored, Invariant.AT_MOST_ONCE, token=attempt.token.hex(), end="superseded"
+            )
         else:
             events.emit(events.CLAIM_ABANDONED, claim=attempt.id.hex())
 
@@ -296,7 +298,7 @@
         latest = await self._lookup(req)
         if latest is None:
             reason = "another request had the key when the store was last read"
-            return Err(unknown(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
+            return Err(unknown_refusal(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_AFTER_MS))
         if latest == record:
             return Err(key_conflict())
         return await self._decide(req, latest, may_claim)
--- a/papayapier/clock.py
+++ b/papayapier/clock.py
@@ -60,7 +60,7 @@
         timer: Timer = self.timers.callLater(max(0.0, delay_ms) / MS_PER_S, call)
         return timer
 
-    def timeout(self, delay_ms: float, call: Callable[[], object]) -> Timer:
+    def start_timeout(self, delay_ms: float, call: Callable[[], object]) -> Timer:
         """Run a call when a timeout in milliseconds expires.
 
         Time in which this process was paused does not count: data that arrived meanwhile has
@@ -107,11 +107,11 @@
     clock: Clock
     source: TaskClock
 
-    def advance(self, delay_ms: float) -> None:
+    def jump(self, delay_ms: float) -> None:
         """Advance time by milliseconds in one step, as after a pause of the process."""
         self.source.advance(delay_ms / MS_PER_S)
 
-    def elapse(self, delay_ms: float) -> None:
+    def run_for(self, delay_ms: float) -> None:
         """Advance time by milliseconds, and run each timer at its own time."""
         end = self.source.seconds() + delay_ms / MS_PER_S
         while self.source.calls and self.source.calls[0].getTime() <= end + TIMER_ROUNDING_S:
--- a/papayapier/components.py
+++ b/papayapier/components.py
@@ -10,7 +10,7 @@
 from papayapier.dispatch.crash_watch import CrashWatch
 from papayapier.dispatch.item_dispatch import ItemDispatch
 from papayapier.dispatch.online import OnlineDispatch
-from papayapier.fleet_view import FleetView, Policies
+from papayapier.fleet_view import FleetView, ReplicaPolicies
 from papayapier.metrics import Metrics
 from papayapier.orders.controller import OrderController
 from papayapier.peer.hub import PeerHub
@@ -40,7 +40,7 @@
 class Fleet(NamedTuple):
     """Group the state of the known replicas and the clients that reach them."""
 
-    policies: Policies
+    policies: ReplicaPolicies
     view: FleetView
     crash_watch: CrashWatch
     upstreams: UpstreamClient
--- a/papayapier/compose.py
+++ b/papayapier/compose.py
@@ -24,8 +24,8 @@
 from papayapier.fleet_view import (
     FleetListeners,
     FleetView,
-    Place,
-    Policies,
+    OwnInstance,
+    ReplicaPolicies,
     make_peer_calls_handler,
 )
 from papayapier.http_apis import OpenPorts, make_apps, open_ports
@@ -107,8 +107,8 @@
 
 def _make_fleet(base: Base) -> Fleet:
     cfg = base.cfg
-    policies = Policies(LoadTracker(), OutlierDetector(), BatchShare(cfg.instance.id))
-    own_instance = Place(cfg.instance.id, cfg.instance.region, cfg.upstream.subset)
+    policies = ReplicaPolicies(LoadTracker(), OutlierDetector(), BatchShare(cfg.instance.id))
+    own_instance = OwnInstance(cfg.instance.id, cfg.instance.region, cfg.upstream.subset)
     view = FleetView(own_instance, policies, base.metrics)
     crash_watch = CrashWatch(base.clock, base.metrics, lambda: base.budget.down_since() is None)
     upstreams = make_upstream_client(base.reactor, base.clock, cfg.upstream, base.metrics)
@@ -118,7 +118,7 @@
         cfg.upstream.load_poll_ms,
         upstreams.load,
         LoadPollHandlers(view.on_load, crash_watch.on_poll_failed),
-        lambda replica: policies.book.reported_ms(replica.id),
+        lambda replica: policies.load_tracker.reported_ms(replica.id),
     )
     return Fleet(policies, view, crash_watch, upstreams, reports)
 
@@ -128,7 +128,7 @@
 
     def make_heartbeat() -> Heartbeat:
         profiles = config.registry
-        uses = tuple(fleet.policies.book.own_uses())
+        uses = tuple(fleet.policies.load_tracker.own_uses())
         return Heartbeat(
             cfg.instance.id,
             base.boot,
@@ -175,7 +175,7 @@
         clock=base.clock,
         rand=base.rand,
         data_centre=base.cfg.instance.data_centre,
-        load_tracker=fleet.policies.book,
+        load_tracker=fleet.policies.load_tracker,
         outliers=fleet.policies.outliers,
         crashes=fleet.crash_watch,
         queue=AdmissionQueue(base.cfg.entry.max_queued),
@@ -283,7 +283,7 @@
         hub.subscribe(kind, services.config.on_peer_message)
     hub.subscribe(JobChanged, lambda _peer_id, message: services.batch.on_peer(message))
     hub.subscribe(ShardsReleased, lambda _peer_id, message: services.batch.on_peer(message))
-    hub.subscribe(Heartbeat, make_peer_calls_handler(fleet.policies.book, base.clock.now))
+    hub.subscribe(Heartbeat, make_peer_calls_handler(fleet.policies.load_tracker, base.clock.now))
 
     def on_claim_request(peer_id: str, message: Message) -> None:
         assert isinstance(message, ClaimAsk)
@@ -292,7 +292,7 @@
 
     def on_peers_changed() -> None:
         silent = [view.id for view in hub.views() if not view.up]
-        fleet.view.on_peers(hub.live(), silent)
+        fleet.view.on_peers_changed(hub.live(), silent)
 
     def on_profiles_changed(_key: str, _version: int) -> None:
         fleet.view.on_profiles(services.config.registry.profiles().values())
@@ -324,7 +324,7 @@
             services.hub,
             view(Priority.CONFIG),
             view(Priority.LEASE),
-            fleet.view.on_members,
+            fleet.view.on_members_changed,
         ),
         opened.ports,
     )
--- a/papayapier/config/accept.py
+++ b/papayapier/config/accept.py
@@ -19,7 +19,7 @@
 from papayapier.config import audit_trail, checks, records
 from papayapier.config.checks import CheckDeps, Problem
 from papayapier.config.records import AuditEntry, Document, FieldChange, Record, Subject
-from papayapier.errors import ErrorKind, Refusal, not_run, unknown
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal, unknown_refusal
 from papayapier.store.api import Store, Stored, StoreError
 from papayapier.store.writes import SettleDeps, create_settled, update_settled
 
@@ -182,7 +182,7 @@
             return Ok(None)
         if entry["content"] != records.content_hash(self._document):
             reason = f"change id {self._change.change_id} was used for another change"
-            return Ok(Err(Rejected(not_run(ErrorKind.KEY_CONFLICT, reason), [])))
+            return Ok(Err(Rejected(not_run_refusal(ErrorKind.KEY_CONFLICT, reason), [])))
         return Ok(
             self._accept_repeated(
                 stored, entry, audit_trail.version_of_entry(history, entry, stored.version)
@@ -202,11 +202,11 @@
         if stored.unreadable:
             # Overwriting it would silently drop its audit trail.
             reason = f"{self._change.subject.key} in the store is not a configuration object"
-            return Rejected(not_run(ErrorKind.INTERNAL, reason), [])
+            return Rejected(not_run_refusal(ErrorKind.INTERNAL, reason), [])
         deleted = stored.record["document"] is None
         if self._document is None and deleted:
             reason = f"{self._change.subject.name} does not exist"
-            return Rejected(not_run(ErrorKind.NOT_FOUND, reason), [])
+            return Rejected(not_run_refusal(ErrorKind.NOT_FOUND, reason), [])
         expected = 0 if deleted and self._change.based_on == 0 else stored.version
         if self._change.based_on == expected:
             return None
@@ -217,10 +217,12 @@
         events.emit(events.CONFIG_CONFLICT, key=subject.key, who=self._change.operator)
         if not stored.record["history"]:
             reason = f"based on version {self._change.based_on}, but {subject.name} does not exist"
-            return Rejected(not_run(ErrorKind.VERSION_CONFLICT, reason), [])
+            return Rejected(not_run_refusal(ErrorKind.VERSION_CONFLICT, reason), [])
         winner = WinningChange(stored.version, stored.record["history"][-1])
         return Rejected(
-            not_run(ErrorKind.VERSION_CONFLICT, _describe_winner(subject, winner)), [], winner
+            not_run_refusal(ErrorKind.VERSION_CONFLICT, _describe_winner(subject, winner)),
+            [],
+            winner,
         )
 
     async def _write(self, stored: _StoredObject) -> _AcceptResult | None:
@@ -279,11 +281,11 @@
         kind = ErrorKind.STORE_UNAVAILABLE
         if self._unsettled_version is None:
             reason = f"the store did not take the change: {error.value}"
-            return Err(Rejected(not_run(kind, reason, RETRY_AFTER_MS), []))
+            return Err(Rejected(not_run_refusal(kind, reason, RETRY_AFTER_MS), []))
         key = self._change.subject.key
         events.emit(events.CONFIG_UNSETTLED, key=key, change=self._change.change_id)
         reason = "the store's answer was lost; repeat with the same change_id to learn the outcome"
-        return Err(Rejected(unknown(kind, reason, RETRY_AFTER_MS), []))
+        return Err(Rejected(unknown_refusal(kind, reason, RETRY_AFTER_MS), []))
 
 
 def _to_stored_object(stored: Stored) -> _StoredObject:
@@ -308,7 +310,9 @@
 
 
 def _bad_request(problems: list[Problem]) -> Rejected:
-    return Rejected(not_run(ErrorKind.BAD_REQUEST, checks.describe_problems(problems)), problems)
+    return Rejected(
+        not_run_refusal(ErrorKind.BAD_REQUEST, checks.describe_problems(problems)), problems
+    )
 
 
 def _action(before: Document | None, after: Document | None) -> str:
--- a/papayapier/config/config_file.py
+++ b/papayapier/config/config_file.py
@@ -48,7 +48,7 @@
     def changed(self) -> None:
         """Schedule a save; changes in quick succession are saved once."""
         if self._folder:
-            self._saving.changed()
+            self._saving.schedule()
 
     def close(self) -> None:
         """Save pending changes and stop."""
--- a/papayapier/config/profile_registry.py
+++ b/papayapier/config/profile_registry.py
@@ -20,7 +20,7 @@
 from papayapier.config.profiles import Profile
 from papayapier.config.records import PROFILES, UPSTREAMS, Subject, Wanted
 from papayapier.config.upstreams import UpstreamWanted
-from papayapier.invariants import Promise
+from papayapier.invariants import Invariant
 from papayapier.peer.messages import ConfigPush
 
 BUCKETS: Final = 64
@@ -123,7 +123,7 @@
             # configuration of another store. It is unknown which of them was accepted, and a
             # higher version from there could replace ours. The counter and event 901 report it.
             same = version < current.version or records.same_document(value, current.value)
-            invariants.check(same, Promise.CONFIG_FORWARD, key=key, version=version)
+            invariants.check_invariant(same, Invariant.CONFIG_FORWARD, key=key, version=version)
             return False
         return self._apply_object(subject, InForce(version, value, None))
 
--- a/papayapier/config/teams.py
+++ b/papayapier/config/teams.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from papayapier.config.keys import KeyRegistry
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 
 
 class Team(NamedTuple):
@@ -52,7 +52,7 @@
         """Return the team whose key is in the Authorization header."""
         team = self._keys.holder(authorization)
         if team is None:
-            return Err(not_run(ErrorKind.UNAUTHORIZED, "the key is missing or not known"))
+            return Err(not_run_refusal(ErrorKind.UNAUTHORIZED, "the key is missing or not known"))
         return Ok(team)
 
 
--- a/papayapier/data_folder.py
+++ b/papayapier/data_folder.py
@@ -48,7 +48,7 @@
         self._timer: Timer | None = None
         self._closed = False
 
-    def changed(self) -> None:
+    def schedule(self) -> None:
         """Schedule a save unless one is scheduled already."""
         if not self._closed and not self._is_pending():
             self._timer = self._clock.call_later(self._delay_ms, self._save)
--- a/papayapier/demo.py
+++ b/papayapier/demo.py
@@ -99,7 +99,7 @@
     """Run the demo; return 1 if an invariant was violated."""
     from twisted.internet import reactor
 
-    invariants.raise_on_failure(True)
+    invariants.raise_on_violation(True)
     start_logs(LogSettings(form="text", level="warning"))
     codes: list[int] = []
 
@@ -327,8 +327,8 @@
         for call_id, times in service.counts().calls.items():
             if times > 1:
                 tally.violations.append(f"call {call_id} ran {times} times")
-    if invariants.broken_count():
-        tally.violations.append(f"{invariants.broken_count()} internal checks failed")
+    if invariants.violation_count():
+        tally.violations.append(f"{invariants.violation_count()} internal checks failed")
 
 
 def _print_report(report: DemoReport, as_json: bool) -> None:
@@ -365,5 +365,5 @@
 
 
 async def _close(instance: "Instance", fleet: Fleet) -> None:
-    await instance.leave()
+    await instance.shut_down()
     await fleet.close()
--- a/papayapier/dispatch/attempts.py
+++ b/papayapier/dispatch/attempts.py
@@ -22,7 +22,7 @@
     retry_spacing_ms,
     wait_for_send_window,
 )
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 from papayapier.policy.first_byte import NO_LIMIT
 from papayapier.policy.retries import GiveUp, Retry
 from papayapier.policy.routing import RouteRequest, pick_replica
@@ -95,7 +95,7 @@
 
 def _no_replica(req: "OnlineRequest") -> Refusal:
     reason = f"upstream {req.profile.upstream} has no usable replica"
-    return not_run(ErrorKind.NO_UPSTREAM, reason, NO_REPLICA_RETRY_MS)
+    return not_run_refusal(ErrorKind.NO_UPSTREAM, reason, NO_REPLICA_RETRY_MS)
 
 
 async def _send_once(
--- a/papayapier/dispatch/caller_limits.py
+++ b/papayapier/dispatch/caller_limits.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Final, NamedTuple
 
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 
 if TYPE_CHECKING:
     from papayapier.config.profiles import Profile
@@ -34,10 +34,10 @@
         limits = profile.callers
         if limits.in_flight and queued + self._running[key] >= limits.in_flight:
             reason = f"caller {caller} has {limits.in_flight} requests under way"
-            return not_run(ErrorKind.CALLER_LIMIT, reason, RETRY_MS)
+            return not_run_refusal(ErrorKind.CALLER_LIMIT, reason, RETRY_MS)
         if limits.queued and queued >= limits.queued:
             reason = f"caller {caller} has {limits.queued} requests queued"
-            return not_run(ErrorKind.CALLER_LIMIT, reason, RETRY_MS)
+            return not_run_refusal(ErrorKind.CALLER_LIMIT, reason, RETRY_MS)
         return None
 
     def queued(self, profile: "Profile", caller: str, change: int) -> None:
--- a/papayapier/dispatch/claimed.py
+++ b/papayapier/dispatch/claimed.py
@@ -14,7 +14,7 @@
 from papayapier import codec, events
 from papayapier.claims.api import Done, New, Running, Unknown
 from papayapier.claims.records import SavedAnswer, content_hash
-from papayapier.errors import ANSWERS, ErrorKind, Outcome, Refusal, unknown
+from papayapier.errors import ERROR_RESPONSES, ErrorKind, Outcome, Refusal, unknown_refusal
 from papayapier.upstream.api import Reply
 from papayapier.upstream.api import Token as StreamToken
 
@@ -86,7 +86,7 @@
             # If the claim stayed open, every resend would wait for this run, and a planned stop
             # for the claim.
             if self._token is not None:
-                refusal = unknown(
+                refusal = unknown_refusal(
                     ErrorKind.INTERNAL, "an internal error occurred while the request ran"
                 )
                 self._save(self._token, Err(refusal))
@@ -117,7 +117,7 @@
             events.emit(events.CLAIM_ABANDONED, call=self._req.call_id, kind=refusal.kind.value)
             self._claims.abandon(token)
             return
-        status = ANSWERS[refusal.kind].status
+        status = ERROR_RESPONSES[refusal.kind].status
         self._claims.finish(token, SavedAnswer(status, REFUSAL_FORM, codec.pack(refusal)))
 
 
@@ -130,13 +130,13 @@
             return _saved_result(answer)
         case Running(writer):
             reason = f"the request is running on instance {writer}"
-            return Err(unknown(ErrorKind.STILL_RUNNING, reason, RESEND_AFTER_MS))
+            return Err(unknown_refusal(ErrorKind.STILL_RUNNING, reason, RESEND_AFTER_MS))
         case Unknown(writer):
             events.emit(events.CLAIM_UNKNOWN, writer=writer)
             reason = f"the request was claimed by instance {writer}, which is unreachable"
-            return Err(unknown(ErrorKind.OUTCOME_UNKNOWN, reason))
+            return Err(unknown_refusal(ErrorKind.OUTCOME_UNKNOWN, reason))
     reason = "the request has run, but its answer was too large to save"
-    return Err(unknown(ErrorKind.OUTCOME_UNKNOWN, reason))
+    return Err(unknown_refusal(ErrorKind.OUTCOME_UNKNOWN, reason))
 
 
 def _saved_result(answer: SavedAnswer) -> RunResult:
@@ -149,11 +149,11 @@
 
 def _unreadable() -> RunResult:
     reason = "the request has run, but its saved answer cannot be decoded"
-    return Err(unknown(ErrorKind.OUTCOME_UNKNOWN, reason))
+    return Err(unknown_refusal(ErrorKind.OUTCOME_UNKNOWN, reason))
 
 
 def _refuse_rerun(earlier: RunResult) -> Refusal:
     """Return the refusal that stops this run; the caller gets the result of the earlier run."""
     if isinstance(earlier, Err):
         return earlier.err_value
-    return unknown(ErrorKind.STILL_RUNNING, "the request has already run")
+    return unknown_refusal(ErrorKind.STILL_RUNNING, "the request has already run")
--- a/papayapier/dispatch/crash_watch.py
+++ b/papayapier/dispatch/crash_watch.py
@@ -13,7 +13,7 @@
 from papayapier import events
 from papayapier.clock import MS_PER_S, Clock, Timer
 from papayapier.dispatch.lost_sends import is_lost, log_lost_send
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 from papayapier.metrics import Metrics
 from papayapier.policy.crash_quarantine import CrashTracker, ReplicaLoss
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
@@ -110,7 +110,7 @@
             f"{len(replicas)} replicas were lost while they ran the same request; "
             f"it is not sent for {return_ms // MS_PER_S} s"
         )
-        return not_run(ErrorKind.ENDS_REPLICAS, reason, return_ms)
+        return not_run_refusal(ErrorKind.ENDS_REPLICAS, reason, return_ms)
 
     def on_send_finished(
         self,
--- a/papayapier/dispatch/failure_attribution.py
+++ b/papayapier/dispatch/failure_attribution.py
@@ -9,7 +9,7 @@
 from http import HTTPStatus
 from typing import Final
 
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 from papayapier.upstream.api import Failure, FailureKind
 
 # Statuses with which a replica rejects a request without running it.
@@ -38,7 +38,7 @@
     kind = ErrorKind.BAD_REQUEST
     if failure.status == HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
         kind = ErrorKind.TOO_LARGE
-    return not_run(kind, f"the upstream rejected the request: {failure.reason}")
+    return not_run_refusal(kind, f"the upstream rejected the request: {failure.reason}")
 
 
 def counts_against_replica(failure: Failure) -> bool:
--- a/papayapier/dispatch/forwarding.py
+++ b/papayapier/dispatch/forwarding.py
@@ -21,7 +21,7 @@
     retry_spacing_ms,
     wait_for_send_window,
 )
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 from papayapier.policy.first_byte import NO_LIMIT
 from papayapier.policy.placers import PlacementNeeds
 from papayapier.policy.retries import GiveUp, Retry
@@ -180,7 +180,7 @@
 
 def _no_replica(req: RawRequest) -> Refusal:
     reason = f"upstream {req.profile.upstream} has no usable replica"
-    return not_run(ErrorKind.NO_UPSTREAM, reason, NO_REPLICA_RETRY_MS)
+    return not_run_refusal(ErrorKind.NO_UPSTREAM, reason, NO_REPLICA_RETRY_MS)
 
 
 async def _send_once(
--- a/papayapier/dispatch/item_dispatch.py
+++ b/papayapier/dispatch/item_dispatch.py
@@ -18,7 +18,7 @@
 from papayapier.dispatch.failure_attribution import counts_against_replica, rejection
 from papayapier.dispatch.items import Item
 from papayapier.dispatch.outcome_checks import check_send, correct_outcome
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 from papayapier.policy.retries import GiveUp, Retry, retry_or_refuse
 from papayapier.upstream.api import Call, Failure, Replica, Reply, Sent
 
@@ -321,7 +321,7 @@
 
 
 def _not_allowed_refusal() -> Refusal:
-    return not_run(ErrorKind.CANCELLED, "the item may no longer run")
+    return not_run_refusal(ErrorKind.CANCELLED, "the item may no longer run")
 
 
 def _counts_against_replica(item: Item, failure: Failure) -> bool:
--- a/papayapier/dispatch/outcome_checks.py
+++ b/papayapier/dispatch/outcome_checks.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from papayapier.errors import Outcome, Refusal
-from papayapier.invariants import Promise, check
+from papayapier.invariants import Invariant, check_invariant
 
 if TYPE_CHECKING:
     from papayapier.policy.loads import LoadTracker
@@ -14,9 +14,9 @@
     book: "LoadTracker", replica: "Replica", call_id: str, may_run_again: bool, now: int
 ) -> None:
     """Check, immediately before a send, that it is allowed and that its replica is usable."""
-    check(may_run_again, Promise.AT_MOST_ONCE, call=call_id, replica=replica.id)
+    check_invariant(may_run_again, Invariant.AT_MOST_ONCE, call=call_id, replica=replica.id)
     usable = book.usable_replicas(replica.upstream, now)
-    check(replica in usable, Promise.LEAVING_IDLE, call=call_id, replica=replica.id)
+    check_invariant(replica in usable, Invariant.LEAVING_IDLE, call=call_id, replica=replica.id)
 
 
 def correct_outcome(refusal: Refusal, maybe_sent: bool) -> Refusal:
--- a/papayapier/dispatch/start_queue.py
+++ b/papayapier/dispatch/start_queue.py
@@ -12,8 +12,8 @@
 
 from papayapier.clock import MS_PER_S
 from papayapier.dispatch.caller_limits import CallerLimits
-from papayapier.errors import ErrorKind, Refusal, not_run
-from papayapier.invariants import Promise, check
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
+from papayapier.invariants import Invariant, check_invariant
 from papayapier.policy.admission import QueuedRequest
 from papayapier.policy.fair_queue import RANKS
 from papayapier.policy.routing import free_capacity
@@ -168,12 +168,12 @@
 
     def _immediate_refusal(self, request: StartRequest, now: int) -> Refusal | None:
         if now >= request.due_ms:
-            return not_run(ErrorKind.DEADLINE, "the due time has passed")
+            return not_run_refusal(ErrorKind.DEADLINE, "the due time has passed")
         upstream = request.profile.upstream
         if not self._deps.load_tracker.usable_replicas(upstream, now):
             # Waiting for a replica that is not listed would only use up the time until due_ms.
             reason = f"upstream {upstream} has no usable replica"
-            return not_run(ErrorKind.NO_UPSTREAM, reason, NO_REPLICA_RETRY_MS)
+            return not_run_refusal(ErrorKind.NO_UPSTREAM, reason, NO_REPLICA_RETRY_MS)
         return self._callers.refusal(request.profile, request.caller)
 
     def take_ticket(self) -> int:
@@ -215,7 +215,7 @@
         now = self._deps.clock.now()
         for waiting in self._deps.queue.expired(now):
             waiter = self._waiters.pop(waiting.ticket, None)
-            check(waiter is not None, Promise.NOT_RUN_TRUE, ticket=waiting.ticket)
+            check_invariant(waiter is not None, Invariant.NOT_RUN_TRUE, ticket=waiting.ticket)
             if waiter is not None:
                 waiter.admission.callback(Err(_expired_refusal(waiting, now)))
 
@@ -250,6 +250,6 @@
 
 def _expired_refusal(waiting: QueuedRequest, now: int) -> Refusal:
     if now >= waiting.due_ms:
-        return not_run(ErrorKind.DEADLINE, "the due time has passed in the queue")
+        return not_run_refusal(ErrorKind.DEADLINE, "the due time has passed in the queue")
     reason = "the wait would pass the due time"
-    return not_run(ErrorKind.OVERLOADED, reason, now - waiting.enqueued_ms)
+    return not_run_refusal(ErrorKind.OVERLOADED, reason, now - waiting.enqueued_ms)
--- a/papayapier/entry/answers.py
+++ b/papayapier/entry/answers.py
@@ -4,7 +4,7 @@
 
 from papayapier import codec
 from papayapier.clock import MS_PER_S
-from papayapier.errors import ANSWERS, Outcome, Refusal
+from papayapier.errors import ERROR_RESPONSES, Outcome, Refusal
 
 if TYPE_CHECKING:
     from papayapier.entry.web import WebRequest
@@ -35,10 +35,10 @@
 
 def refuse(request: "WebRequest", refusal: Refusal) -> bytes:
     """Set the status and headers of a refusal and return its body."""
-    answer = ANSWERS[refusal.kind]
+    answer = ERROR_RESPONSES[refusal.kind]
     request.setResponseCode(answer.status)
     request.setHeader(b"Content-Type", JSON_TYPE)
-    if answer.retry:
+    if answer.is_retryable:
         seconds = max(1, -(-refusal.retry_after_ms // MS_PER_S))
         request.setHeader(b"Retry-After", str(seconds).encode())
     # Stops client libraries that retry by status alone from repeating a request that may have run.
--- a/papayapier/entry/batch_routes.py
+++ b/papayapier/entry/batch_routes.py
@@ -19,7 +19,7 @@
 from papayapier.entry.answers import refuse, reply_json
 from papayapier.entry.streaming import close_incomplete, write_all
 from papayapier.entry.uploads import PURPOSE, read_upload
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 
 if TYPE_CHECKING:
     from papayapier.entry.callers import CallerAuth
@@ -185,7 +185,7 @@
         limit = _limit(request.args.get(b"limit", [b""])[0])
         if limit is None:
             reason = f"limit: expected a number from 1 to {MAX_LIST_LIMIT}"
-            return refuse(request, not_run(ErrorKind.BAD_REQUEST, reason))
+            return refuse(request, not_run_refusal(ErrorKind.BAD_REQUEST, reason))
         found = await self._batch.reader.list_jobs(caller.ok_value, after, limit)
         return _write_result(request, found.map(lambda jobs: bodies.batch_list(jobs, limit)))
 
@@ -235,17 +235,17 @@
 def _job_request(request: "WebRequest", caller: str) -> Result[JobRequest, Refusal]:
     parsed = codec.from_json(request.content.read(MAX_BODY_BYTES), bodies.CreateBatch)
     if isinstance(parsed, Err):
-        return Err(not_run(ErrorKind.BAD_REQUEST, parsed.err_value))
+        return Err(not_run_refusal(ErrorKind.BAD_REQUEST, parsed.err_value))
     body = parsed.ok_value
     due = _due_ms(request.getHeader("x-papayapier-due") or "")
     if due is None:
         reason = "X-Papayapier-Due: expected milliseconds since the epoch or ISO 8601 with a zone"
-        return Err(not_run(ErrorKind.BAD_REQUEST, reason))
+        return Err(not_run_refusal(ErrorKind.BAD_REQUEST, reason))
     metadata = body.metadata or {}
     profile = request.getHeader("x-papayapier-profile") or metadata.get("profile", "")
     if not profile:
         reason = "no profile: set X-Papayapier-Profile or metadata.profile"
-        return Err(not_run(ErrorKind.BAD_REQUEST, reason))
+        return Err(not_run_refusal(ErrorKind.BAD_REQUEST, reason))
     return Ok(
         JobRequest(
             caller=caller,
--- a/papayapier/entry/callers.py
+++ b/papayapier/entry/callers.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from papayapier.config.keys import KeyRegistry
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 
 if TYPE_CHECKING:
     from papayapier.entry.web import WebRequest
@@ -38,13 +38,15 @@
         name = request.getHeader("x-papayapier-caller") or ANONYMOUS
         if len(name) > MAX_NAME_CHARS:
             reason = f"X-Papayapier-Caller: over {MAX_NAME_CHARS} characters"
-            return Err(not_run(ErrorKind.BAD_REQUEST, reason))
+            return Err(not_run_refusal(ErrorKind.BAD_REQUEST, reason))
         return Ok(name)
 
     def by_key(request: "WebRequest") -> Result[str, Refusal]:
         holder = key_holder(request, entries)
         if holder is None:
-            return Err(not_run(ErrorKind.UNAUTHORIZED, "Authorization: key missing or not known"))
+            return Err(
+                not_run_refusal(ErrorKind.UNAUTHORIZED, "Authorization: key missing or not known")
+            )
         return Ok(holder)
 
     return by_key if entries else by_name
--- a/papayapier/entry/forward_refusals.py
+++ b/papayapier/entry/forward_refusals.py
@@ -5,7 +5,7 @@
 
 from papayapier import events
 from papayapier.clock import MS_PER_S, Clock
-from papayapier.errors import ANSWERS, ErrorKind, Outcome, Refusal
+from papayapier.errors import ERROR_RESPONSES, ErrorKind, Outcome, Refusal
 from papayapier.metrics import Metrics
 from papayapier.policy.waiting import retry_after_ms
 
@@ -59,7 +59,7 @@
 
 def refusal_status(refusal: Refusal) -> int:
     """Return the status of a refusal; 503 promises that the request did not and will not run."""
-    status = ANSWERS[refusal.kind].status
+    status = ERROR_RESPONSES[refusal.kind].status
     if refusal.outcome is Outcome.UNKNOWN:
         return 504 if refusal.kind is ErrorKind.DEADLINE else 502
     if refusal.kind is ErrorKind.OVER_ALLOWANCE:
--- a/papayapier/entry/forward_routes.py
+++ b/papayapier/entry/forward_routes.py
@@ -16,8 +16,8 @@
 from papayapier.dispatch.forwarding import forward
 from papayapier.dispatch.start_queue import StartQueue, StartRequest
 from papayapier.entry.forward_refusals import RefusalDeps, count_refusal, refuse_forwarded
-from papayapier.errors import ErrorKind, Refusal, not_run
-from papayapier.invariants import Promise, check
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
+from papayapier.invariants import Invariant, check_invariant
 from papayapier.policy.waiting import is_repeated, wait_limit_ms
 from papayapier.upstream.event_splitter import NO_EVENT
 from papayapier.upstream.forward_call import ForwardAnswer, ForwardedAnswer, StreamedAnswer
@@ -149,7 +149,7 @@
     if table is None:
         reason = "no configuration is known yet"
         refuse_forwarded(
-            routes.refusals, request, "", not_run(ErrorKind.NO_UPSTREAM, reason, MS_PER_S)
+            routes.refusals, request, "", not_run_refusal(ErrorKind.NO_UPSTREAM, reason, MS_PER_S)
         )
         return
     host = request.getHeader("host") or ""
@@ -167,7 +167,7 @@
     route = table.find(host, request.path.decode("latin-1"))
     if route is None:
         reason = f"no route for host {host}, configuration {table.cfg.version}"
-        refuse_forwarded(routes.refusals, request, "", not_run(ErrorKind.NOT_FOUND, reason))
+        refuse_forwarded(routes.refusals, request, "", not_run_refusal(ErrorKind.NOT_FOUND, reason))
         return
     team_result = table.authenticate(route.public, _presented_keys(routes, request))
     if isinstance(team_result, Err):
@@ -259,14 +259,16 @@
     names = routes.names
     request_id = request.getHeader(names.request_id) or ""
     if not request_id:
-        return Err(not_run(ErrorKind.BAD_REQUEST, f"{names.request_id}: missing"))
+        return Err(not_run_refusal(ErrorKind.BAD_REQUEST, f"{names.request_id}: missing"))
     left_ms = _number(request.getHeader(names.time_left), route.timeout_ms)
     if left_ms is None:
-        return Err(not_run(ErrorKind.BAD_REQUEST, f"{names.time_left}: not whole milliseconds"))
+        return Err(
+            not_run_refusal(ErrorKind.BAD_REQUEST, f"{names.time_left}: not whole milliseconds")
+        )
     limit_ms = min(left_ms, route.timeout_ms) if route.timeout_ms else left_ms
     last_id = _number(request.getHeader(names.last_event), NO_EVENT)
     if last_id is None:
-        return Err(not_run(ErrorKind.BAD_REQUEST, f"{names.last_event}: not a number"))
+        return Err(not_run_refusal(ErrorKind.BAD_REQUEST, f"{names.last_event}: not a number"))
     is_retry = is_repeated(left_ms, route.timeout_ms)
     rank = route.rank if team is None or team.rank is None else team.rank
     headers = names.end_to_end(request.requestHeaders)
@@ -366,7 +368,9 @@
 ) -> None:
     """End an answer that was streamed, or write one of which nothing has been sent yet."""
     is_consistent = isinstance(answer, StreamedAnswer) == has_begun
-    check(is_consistent, Promise.ANSWER_OWN, request=req.request_id, status=answer.status)
+    check_invariant(
+        is_consistent, Invariant.ANSWER_OWN, request=req.request_id, status=answer.status
+    )
     if not is_consistent:
         request.channel.transport.abortConnection()
         return
--- a/papayapier/entry/health_routes.py
+++ b/papayapier/entry/health_routes.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from papayapier.entry.answers import reply_json
-from papayapier.health import METRICS_TYPE, Health, metrics_text
+from papayapier.health import METRICS_CONTENT_TYPE, Health, metrics_text
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -28,5 +28,5 @@
 
     @app.route("/metrics", methods=["GET"])
     def show_metrics(request: "WebRequest") -> bytes:
-        request.setHeader(b"Content-Type", METRICS_TYPE)
+        request.setHeader(b"Content-Type", METRICS_CONTENT_TYPE)
         return metrics_text(metrics)
--- a/papayapier/entry/job_routes.py
+++ b/papayapier/entry/job_routes.py
@@ -5,7 +5,7 @@
 from result import Err, Ok, Result
 
 from papayapier.entry.answers import JSON_TYPE
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -56,7 +56,7 @@
         items = self.wire.read_items(request.content.read())
         if not job_id or isinstance(items, Err):
             reason = "the job has no id" if isinstance(items, Ok) else items.err_value
-            return self.refuse(request, route.name, not_run(ErrorKind.BAD_REQUEST, reason))
+            return self.refuse(request, route.name, not_run_refusal(ErrorKind.BAD_REQUEST, reason))
         limit_ms = route.timeout_ms or DEFAULT_TIMEOUT_MS
         due_ms = self.clock.now() + max(ANSWER_RESERVE_MS, limit_ms - ANSWER_RESERVE_MS)
         host = request.getHeader("host") or ""
--- a/papayapier/entry/online_routes.py
+++ b/papayapier/entry/online_routes.py
@@ -18,7 +18,7 @@
 from papayapier.dispatch.api import OnlineRequest
 from papayapier.entry.answers import refuse, reply_json, with_content_length
 from papayapier.entry.chat import CHAT_PATH, COMPLETIONS_PATH, ChatAnswer
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 from papayapier.upstream.engine_calls import parse_generation
 
 if TYPE_CHECKING:
@@ -105,7 +105,7 @@
     body: bytes = request.content.read()
     parsed = parse_generation(body)
     if isinstance(parsed, Err):
-        refusal = not_run(ErrorKind.BAD_REQUEST, parsed.err_value)
+        refusal = not_run_refusal(ErrorKind.BAD_REQUEST, parsed.err_value)
         return _write_refusal(deps, request, headers.ok_value.profile.name, refusal)
     mismatch_refusal = _model_mismatch(deps, headers.ok_value.profile, parsed.ok_value.model)
     if mismatch_refusal is not None:
@@ -128,7 +128,7 @@
     if model == profile.upstream or model not in deps.upstream_names():
         return None
     reason = f"model: {model} is not served under profile {profile.name}, for {profile.upstream}"
-    return not_run(ErrorKind.BAD_REQUEST, reason)
+    return not_run_refusal(ErrorKind.BAD_REQUEST, reason)
 
 
 async def _service(deps: OnlineDeps, request: "WebRequest", name: str, rest: str) -> bytes | None:
@@ -138,7 +138,9 @@
     profile = headers.ok_value.profile
     if profile.upstream != name:
         reason = f"profile {profile.name} is for upstream {profile.upstream}, not {name}"
-        return _write_refusal(deps, request, profile.name, not_run(ErrorKind.BAD_REQUEST, reason))
+        return _write_refusal(
+            deps, request, profile.name, not_run_refusal(ErrorKind.BAD_REQUEST, reason)
+        )
     body: bytes = request.content.read()
     path = _service_path(request, name)
     content_type = request.getHeader("content-type") or "application/octet-stream"
@@ -183,7 +185,7 @@
     length = request.getHeader("content-length") or "0"
     if is_number(length) and int(length) > deps.max_body_bytes:
         reason = f"the body is over {deps.max_body_bytes} bytes"
-        return Err(not_run(ErrorKind.TOO_LARGE, reason))
+        return Err(not_run_refusal(ErrorKind.TOO_LARGE, reason))
     caller = deps.auth(request)
     if isinstance(caller, Err):
         return caller
@@ -191,7 +193,7 @@
     profile = deps.profile(name)
     if profile is None:
         reason = f"X-Papayapier-Profile: no profile is named {name}"
-        return Err(not_run(ErrorKind.UNKNOWN_PROFILE, reason))
+        return Err(not_run_refusal(ErrorKind.UNKNOWN_PROFILE, reason))
     due = _due_ms(deps, request, profile)
     if isinstance(due, Err):
         return due
@@ -210,7 +212,7 @@
         return Ok(now + profile.due_ms)
     if not is_number(stated):
         reason = f"X-Papayapier-Due-Ms: expected whole milliseconds, got {stated}"
-        return Err(not_run(ErrorKind.BAD_REQUEST, reason))
+        return Err(not_run_refusal(ErrorKind.BAD_REQUEST, reason))
     return Ok(now + min(int(stated), profile.due_ms))
 
 
--- a/papayapier/entry/operator_auth.py
+++ b/papayapier/entry/operator_auth.py
@@ -12,7 +12,7 @@
 
 from papayapier import events
 from papayapier.entry.callers import caller_auth, key_holder
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 
 if TYPE_CHECKING:
     from papayapier.entry.callers import CallerAuth
@@ -39,7 +39,7 @@
             return Ok(name)
         events.emit(events.OPERATOR_REFUSED, address=_address(request))
         reason = "Authorization: operator key missing or not known"
-        return Err(not_run(ErrorKind.UNAUTHORIZED, reason))
+        return Err(not_run_refusal(ErrorKind.UNAUTHORIZED, reason))
 
     return check
 
@@ -58,7 +58,7 @@
 
 def refuse_new_work() -> Refusal:
     """Refuse new files and jobs on the operators' address."""
-    return not_run(
+    return not_run_refusal(
         ErrorKind.BAD_REQUEST, "new files and jobs are accepted only on the callers' address"
     )
 
--- a/papayapier/entry/operator_routes.py
+++ b/papayapier/entry/operator_routes.py
@@ -17,7 +17,7 @@
 from papayapier.entry import operator_bodies as bodies
 from papayapier.entry.answers import ErrorBody, refuse, reply_json
 from papayapier.entry.operator_auth import operator_auth
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -136,7 +136,7 @@
     desired = registry.profile(name) if kind == PROFILES else registry.upstream(name)
     if desired is None:
         message = f"{kind} has no object named {name}"
-        return refuse(request, not_run(ErrorKind.NOT_FOUND, message))
+        return refuse(request, not_run_refusal(ErrorKind.NOT_FOUND, message))
     version = registry.version_of(subject.key)
     return reply_json(request, bodies.ItemBody(name, version, desired))
 
@@ -165,7 +165,7 @@
     document, based_on, reason, change_id, strand = body.ok_value
     if document is None:
         message = f"{subject.kind.removesuffix('s')}: is null; use DELETE to delete"
-        return refuse(request, not_run(ErrorKind.BAD_REQUEST, message))
+        return refuse(request, not_run_refusal(ErrorKind.BAD_REQUEST, message))
     change = ChangeRequest(
         subject, document, based_on, reason, change_id, operator.ok_value, strand
     )
@@ -208,11 +208,11 @@
         return refuse(request, operator.err_value)
     audit_filter = _audit_filter(request)
     if isinstance(audit_filter, Err):
-        return refuse(request, not_run(ErrorKind.BAD_REQUEST, audit_filter.err_value))
+        return refuse(request, not_run_refusal(ErrorKind.BAD_REQUEST, audit_filter.err_value))
     found = await routes.config.audit(audit_filter.ok_value)
     if isinstance(found, Err):
         message = f"the audit trail cannot be read: {found.err_value.value}"
-        return refuse(request, not_run(ErrorKind.STORE_UNAVAILABLE, message))
+        return refuse(request, not_run_refusal(ErrorKind.STORE_UNAVAILABLE, message))
     lines = [bodies.AuditLineBody(*line) for line in found.ok_value]
     return reply_json(request, bodies.AuditBody(lines))
 
@@ -236,7 +236,7 @@
 def _body(request: "WebRequest", kind: type[T]) -> Result[T, Refusal]:
     data: bytes = request.content.read(MAX_BODY_BYTES + 1)
     if len(data) > MAX_BODY_BYTES:
-        return Err(not_run(ErrorKind.TOO_LARGE, f"the body is over {MAX_BODY_BYTES} bytes"))
+        return Err(not_run_refusal(ErrorKind.TOO_LARGE, f"the body is over {MAX_BODY_BYTES} bytes"))
     return codec.from_json(data, kind).map_err(
-        lambda message: not_run(ErrorKind.BAD_REQUEST, message)
+        lambda message: not_run_refusal(ErrorKind.BAD_REQUEST, message)
     )
--- a/papayapier/entry/site.py
+++ b/papayapier/entry/site.py
@@ -20,9 +20,9 @@
 from papayapier import events
 from papayapier.clock import MS_PER_S
 from papayapier.entry.answers import refusal_body, refuse, with_content_length
-from papayapier.errors import ErrorKind, Refusal, not_run, unknown
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal, unknown_refusal
 from papayapier.policy.buffered_bytes import UNBOUNDED, BufferedBytes
-from papayapier.sockets import is_quiet
+from papayapier.sockets import is_idle
 
 IDLE_TIMEOUT_S: Final = 75
 FLUSH_TIMEOUT_S: Final = 15
@@ -124,7 +124,7 @@
         try:
             unquote_to_bytes(self.path).decode()
         except UnicodeDecodeError:
-            self._write_refusal(not_run(ErrorKind.BAD_REQUEST, "URL: not in UTF-8"))
+            self._write_refusal(not_run_refusal(ErrorKind.BAD_REQUEST, "URL: not in UTF-8"))
             return
         super().process()
 
@@ -138,7 +138,9 @@
             traceback=reason.getTraceback(),
         )
         # How far the route got is unknown, so it is also unknown whether the request has run.
-        refusal = unknown(ErrorKind.INTERNAL, "an internal error occurred while the request ran")
+        refusal = unknown_refusal(
+            ErrorKind.INTERNAL, "an internal error occurred while the request ran"
+        )
         if not self.startedWriting:
             self._write_refusal(refusal)
         elif self._streams_events():
@@ -159,7 +161,7 @@
             self._site.buffered_bytes.on_body(body_bytes)
 
     def _too_large(self) -> Refusal:
-        return not_run(ErrorKind.TOO_LARGE, f"the body is over {self._limit} bytes")
+        return not_run_refusal(ErrorKind.TOO_LARGE, f"the body is over {self._limit} bytes")
 
     def _refuse_body(self, refusal: Refusal) -> None:
         self._refused = True
@@ -173,7 +175,7 @@
 
 def _no_memory() -> Refusal:
     reason = "the instance has reached its limit of buffered bytes"
-    return not_run(ErrorKind.NO_MEMORY, reason, MEMORY_RETRY_MS)
+    return not_run_refusal(ErrorKind.NO_MEMORY, reason, MEMORY_RETRY_MS)
 
 
 class Connection(_Channel):  # type: ignore[misc]
@@ -279,7 +281,7 @@
         The first request of a new connection may arrive a moment later, so a new connection is
         closed only after several checks.
         """
-        if self.requests or self._buffer or not is_quiet(self.transport.getHandle()):
+        if self.requests or self._buffer or not is_idle(self.transport.getHandle()):
             return
         self._idle_checks += 1
         if self._served or self._idle_checks > NEW_CONNECTION_IDLE_CHECKS:
--- a/papayapier/entry/uploads.py
+++ b/papayapier/entry/uploads.py
@@ -14,7 +14,7 @@
 from werkzeug.sansio.multipart import Data, Epilogue, Field, File, MultipartDecoder, NeedData
 
 from papayapier.batch.file_upload import FileUpload
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 
 if TYPE_CHECKING:
     from papayapier.batch.records import FileRecord
@@ -42,7 +42,7 @@
     if kind == MULTIPART:
         boundary = options.get("boundary", "")
         if not boundary:
-            return Err(not_run(ErrorKind.BAD_REQUEST, "multipart: no boundary"))
+            return Err(not_run_refusal(ErrorKind.BAD_REQUEST, "multipart: no boundary"))
         refusal = await _read_form(request, clock, intake, boundary.encode())
     else:
         refusal = await _read_body(request, clock, intake)
@@ -90,15 +90,15 @@
             self._decoder.receive_data(chunk)
             return await self._take_events()
         except (ValueError, RequestEntityTooLarge) as exc:
-            return not_run(ErrorKind.BAD_REQUEST, f"multipart: {exc}")
+            return not_run_refusal(ErrorKind.BAD_REQUEST, f"multipart: {exc}")
 
     def incomplete_refusal(self) -> Refusal | None:
         """Return the refusal if the form is incomplete at its end, or None."""
         if not self._complete:
-            return not_run(ErrorKind.BAD_REQUEST, "multipart: the form is truncated")
+            return not_run_refusal(ErrorKind.BAD_REQUEST, "multipart: the form is truncated")
         if self._files != 1:
             reason = f"multipart: expected one file, got {self._files}"
-            return not_run(ErrorKind.BAD_REQUEST, reason)
+            return not_run_refusal(ErrorKind.BAD_REQUEST, reason)
         return None
 
     async def _take_events(self) -> Refusal | None:
@@ -129,12 +129,14 @@
             return await self._intake.feed(event.data)
         self._field += event.data
         if len(self._field) > MAX_FIELD_BYTES:
-            return not_run(
+            return not_run_refusal(
                 ErrorKind.BAD_REQUEST, f"{self._part.name}: over {MAX_FIELD_BYTES} bytes"
             )
         if event.more_data or self._part.name != "purpose":
             return None
         purpose = self._field.decode("utf-8", "replace")
         if purpose != PURPOSE:
-            return not_run(ErrorKind.BAD_REQUEST, f"purpose: expected {PURPOSE}, got {purpose}")
+            return not_run_refusal(
+                ErrorKind.BAD_REQUEST, f"purpose: expected {PURPOSE}, got {purpose}"
+            )
         return None
--- a/papayapier/errors.py
+++ b/papayapier/errors.py
@@ -45,44 +45,52 @@
     INTERNAL = "internal"
 
 
-class Answer(NamedTuple):
+class ErrorResponse(NamedTuple):
     """Hold the HTTP status of an error kind, and whether a later retry can succeed."""
 
     status: int
-    retry: bool
+    is_retryable: bool
     description: str
 
 
-ANSWERS: Final[dict[ErrorKind, Answer]] = {
-    ErrorKind.BAD_REQUEST: Answer(400, False, "the request is malformed"),
-    ErrorKind.UNAUTHORIZED: Answer(401, False, "the key is missing or unknown"),
-    ErrorKind.UNKNOWN_PROFILE: Answer(400, False, "no profile has this name"),
-    ErrorKind.UNKNOWN_UPSTREAM: Answer(404, False, "no upstream has this name"),
-    ErrorKind.NOT_FOUND: Answer(404, False, "the object does not exist"),
-    ErrorKind.TOO_LARGE: Answer(413, False, "the request is larger than allowed"),
-    ErrorKind.KEY_CONFLICT: Answer(409, False, "the idempotency key was used with other content"),
-    ErrorKind.VERSION_CONFLICT: Answer(409, False, "the object has changed in the meantime"),
-    ErrorKind.STILL_RUNNING: Answer(409, True, "the request with this key is still running"),
-    ErrorKind.OVERLOADED: Answer(429, True, "the expected wait exceeds the due time"),
-    ErrorKind.NO_ROOM: Answer(
+ERROR_RESPONSES: Final[dict[ErrorKind, ErrorResponse]] = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(400, False, "the request is malformed"),
+    ErrorKind.UNAUTHORIZED: ErrorResponse(401, False, "the key is missing or unknown"),
+    ErrorKind.UNKNOWN_PROFILE: ErrorResponse(400, False, "no profile has this name"),
+    ErrorKind.UNKNOWN_UPSTREAM: ErrorResponse(404, False, "no upstream has this name"),
+    ErrorKind.NOT_FOUND: ErrorResponse(404, False, "the object does not exist"),
+    ErrorKind.TOO_LARGE: ErrorResponse(413, False, "the request is larger than allowed"),
+    ErrorKind.KEY_CONFLICT: ErrorResponse(
+        409, False, "the idempotency key was used with other content"
+    ),
+    ErrorKind.VERSION_CONFLICT: ErrorResponse(409, False, "the object has changed in the meantime"),
+    ErrorKind.STILL_RUNNING: ErrorResponse(409, True, "the request with this key is still running"),
+    ErrorKind.OVERLOADED: ErrorResponse(429, True, "the expected wait exceeds the due time"),
+    ErrorKind.NO_ROOM: ErrorResponse(
         503, True, "no replica has capacity in time; each refusal sets its own retry time"
     ),
-    ErrorKind.CALLER_LIMIT: Answer(429, True, "the caller is over its limit"),
-    ErrorKind.OVER_ALLOWANCE: Answer(429, True, "the team has used up its allowance"),
-    ErrorKind.NOT_GRANTED: Answer(503, True, "the granter of the team's allowance does not reply"),
-    ErrorKind.DEADLINE: Answer(504, False, "the due time has passed"),
-    ErrorKind.NO_UPSTREAM: Answer(503, True, "no replica of the upstream can take the request"),
-    ErrorKind.UPSTREAM_FAILED: Answer(502, True, "the upstream failed"),
-    ErrorKind.BROKEN_ANSWER: Answer(502, True, "the upstream's answer was incomplete"),
-    ErrorKind.ENDS_REPLICAS: Answer(
+    ErrorKind.CALLER_LIMIT: ErrorResponse(429, True, "the caller is over its limit"),
+    ErrorKind.OVER_ALLOWANCE: ErrorResponse(429, True, "the team has used up its allowance"),
+    ErrorKind.NOT_GRANTED: ErrorResponse(
+        503, True, "the granter of the team's allowance does not reply"
+    ),
+    ErrorKind.DEADLINE: ErrorResponse(504, False, "the due time has passed"),
+    ErrorKind.NO_UPSTREAM: ErrorResponse(
+        503, True, "no replica of the upstream can take the request"
+    ),
+    ErrorKind.UPSTREAM_FAILED: ErrorResponse(502, True, "the upstream failed"),
+    ErrorKind.BROKEN_ANSWER: ErrorResponse(502, True, "the upstream's answer was incomplete"),
+    ErrorKind.ENDS_REPLICAS: ErrorResponse(
         503, True, "replicas were lost while they ran the same request"
     ),
-    ErrorKind.STORE_UNAVAILABLE: Answer(503, True, "the platform's store does not answer"),
-    ErrorKind.NO_MEMORY: Answer(503, True, "the instance has buffered as many bytes as it may"),
-    ErrorKind.LEAVING: Answer(503, True, "the instance is shutting down"),
-    ErrorKind.CANCELLED: Answer(499, False, "the caller disconnected"),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(502, False, "whether the request ran is unknown"),
-    ErrorKind.INTERNAL: Answer(500, False, "an internal check failed"),
+    ErrorKind.STORE_UNAVAILABLE: ErrorResponse(503, True, "the platform's store does not answer"),
+    ErrorKind.NO_MEMORY: ErrorResponse(
+        503, True, "the instance has buffered as many bytes as it may"
+    ),
+    ErrorKind.LEAVING: ErrorResponse(503, True, "the instance is shutting down"),
+    ErrorKind.CANCELLED: ErrorResponse(499, False, "the caller disconnected"),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(502, False, "whether the request ran is unknown"),
+    ErrorKind.INTERNAL: ErrorResponse(500, False, "an internal check failed"),
 }
 
 
@@ -95,11 +103,11 @@
     retry_after_ms: int = 0
 
 
-def not_run(kind: ErrorKind, reason: str, retry_after_ms: int = 0) -> Refusal:
+def not_run_refusal(kind: ErrorKind, reason: str, retry_after_ms: int = 0) -> Refusal:
     """Refuse a request that provably did not run."""
     return Refusal(kind, Outcome.NOT_RUN, reason, retry_after_ms)
 
 
-def unknown(kind: ErrorKind, reason: str, retry_after_ms: int = 0) -> Refusal:
+def unknown_refusal(kind: ErrorKind, reason: str, retry_after_ms: int = 0) -> Refusal:
     """Refuse a request that may have run."""
     return Refusal(kind, Outcome.UNKNOWN, reason, retry_after_ms)
--- a/papayapier/fleet_view.py
+++ b/papayapier/fleet_view.py
@@ -26,20 +26,20 @@
 STRICTEST_FIRST: Final = ("tail", "static", "throughput", "none")
 
 
-class Policies(NamedTuple):
+class ReplicaPolicies(NamedTuple):
     """Group the policies that track every replica."""
 
-    book: LoadTracker
+    load_tracker: LoadTracker
     outliers: OutlierDetector
     share: BatchShare
 
 
-class Place(NamedTuple):
+class OwnInstance(NamedTuple):
     """Identify this instance, its region, and how many replicas of an upstream it uses."""
 
     id: str
     region: str
-    subset: int
+    subset_size: int
 
 
 class FleetListeners(NamedTuple):
@@ -60,7 +60,7 @@
 class FleetView:
     """Hold the instance list as known to this instance."""
 
-    def __init__(self, own: Place, policies: Policies, metrics: Metrics) -> None:
+    def __init__(self, own: OwnInstance, policies: ReplicaPolicies, metrics: Metrics) -> None:
         self._own_id = own.id
         self._own = own
         self._policies = policies
@@ -122,7 +122,7 @@
 
     def replicas_needed(self, upstream: str, now: int) -> int:
         """Return how many replicas the current online load of an upstream requires."""
-        book = self._policies.book
+        book = self._policies.load_tracker
         replicas = book.usable_replicas(upstream, now)
         slots = [book.slots(replica.id) for replica in replicas]
         if not slots:
@@ -132,10 +132,10 @@
         # The replicas used here are a representative sample of the listed ones.
         return max(1, math.ceil(listed * sum(running) / (TARGET_UTILISATION * sum(slots))))
 
-    def on_peers(self, live: Collection[str], silent: Collection[str]) -> None:
+    def on_peers_changed(self, live: Collection[str], silent: Collection[str]) -> None:
         """Record the peers whose heartbeats arrive and those whose heartbeats do not."""
         for departed in self._live_peers - set(live):
-            self._policies.book.on_peer_departed(departed)
+            self._policies.load_tracker.on_peer_departed(departed)
         self._live_peers = set(live)
         self._silent_peers = set(silent)
         self._on_live_changed()
@@ -149,7 +149,7 @@
         """Return the names of all upstreams with a listed replica."""
         return self._upstream_names
 
-    def on_members(self, change: MembersChanged) -> None:
+    def on_members_changed(self, change: MembersChanged) -> None:
         """Apply a change of the instance list."""
         for member in change.changed:
             self._log_replica(member)
@@ -199,7 +199,7 @@
         region = self._own.region
         members = [member for member in listed if member.upstream == upstream]
         members = [member for member in members if member.region == region] or members
-        if len(members) <= self._own.subset:
+        if len(members) <= self._own.subset_size:
             return members
         entries = {
             member.id
@@ -208,12 +208,12 @@
         }
         ids = sorted(member.id for member in members)
         instances = sorted(entries | {self._own_id})
-        chosen = set(subset(ids, instances, self._own_id, self._own.subset))
+        chosen = set(subset(ids, instances, self._own_id, self._own.subset_size))
         return [member for member in members if member.id in chosen]
 
     def on_load(self, replica: Replica, load: Load) -> None:
         """Pass a load report to the policies."""
-        self._policies.book.on_report(replica.id, load)
+        self._policies.load_tracker.on_report(replica.id, load)
         self._policies.share.on_report(replica.id, load)
 
     def on_profiles(self, profiles: Collection[Profile]) -> None:
--- a/papayapier/stopping.py
+++ b/papayapier/graceful_shutdown.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred, maybeDeferred
 
 from papayapier import events
-from papayapier.invariants import Promise, check
+from papayapier.invariants import Invariant, check_invariant
 from papayapier.listen import BACKLOG
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
     from twisted.python.failure import Failure
 
     from papayapier.clock import Clock
-    from papayapier.listen import Listening
+    from papayapier.listen import ListeningPort
     from papayapier.policy.drain import Drain
 
 DRAIN_TICK_MS: Final = 50
@@ -42,7 +42,7 @@
         return sum(self) == 0
 
 
-class StopDeps(NamedTuple):
+class ShutdownDeps(NamedTuple):
     """Group the dependencies of a graceful shutdown.
 
     online and items return the number of unfinished requests and batch items; hand_over hands
@@ -51,16 +51,16 @@
 
     clock: "Clock"
     drain: "Drain"
-    listening: "tuple[Listening, ...]"
-    online: "Callable[[], int]"
-    items: "Callable[[], int]"
+    listening: "tuple[ListeningPort, ...]"
+    online_count: "Callable[[], int]"
+    item_count: "Callable[[], int]"
     hand_over: "Callable[[], Awaitable[None]]"
 
 
-class PlannedStop:
+class GracefulShutdown:
     """Run the steps of the graceful shutdown of one instance."""
 
-    def __init__(self, deps: StopDeps) -> None:
+    def __init__(self, deps: ShutdownDeps) -> None:
         self._deps = deps
         self._handing_over = 0
 
@@ -75,7 +75,7 @@
         left = await self._wait_drained()
         if not left.is_empty():
             events.emit(events.DRAIN_LIMIT, **left._asdict())
-        check(left.is_empty(), Promise.DRAIN_WHOLE, **left._asdict())
+        check_invariant(left.is_empty(), Invariant.DRAIN_WHOLE, **left._asdict())
 
     def count_unfinished(self) -> UnfinishedWork:
         """Count the work that is not finished."""
@@ -83,8 +83,8 @@
         return UnfinishedWork(
             connections=sum(len(site.connections) for site in sites),
             requests=sum(site.open_requests() for site in sites),
-            online=self._deps.online(),
-            items=self._deps.items(),
+            online=self._deps.online_count(),
+            items=self._deps.item_count(),
             handing_over=self._handing_over,
         )
 
@@ -115,7 +115,7 @@
             await clock.sleep(DRAIN_TICK_MS)
 
 
-async def stop_listening(listening: "tuple[Listening, ...]") -> None:
+async def stop_listening(listening: "tuple[ListeningPort, ...]") -> None:
     """Close the listening ports, and keep the established connections."""
     for listener in listening:
         # Twisted closes the port in the reactor's next iteration. Callers may have connected
--- a/papayapier/health.py
+++ b/papayapier/health.py
@@ -6,7 +6,7 @@
 
 from papayapier.metrics import Metrics
 
-METRICS_TYPE: Final = b"text/plain; version=0.0.4; charset=utf-8"
+METRICS_CONTENT_TYPE: Final = b"text/plain; version=0.0.4; charset=utf-8"
 
 
 class Health(NamedTuple):
--- a/papayapier/http_apis.py
+++ b/papayapier/http_apis.py
@@ -14,7 +14,7 @@
 from papayapier.entry.operator_auth import job_auth, refuse_new_work
 from papayapier.entry.operator_routes import OperatorDeps, add_operator_routes
 from papayapier.instance import Ports, Readiness
-from papayapier.listen import Listening, make_body_limit
+from papayapier.listen import ListeningPort, make_body_limit
 from papayapier.listen_app import listen
 from papayapier.status import FleetStatus
 
@@ -30,7 +30,7 @@
     """Hold the open ports."""
 
     ports: Ports
-    handles: tuple[Listening, Listening]
+    handles: tuple[ListeningPort, ListeningPort]
 
 
 def make_apps(base: Base, fleet: Fleet, services: Services, readiness: Readiness) -> Apps:
--- a/papayapier/instance.py
+++ b/papayapier/instance.py
@@ -5,8 +5,8 @@
 from result import Err
 
 from papayapier import events, invariants
-from papayapier.errors import ErrorKind, Refusal, not_run
-from papayapier.stopping import PlannedStop, StopDeps, stop_listening
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
+from papayapier.graceful_shutdown import GracefulShutdown, ShutdownDeps, stop_listening
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -18,7 +18,7 @@
     from papayapier.dispatch.item_dispatch import ItemDispatch
     from papayapier.dispatch.online import OnlineDispatch
     from papayapier.fleet_view import FleetView
-    from papayapier.listen import Listening
+    from papayapier.listen import ListeningPort
     from papayapier.metrics import Metrics
     from papayapier.orders.controller import OrderController
     from papayapier.peer.hub import PeerHub
@@ -108,7 +108,9 @@
         """
         if self._drain.accepts():
             return None
-        return not_run(ErrorKind.LEAVING, "the instance is shutting down", CHECK_INTERVAL_MS)
+        return not_run_refusal(
+            ErrorKind.LEAVING, "the instance is shutting down", CHECK_INTERVAL_MS
+        )
 
 
 class Instance:
@@ -118,12 +120,12 @@
         self,
         components: Components,
         ports: Ports,
-        listening: "tuple[Listening, ...]",
+        listening: "tuple[ListeningPort, ...]",
         metrics: "Metrics",
     ) -> None:
         self.ports = ports
         self.metrics = metrics
-        self.parts = components
+        self.components = components
         self._listening = listening
         self._check_timer: Timer | None = None
         self._last_check_ms = components.clock.now()
@@ -134,26 +136,26 @@
 
     def _run_checks(self) -> None:
         """Detect pauses of the process, and publish metrics."""
-        now = self.parts.clock.now()
+        now = self.components.clock.now()
         late = now - self._last_check_ms - CHECK_INTERVAL_MS
         if late > PAUSE_INTERVALS * CHECK_INTERVAL_MS:
             events.emit(events.PROCESS_PAUSED, late_ms=late)
         self._last_check_ms = now
-        self.metrics.invariant_failures.set(invariants.broken_count())
-        self.parts.publish(now)
-        self.metrics.peers_live.set(len(self.parts.hub.live()) - 1)
-        self._check_timer = self.parts.clock.call_later(CHECK_INTERVAL_MS, self._run_checks)
+        self.metrics.invariant_failures.set(invariants.violation_count())
+        self.components.publish(now)
+        self.metrics.peers_live.set(len(self.components.hub.live()) - 1)
+        self._check_timer = self.components.clock.call_later(CHECK_INTERVAL_MS, self._run_checks)
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """Shut down gracefully; return when no work is left, or at the time limit."""
-        components = self.parts
-        stop = PlannedStop(
-            StopDeps(
+        components = self.components
+        stop = GracefulShutdown(
+            ShutdownDeps(
                 clock=components.clock,
                 drain=components.drain,
                 listening=self._listening,
-                online=components.online.unfinished_count,
-                items=components.item_dispatch.unfinished_count,
+                online_count=components.online.unfinished_count,
+                item_count=components.item_dispatch.unfinished_count,
                 hand_over=components.batch.stop,
             )
         )
@@ -167,9 +169,9 @@
             await components.reporter.withdraw()
             await self._close()
 
-    async def kill(self) -> None:
+    async def crash(self) -> None:
         """Stop as a crashed machine does: send nothing and drop all connections."""
-        components = self.parts
+        components = self.components
         components.drain.abandon()
         # First everything that could still send to others, then what runs here.
         components.claims.stop()
@@ -185,7 +187,7 @@
         await self._close()
 
     async def _close(self) -> None:
-        components = self.parts
+        components = self.components
         if self._check_timer is not None and self._check_timer.active():
             self._check_timer.cancel()
         components.follower.stop()
--- a/papayapier/invariants.py
+++ b/papayapier/invariants.py
@@ -12,7 +12,7 @@
 from papayapier import events
 
 
-class Promise(Enum):
+class Invariant(Enum):
     """List the invariants that are checked at run time."""
 
     COMPLETE_ONCE = "an accepted item completes exactly once"
@@ -26,7 +26,7 @@
     BATCH_YIELDS = "batch work stays inside its limit on a replica"
 
 
-class BrokenPromiseError(AssertionError):
+class InvariantViolationError(AssertionError):
     """Report a violated invariant in a test run."""
 
 
@@ -34,24 +34,24 @@
     raise_on_violation: bool = False
 
 
-BROKEN: Final[Counter[Promise]] = Counter()
+VIOLATIONS: Final[Counter[Invariant]] = Counter()
 
 
-def raise_on_failure(enabled: bool) -> None:
+def raise_on_violation(enabled: bool) -> None:
     """Set whether a violation raises (tests) or is only counted and logged."""
     _State.raise_on_violation = enabled
 
 
-def check(holds: bool, promise: Promise, **fields: object) -> None:
+def check_invariant(holds: bool, invariant: Invariant, **fields: object) -> None:
     """Count and log a violation unless the invariant holds; raise under test."""
     if holds:
         return
-    BROKEN[promise] += 1
-    events.emit(events.INVARIANT_BROKEN, promise=promise.name.lower(), **fields)
+    VIOLATIONS[invariant] += 1
+    events.emit(events.INVARIANT_BROKEN, promise=invariant.name.lower(), **fields)
     if _State.raise_on_violation:
-        raise BrokenPromiseError(f"{promise.value}: {fields}")
+        raise InvariantViolationError(f"{invariant.value}: {fields}")
 
 
-def broken_count() -> int:
+def violation_count() -> int:
     """Return how many checks have failed in this process."""
-    return BROKEN.total()
+    return VIOLATIONS.total()
--- a/papayapier/jobs/job_files.py
+++ b/papayapier/jobs/job_files.py
@@ -10,7 +10,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from papayapier import sealed_files
+from papayapier import checksummed_files
 
 SUFFIX: Final = ".job"
 # The file name is the id in hexadecimal, and file names are limited to 255 characters.
@@ -38,7 +38,7 @@
     """Write a job's file and sync it to disk."""
     if len(job.job_id.encode()) > MAX_ID_BYTES:
         return Err("job id is too long for a file name")
-    return sealed_files.write(_path(folder, job.job_id), msgspec.msgpack.encode(job))
+    return checksummed_files.write(_path(folder, job.job_id), msgspec.msgpack.encode(job))
 
 
 def remove(folder: str, job_id: str) -> Result[None, str]:
@@ -46,7 +46,7 @@
     path = _path(folder, job_id)
     try:
         path.unlink(missing_ok=True)
-        sealed_files.sync_folder(path.parent)
+        checksummed_files.sync_folder(path.parent)
     except OSError as exc:
         return Err(f"{path.name}: {exc.strerror}")
     return Ok(None)
@@ -69,7 +69,7 @@
 
 
 def _read(path: Path) -> Result[LocalJob, str]:
-    body = sealed_files.read(path)
+    body = checksummed_files.read(path)
     if isinstance(body, Err):
         return body
     try:
--- a/papayapier/jobs/job_service.py
+++ b/papayapier/jobs/job_service.py
@@ -16,7 +16,7 @@
 from papayapier import events
 from papayapier.clock import Clock
 from papayapier.config.teams import may_access
-from papayapier.errors import ErrorKind, Refusal, not_run, unknown
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal, unknown_refusal
 from papayapier.jobs.commits import WrittenGroup
 from papayapier.jobs.groups import read_groups, read_with_items
 from papayapier.jobs.notifications import ReceivedNotifications
@@ -31,7 +31,7 @@
     read_record,
     split_items,
 )
-from papayapier.pending import Pending
+from papayapier.pending_result import PendingResult
 from papayapier.policy.job_copies import NOT_REQUESTED, Copies, store_wait_ms
 from papayapier.store.api import Store, StoreError
 from papayapier.store.writes import SettleDeps, create_settled, update_settled
@@ -147,12 +147,12 @@
         settling = SettleDeps(self._deps.store, self._deps.clock, self._deps.rand)
         value = encode(record)
         work = create_settled(settling, job_key(job_id), value, due_ms)
-        creating = Pending(self._deps.clock, work)
+        creating = PendingResult(self._deps.clock, work)
         copies = NOT_REQUESTED
         if not record.parts:
             copies = await self._replicate_unless_created(job_id, value, creating, objective_ms)
         if not copies.enough:
-            created = await creating.end()
+            created = await creating.wait()
             if isinstance(created, Err):
                 return await self._create_refusal(job_id, team, created.err_value, copies)
         self._cache(job_id, _View(record._replace(items=items)))
@@ -170,12 +170,12 @@
         self,
         job_id: str,
         value: bytes,
-        creating: Pending[Result[int, StoreError]],
+        creating: PendingResult[Result[int, StoreError]],
         objective_ms: int,
     ) -> Copies:
         """Replicate a job to keepers' disks if the store does not respond in time."""
         wait_ms = store_wait_ms(objective_ms, self._deps.is_store_unavailable())
-        created = await creating.within(wait_ms)
+        created = await creating.wait_at_most(wait_ms)
         # A definite reply of the store decides; keepers are only requested without one.
         if created is not None and (
             isinstance(created, Ok) or created.err_value not in UNCERTAIN_ERRORS
@@ -251,7 +251,7 @@
         for item in view.ok_value.record.items:
             if item.id == item_id:
                 return Ok(item)
-        return Err(not_run(ErrorKind.NOT_FOUND, f"job {job_id} has no item {item_id}"))
+        return Err(not_run_refusal(ErrorKind.NOT_FOUND, f"job {job_id} has no item {item_id}"))
 
     async def end(self, job_id: str, due_ms: int, team: str = "") -> Result[None, Refusal]:
         """End a job; results that are already listed remain."""
@@ -262,7 +262,7 @@
                 return Err(self._not_found_refusal(job_id, found.err_value))
             record = read_record(found.ok_value.value)
             if isinstance(record, Err):
-                return Err(unknown(ErrorKind.INTERNAL, record.err_value))
+                return Err(unknown_refusal(ErrorKind.INTERNAL, record.err_value))
             if not may_access(record.ok_value.team, team):
                 return Err(_read_refusal(job_id, StoreError.NOT_FOUND))
             if record.ok_value.ended:
@@ -288,7 +288,7 @@
             # On a conflict, an earlier submission of the same job has written the same part.
             if isinstance(created, Err) and created.err_value is not StoreError.CONFLICT:
                 return Err(
-                    not_run(
+                    not_run_refusal(
                         ErrorKind.STORE_UNAVAILABLE, "a part of the job was not written", RETRY_MS
                     )
                 )
@@ -300,7 +300,9 @@
         if copies.maybe_held:
             # Too few disks have a copy to accept the job, but a keeper with one creates it later.
             return Err(
-                unknown(ErrorKind.STORE_UNAVAILABLE, f"job {job_id} may be stored by a keeper")
+                unknown_refusal(
+                    ErrorKind.STORE_UNAVAILABLE, f"job {job_id} may be stored by a keeper"
+                )
             )
         if error in (StoreError.CONFLICT, StoreError.LOST):
             # After LOST too, the record of this or another submission may exist; the job is
@@ -331,7 +333,7 @@
             return Err(self._not_found_refusal(job_id, found.err_value))
         record = read_record(found.ok_value.value)
         if isinstance(record, Err):
-            return Err(unknown(ErrorKind.INTERNAL, record.err_value))
+            return Err(unknown_refusal(ErrorKind.INTERNAL, record.err_value))
         with_items = await read_with_items(self._deps.store, job_id, record.ok_value)
         if isinstance(with_items, Err):
             return Err(_read_refusal(job_id, StoreError.UNAVAILABLE))
@@ -341,7 +343,7 @@
         """Report a job as not found only if no keeper can still be about to create it."""
         if error is StoreError.NOT_FOUND and not self._deps.is_store_complete():
             reason = f"job {job_id} may be stored by a keeper and not yet in the store"
-            return not_run(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_MS)
+            return not_run_refusal(ErrorKind.STORE_UNAVAILABLE, reason, RETRY_MS)
         return _read_refusal(job_id, error)
 
     async def _read_groups(self, job_id: str, view: _View) -> Result[bool, Refusal]:
@@ -394,19 +396,21 @@
     """Accept the resubmission of a job, unless its id belongs to a job of another team."""
     record = read_record(value)
     if isinstance(record, Ok) and not may_access(record.ok_value.team, team):
-        return Err(not_run(ErrorKind.KEY_CONFLICT, f"job {job_id} belongs to another team"))
+        return Err(not_run_refusal(ErrorKind.KEY_CONFLICT, f"job {job_id} belongs to another team"))
     events.emit(events.JOB_RESENT, job=job_id)
     return Ok(None)
 
 
 def _read_refusal(job_id: str, error: StoreError) -> Refusal:
     if error is StoreError.NOT_FOUND:
-        return not_run(ErrorKind.NOT_FOUND, f"no such job: {job_id}")
-    return not_run(ErrorKind.STORE_UNAVAILABLE, f"the store replied {error.value}", RETRY_MS)
+        return not_run_refusal(ErrorKind.NOT_FOUND, f"no such job: {job_id}")
+    return not_run_refusal(
+        ErrorKind.STORE_UNAVAILABLE, f"the store replied {error.value}", RETRY_MS
+    )
 
 
 def _write_refusal(job_id: str, error: StoreError) -> Refusal:
     if error is StoreError.LOST:
         reason = f"it is unknown whether job {job_id} was written"
-        return unknown(ErrorKind.STORE_UNAVAILABLE, reason)
+        return unknown_refusal(ErrorKind.STORE_UNAVAILABLE, reason)
     return _read_refusal(job_id, error)
--- a/papayapier/jobs/progress.py
+++ b/papayapier/jobs/progress.py
@@ -18,10 +18,10 @@
 import msgspec
 from result import Err, Ok, Result
 
-from papayapier import events, sealed_files
+from papayapier import checksummed_files, events
 from papayapier.clock import Clock
 from papayapier.jobs.records import ItemOutcome
-from papayapier.pending import Pending
+from papayapier.pending_result import PendingResult
 from papayapier.policy.crash_quarantine import ReplicaLoss
 
 FILES: Final = ("progress-0", "progress-1")
@@ -79,8 +79,8 @@
 
 async def load_with_timeout(deps: SaverDeps) -> Snapshot:
     """Return the latest snapshot, or an empty one if the disk does not respond in time."""
-    loading = Pending(deps.clock, deps.in_thread(lambda: load(deps.folder)))
-    snapshot: Snapshot | None = await loading.within(LOAD_MS)
+    loading = PendingResult(deps.clock, deps.in_thread(lambda: load(deps.folder)))
+    snapshot: Snapshot | None = await loading.wait_at_most(LOAD_MS)
     known = snapshot or EMPTY_SNAPSHOT
     events.emit(
         events.PROGRESS_LOADED,
@@ -131,11 +131,11 @@
 
 def _write_call(folder: str, snapshot: Snapshot) -> Callable[[], Result[None, str]]:
     path = Path(folder) / FILES[snapshot.number % len(FILES)]
-    return lambda: sealed_files.write(path, msgspec.msgpack.encode(snapshot))
+    return lambda: checksummed_files.write(path, msgspec.msgpack.encode(snapshot))
 
 
 def _read(path: Path) -> Result[Snapshot, str]:
-    body = sealed_files.read(path)
+    body = checksummed_files.read(path)
     if isinstance(body, Err):
         return body
     try:
--- a/papayapier/listen.py
+++ b/papayapier/listen.py
@@ -11,12 +11,12 @@
 from papayapier.entry.site import BodyLimit, CountingSite
 
 BACKLOG: Final = 1024
-BODY_BYTES: Final = 4_000_000
+MAX_BODY_BYTES: Final = 4_000_000
 MAX_UPLOAD_BYTES: Final = 1_000_000_000
 UPLOAD_PATH: Final = b"/v1/files"
 
 
-class Listening(NamedTuple):
+class ListeningPort(NamedTuple):
     """Hold an open listening port; site tracks its connections."""
 
     port: int
@@ -41,22 +41,24 @@
 
 def listen_resource(
     reactor: Any, resource: Any, field: str, host: str, port: int, body_limit: BodyLimit
-) -> Result[Listening, str]:
+) -> Result[ListeningPort, str]:
     """Listen with a resource; the error names the settings field and the address."""
     site = CountingSite(resource, reactor, body_limit)
     try:
         handle = reactor.listenTCP(port, site, interface=host, backlog=BACKLOG)
     except CannotListenError as exc:
         return Err(f"{field}: cannot listen on {host}:{port}: {_reason(exc)}")
-    return Ok(Listening(handle.getHost().port, handle, site))
+    return Ok(ListeningPort(handle.getHost().port, handle, site))
 
 
-def adopt(reactor: Any, resource: object, sock: socket.socket, body_limit: BodyLimit) -> Listening:
+def listen_on_socket(
+    reactor: Any, resource: object, sock: socket.socket, body_limit: BodyLimit
+) -> ListeningPort:
     """Serve on a socket that is already listening."""
     site = CountingSite(resource, reactor, body_limit)
     handle = reactor.adoptStreamPort(sock.fileno(), socket.AF_INET, site)
     sock.close()
-    return Listening(handle.getHost().port, handle, site)
+    return ListeningPort(handle.getHost().port, handle, site)
 
 
 def _reason(exc: CannotListenError) -> str:
--- a/papayapier/listen_app.py
+++ b/papayapier/listen_app.py
@@ -14,8 +14,8 @@
 from papayapier.entry.answers import refuse, with_content_length
 from papayapier.entry.site import BodyLimit
 from papayapier.entry.web import WebRequest
-from papayapier.errors import ErrorKind, not_run
-from papayapier.listen import BODY_BYTES, Listening, listen_resource, make_body_limit
+from papayapier.errors import ErrorKind, not_run_refusal
+from papayapier.listen import MAX_BODY_BYTES, ListeningPort, listen_resource, make_body_limit
 
 
 def listen(
@@ -25,10 +25,10 @@
     host: str,
     port: int,
     body_limit: BodyLimit | None = None,
-) -> Result[Listening, str]:
+) -> Result[ListeningPort, str]:
     """Listen with an app; the error names the settings field and the address."""
     _refuse_unrouted(app)
-    limit = body_limit or make_body_limit(BODY_BYTES)
+    limit = body_limit or make_body_limit(MAX_BODY_BYTES)
     return listen_resource(reactor, app.resource(), field, host, port, limit)
 
 
@@ -41,5 +41,5 @@
     def unrouted(request: WebRequest, _failure: Failure) -> bytes:
         method = request.method.decode("ascii", "replace")
         path = request.path.decode("ascii", "replace")
-        refusal = not_run(ErrorKind.NOT_FOUND, f"no route takes {method} {path}")
+        refusal = not_run_refusal(ErrorKind.NOT_FOUND, f"no route takes {method} {path}")
         return with_content_length(request, refuse(request, refusal))
--- a/papayapier/load/chaos.py
+++ b/papayapier/load/chaos.py
@@ -63,7 +63,7 @@
         self._start_ms = clock.now()
 
     async def run(self) -> ChaosReport:
-        invariants.raise_on_failure(True)
+        invariants.raise_on_violation(True)
         publisher: Any = globalLogPublisher
         publisher.addObserver(self._on_log_event)
         client = make_client(self._clock, expected_text, GIVE_UP_MS, fresh_connections=False)
@@ -114,7 +114,7 @@
         """Apply each event at its time; a failed internal check ends the run early."""
         for event in self._plan:
             await self._sleep_until(event.at_ms)
-            if invariants.broken_count():
+            if invariants.violation_count():
                 return
             self._add_event(event.text())
             self._chaos_fleet.apply(event)
@@ -163,7 +163,7 @@
         self._violations += traffic.outcomes.contradictions({**started, **non_idempotent})
         self._violations += [
             f"internal check failed: {promise.value}, {number} times"
-            for promise, number in invariants.BROKEN.items()
+            for promise, number in invariants.VIOLATIONS.items()
         ]
 
     def _add_event(self, text: str) -> None:
--- a/papayapier/load/chaos_fleet.py
+++ b/papayapier/load/chaos_fleet.py
@@ -164,7 +164,7 @@
         for state in self._states:
             state.timers.resume()
             if state.instance is not None:
-                await state.instance.leave()
+                await state.instance.shut_down()
         await self.standins.close()
 
     def _replica_fault(self, replica: Any, event: PlannedFault) -> None:
@@ -229,13 +229,13 @@
         if event.kind is FaultKind.LOSE:
             state.lost_ms = self._clock.now()
             self._clock.call_later(BALANCER_LAG_MS, self._update_balancer)
-            await instance.kill()
+            await instance.crash()
             # Pending timers of the killed instance must not run any more.
             state.timers.end()
             state.timers = PausableTimers(self._clock.timers)
         else:
             self._clock.call_later(BALANCER_LAG_MS, self._update_balancer)
-            await instance.leave()
+            await instance.shut_down()
         state.instance = None
         self._update_balancer()
         await self._clock.sleep(event.ms)
--- a/papayapier/node/allowances.py
+++ b/papayapier/node/allowances.py
@@ -15,7 +15,7 @@
 from papayapier import events
 from papayapier.clock import Clock
 from papayapier.config.teams import Team
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.messages import AllowAsk, AllowTell, TakeOverAsk, TakeOverTell
 from papayapier.policy.allowances import (
@@ -129,9 +129,9 @@
             if reply.outcome == GrantOutcome.GRANTED.value:
                 return Ok(None)
             reason = f"team {team.name} has reached its limit of {team.rate_per_s:g} requests/s"
-            return Err(not_run(ErrorKind.OVER_ALLOWANCE, reason, reply.retry_after_ms))
+            return Err(not_run_refusal(ErrorKind.OVER_ALLOWANCE, reason, reply.retry_after_ms))
         reason = f"no granter of the allowance of team {team.name} is reachable"
-        return Err(not_run(ErrorKind.NOT_GRANTED, reason, SILENT_RETRY_MS))
+        return Err(not_run_refusal(ErrorKind.NOT_GRANTED, reason, SILENT_RETRY_MS))
 
     return allow
 
--- a/papayapier/node/entry.py
+++ b/papayapier/node/entry.py
@@ -21,12 +21,19 @@
 )
 from papayapier.entry.job_routes import JobCallFormat, JobRoutes
 from papayapier.entry.unread_watch import UnreadWatch
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
+from papayapier.graceful_shutdown import GracefulShutdown, ShutdownDeps
 from papayapier.jobs.job_service import JobService, JobServiceDeps
 from papayapier.jobs.notifications import ReceivedNotifications
 from papayapier.jobs.owners import eligible_instances
 from papayapier.jobs.records import JobRecord
-from papayapier.listen import BODY_BYTES, Listening, adopt, listen_resource, make_body_limit
+from papayapier.listen import (
+    MAX_BODY_BYTES,
+    ListeningPort,
+    listen_on_socket,
+    listen_resource,
+    make_body_limit,
+)
 from papayapier.node.allowances import AllowanceDeps, make_allow
 from papayapier.node.base import Followed, NodeBase, close_base, follow_common, make_base
 from papayapier.node.caller_socket import CallerSocket
@@ -42,7 +49,6 @@
 from papayapier.policy.buffered_bytes import BufferedBytes
 from papayapier.policy.first_byte import FirstByteTimes
 from papayapier.policy.retries import RetryBudget
-from papayapier.stopping import PlannedStop, StopDeps
 from papayapier.store.budget import Priority
 
 LEAVING_RETRY_MS: Final = 250
@@ -65,14 +71,14 @@
         base: NodeBase,
         followed: Followed,
         queue: StartQueue,
-        listening: tuple[Listening, ...],
+        listening: tuple[ListeningPort, ...],
         unread: UnreadWatch,
     ) -> None:
         self._base = base
         self._queue = queue
         self._unread = unread
-        self._stop = PlannedStop(
-            StopDeps(
+        self._stop = GracefulShutdown(
+            ShutdownDeps(
                 base.clock,
                 base.drain,
                 listening,
@@ -82,7 +88,7 @@
             )
         )
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """Stop gracefully."""
         await self._stop.run()
         self._queue.close()
@@ -152,7 +158,7 @@
         """Return the refusal that new requests get, if any."""
         if self._base.drain.accepts():
             return None
-        return not_run(ErrorKind.LEAVING, "the process is shutting down", LEAVING_RETRY_MS)
+        return not_run_refusal(ErrorKind.LEAVING, "the process is shutting down", LEAVING_RETRY_MS)
 
 
 async def start_entry(
@@ -181,14 +187,16 @@
     callers_address = split_address(cfg.listen.callers)
     readiness_address = split_address(cfg.listen.readiness)
     resource = ForwardResource(routes)
-    callers_listening: Result[Listening, str]
+    callers_listening: Result[ListeningPort, str]
     if callers_socket is not None:
-        callers_listening = Ok(adopt(reactor, resource, callers_socket, _body_limit(base)))
+        callers_listening = Ok(
+            listen_on_socket(reactor, resource, callers_socket, _body_limit(base))
+        )
     else:
         callers_listening = listen_resource(
             reactor, resource, "listen.callers", *callers_address, _body_limit(base)
         )
-    max_body_bytes = make_body_limit(BODY_BYTES)
+    max_body_bytes = make_body_limit(MAX_BODY_BYTES)
     readiness_listening = listen_resource(
         reactor, health, "listen.readiness", *readiness_address, max_body_bytes
     )
@@ -324,6 +332,6 @@
     return limit
 
 
-def _apply_caller_limits(listening: Listening, table: RouteTable) -> None:
+def _apply_caller_limits(listening: ListeningPort, table: RouteTable) -> None:
     """Apply the configured limits on callers' headers and idle connections."""
     listening.site.set_limits(table.cfg.limits.idle_ms, table.cfg.limits.header_bytes)
--- a/papayapier/node/health.py
+++ b/papayapier/node/health.py
@@ -10,8 +10,8 @@
 from twisted.web.resource import Resource
 
 from papayapier.entry.answers import refuse, reply_json, with_content_length
-from papayapier.errors import ErrorKind, not_run
-from papayapier.health import METRICS_TYPE, Health, metrics_text
+from papayapier.errors import ErrorKind, not_run_refusal
+from papayapier.health import METRICS_CONTENT_TYPE, Health, metrics_text
 from papayapier.metrics import Metrics
 from papayapier.platform.readiness import READINESS_PATH
 
@@ -42,8 +42,8 @@
             reason = self._not_ready_reason()
             return reply_json(request, Health(not reason, reason), 503 if reason else 200)
         if request.path == METRICS_PATH:
-            request.setHeader(b"Content-Type", METRICS_TYPE)
+            request.setHeader(b"Content-Type", METRICS_CONTENT_TYPE)
             return with_content_length(request, metrics_text(self._metrics))
         path = request.path.decode("ascii", "replace")
-        refusal = not_run(ErrorKind.NOT_FOUND, f"nothing is served at {path}")
+        refusal = not_run_refusal(ErrorKind.NOT_FOUND, f"nothing is served at {path}")
         return with_content_length(request, refuse(request, refusal))
--- a/papayapier/node/keeper.py
+++ b/papayapier/node/keeper.py
@@ -57,7 +57,7 @@
         self._runner = runner
         self._local_jobs = local_jobs
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """Hand over the jobs, write finished results, and stop."""
         base = self._base
         events.emit(events.PROCESS_LEAVING, running=self._runner.running_count())
--- a/papayapier/node/placement.py
+++ b/papayapier/node/placement.py
@@ -13,7 +13,7 @@
 
 from papayapier import events
 from papayapier.clock import Clock, Millis
-from papayapier.errors import ErrorKind, not_run
+from papayapier.errors import ErrorKind, not_run_refusal
 from papayapier.peer.hub import PeerHub
 from papayapier.peer.placement_messages import PlaceAsk, PlaceLeft, PlaceTell, Unanswered
 from papayapier.policy.loads import LoadTracker
@@ -186,7 +186,7 @@
 def _placed(reply: PlaceTell, key: str, has_capacity: bool) -> Placement:
     if reply.retry_after_ms:
         reason = f"no replica of {key} has free capacity in time"
-        return Placement(refusal=not_run(ErrorKind.NO_ROOM, reason, reply.retry_after_ms))
+        return Placement(refusal=not_run_refusal(ErrorKind.NO_ROOM, reason, reply.retry_after_ms))
     return Placement(reply.replica, has_capacity=has_capacity and bool(reply.replica))
 
 
--- a/papayapier/node/run.py
+++ b/papayapier/node/run.py
@@ -15,7 +15,7 @@
 from papayapier.node.caller_socket import CallerSocket
 from papayapier.node.processes import Role
 from papayapier.node.settings import NodeSettings
-from papayapier.serve import Program, Running, run_program
+from papayapier.serve import Program, RunningInstance, run_program
 
 
 def run_node(role: Role, path: Path, cfg: NodeSettings, callers_socket: CallerSocket | None) -> int:
@@ -24,7 +24,9 @@
     callers_socket is the socket for callers if it is already open.
     """
 
-    async def start(reactor: Any, clock: Clock, rand: random.Random) -> Result[Running, str]:
+    async def start(
+        reactor: Any, clock: Clock, rand: random.Random
+    ) -> Result[RunningInstance, str]:
         # Each role imports only what it uses: a keeper has no HTTP server for callers, which is a
         # fifth of an entry's imports.
         if role is Role.ENTRY:
--- a/papayapier/operate/configuration.py
+++ b/papayapier/operate/configuration.py
@@ -28,13 +28,13 @@
 class _ObjectType(NamedTuple):
     """Describe a type of object to the command line; columns are fields of its document."""
 
-    word: str
+    singular: str
     kind: str
     help: str
     columns: tuple[str, ...]
 
 
-NOUNS: Final = (
+OBJECT_TYPES: Final = (
     _ObjectType(
         "profile",
         PROFILES,
@@ -52,14 +52,16 @@
 
 def add_configuration_commands(subparsers: Any) -> None:
     """Register the commands on profiles and upstreams."""
-    for object_type in NOUNS:
-        parser = subparsers.add_parser(object_type.word, help=object_type.help, epilog=OPTIONS_HELP)
+    for object_type in OBJECT_TYPES:
+        parser = subparsers.add_parser(
+            object_type.singular, help=object_type.help, epilog=OPTIONS_HELP
+        )
         actions = parser.add_subparsers(title="actions", required=True, metavar="ACTION")
         _add_actions(actions, object_type)
 
 
 def _add_actions(actions: Any, object_type: _ObjectType) -> None:
-    word = object_type.word
+    word = object_type.singular
     _add(actions, object_type, "list", f"list every {word} in force, with its version", _list)
     get = _add(actions, object_type, "get", f"print a {word} in force, as a file to edit", _get)
     get.add_argument("name")
@@ -145,7 +147,7 @@
             pass
     object_type: _ObjectType = options.object_type
     result = await client.call(
-        "POST", f"/v1/{object_type.kind}/check", {object_type.word: document}
+        "POST", f"/v1/{object_type.kind}/check", {object_type.singular: document}
     )
     match _check_document(result, options):
         case Err(code):
@@ -198,7 +200,7 @@
         case Err(reason):
             return fail(reason, EXIT_USAGE)
         case Ok((name, document)):
-            return await _change(client, options, "PUT", name, {object_type.word: document})
+            return await _change(client, options, "PUT", name, {object_type.singular: document})
 
 
 async def _delete(client: Client, options: argparse.Namespace) -> int:
--- a/papayapier/operate/reports.py
+++ b/papayapier/operate/reports.py
@@ -59,7 +59,7 @@
 
 
 async def _audit(client: Client, options: argparse.Namespace) -> int:
-    since = since_ms(options.since, int(time.time() * MS_PER_S))
+    since = parse_since(options.since, int(time.time() * MS_PER_S))
     if isinstance(since, Err):
         return fail(since.err_value, EXIT_USAGE)
     filters = {"kind": options.kind, "name": options.name, "who": options.who}
@@ -115,7 +115,7 @@
     print_table(["time", *columns], recent)
 
 
-def since_ms(text: str | None, now_ms: int) -> Result[int, str]:
+def parse_since(text: str | None, now_ms: int) -> Result[int, str]:
     """Parse an age or a time to milliseconds since the epoch; the default time zone is UTC."""
     if text is None:
         return Ok(0)
--- a/papayapier/pending.py
+++ b/papayapier/pending_result.py
@@ -11,7 +11,7 @@
 T = TypeVar("T")
 
 
-class Pending(Generic[T]):
+class PendingResult(Generic[T]):
     """Start an awaitable at once; it continues when nobody waits for it any longer."""
 
     def __init__(self, clock: Clock, awaitable: Awaitable[T]) -> None:
@@ -21,7 +21,7 @@
         self._waiting: list[Deferred[None]] = []
         Deferred.fromCoroutine(_run(awaitable)).addBoth(self._on_result)
 
-    async def within(self, wait_ms: float) -> T | None:
+    async def wait_at_most(self, wait_ms: float) -> T | None:
         """Return the result, or None if there is none within the given time."""
         if not self._result:
             waiter: Deferred[None] = Deferred()
@@ -34,7 +34,7 @@
                     timer.cancel()
         return self._get_result() if self._result else None
 
-    async def end(self) -> T:
+    async def wait(self) -> T:
         """Wait for the result."""
         if not self._result:
             waiter: Deferred[None] = Deferred()
--- a/papayapier/policy/admission.py
+++ b/papayapier/policy/admission.py
@@ -21,7 +21,7 @@
 
 from result import Err, Ok, Result
 
-from papayapier.errors import ErrorKind, Refusal, not_run
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal
 from papayapier.policy.fair_queue import RANKS, FairQueue, QueuedRequest
 from papayapier.policy.service_rate import ServiceRate
 
@@ -156,23 +156,23 @@
 
     def _refuse_if_full(self, entry: QueuedRequest, now: int) -> Refusal | None:
         if now >= entry.due_ms:
-            return not_run(ErrorKind.DEADLINE, "the due time has passed")
+            return not_run_refusal(ErrorKind.DEADLINE, "the due time has passed")
         free = self._max_queued - len(self._entries)
         allowed = free * URGENT_FREE_FACTOR if entry.rank == URGENT_RANK else free
         if free <= 0 or self.queued_by(entry.caller) >= max(1, allowed):
             kind = ErrorKind.CALLER_LIMIT if free > 0 else ErrorKind.OVERLOADED
-            return not_run(kind, "the queue is full", self.retry_after_ms(entry, now))
+            return not_run_refusal(kind, "the queue is full", self.retry_after_ms(entry, now))
         queue = self._queues.get(entry.upstream)
         if queue is None:
             return None
         if len(queue) >= max(1, allowed * UPSTREAM_FREE_FACTOR):
             reason = f"the queue for {entry.upstream} is full"
-            return not_run(ErrorKind.OVERLOADED, reason, self.retry_after_ms(entry, now))
+            return not_run_refusal(ErrorKind.OVERLOADED, reason, self.retry_after_ms(entry, now))
         return None
 
     def _late_refusal(self, entry: QueuedRequest, now: int) -> Refusal:
         reason = "the estimated wait would pass the due time"
-        return not_run(ErrorKind.OVERLOADED, reason, self.retry_after_ms(entry, now))
+        return not_run_refusal(ErrorKind.OVERLOADED, reason, self.retry_after_ms(entry, now))
 
     def _would_be_late(self, entry: QueuedRequest, queue: FairQueue, now: int) -> bool:
         rate = self._rate(entry.upstream)
--- a/papayapier/serve.py
+++ b/papayapier/serve.py
@@ -57,17 +57,17 @@
         self._records.clear()
 
 
-class Running(Protocol):
+class RunningInstance(Protocol):
     """Describe the running instance of a process."""
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """Shut down gracefully."""
 
 
 class Program(NamedTuple):
     """Describe what a process runs; reload is called on SIGHUP."""
 
-    start: "Callable[[Any, Clock, random.Random], Awaitable[Result[Running, str]]]"
+    start: "Callable[[Any, Clock, random.Random], Awaitable[Result[RunningInstance, str]]]"
     start_logs: "Callable[[], logbook.Handler]"
     reload: "Callable[[], None]"
 
@@ -79,7 +79,7 @@
         self._reactor = reactor
         self._program = program
         self._start_logs = _StartLogBuffer()
-        self._instance: Running | None = None
+        self._instance: RunningInstance | None = None
         self._leaving = False
         self.started = False
         self.exit_code = EXIT_OK
@@ -128,8 +128,8 @@
             leaving = Deferred.fromCoroutine(self._leave(self._instance))
             leaving.addErrback(self.on_crash)
 
-    async def _leave(self, instance: Running) -> None:
-        await instance.leave()
+    async def _leave(self, instance: RunningInstance) -> None:
+        await instance.shut_down()
         self._stop_reactor()
 
     def _stop_reactor(self) -> None:
@@ -144,7 +144,9 @@
     # would take a tenth of their start time.
     from papayapier.compose import start_instance
 
-    async def start(reactor: Any, clock: "Clock", rand: random.Random) -> Result[Running, str]:
+    async def start(
+        reactor: Any, clock: "Clock", rand: random.Random
+    ) -> Result[RunningInstance, str]:
         return await start_instance(reactor, clock, cfg, rand)
 
     return run_program(Program(start, partial(start_logs, cfg.log), _no_reload))
--- a/papayapier/sockets.py
+++ b/papayapier/sockets.py
@@ -3,7 +3,7 @@
 import socket
 
 
-def is_quiet(sock: socket.socket) -> bool:
+def is_idle(sock: socket.socket) -> bool:
     """Return whether a connection is open and has no data to read."""
     try:
         sock.recv(1, socket.MSG_PEEK)
--- a/papayapier/store/link.py
+++ b/papayapier/store/link.py
@@ -90,7 +90,7 @@
             return Err(ConnectingCancelledError(address))
         call = Deferred.fromCoroutine(send_and_read(req))
         open_calls.add(call)
-        timer = clock.timeout(req.wait_ms + platform.timeout_ms, call.cancel)
+        timer = clock.start_timeout(req.wait_ms + platform.timeout_ms, call.cancel)
         try:
             return Ok(await call)
         except Exception as exc:
--- a/papayapier/store/members_file.py
+++ b/papayapier/store/members_file.py
@@ -65,7 +65,7 @@
     def save_soon(self) -> None:
         """Schedule a save; changes within a short time are saved together."""
         if self._folder:
-            self._saving.changed()
+            self._saving.schedule()
 
     def close(self) -> None:
         """Save pending changes and stop."""
--- a/papayapier/upstream/exchange.py
+++ b/papayapier/upstream/exchange.py
@@ -18,7 +18,7 @@
 
 from papayapier import events
 from papayapier.clock import Clock, Timer
-from papayapier.invariants import Promise, check
+from papayapier.invariants import Invariant, check_invariant
 from papayapier.settings import UpstreamSettings
 from papayapier.upstream.api import Failure, FailureKind, Replica, Sent
 from papayapier.upstream.phases import Fault, make_phases
@@ -199,7 +199,7 @@
                 return
             self._timer.cancel()
         self._timer_at_ms = at_ms
-        self._timer = self._clock.timeout(at_ms - self._clock.now(), self._on_timer)
+        self._timer = self._clock.start_timeout(at_ms - self._clock.now(), self._on_timer)
 
     def _on_timer(self) -> None:
         self._timer = None
@@ -245,9 +245,9 @@
         return fault.kind in (FailureKind.TIMED_OUT, FailureKind.TRUNCATED)
 
     def _failure(self, fault: Fault) -> Failure:
-        check(
+        check_invariant(
             self._sent is Sent.MAYBE or self._lease.protocol is None,
-            Promise.NOT_RUN_TRUE,
+            Invariant.NOT_RUN_TRUE,
             replica=self._replica.id,
             reason=fault.reason,
         )
--- a/papayapier/upstream/pool.py
+++ b/papayapier/upstream/pool.py
@@ -21,7 +21,7 @@
 from twisted.web.client import Agent, HTTPConnectionPool
 from twisted.web.iweb import IAgent
 
-from papayapier.sockets import is_quiet
+from papayapier.sockets import is_idle
 
 # Bounds idle connections only. A bound on connections in use would make a call wait until
 # another one has its answer.
@@ -154,7 +154,7 @@
             return False
         # Reading the socket shows a close by the replica before the reactor has processed it.
         # Unsolicited bytes would be parsed as the start of the next answer.
-        return is_quiet(protocol.transport.getHandle())
+        return is_idle(protocol.transport.getHandle())
 
 
 def _make_pool(reactor: Any, persistent: bool) -> Any:
--- a/tests/batch_world.py
+++ b/tests/batch_world.py
@@ -212,8 +212,8 @@
     """Hold a platform, an upstream and instances that share a fake clock."""
 
     def __init__(self, cfg: BatchSettings = DEFAULTS, clock: Clock | None = None) -> None:
-        invariants.raise_on_failure(True)
-        invariants.BROKEN.clear()
+        invariants.raise_on_violation(True)
+        invariants.VIOLATIONS.clear()
         BACKGROUND_FAILURES.failures.clear()
         self.fake = fake_clock()
         self.clock = clock or self.fake.clock
@@ -262,8 +262,8 @@
     def advance(self, ms: int, step: int = 50) -> None:
         """Advance the clock."""
         for _ in range(0, ms, step):
-            self.fake.advance(step)
-        assert invariants.broken_count() == 0, invariants.BROKEN
+            self.fake.jump(step)
+        assert invariants.violation_count() == 0, invariants.VIOLATIONS
         assert BACKGROUND_FAILURES.failures == []
 
     def run_until_done(self, work: Any) -> Any:
--- a/tests/claims_simulation.py
+++ b/tests/claims_simulation.py
@@ -27,11 +27,11 @@
 @contextmanager
 def invariants_checked() -> Iterator[None]:
     """Raise where an invariant is violated, and fail if the exception was swallowed."""
-    invariants.raise_on_failure(True)
-    before = invariants.broken_count()
+    invariants.raise_on_violation(True)
+    before = invariants.violation_count()
     yield
     # The exception of a check inside a callback may be swallowed, but the violation is counted.
-    assert invariants.broken_count() == before
+    assert invariants.violation_count() == before
 
 
 class Instance:
@@ -40,7 +40,7 @@
     def __init__(self, fleet: "Fleet", name: str, boot: int) -> None:
         self.name = name
         self.fake: FakeClock = fake_clock()
-        self.fake.advance(fleet.fake.clock.now())
+        self.fake.jump(fleet.fake.clock.now())
         self.paused = False
         self.dead = False
         self.metrics: Metrics = make_metrics()
@@ -74,11 +74,11 @@
         if answers_first:
             self.fake.source.rightNow += passed_ms / MS_PER_S
         else:
-            self.fake.advance(passed_ms)
+            self.fake.jump(passed_ms)
         resumed, self._resumed = self._resumed, []
         for waiting in resumed:
             waiting.callback(None)
-        self.fake.advance(0)
+        self.fake.jump(0)
 
 
 class Delivery(NamedTuple):
@@ -159,10 +159,10 @@
     def advance(self, for_ms: int) -> None:
         """Advance the clocks of the platform and of every running process."""
         for _ in range(max(1, for_ms // STEP_MS)):
-            self.fake.advance(STEP_MS)
+            self.fake.jump(STEP_MS)
             for instance in list(self.instances.values()):
                 if not instance.paused:
-                    instance.fake.advance(self.fake.clock.now() - instance.fake.clock.now())
+                    instance.fake.jump(self.fake.clock.now() - instance.fake.clock.now())
 
     def resume(self, name: str, answers_first: bool = False) -> None:
         """End a pause."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,7 @@
 def reset_raise_on_failure() -> Iterator[None]:
     """Reset after each test whether violated invariants raise, so that no test affects another."""
     yield
-    invariants.raise_on_failure(False)
+    invariants.raise_on_violation(False)
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -169,7 +169,7 @@
     def advance(self, delay_ms: int, step_ms: int = 10) -> None:
         """Advance the time in small steps, so that repeated timers fire at the right times."""
         for _ in range(delay_ms // step_ms):
-            self.time.advance(step_ms)
+            self.time.jump(step_ms)
 
     def send_request(
         self,
--- a/tests/entry_world.py
+++ b/tests/entry_world.py
@@ -19,7 +19,7 @@
 from papayapier.listen_app import listen
 from papayapier.metrics import make_metrics
 from papayapier.upstream.api import Reply, Token
-from tests.log_catcher import LogCatcher
+from tests.log_capture import LogCapture
 from tests.raw_client import RawClient, connect
 
 RunResult = Result[Reply, Refusal]
@@ -78,7 +78,7 @@
         self.listening = listen(net, app, "entry.port", "127.0.0.1", 0, limit).unwrap()
         self.site = self.listening.site
         self.clients: list[RawClient] = []
-        self.logs = LogCatcher()
+        self.logs = LogCapture()
         self.logs.push_application()
 
     async def stop(self) -> None:
--- a/tests/jobs_run_world.py
+++ b/tests/jobs_run_world.py
@@ -123,7 +123,7 @@
         """Run one item to its end, so that the typical run time is known."""
         (item,) = self.job("first", 1, FAR_MS, upstream).items.values()
         self.pump()
-        self.time.advance(RUN_MS)
+        self.time.jump(RUN_MS)
         self.end(item)
         self.jobs.clear()
 
--- a/tests/keepers_world.py
+++ b/tests/keepers_world.py
@@ -204,7 +204,7 @@
     def run(self, ms: int) -> None:
         """Advance the time."""
         for _ in range(0, ms, STEP_MS):
-            self.time.elapse(STEP_MS)
+            self.time.run_for(STEP_MS)
 
     def count_listed_items(self, job_id: str) -> int:
         """Return how many items of a job are listed."""
--- a/tests/log_catcher.py
+++ b/tests/log_capture.py
@@ -7,16 +7,16 @@
 from papayapier.events import Event
 
 
-class LogCatcher(logbook.Handler):  # type: ignore[misc]
+class LogCapture(logbook.Handler):  # type: ignore[misc]
     """Collect every logged event with its fields."""
 
     def __init__(self) -> None:
         super().__init__(logbook.DEBUG, bubble=False)
-        self.seen: list[tuple[Event, dict[str, Any]]] = []
+        self.records: list[tuple[Event, dict[str, Any]]] = []
 
     def emit(self, record: logbook.LogRecord) -> None:
-        self.seen.append((record.extra["event"], record.extra["fields"]))
+        self.records.append((record.extra["event"], record.extra["fields"]))
 
-    def fields(self, event: Event) -> list[dict[str, Any]]:
+    def fields_of(self, event: Event) -> list[dict[str, Any]]:
         """Return the fields of each log line of an event."""
-        return [fields for seen, fields in self.seen if seen is event]
+        return [fields for seen, fields in self.records if seen is event]
--- a/tests/orders_world.py
+++ b/tests/orders_world.py
@@ -140,7 +140,7 @@
 
     def run(self, ms: int) -> None:
         for _ in range(ms // 250):
-            self.time.advance(250)
+            self.time.jump(250)
 
     def stop(self, name: str) -> None:
         Deferred.fromCoroutine(_stop(self.controls.pop(name)))
--- a/tests/test_batch_jobs.py
+++ b/tests/test_batch_jobs.py
@@ -8,8 +8,8 @@
 
 from papayapier.batch.lookup import FoundJob
 from papayapier.batch.records import JobState
-from papayapier.errors import ErrorKind, Outcome, not_run
-from papayapier.errors import unknown as refused_unknown
+from papayapier.errors import ErrorKind, Outcome, not_run_refusal
+from papayapier.errors import unknown_refusal as refused_unknown
 from tests.batch_world import CALLER, World, reply, result_now
 from tests.fake_store import Fault
 
@@ -75,7 +75,7 @@
 
     def test_upstream_outage_does_not_fail_items(self) -> None:
         world = start_world("a")
-        unavailable = Err(not_run(ErrorKind.NO_UPSTREAM, "no replica"))
+        unavailable = Err(not_run_refusal(ErrorKind.NO_UPSTREAM, "no replica"))
         world.upstream.make_outcome = lambda call: unavailable
         found = world.submit(world.instances["a"], world.upload(world.instances["a"], 60))
         world.advance(60_000, step=500)
--- a/tests/test_batch_machines.py
+++ b/tests/test_batch_machines.py
@@ -20,8 +20,8 @@
 from papayapier import invariants
 from papayapier.batch.records import Checkpoint, ItemResult, ItemState, JobState
 from papayapier.batch.task_state import TaskRules, TaskState
-from papayapier.errors import ErrorKind, not_run
-from papayapier.errors import unknown as refused_unknown
+from papayapier.errors import ErrorKind, not_run_refusal
+from papayapier.errors import unknown_refusal as refused_unknown
 from tests.batch_world import CALLER, World, reply
 from tests.fake_store import Fault
 
@@ -42,7 +42,7 @@
 
     @initialize(idempotent=st.booleans())
     def begin(self, idempotent: bool) -> None:
-        invariants.raise_on_failure(True)
+        invariants.raise_on_violation(True)
         self.idempotent = idempotent
         self.sends: Counter[int] = Counter()
         self.losses = 0
@@ -184,7 +184,7 @@
         answers: dict[str, Any] = {
             "ok": lambda call: Ok(reply(call.call_id)),
             "crash": lambda call: Err(refused_unknown(ErrorKind.UPSTREAM_FAILED, "crash")),
-            "away": lambda call: Err(not_run(ErrorKind.NO_UPSTREAM, "away")),
+            "away": lambda call: Err(not_run_refusal(ErrorKind.NO_UPSTREAM, "away")),
         }
         self.world.upstream.make_outcome = answers[kind]
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -248,7 +248,7 @@
     archived = [key for key in fleet.platform.objects if "/archive/" in key]
     assert len(archived) >= SHARDS
     for source in (fleet.fake, *(i.fake for i in fleet.instances.values())):
-        source.advance(cfg.retention_ms)
+        source.jump(cfg.retention_ms)
     for i in range(100):
         new_token(fleet.begin("a", f"new{i}"))
     left = [key for key in archived if key in fleet.platform.objects]
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -7,16 +7,16 @@
     """Start a timeout; return the clock and the list of times at which it fired."""
     fake = fake_clock()
     fired: list[int] = []
-    fake.clock.timeout(delay_ms, lambda: fired.append(fake.clock.now()))
+    fake.clock.start_timeout(delay_ms, lambda: fired.append(fake.clock.now()))
     return fake, fired
 
 
 def test_timeout_fires_at_its_time() -> None:
     """Guard against a timeout that fires early, or is extended without a pause."""
     fake, fired = start_timeout(400)
-    fake.elapse(399)
+    fake.run_for(399)
     assert fired == []
-    fake.elapse(1)
+    fake.run_for(1)
     assert fired == [400]
 
 
@@ -27,21 +27,21 @@
     reads sockets.
     """
     fake, fired = start_timeout(400)
-    fake.advance(600)
+    fake.jump(600)
     assert fired == []
-    fake.elapse(199)
+    fake.run_for(199)
     assert fired == []
-    fake.elapse(1)
+    fake.run_for(1)
     assert fired == [800]
 
 
 def test_long_pause_at_most_doubles_a_timeout() -> None:
     """Guard against a timeout that a long pause extends by more than its own length."""
     fake, fired = start_timeout(400)
-    fake.advance(60_000)
-    fake.elapse(400)
+    fake.jump(60_000)
+    fake.run_for(400)
     assert fired == [60_400]
-    fake.advance(60_000)
+    fake.jump(60_000)
     assert fired == [60_400]
 
 
@@ -49,10 +49,10 @@
     """Guard against a cancelled timeout that fires because a pause has restarted its timer."""
     fake = fake_clock()
     fired: list[int] = []
-    timer = fake.clock.timeout(400, lambda: fired.append(1))
-    fake.advance(600)
+    timer = fake.clock.start_timeout(400, lambda: fired.append(1))
+    fake.jump(600)
     assert timer.active()
     timer.cancel()
-    fake.elapse(1_000)
+    fake.run_for(1_000)
     assert fired == []
     assert not timer.active()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -30,7 +30,7 @@
 
 @pytest.fixture(autouse=True)
 def raise_on_broken_invariants() -> None:
-    invariants.raise_on_failure(True)
+    invariants.raise_on_violation(True)
 
 
 class Fleet:
@@ -89,14 +89,14 @@
 
     def run(self, ms: int, step_ms: int = 50) -> None:
         for _ in range(ms // step_ms):
-            self.time.advance(step_ms)
+            self.time.jump(step_ms)
 
     def apply(self, name: str, change: ChangeRequest) -> Result[Accepted, Rejected]:
         done = Deferred.fromCoroutine(accept_on(self.configs[name], change))
         for _ in range(400):
             if done.called:
                 break
-            self.time.advance(50)
+            self.time.jump(50)
         outcome: Result[Accepted, Rejected] = wait_deferred(done)
         return outcome
 
--- a/tests/test_config_operate.py
+++ b/tests/test_config_operate.py
@@ -243,9 +243,9 @@
 def test_audit_times() -> None:
     """Relative and absolute times are parsed, and others are rejected."""
     now = 1_700_000_000_000
-    assert reports.since_ms("2h", now).unwrap() == now - 7_200_000
-    assert reports.since_ms("2023-11-14T22:13:20", now).unwrap() == now
-    assert reports.since_ms("soon", now).is_err()
+    assert reports.parse_since("2h", now).unwrap() == now - 7_200_000
+    assert reports.parse_since("2023-11-14T22:13:20", now).unwrap() == now
+    assert reports.parse_since("soon", now).is_err()
 
 
 def test_every_operator_command_is_registered() -> None:
@@ -262,4 +262,4 @@
         options = parser.parse_args([*args, "--json"])
         assert callable(options.command)
         assert isinstance(options, argparse.Namespace)
-    assert [noun.word for noun in configuration.NOUNS] == ["profile", "upstream"]
+    assert [noun.singular for noun in configuration.OBJECT_TYPES] == ["profile", "upstream"]
--- a/tests/test_crashing_work.py
+++ b/tests/test_crashing_work.py
@@ -39,7 +39,7 @@
         results = world.start_request(idempotent, body=b"crash")
         while not results:
             world.end_replica(world.sends[-1])
-            world.time.advance(1_000)
+            world.time.jump(1_000)
     assert len(world.sends) == MAX_LOSSES
     assert isinstance(results[0], Err)
     refusal = results[0].err_value
@@ -56,7 +56,7 @@
         if item.item.id in world.sent:
             world.lose(item, FailureKind.TRUNCATED, Sent.MAYBE)
             world.replace("lm")
-        world.time.advance(1_000)
+        world.time.jump(1_000)
     assert world.sends == MAX_ITEM_LOSSES
 
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -17,8 +17,8 @@
 from papayapier.dispatch.api import OnlineRequest
 from papayapier.dispatch.claimed import make_claimed_runner
 from papayapier.dispatch.online import OnlineDispatch
-from papayapier.errors import ErrorKind, Outcome, Refusal, not_run
-from papayapier.fleet_view import FleetView, Place, Policies
+from papayapier.errors import ErrorKind, Outcome, Refusal, not_run_refusal
+from papayapier.fleet_view import FleetView, OwnInstance, ReplicaPolicies
 from papayapier.metrics import make_metrics
 from papayapier.policy.batch_share import BatchShare
 from papayapier.policy.loads import LoadTracker
@@ -37,14 +37,14 @@
     outcome,
     result,
 )
-from tests.log_catcher import LogCatcher
+from tests.log_capture import LogCapture
 
 
 @pytest.fixture(autouse=True)
 def raise_on_broken_invariants() -> Any:
-    invariants.raise_on_failure(True)
+    invariants.raise_on_violation(True)
     yield
-    invariants.raise_on_failure(False)
+    invariants.raise_on_violation(False)
     while WORLDS:
         WORLDS.pop().close()
 
@@ -302,7 +302,7 @@
 
     runs = [world.send_request(GATE, call_id=f"pass-{n}", claim=claim) for n in range(3)]
     assert len(claims) == 1
-    claims[0].callback(Err(not_run(ErrorKind.STORE_UNAVAILABLE, "the store is down")))
+    claims[0].callback(Err(not_run_refusal(ErrorKind.STORE_UNAVAILABLE, "the store is down")))
     assert outcome(runs[0]) is Outcome.NOT_RUN
     assert len(claims) == 2
     claims[1].callback(Ok(None))
@@ -376,7 +376,7 @@
         def finish(self, token: bytes, answer: SavedAnswer) -> None:
             kept.append(answer)
 
-    logs = LogCatcher()
+    logs = LogCapture()
     run = make_claimed_runner(world.online, Scripted())
     now = world.time.clock.now()
     req = OnlineRequest("abc", "a", GATE, "POST", "/x", b"", "", False, "", now + 1_000)
@@ -455,23 +455,23 @@
     world.online = OnlineDispatch(world.deps, lambda _: world.list_replicas(["lm-0"]))
     broken: list[Any] = []
     world.send_request().addErrback(broken.append)
-    assert broken[0].check(invariants.BrokenPromiseError)
+    assert broken[0].check(invariants.InvariantViolationError)
     assert "leaving" in broken[0].getErrorMessage()
 
 
 def test_leaving_replica_is_logged_once() -> None:
     """Guard against logging the event at each change of a leaving replica's record."""
-    logs = LogCatcher()
-    policies = Policies(LoadTracker(), OutlierDetector(), BatchShare("entry-1"))
-    view = FleetView(Place("entry-1", "r", 32), policies, make_metrics())
+    logs = LogCapture()
+    policies = ReplicaPolicies(LoadTracker(), OutlierDetector(), BatchShare("entry-1"))
+    view = FleetView(OwnInstance("entry-1", "r", 32), policies, make_metrics())
     live = Member("lm-0", REPLICA, "lm", "127.0.0.1", 1, 0, "dc", "r", LIVE)
     leaving = live._replace(state=LEAVING)
     with logs.applicationbound():
         for member in (live, leaving, leaving._replace(port=2), leaving, live):
-            view.on_members(MembersChanged([member], []))
-            usable = policies.book.usable_replicas("lm", 0)
+            view.on_members_changed(MembersChanged([member], []))
+            usable = policies.load_tracker.usable_replicas("lm", 0)
             assert [replica.id for replica in usable] == ["lm-0"] * (member.state == LIVE)
-        view.on_members(MembersChanged([], ["lm-0"]))
+        view.on_members_changed(MembersChanged([], ["lm-0"]))
     assert len(logs.fields(events.REPLICA_LEAVING)) == 1
     assert len(logs.fields(events.REPLICA_ADDED)) == 2
     assert view.upstream_names() == []
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -11,7 +11,7 @@
 from papayapier.clock import real_clock
 from papayapier.dispatch.api import OnlineRequest, OnToken
 from papayapier.entry import chat
-from papayapier.errors import ErrorKind, not_run, unknown
+from papayapier.errors import ErrorKind, not_run_refusal, unknown_refusal
 from tests.entry_world import ANSWER, BODY_LIMIT, CHAT, GATE, EntryWorld, RunResult, question, token
 from tests.raw_client import post
 
@@ -143,7 +143,10 @@
 
     def test_stream_has_its_end_mark_only_when_complete(self) -> Deferred[None]:
         """Guard against a truncated stream that looks complete."""
-        results: list[RunResult] = [ANSWER, Err(unknown(ErrorKind.UPSTREAM_FAILED, "it broke off"))]
+        results: list[RunResult] = [
+            ANSWER,
+            Err(unknown_refusal(ErrorKind.UPSTREAM_FAILED, "it broke off")),
+        ]
 
         async def stream(_req: OnlineRequest, on_token: OnToken) -> RunResult:
             on_token(token("a"))
@@ -270,7 +273,7 @@
         """Guard against an unknown outcome for requests refused during a planned stop."""
 
         async def run() -> None:
-            leaving = not_run(ErrorKind.LEAVING, "the instance is shutting down", 250)
+            leaving = not_run_refusal(ErrorKind.LEAVING, "the instance is shutting down", 250)
             self.world.refusing = lambda: leaving
             status, error = await self.world.refused(post("/services/gate/x", b"", GATE))
             assert (status, error["kind"], error["outcome"]) == (503, "leaving", "not_run")
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from papayapier.fleet_view import FleetListeners, FleetView, Place, Policies
+from papayapier.fleet_view import FleetListeners, FleetView, OwnInstance, ReplicaPolicies
 from papayapier.metrics import make_metrics
 from papayapier.policy.batch_share import BatchShare
 from papayapier.policy.loads import LoadTracker
@@ -28,15 +28,15 @@
 def make_view(own_id: str, members: list[Member]) -> tuple[FleetView, set[str]]:
     """Return the view of an instance, and the ids of the replicas that it polls."""
     view = FleetView(
-        Place(own_id, "north", SUBSET_SIZE),
-        Policies(LoadTracker(), OutlierDetector(), BatchShare(own_id)),
+        OwnInstance(own_id, "north", SUBSET_SIZE),
+        ReplicaPolicies(LoadTracker(), OutlierDetector(), BatchShare(own_id)),
         make_metrics(),
     )
     polled: list[Replica] = []
     view.set_listeners(
         FleetListeners(polled.extend, lambda _: None, lambda: None, lambda _l, _g: None)
     )
-    view.on_members(MembersChanged(members, []))
+    view.on_members_changed(MembersChanged(members, []))
     return view, {polled_replica.id for polled_replica in polled}
 
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -12,7 +12,7 @@
 from papayapier import events
 from papayapier.platform.replicas import read_replica
 from papayapier.platform.store import Events, Page, read_changes, read_listing, without_invalid_text
-from tests.log_catcher import LogCatcher
+from tests.log_capture import LogCapture
 
 GOOD: Final[dict[str, Any]] = {
     "service": "lm",
@@ -129,7 +129,7 @@
     # Sequence: another writer leaves an object of the kind that cannot be decoded.
     # Cause: the page was decoded as a whole.
     good = stored("a", b'{"v":1}')
-    logs = LogCatcher()
+    logs = LogCapture()
     with logs.applicationbound():
         listing = read_listing("servers", page([good, invalid, stored("z", b'"text"')]))
     values = {element.key: element.value for element in listing.objects}
--- a/tests/test_forward_routes.py
+++ b/tests/test_forward_routes.py
@@ -18,7 +18,7 @@
     _request_allowance,
     _run,
 )
-from papayapier.errors import ErrorKind, Refusal, not_run, unknown
+from papayapier.errors import ErrorKind, Refusal, not_run_refusal, unknown_refusal
 from papayapier.upstream.forward_call import ForwardAnswer, ForwardedAnswer, StreamedAnswer
 from tests.forward_world import ForwardWorld
 
@@ -64,7 +64,7 @@
     request = Request(is_disconnected=True, started=started)
     world = ForwardWorld()
     world.start_request(idempotent=False)
-    refusal = Err(unknown(ErrorKind.UPSTREAM_FAILED, "cut"))
+    refusal = Err(unknown_refusal(ErrorKind.UPSTREAM_FAILED, "cut"))
     _finish(cast(Any, None), request, _req(), cast(Any, refusal), cast(Any, CallerStream()))
     assert not request.failed
 
@@ -77,13 +77,13 @@
     has_begun: bool, answer: ForwardedAnswer
 ) -> None:
     """Guard against ending a stream with a last chunk although it is not complete."""
-    before = invariants.broken_count()
+    before = invariants.violation_count()
     request = Request(is_disconnected=False, started=has_begun)
     caller_stream = cast(Any, CallerStream()) if has_begun else None
     _finish(cast(Any, None), request, _req(), Ok(answer), caller_stream)
     assert request.channel is not None
     assert request.channel.transport.aborted
-    assert invariants.broken_count() == before + 1
+    assert invariants.violation_count() == before + 1
 
 
 def test_a_crash_within_an_answer_aborts_the_connection() -> None:
@@ -130,7 +130,7 @@
     async def allow(self, _team: Team, _returned: bool) -> Result[None, Refusal]:
         if self.clock.now() >= self.began + self._from_ms:
             return Ok(None)
-        return Err(not_run(self._refusal_kind, "", 300))
+        return Err(not_run_refusal(self._refusal_kind, "", 300))
 
     def request_allowance(self, is_retry: bool, due_ms: int = 5_000) -> list[Result[None, Refusal]]:
         """Request an allowance, let two seconds pass, and return the results."""
@@ -145,7 +145,7 @@
         asking = _request_allowance(cast(Any, self), req, Team("yard", 5, 5))
         Deferred.fromCoroutine(cast(Any, asking)).addCallback(results.append)
         for _ in range(2_000 // GRANT_RETRY_MS):
-            self.time.advance(GRANT_RETRY_MS)
+            self.time.jump(GRANT_RETRY_MS)
         return results
 
 
@@ -214,5 +214,5 @@
     running = _run(cast(Any, granter), cast(Any, Req()), Team("yard", 5, 5), cast(Any, None))
     Deferred.fromCoroutine(cast(Any, running))
     for _ in range(2_000 // GRANT_RETRY_MS):
-        granter.time.advance(GRANT_RETRY_MS)
+        granter.time.jump(GRANT_RETRY_MS)
     assert queued == [(100, False)]
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -15,7 +15,7 @@
 from papayapier.upstream.api import FailureKind, Sent
 from papayapier.upstream.forward_call import ForwardAnswer
 from tests.forward_world import Caller, ForwardResult, ForwardWorld
-from tests.log_catcher import LogCatcher
+from tests.log_capture import LogCapture
 
 LOST = [
     (FailureKind.TRUNCATED, Sent.MAYBE),
@@ -86,7 +86,7 @@
     world = ForwardWorld()
     results = world.start_request(idempotent, attempts=1)
     world.sends[0].fail(FailureKind.STATUS, Sent.NO, 503)
-    world.time.advance(100)
+    world.time.jump(100)
     assert len(world.sends) == 2
     assert world.sends[1].replica != world.sends[0].replica
     world.sends[1].answer()
@@ -99,7 +99,7 @@
     results = world.start_request(idempotent=False)
     while not results:
         world.sends[-1].fail(FailureKind.STATUS, Sent.NO, 503)
-        world.time.advance(1_000)
+        world.time.jump(1_000)
     result = results[0]
     assert isinstance(result, Err)
     assert result.err_value.outcome is Outcome.NOT_RUN
@@ -111,12 +111,12 @@
     world = ForwardWorld()
     results = world.start_request(idempotent=True, attempts=2)
     world.sends[0].fail(FailureKind.TRUNCATED, Sent.MAYBE)
-    world.time.advance(1_000)
+    world.time.jump(1_000)
     for _ in range(6):
         if results:
             break
         world.sends[-1].fail(FailureKind.CONNECT, Sent.NO)
-        world.time.advance(1_000)
+        world.time.jump(1_000)
     result = results[0]
     assert isinstance(result, Err)
     assert result.err_value.outcome is Outcome.UNKNOWN
@@ -127,19 +127,19 @@
     world = ForwardWorld()
     results = world.start_request(idempotent=True, attempts=2)
     world.sends[0].answer(500, b"first")
-    world.time.advance(1_000)
+    world.time.jump(1_000)
     world.sends[1].fail(FailureKind.TRUNCATED, Sent.MAYBE)
-    world.time.advance(1_000)
+    world.time.jump(1_000)
     assert results[0].unwrap().status == 500
 
 
 def test_the_log_of_a_request_says_whose_answer_it_got() -> None:
     """Guard against a missing log line where the answer is that of an earlier replica."""
     world = ForwardWorld()
-    with LogCatcher().applicationbound() as logs:
+    with LogCapture().applicationbound() as logs:
         world.start_request(idempotent=True, attempts=2)
         world.sends[0].answer(500)
-        world.time.advance(1_000)
+        world.time.jump(1_000)
         world.sends[1].fail(FailureKind.TRUNCATED, Sent.MAYBE)
     (result,) = logs.fields(events.REQUEST_ENDED)
     assert (result["status"], result["kept"]) == (500, True)
@@ -148,11 +148,11 @@
 def test_the_log_of_a_resumed_stream_says_why_and_from_where() -> None:
     """Guard against logs that do not show how far a stream got before its replica broke off."""
     world = ForwardWorld()
-    with LogCatcher().applicationbound() as logs:
+    with LogCapture().applicationbound() as logs:
         world.start_request(idempotent=True, caller=Caller())
         world.sends[0].events(1, 2)
         world.sends[0].fail(FailureKind.TRUNCATED, Sent.MAYBE)
-        world.time.advance(100)
+        world.time.jump(100)
     (retried,) = logs.fields(events.REQUEST_RETRIED)
     assert (retried["kind"], retried["last_event"]) == ("cut", 2)
 
@@ -177,7 +177,7 @@
     world.sends[0].events(1, 2)
     world.sends[0].data(b"id: 3\nda")
     world.sends[0].fail(FailureKind.TRUNCATED, Sent.MAYBE)
-    world.time.advance(100)
+    world.time.jump(100)
     assert world.sends[1].replica != world.sends[0].replica
     world.sends[1].events(3, 4)
     world.sends[1].answer()
@@ -192,15 +192,15 @@
     world = ForwardWorld()
     results = world.start_request(idempotent=True, caller=Caller(), attempts=3)
     world.sends[0].answer(500, b"failed")
-    world.time.advance(1_000)
+    world.time.jump(1_000)
     world.sends[1].events(1, 2)
     if given_up_for == "replicas":
         world.replicas.clear()
         world.list_replicas()
     if given_up_for == "time":
-        world.time.advance(5_000)
+        world.time.jump(5_000)
     world.sends[1].fail(FailureKind.TRUNCATED, Sent.MAYBE)
-    world.time.advance(1_000)
+    world.time.jump(1_000)
     if given_up_for == "attempts":
         world.sends[2].fail(FailureKind.TRUNCATED, Sent.MAYBE)
     assert isinstance(results[0], Err), results
@@ -213,9 +213,9 @@
     results = world.start_request(idempotent=True, caller=Caller(), attempts=2)
     world.sends[0].events(1, 2)
     world.sends[0].fail(FailureKind.TRUNCATED, Sent.MAYBE)
-    world.time.advance(1_000)
+    world.time.jump(1_000)
     world.sends[1].answer(status, b"failed")
-    world.time.advance(1_000)
+    world.time.jump(1_000)
     assert isinstance(results[0], Err), results
 
 
@@ -226,9 +226,9 @@
     results = world.start_request(idempotent=True, caller=caller)
     world.sends[0].events(1)
     world.sends[0].fail(FailureKind.TRUNCATED, Sent.MAYBE)
-    world.time.advance(1_000)
+    world.time.jump(1_000)
     world.sends[1].answer(404, b"failed")
-    world.time.advance(1_000)
+    world.time.jump(1_000)
     world.sends[2].events(2)
     world.sends[2].answer()
     assert isinstance(results[0], Ok), results
@@ -243,14 +243,14 @@
     world.start_request(idempotent=True, caller=caller)
     world.sends[0].events(1, 2)
     world.sends[0].fail(FailureKind.TRUNCATED, Sent.MAYBE)
-    world.time.advance(1_000)
+    world.time.jump(1_000)
     taker = world.sends[1].taker
     assert taker is not None
     event = f"id: {first}\ndata: {first}\n\n".encode()
     fault = taker.on_data(event[:5], 1) or taker.on_data(event[5:], 1)
     assert fault is not None
     world.sends[1].fail(fault.kind, Sent.MAYBE)
-    world.time.advance(1_000)
+    world.time.jump(1_000)
     world.sends[2].events(3)
     assert caller.body == b"".join(f"id: {n}\ndata: {n}\n\n".encode() for n in (1, 2, 3))
 
@@ -291,7 +291,7 @@
             sound.append(world.start_request(idempotent=True, body=b"sound"))
         if now == crashing_ms:
             world.start_request(idempotent=True, body=b"crash")
-        world.time.advance(STEP_MS)
+        world.time.jump(STEP_MS)
         for number, send in enumerate(list(world.sends)):
             open_ms = now - began.setdefault(number, now)
             if send.done.called:
@@ -332,8 +332,8 @@
     results = world.start_request(idempotent=True, due_ms=600)
     for _ in range(MAX_LOSSES - 1):
         world.end_replica(world.sends[-1])
-        world.time.advance(100)
-    world.time.advance(250)
+        world.time.jump(100)
+    world.time.jump(250)
     world.sends[MAX_LOSSES - 1].answer()
     assert isinstance(results[0], Ok)
 
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -17,7 +17,7 @@
 from papayapier.listen import listen_resource
 from papayapier.metrics import make_metrics
 from papayapier.policy.buffered_bytes import COPIES_PER_BODY, UNBOUNDED, BufferedBytes, Unread
-from tests.log_catcher import LogCatcher
+from tests.log_capture import LogCapture
 from tests.raw_client import RawClient, connect, post
 
 reactor: Any = installed
@@ -99,7 +99,7 @@
 
     def setUp(self) -> None:
         self.clock = real_clock()
-        self.logs = LogCatcher()
+        self.logs = LogCapture()
         self.logs.push_application()
         self.addCleanup(self.logs.pop_application)
         self.answers = _Answers()
--- a/tests/test_instance.py
+++ b/tests/test_instance.py
@@ -16,11 +16,11 @@
 from papayapier import events, invariants
 from papayapier.clock import fake_clock, real_clock
 from papayapier.dispatch.api import OnlineRequest, OnToken
-from papayapier.errors import ErrorKind, not_run
+from papayapier.errors import ErrorKind, not_run_refusal
+from papayapier.graceful_shutdown import GracefulShutdown, ShutdownDeps
 from papayapier.policy.drain import Drain, DrainPlan
 from papayapier.standin.run import Fleet, FleetParams, run_fleet
 from papayapier.standin.switches import Mode
-from papayapier.stopping import PlannedStop, StopDeps
 from tests.entry_world import ANSWER, CHAT, GATE, EntryWorld, RunResult
 from tests.raw_client import connect, post
 from tests.scenario.processes import Child, start
@@ -48,16 +48,16 @@
         self.hanging: list[Deferred[None]] = []
         self.time = fake_clock()
         self.drain = Drain(DrainPlan(LAG_MS, LIMIT_MS))
-        leaving = not_run(ErrorKind.LEAVING, "the instance is shutting down")
+        leaving = not_run_refusal(ErrorKind.LEAVING, "the instance is shutting down")
         self.world.refusing = lambda: None if self.drain.accepts() else leaving
         self.handed_over: Deferred[None] = Deferred()
-        self.stop = PlannedStop(
-            StopDeps(
+        self.stop = GracefulShutdown(
+            ShutdownDeps(
                 clock=self.time.clock,
                 drain=self.drain,
                 listening=(self.world.listening,),
-                online=lambda: len(self.hanging),
-                items=lambda: 0,
+                online_count=lambda: len(self.hanging),
+                item_count=lambda: 0,
                 hand_over=self.hand_over,
             )
         )
@@ -80,7 +80,7 @@
 
     async def pass_time(self, delay_ms: int) -> None:
         for step in range(delay_ms // 50):
-            self.time.advance(50)
+            self.time.jump(50)
             if step % 10 == 0:
                 await run_reactor(1)
         await run_reactor(20)
@@ -165,7 +165,7 @@
         """Guard against a shutdown that waits for a hanging request without bound."""
 
         async def run() -> None:
-            broken = invariants.broken_count()
+            broken = invariants.violation_count()
             client = await self.world.connect()
             client.write(GATE_CALL)
             await self.wait_hanging(1)
@@ -180,8 +180,8 @@
                 "items": 0,
                 "handing_over": 1,
             }
-            assert invariants.broken_count() == broken + 1
-            invariants.BROKEN.clear()
+            assert invariants.violation_count() == broken + 1
+            invariants.VIOLATIONS.clear()
 
         return Deferred.fromCoroutine(run())
 
--- a/tests/test_job_reading.py
+++ b/tests/test_job_reading.py
@@ -95,7 +95,7 @@
     assert entry.read().results == []
     net.desks[KEEPERS[0]].has_group(0, "a")
     for world in net.desks.values():
-        world.time.advance(1_000)
+        world.time.jump(1_000)
     assert [result.id for result in entry.read().results] == ["a"]
     assert [result.id for result in entry.read(1).results] == []
 
@@ -113,7 +113,7 @@
     for _ in range(2):
         assert [result.id for result in entry.read().results] == ["a"]
     assert net.requested[1] == first != net.requested[2]
-    entry.time.advance(SKIP_SILENT_MS)
+    entry.time.jump(SKIP_SILENT_MS)
     net.silent = set()
     entry.read()
     assert net.requested[-1] == first
--- a/tests/test_job_service.py
+++ b/tests/test_job_service.py
@@ -45,7 +45,7 @@
     )
     begun = world.begin(world.service.submit(JOB, "h", "/j", ITEMS, 1_000))
     for _ in range(40):
-        world.time.advance(100)
+        world.time.jump(100)
     ended = begun.end()
     assert isinstance(ended, Err)
     assert ended.err_value.outcome is Outcome.UNKNOWN
@@ -100,7 +100,7 @@
     world = JobServiceWorld()
     world.has_job("a", "b")
     world.begin(world.service.results(JOB, 0, 0)).end()
-    world.time.advance(2_000)
+    world.time.jump(2_000)
     world.has_group(0, "a")
     world.memory.hold = True
     reads = [world.begin(world.service.results(JOB, 0, 0)) for _ in range(2)]
@@ -114,7 +114,7 @@
     world = JobServiceWorld()
     world.has_job("a")
     waiting = world.begin(world.service.results(JOB, 0, 1_000))
-    world.time.advance(100)
+    world.time.jump(100)
     assert not waiting
     world.has_group(0, "a")
     world.service.on_group_count(JOB, 1)
@@ -127,7 +127,7 @@
     world.has_job("a")
     waiting = world.begin(world.service.results(JOB, 0, 1_000))
     for _ in range(21):
-        world.time.advance(50)
+        world.time.jump(50)
     assert waiting.end().unwrap().results == []
     assert len([call for call in world.memory.calls if "results" in call]) == 2
 
@@ -161,13 +161,13 @@
     for _ in range(20):
         reading = world.begin(world.service.results(JOB, 0, 500))
         for _ in range(11):
-            world.time.advance(50)
+            world.time.jump(50)
         assert isinstance(reading.end(), Ok)
     store_reads = [call for call in world.memory.calls if call.startswith("list")]
     assert len(store_reads) <= 12
     # A position that another instance showed one second ago is shown here.
     world.has_group(0, "a")
-    world.time.advance(1_000)
+    world.time.jump(1_000)
     reading = world.begin(world.service.results(JOB, 0, 0))
     page = reading.end().unwrap()
     assert names(page.results) == ["a"]
@@ -180,18 +180,18 @@
     world.has_job("a", "b", "c")
     assert world.begin(world.service.results(JOB, 0, 0)).end().unwrap().results == []
     waiting = world.begin(world.service.results(JOB, 0, 1_000))
-    world.time.advance(500)
+    world.time.jump(500)
     store_reads = world.memory.calls.count(f"list {groups_prefix(JOB)}")
     world.has_group(0, "a")
     world.service.on_group_written(JOB, WrittenGroup(0, group("a"), world.time.clock.now()))
     assert names(waiting.end().unwrap().results) == ["a"]
     # Like a read, the write proves that no later group existed.
-    world.time.advance(READ_VALID_MS - 1)
+    world.time.jump(READ_VALID_MS - 1)
     assert world.begin(world.service.results(JOB, 1, 0)).end().unwrap().results == []
     assert world.memory.calls.count(f"list {groups_prefix(JOB)}") == store_reads
     # Another instance may write too: its group is found by the next store read.
     world.has_group(1, "b")
-    world.time.advance(2)
+    world.time.jump(2)
     assert names(world.begin(world.service.results(JOB, 1, 0)).end().unwrap().results) == ["b"]
 
 
--- a/tests/test_jobs_commits.py
+++ b/tests/test_jobs_commits.py
@@ -72,7 +72,7 @@
 
     @rule(ms=st.integers(1, 800))
     def wait(self, ms: int) -> None:
-        self.time.advance(ms)
+        self.time.jump(ms)
 
     @rule(which=st.integers(0, 1))
     def restart(self, which: int) -> None:
@@ -95,7 +95,7 @@
         """Check that all finished items are listed once the store is available again."""
         self.faults = []
         for _ in range(60):
-            self.time.advance(300)
+            self.time.jump(300)
         finished = {
             name for writer in self.writers for name in NAMES if name not in writer.job.items
         }
--- a/tests/test_jobs_expiry.py
+++ b/tests/test_jobs_expiry.py
@@ -25,7 +25,7 @@
         self.expiry.on_change(Change(job_key(JOB), version, False, value))
 
     def sweep_at(self, ms: int) -> list[str]:
-        self.time.advance(ms)
+        self.time.jump(ms)
         Deferred.fromCoroutine(self.expiry.sweep())
         return sorted(self.memory.objects)
 
--- a/tests/test_jobs_notifications.py
+++ b/tests/test_jobs_notifications.py
@@ -167,7 +167,7 @@
     for number in range(100):
         heartbeat = Heartbeat("a", 1, "serving", 1, notification_count=0)
         world.heard.on_heartbeat("a", heartbeat, world.time.clock.now())
-        world.time.advance(HEARTBEAT_MS)
+        world.time.jump(HEARTBEAT_MS)
         if number % 3 == 2:
             assert world.begin(world.service.results(JOB, 0, 0)).end().unwrap().results == []
     assert len(world.memory.calls) <= 3
--- a/tests/test_jobs_progress.py
+++ b/tests/test_jobs_progress.py
@@ -18,7 +18,7 @@
 from papayapier.policy.crash_quarantine import ReplicaLoss
 from papayapier.upstream.event_splitter import NO_EVENT
 from tests.jobs_world import JOB, StartedCoroutine, record
-from tests.log_catcher import LogCatcher
+from tests.log_capture import LogCapture
 
 BEGUN = ItemProgress(JOB, "a", 2, ("one", "two"), 900, 1)
 DONE = ItemProgress(JOB, "b", NO_EVENT, ("one\ntwo\nthree",), 0, 0, ItemOutcome.DONE)
@@ -95,14 +95,14 @@
 def test_progress_is_saved_only_while_there_is_some(tmp_path: Path) -> None:
     disk = Disk(str(tmp_path))
     Deferred.fromCoroutine(progress.save_regularly(disk.deps, 4))
-    disk.time.advance(3 * progress.SAVE_MS)
+    disk.time.jump(3 * progress.SAVE_MS)
     idle = disk.writes
     disk.items = [BEGUN]
-    disk.time.advance(progress.SAVE_MS)
+    disk.time.jump(progress.SAVE_MS)
     assert progress.load(str(tmp_path)).items == (BEGUN,)
     assert idle <= 1
     disk.items = []
-    disk.time.advance(5 * progress.SAVE_MS)
+    disk.time.jump(5 * progress.SAVE_MS)
     assert progress.load(str(tmp_path)).items == ()
     assert disk.writes <= idle + 2
 
@@ -113,7 +113,7 @@
     half = "x" * (progress.MAX_CHARS // 2)
     disk.items = [BEGUN._replace(texts=(half,)), DONE._replace(texts=(half,)), DONE]
     Deferred.fromCoroutine(progress.save_regularly(disk.deps, 0))
-    disk.time.advance(progress.SAVE_MS)
+    disk.time.jump(progress.SAVE_MS)
     saved = progress.load(str(tmp_path)).items
     assert [item.end for item in saved] == [ItemOutcome.DONE, ItemOutcome.DONE]
 
@@ -121,10 +121,10 @@
 def test_a_failing_disk_is_logged_once(tmp_path: Path) -> None:
     disk = Disk(str(tmp_path / "none"))
     disk.items = [BEGUN]
-    logs = LogCatcher()
+    logs = LogCapture()
     with logs.applicationbound():
         Deferred.fromCoroutine(progress.save_regularly(disk.deps, 0))
-        disk.time.elapse(10 * progress.SAVE_MS)
+        disk.time.run_for(10 * progress.SAVE_MS)
     assert len(logs.fields(events.PROGRESS_NOT_SAVED)) == 1
 
 
@@ -132,7 +132,7 @@
     disk = Disk(folder_of(tmp_path, 1))
     disk.hangs = True
     begun = StartedCoroutine(progress.load_with_timeout(disk.deps))
-    disk.time.advance(progress.LOAD_MS + 1)
+    disk.time.jump(progress.LOAD_MS + 1)
     assert begun.end() == progress.EMPTY_SNAPSHOT
 
 
@@ -150,12 +150,12 @@
     disk = Disk(str(tmp_path))
     Deferred.fromCoroutine(progress.save_regularly(disk.deps, 4))
     disk.losses = [ReplicaLoss("w", "r", 0)]
-    disk.time.advance(progress.SAVE_MS)
+    disk.time.jump(progress.SAVE_MS)
     assert progress.load(str(tmp_path)).losses == (ReplicaLoss("w", "r", 0),)
     written = disk.writes
     # Only the age of the losses changes, which causes no write.
     disk.losses = [ReplicaLoss("w", "r", 5_000)]
-    disk.time.advance(3 * progress.SAVE_MS)
+    disk.time.jump(3 * progress.SAVE_MS)
     assert disk.writes == written
 
 
--- a/tests/test_jobs_runner.py
+++ b/tests/test_jobs_runner.py
@@ -68,13 +68,13 @@
     world = RunnerWorld()
     world.make_store_unavailable()
     world.runner.on_stored_locally(JOB, world.record("a"))
-    world.time.advance(200)
+    world.time.jump(200)
     assert sorted(world.sent) == ["a"]
     world.finish("a")
-    world.time.advance(1_000)
+    world.time.jump(1_000)
     world.make_store_available()
     world.memory.put(job_key(JOB), encode(world.record("a")))
-    world.time.advance(2_000)
+    world.time.jump(2_000)
     assert world.listed(0) == ["a"]
     assert world.runner.owns_closed(JOB)
 
@@ -83,13 +83,13 @@
     world = RunnerWorld()
     world.make_store_unavailable()
     world.runner.on_stored_locally(JOB, world.record("a", "b"))
-    world.time.advance(200)
+    world.time.jump(200)
     world.finish("a")
     world.make_store_available()
     world.memory.put(group_key(JOB, 0), encode(group("a")))
-    world.time.advance(2_000)
+    world.time.jump(2_000)
     world.finish("b")
-    world.time.advance(2_000)
+    world.time.jump(2_000)
     assert (world.listed(0), world.listed(1)) == (["a"], ["b"])
 
 
@@ -103,10 +103,10 @@
     early = early._replace(accepted_ms=early.accepted_ms - step_ms)
     world.memory.put(job_key(JOB), encode(early))
     world.runner.on_change(Change(job_key(JOB), 1, False, encode(early)))
-    world.time.advance(TimedRoute.give_up_ms - 1_000)
+    world.time.jump(TimedRoute.give_up_ms - 1_000)
     assert group_key(JOB, 0) not in world.memory.objects
     for _ in range(4):
-        world.time.advance(1_000)
+        world.time.jump(1_000)
     assert world.listed(0) == ["a"]
 
 
@@ -116,7 +116,7 @@
     ended = encode(world.record("a")._replace(ended=True))
     world.runner.on_change(Change(job_key(JOB), 1, False, ended))
     world.runner.on_stored_locally(JOB, world.record("a"))
-    world.time.advance(500)
+    world.time.jump(500)
     assert world.sent == {}
 
 
@@ -124,9 +124,9 @@
     # Guards against writing texts of jobs deleted long ago to the disk every second.
     world = RunnerWorld()
     world.runner.restore_progress([ItemProgress("gone", "a", 7, ("x",), 400, 0)])
-    world.time.advance(SAVED_PROGRESS_KEPT_MS - 1)
+    world.time.jump(SAVED_PROGRESS_KEPT_MS - 1)
     assert len(world.runner.progress()) == 1
-    world.time.advance(1)
+    world.time.jump(1)
     assert world.runner.progress() == []
 
 
@@ -136,7 +136,7 @@
     world.runner.restore_progress([ItemProgress(JOB, "a", 7, ("x",) * 8, 400, 0)])
     world.memory.put(job_key(JOB), encode(world.record("a")))
     world.runner.on_change(Change(job_key(JOB), 1, False, encode(world.record("a"))))
-    world.time.advance(500)
+    world.time.jump(500)
     assert "a" in world.sent
     assert world.runner._owned[JOB].items["a"].last_event == 7
     assert [item.last_event for item in world.runner.progress()] == [7]
--- a/tests/test_jobs_runs.py
+++ b/tests/test_jobs_runs.py
@@ -78,7 +78,7 @@
     world.job("j", 3 * USABLE_SLOTS, FAR_MS)
     for _ in range(20):
         world.pump()
-        world.time.advance(RETRY_DELAY_MS)
+        world.time.jump(RETRY_DELAY_MS)
     assert len(world.sent) == 3 * USABLE_SLOTS
     assert world.sends <= 3 * USABLE_SLOTS + CONSECUTIVE_FAILURES
 
@@ -91,5 +91,5 @@
     world.job("j", USABLE_SLOTS, FAR_MS)
     for _ in range(8):
         world.pump()
-        world.time.advance(RETRY_DELAY_MS)
+        world.time.jump(RETRY_DELAY_MS)
     assert len(world.sent) == USABLE_SLOTS
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -99,7 +99,7 @@
     budget = Budget()
     tracker = OutageTracker(time.clock, cast(Any, budget))
     assert (tracker.last_return_ms(), tracker.ms_since_return()) == (0, NO_OUTAGE)
-    time.advance(5_000)
+    time.jump(5_000)
     now = time.clock.now()
     tracker.on_reported(1_000)
     assert (tracker.last_return_ms(), tracker.ms_since_return()) == (now - 1_000, 1_000)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -191,7 +191,7 @@
     late = timers.callLater(2, lambda: ran.append("cancelled"))
     timers.callLater(3, lambda: ran.append("check"))
     timers.pause()
-    fake.advance(10_000)
+    fake.jump(10_000)
     assert ran == []
     assert late.active()
     late.cancel()
--- a/tests/test_local_job_store.py
+++ b/tests/test_local_job_store.py
@@ -166,10 +166,10 @@
     keepers.make_store_unavailable()
     kept = begin(keepers.vaults["k0"].store(LocalJob(JOB, value())))
     assert (kept.end(), keepers.held) == (True, [JOB])
-    keepers.time.advance(5_000)
+    keepers.time.jump(5_000)
     assert keepers.memory.objects == {}
     keepers.make_store_available()
-    keepers.time.advance(1_000)
+    keepers.time.jump(1_000)
     assert keepers.memory.objects[job_key(JOB)][1] == value()
     assert (keepers.pending(), keepers.files()) == (0, 0)
 
@@ -180,7 +180,7 @@
     keepers.stop("k0")
     keepers.make_store_available()
     keepers.start("k0")
-    keepers.time.advance(1_000)
+    keepers.time.jump(1_000)
     assert job_key(JOB) in keepers.memory.objects
 
 
@@ -194,12 +194,12 @@
     keepers.stop("k0")
     assert job_files.write(keepers.folders["k0"].name, LocalJob(JOB, value())) == Ok(None)
     keepers.start("k0")
-    keepers.time.advance(5_000)
+    keepers.time.jump(5_000)
     assert (keepers.held, keepers.pending()) == ([], 1)
     done = encode(record("a")._replace(ended=True))
     keepers.memory.put(job_key(JOB), done)
     keepers.make_store_available()
-    keepers.time.advance(1_000)
+    keepers.time.jump(1_000)
     assert keepers.memory.objects[job_key(JOB)][1] == done
     assert (keepers.held, keepers.pending(), keepers.files()) == ([], 0, 0)
 
@@ -209,7 +209,7 @@
     ended = encode(record("a")._replace(ended=True))
     keepers.memory.put(job_key(JOB), ended)
     assert begin(keepers.vaults["k0"].store(LocalJob(JOB, value()))).end() is True
-    keepers.time.advance(1_000)
+    keepers.time.jump(1_000)
     assert keepers.memory.objects[job_key(JOB)][1] == ended
     assert keepers.files() == 0
 
@@ -217,9 +217,9 @@
 def test_a_job_whose_results_may_be_deleted_is_not_created_again(keepers: Keepers) -> None:
     keepers.make_store_unavailable()
     begin(keepers.vaults["k0"].store(LocalJob(JOB, value())))
-    keepers.time.advance(KEEP_S * 1_000 + 5_000)
+    keepers.time.jump(KEEP_S * 1_000 + 5_000)
     keepers.make_store_available()
-    keepers.time.advance(5_000)
+    keepers.time.jump(5_000)
     assert keepers.memory.objects == {}
     assert keepers.files() == 0
 
@@ -249,7 +249,7 @@
 def submitted(keepers: Keepers, desk: JobService, job_id: str = JOB) -> Result[None, Any]:
     due_ms = keepers.time.clock.now() + 3_000
     begun = begin(desk.submit(job_id, "h.example", "/jobs/j", (item("a"),), due_ms, 400))
-    keepers.time.advance(3_500)
+    keepers.time.jump(3_500)
     ended: Result[None, Any] = begun.end()
     return ended
 
@@ -344,7 +344,7 @@
         for name in self.keepers.folders:
             if name not in self.keepers.vaults:
                 self.keepers.start(name)
-        self.keepers.time.advance(LONG_MS)
+        self.keepers.time.jump(LONG_MS)
         assert self.keepers.pending() == 0
         self.lost_disks = 0
 
@@ -372,7 +372,7 @@
         job_id = sorted(self.accepted)[pick % len(self.accepted)]
         due_ms = self.keepers.time.clock.now() + 1_000
         ended = begin(self.desk.end(job_id, due_ms))
-        self.keepers.time.advance(2_000)
+        self.keepers.time.jump(2_000)
         if isinstance(ended.end(), Ok):
             self.ended.add(job_id)
 
--- a/tests/test_loss_news.py
+++ b/tests/test_loss_news.py
@@ -105,7 +105,7 @@
 def lose_at(net: Net, nodes: list[Node]) -> None:
     for number in range(MAX_LOSSES):
         nodes[number % len(nodes)].lose(f"r{number}")
-    net.time.advance(COLLECT_MS)
+    net.time.jump(COLLECT_MS)
 
 
 def test_all_instances_of_a_small_fleet_know_all_losses() -> None:
@@ -121,7 +121,7 @@
     nodes = net.start("a", "b")
     for number in range(8):
         nodes[0].lose("r", f"w{number}")
-    net.time.advance(COLLECT_MS)
+    net.time.jump(COLLECT_MS)
     assert net.sent["LossesTold"] == 1
     assert len(nodes[1].watch.snapshot()) == 8
 
@@ -133,7 +133,7 @@
     one.lose("r0")
     at = Replica("r1", "lm", "h", 1, "dc")
     one.watch.on_send_finished("r", lambda: "w", at, Ok(None), 0)
-    net.time.advance(COLLECT_MS + RESEND_MS)
+    net.time.jump(COLLECT_MS + RESEND_MS)
     assert not other.watch.snapshot()
 
 
@@ -143,12 +143,12 @@
     one, other = net.start("a", "b")
     net.drop_messages = True
     one.lose("r0")
-    net.time.advance(COLLECT_MS)
+    net.time.jump(COLLECT_MS)
     net.drop_messages = False
     assert not other.watch.snapshot()
-    net.time.advance(RESEND_MS)
+    net.time.jump(RESEND_MS)
     assert other.watch.snapshot()
-    net.time.advance(10 * RESEND_MS)
+    net.time.jump(10 * RESEND_MS)
     assert net.sent["LossesTold"] == 2
 
 
@@ -160,7 +160,7 @@
     one.changed()
     other.changed()
     one.lose("r0")
-    net.time.advance(COLLECT_MS + RESEND_MS)
+    net.time.jump(COLLECT_MS + RESEND_MS)
     net.partition = set()
     other.changed()
     assert other.watch.snapshot()
@@ -172,7 +172,7 @@
     hubs = net.start("h1", "h2")
     entries = net.start(*(f"e{number}" for number in range(10)))
     entries[0].lose("r0")
-    net.time.advance(COLLECT_MS)
+    net.time.jump(COLLECT_MS)
     assert net.sent["LossesTold"] == len(hubs)
     lose_at(net, entries)
     assert all(node.refuses() for node in entries + hubs)
@@ -203,7 +203,7 @@
     net = Net(hubs=("h1", "h2"))
     h1, _h2, h3, e1 = net.start("h1", "h2", "h3", "e1")
     e1.lose("r0")
-    net.time.advance(COLLECT_MS)
+    net.time.jump(COLLECT_MS)
     assert not h3.watch.snapshot()
     del net.nodes["h2"]
     net.hubs = ("h1", "h3")
@@ -215,10 +215,10 @@
     net = Net()
     one, other = net.start("a", "b")
     one.lose("r0")
-    net.time.advance(COLLECT_MS)
+    net.time.jump(COLLECT_MS)
     at = Replica("r1", "lm", "h", 1, "dc")
     other.watch.on_send_finished("r", lambda: "w", at, Ok(None), 0)
-    net.time.advance(COLLECT_MS)
+    net.time.jump(COLLECT_MS)
     assert one.watch.snapshot() == other.watch.snapshot() == []
 
 
@@ -260,7 +260,7 @@
     (second,) = net.start("b")
     assert second.exchange.has_known_losses()
     second.lose("r0")
-    net.time.advance(COLLECT_MS)
+    net.time.jump(COLLECT_MS)
     (third,) = net.start("c")
     assert third.exchange.has_known_losses()
     assert third.watch.snapshot()
@@ -276,7 +276,7 @@
     """Lose as many replicas at one instance at once as quarantine a fingerprint."""
     for number in range(MAX_LOSSES):
         node.lose(f"r{number}")
-    net.time.advance(COLLECT_MS + RESEND_MS)
+    net.time.jump(COLLECT_MS + RESEND_MS)
 
 
 @pytest.mark.parametrize("hubs", [(), ("h1", "h2")])
@@ -344,9 +344,9 @@
     nodes = net.start("a", "b")
     answer(nodes[0])
     for _ in range(4):
-        net.time.advance(ANSWERED_RECENTLY_MS // 2 + 1)
+        net.time.jump(ANSWERED_RECENTLY_MS // 2 + 1)
         nodes[1].lose("r0", "w")
-        net.time.advance(COLLECT_MS)
+        net.time.jump(COLLECT_MS)
         for node in nodes:
             at = Replica("r0", "lm", "h", 1, "dc")
             node.watch.on_send_finished("r", lambda: "other", at, Ok(None), net.time.clock.now())
@@ -364,8 +364,8 @@
     net.partition = {"e1"}
     for number in range(MAX_LOSSES):
         net.nodes["e3"].lose(f"r{number}")
-    net.time.advance(COLLECT_MS)
+    net.time.jump(COLLECT_MS)
     assert net.nodes["e2"].refuses()
     net.partition = set()
-    net.time.advance(RESEND_MS)
+    net.time.jump(RESEND_MS)
     assert [node.name for node in nodes if node.refuses()] == []
--- a/tests/test_lost_keepers.py
+++ b/tests/test_lost_keepers.py
@@ -92,7 +92,7 @@
     ]:
         world = World(me, vouched)
         for _ in range(8):
-            world.time.advance(1_000)
+            world.time.jump(1_000)
         assert world.lost() == written
         assert world.registered_again == written
 
@@ -101,7 +101,7 @@
     """Guard against a keeper that stays marked as lost after it has registered again."""
     world = World("k1", {"k1", "k2"})
     for _ in range(8):
-        world.time.advance(1_000)
+        world.time.jump(1_000)
     assert world.lost() == ["k3"]
     record = NodeRecord(Role.KEEPER, "h", 1, "dc", "r")
     world.memory.put(NODES_PREFIX + "k3", msgspec.json.encode(record))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -19,7 +19,7 @@
     MembersFile,
 )
 from tests.fake_store import FakePlatform
-from tests.log_catcher import LogCatcher
+from tests.log_capture import LogCapture
 
 HOST = "127.0.0.1"
 
@@ -50,7 +50,7 @@
 class TestExchange:
     def setup_method(self) -> None:
         self.time = fake_clock()
-        self.time.advance(60_000)
+        self.time.jump(60_000)
         self.responder, self.requester = Side(self.time), Side(self.time)
 
     def members(self, count: int) -> list[Member]:
@@ -77,7 +77,7 @@
             self.requester.exchange.on_peer("a", part)
         assert self.requester.ids() == []
         assert self.answer() == []
-        self.time.advance(RETRY_MS)
+        self.time.jump(RETRY_MS)
         for part in self.answer():
             self.requester.exchange.on_peer("a", part)
         assert len(self.requester.ids()) == 6_000
@@ -88,14 +88,14 @@
         self.responder.follower.use_list(self.members(1), now - 5_000)
         self.requester.follower.use_list(self.members(2), now - 4_000)
         assert [part.members for part in self.answer()] == [[]]
-        self.time.advance(RETRY_MS)
+        self.time.jump(RETRY_MS)
         self.responder.follower.use_list(self.members(1), now - 3_000)
         (reply,) = self.answer()
         self.requester.exchange.on_peer("stranger", reply)
         assert self.requester.ids() == ["lm-0", "lm-1"]
         self.requester.exchange.on_peer("a", reply)
         assert self.requester.ids() == ["lm-0"]
-        self.time.advance(RETRY_MS)
+        self.time.jump(RETRY_MS)
         self.responder.follower.use_list(self.members(1), now)
         assert [part.members for part in self.answer()] == [[]], "the same list again"
 
@@ -103,7 +103,7 @@
         self.responder.follower.use_list(self.members(3), self.time.clock.now())
         (reply,) = self.answer()
         self.requester.follower.start()
-        self.time.advance(1_000)
+        self.time.jump(1_000)
         assert (self.requester.follower.last_read_ms is not None, self.requester.ids()) == (
             True,
             [],
@@ -111,7 +111,7 @@
         self.requester.exchange.on_peer("a", reply)
         assert not self.requester.follower.use_list(self.members(3), self.time.clock.now())
         assert self.requester.ids() == []
-        self.time.advance(RETRY_MS)
+        self.time.jump(RETRY_MS)
         assert self.answer() == []
         self.requester.follower.stop()
 
@@ -126,14 +126,14 @@
             written = fake_clock(2_000_000)
             keeper = MembersFile(folder, written.clock, lambda: listed)
             keeper.save_soon()
-            written.advance(SAVE_DELAY_MS)
+            written.jump(SAVE_DELAY_MS)
             now = fake_clock(wall_ms + (SAVE_DELAY_MS + 1_000 if age_ms < MAX_AGE_MS else 0))
             copy = MembersFile(folder, now.clock, lambda: listed).load()
             assert copy == AgedMembers(listed.members, age_ms)
 
 
 def test_unusable_folder_emits_an_event() -> None:
-    with tempfile.TemporaryDirectory() as folder, LogCatcher() as logs:
+    with tempfile.TemporaryDirectory() as folder, LogCapture() as logs:
         time = fake_clock()
         keeper = MembersFile(folder, time.clock, lambda: AgedMembers([], 0))
         assert keeper.load() is None
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -192,11 +192,11 @@
     process watched the store itself there would be 84 calls for each change.
     """
     fleet = Fleet(hubs=13, entries=71)
-    fleet.time.advance(3_100)
+    fleet.time.jump(3_100)
     fleet.platform.calls.clear()
     for number in range(100):
         fleet.write(f"r{number}")
-        fleet.time.advance(200)
+        fleet.time.jump(200)
         assert fleet.all_received(f"r{number}")
     assert fleet.platform.calls["watch"] <= WATCHER_COUNT * 110
     assert fleet.platform.calls["list"] <= WATCHER_COUNT * 3
@@ -225,7 +225,7 @@
     )
     store = with_hub_mirrors(platform.store("entry"), deps, StoreSource())
     Deferred.fromCoroutine(cast(Any, store.watch(PREFIX, 0, 1_000)))
-    time.elapse(MAX_HUB_WAIT_MS + POLL_MS)
+    time.run_for(MAX_HUB_WAIT_MS + POLL_MS)
     assert (requesters, platform.calls["watch"]) == (["entry"], 0) if known_ms < 1_000 else ([], 1)
 
 
@@ -247,10 +247,10 @@
     store = with_hub_mirrors(platform.store("entry"), deps, StoreSource(), wait_for_watcher=True)
     listings: list[Any] = []
     Deferred.fromCoroutine(cast(Any, store.list(PREFIX, "", 100))).addCallback(listings.append)
-    time.elapse(500)
+    time.run_for(500)
     mirror.on_change(Change(f"{PREFIX}a", 7, False, b"v"))
     mirror.on_reached(7, True)
-    time.elapse(LIST_RETRY_MS + 50)
+    time.run_for(LIST_RETRY_MS + 50)
     assert platform.calls["list"] == calls
     assert len(listings) == 1
 
@@ -272,7 +272,7 @@
     """Guard against use of hubs in a fleet that is small enough for a full mesh."""
     fleet = Fleet(hubs=3, entries=2)
     fleet.net.full_mesh = True
-    fleet.time.advance(6_500)
+    fleet.time.jump(6_500)
     fleet.platform.calls.clear()
     fleet.write("a")
     assert fleet.all_received("a")
@@ -287,15 +287,15 @@
     wait for the hub's answer until the request times out.
     """
     fleet = Fleet(hubs=3, entries=8)
-    fleet.time.advance(3_100)
+    fleet.time.jump(3_100)
     frozen, *_ = watchers(fleet.hubs)
     fleet.net.frozen.add(frozen)
     for name, node in fleet.net.nodes.items():
         if name != frozen:
             node.lose_peer(frozen)
-    fleet.time.advance(200)
+    fleet.time.jump(200)
     fleet.write("a")
-    fleet.time.advance(10)
+    fleet.time.jump(10)
     assert all(PREFIX + "a" in known for name, known in fleet.known.items() if name != frozen)
     fleet.close()
 
@@ -306,11 +306,11 @@
     The hub that it uses is disconnected from the store and must not answer from its old copy.
     """
     fleet = Fleet(hubs=3, entries=8)
-    fleet.time.advance(3_100)
+    fleet.time.jump(3_100)
     fleet.platform.cut = set(watchers(fleet.hubs))
-    fleet.time.advance(3_100)
+    fleet.time.jump(3_100)
     fleet.write("a")
-    fleet.time.advance(3_500)
+    fleet.time.jump(3_500)
     entries = [known for name, known in fleet.known.items() if name.startswith("entry")]
     assert all(PREFIX + "a" in known for known in entries)
     fleet.close()
@@ -391,7 +391,7 @@
     world = MirrorWorld()
     world.change(5, 6)
     if reason == "old":
-        world.time.advance(LASTING_MS + 1)
+        world.time.jump(LASTING_MS + 1)
     else:
         world.mirror.on_reached(None if reason == "lost" else 7, reason == "lost")
     assert world.watch(6) == Err(StoreError.UNAVAILABLE)
@@ -450,7 +450,7 @@
     fleet = Fleet(hubs=1, entries=1)
     node = fleet.net.nodes["hub-0"]
     node._handlers = [lambda peer, request: _reply_with_return_time(node, peer, request)]
-    fleet.time.advance(3_100)
+    fleet.time.jump(3_100)
     assert fleet.reported_returns
     assert set(fleet.reported_returns) == {70}
     fleet.close()
--- a/tests/test_node_allowances.py
+++ b/tests/test_node_allowances.py
@@ -43,7 +43,7 @@
         self.requested.append(peer)
         if peer in self.replies:
             return Ok(self.replies[peer])
-        self.time.elapse(timeout_ms)
+        self.time.run_for(timeout_ms)
         return Err(PeerError.TIMEOUT)
 
 
@@ -129,7 +129,7 @@
     for _ in range(3):
         Deferred.fromCoroutine(cast(Any, allow(TEAM, False)))
     assert hub.requested == [FIRST, SECOND, SECOND, SECOND]
-    hub.time.elapse(SKIP_SILENT_MS + 1)
+    hub.time.run_for(SKIP_SILENT_MS + 1)
     Deferred.fromCoroutine(cast(Any, allow(TEAM, False)))
     assert hub.requested[-2:] == [FIRST, SECOND]
     assert hub.time.clock.now() <= SKIP_SILENT_MS + 1 + 2 * ANSWER_MS
@@ -184,7 +184,7 @@
         )
     )
     peers.handlers[AllowAsk]("e", AllowAsk(1, "yard", *requested))
-    time.advance(60_000)
+    time.jump(60_000)
     peers.sent.clear()
     for number in range(200):
         peers.handlers[AllowAsk]("e", AllowAsk(number, "yard", *requested))
--- a/tests/test_node_entry.py
+++ b/tests/test_node_entry.py
@@ -51,9 +51,9 @@
     have restarted. An entry that has just started does not know that the store was unreachable.
     """
     time = fake_clock()
-    time.advance(STARTED_MS - time.clock.now())
+    time.jump(STARTED_MS - time.clock.now())
     base = cast(Any, Base(time.clock, Outages(back)))
-    time.advance(after_ms)
+    time.jump(after_ms)
     assert _local_jobs_written(base, STARTED_MS) is expected
 
 
@@ -118,5 +118,5 @@
     waiting = _Readiness(base, cast(Any, None)).wait_until_routable()
     Deferred.fromCoroutine(cast(Any, waiting)).addCallback(finished.append)
     assert bool(finished) is not waits
-    time.advance(MAX_STARTUP_WAIT_MS)
+    time.jump(MAX_STARTUP_WAIT_MS)
     assert finished
--- a/tests/test_outage_start.py
+++ b/tests/test_outage_start.py
@@ -14,7 +14,7 @@
 from papayapier import events
 from papayapier.clock import Clock, Timers, real_clock
 from papayapier.compose import start_instance
-from papayapier.fleet_view import FleetView, Place, Policies
+from papayapier.fleet_view import FleetView, OwnInstance, ReplicaPolicies
 from papayapier.load.pausing import HeldTimer, PausableTimers
 from papayapier.metrics import make_metrics
 from papayapier.policy.batch_share import BatchShare
@@ -34,7 +34,7 @@
 from papayapier.standin.run import Fleet, FleetParams, run_fleet
 from papayapier.store.api import ENTRY, LIVE, REPLICA, Member
 from papayapier.store.members import MembersChanged
-from tests.log_catcher import LogCatcher
+from tests.log_capture import LogCapture
 
 if TYPE_CHECKING:
     from papayapier.instance import Instance
@@ -76,7 +76,7 @@
         self.rand = Random(5)
         self.running: dict[str, Instance] = {}
         self.timers: dict[str, InstanceTimers] = {}
-        self.logs = LogCatcher()
+        self.logs = LogCapture()
         self.logs.push_application()
         self.addCleanup(self.logs.pop_application)
         self.addCleanup(lambda: Deferred.fromCoroutine(self.close()))
@@ -117,7 +117,7 @@
         self.running[name] = started.ok_value
 
     async def crash(self, name: str) -> None:
-        await self.running.pop(name).kill()
+        await self.running.pop(name).crash()
         self.timers[name].end()
 
     async def get(self, name: str, path: str) -> tuple[int, str]:
@@ -152,7 +152,7 @@
         self.fleet.platform.control({"refuse_connections": on})
 
     def known(self, name: str, kind: str) -> set[str]:
-        known = self.running[name].parts.follower.known
+        known = self.running[name].components.follower.known
         return {member.id for member in known.values() if member.kind == kind}
 
     async def until_listed(self, name: str, *ids: str) -> None:
@@ -206,7 +206,8 @@
                 assert self.known(name, REPLICA) == replicas
             self.outage(False)
             while any(
-                instance.parts.follower.last_read_ms is None for instance in self.running.values()
+                instance.components.follower.last_read_ms is None
+                for instance in self.running.values()
             ):
                 await self.clock.sleep(10)
             assert await self.send_request("a") == 200
@@ -259,7 +260,7 @@
             await self.until_listed("a", "a", "b")
             await self.until_listed("b", "a", "b")
             while any(
-                instance.parts.hub.live() != ["a", "b"] for instance in self.running.values()
+                instance.components.hub.live() != ["a", "b"] for instance in self.running.values()
             ):
                 await self.clock.sleep(10)
             self.outage(True)
@@ -269,7 +270,7 @@
             for name, instance in self.running.items():
                 while self.known(name, ENTRY):
                     await self.clock.sleep(10)
-                assert instance.parts.hub.live() == ["a", "b"]
+                assert instance.components.hub.live() == ["a", "b"]
                 assert len(self.known(name, REPLICA)) == 3
             self.fleet.platform.control({"removed": []})
             await self.until_listed("a", "a", "b")
@@ -298,14 +299,14 @@
     are missing in the first list after an outage.
     """
     view = FleetView(
-        Place("a", "r", 32),
-        Policies(LoadTracker(), OutlierDetector(), BatchShare("a")),
+        OwnInstance("a", "r", 32),
+        ReplicaPolicies(LoadTracker(), OutlierDetector(), BatchShare("a")),
         make_metrics(),
     )
     record = Member("b", ENTRY, "", HOST, 1, 2, "dc-a", "local", LIVE)
-    view.on_members(MembersChanged([record], []))
-    view.on_peers(["a", "b"], [])
-    view.on_members(MembersChanged([], ["b"]))
+    view.on_members_changed(MembersChanged([record], []))
+    view.on_peers_changed(["a", "b"], [])
+    view.on_members_changed(MembersChanged([], ["b"]))
     assert view.live_entries() == ["a", "b"]
-    view.on_peers(["a"], ["b"])
+    view.on_peers_changed(["a"], ["b"])
     assert view.live_entries() == ["a"]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -95,7 +95,7 @@
     assert call() is None
     assert call() == "i-1"
     assert hub.requested[0] == first != hub.requested[1]
-    time.advance(SKIP_SILENT_MS)
+    time.jump(SKIP_SILENT_MS)
     hub.silent = set()
     assert call() == "i-1"
     assert hub.requested[-1] == first
@@ -112,9 +112,9 @@
     task = track_peer_calls(cast(Any, hub), load_tracker, time.clock)
     hub.deliver("entry-1", CallsTold((ReplicaUse("i-1", 2, 0),)))
     assert load_tracker.online_calls("i-1") == 2
-    time.advance(REPORT_TTL_MS - 1_000)
+    time.jump(REPORT_TTL_MS - 1_000)
     assert load_tracker.online_calls("i-1") == 2
-    time.advance(2_500)
+    time.jump(2_500)
     assert load_tracker.online_calls("i-1") == 0
     task.cancel()
 
@@ -173,12 +173,12 @@
     results: list[bool] = []
     check = is_registered(time.clock, nodes, "e", record, lambda: listed)
     Deferred.fromCoroutine(check).addCallback(results.append)
-    time.elapse(MAX_LIST_WAIT_MS - 50)
+    time.run_for(MAX_LIST_WAIT_MS - 50)
     assert results == []
     value = msgspec.json.encode(record._replace(lost=lost))
     nodes.on_change(Change(NODES_PREFIX + "e", 3, False, value))
     listed = True
-    time.elapse(50)
+    time.run_for(50)
     assert results == [not lost]
 
 
@@ -189,5 +189,5 @@
     record = NodeRecord(Role.ENTRY, "h", 1, "dc", "r")
     check = is_registered(time.clock, NodeList(lambda _members: None), "e", record, lambda: False)
     Deferred.fromCoroutine(check).addCallback(results.append)
-    time.elapse(MAX_LIST_WAIT_MS + 50)
+    time.run_for(MAX_LIST_WAIT_MS + 50)
     assert results == [False]
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -113,7 +113,7 @@
             "entry", (ReplicaUse("r0", calls, 0),), self.time.clock.now()
         )
         self.placers[hub].on_calls()
-        self.time.advance(20)
+        self.time.jump(20)
 
 
 class Endpoint:
@@ -181,7 +181,7 @@
     """Take all slots of the first replica."""
     assert [wires.call().replica for _ in range(SLOTS)] == ["r0"] * SLOTS
     for hub in HUBS:
-        wires.time.advance(20)
+        wires.time.jump(20)
         wires.report_calls(hub, SLOTS)
 
 
@@ -202,7 +202,7 @@
     fill(wires)
     call = wires.call()
     assert call.replica is None
-    wires.time.advance(ANSWER_MS * 3)
+    wires.time.jump(ANSWER_MS * 3)
     assert call.replica is None
     wires.report_calls(FIRST, SLOTS - 1)
     assert call.replica == "r0"
@@ -245,11 +245,11 @@
     fill(wires)
     before = len(wires.sent)
     call = wires.call()
-    wires.time.advance(NOTIFY_AFTER_MS // 3)
+    wires.time.jump(NOTIFY_AFTER_MS // 3)
     wires.load_trackers[FIRST].on_peer_calls("entry", (), wires.time.clock.now())
     wires.placers[FIRST].on_calls()
     for _ in range(CHECK_DELAY_MS):
-        wires.time.advance(1)
+        wires.time.jump(1)
     assert call.replica == "r0"
     assert len(wires.sent) - before == 2
 
@@ -264,9 +264,9 @@
     for _ in range(12):
         before = count_sent(wires, PlaceTell)
         call = wires.call()
-        wires.time.advance(ANSWER_MS // 2)
+        wires.time.jump(ANSWER_MS // 2)
         assert count_sent(wires, PlaceTell) > before
-        wires.time.advance(3)
+        wires.time.jump(3)
         assert call.results == []
     assert count_sent(wires, PlaceAsk, SECOND) == 0
 
@@ -276,9 +276,9 @@
     wires = Wires()
     fill(wires)
     call = wires.call()
-    wires.time.advance(ANSWER_MS * 2)
+    wires.time.jump(ANSWER_MS * 2)
     wires.cut.add(FIRST)
-    wires.time.advance(MIN_NOTIFY_INTERVAL_MS + 2 * ANSWER_MS)
+    wires.time.jump(MIN_NOTIFY_INTERVAL_MS + 2 * ANSWER_MS)
     assert call.replica is None
     assert any(to == SECOND and isinstance(message, PlaceAsk) for _, to, message in wires.sent)
     wires.report_calls(SECOND, SLOTS - 1)
@@ -290,7 +290,7 @@
     wires = Wires()
     wires.cut.add(FIRST)
     call = wires.call()
-    wires.time.advance(ANSWER_MS)
+    wires.time.jump(ANSWER_MS)
     assert call.results == [Placement()]
 
 
@@ -300,7 +300,7 @@
     assert [wires.call().replica for _ in range(SLOTS)] == ["r0"] * SLOTS
     waiting = wires.call()
     assert waiting.replica is None
-    wires.time.advance(20)
+    wires.time.jump(20)
     wires.report_calls(FIRST, 0)
     assert waiting.replica == "r0"
 
@@ -310,7 +310,7 @@
     wires = Wires()
     fill(wires)
     departed, remaining = wires.call(), wires.call()
-    wires.time.advance(ANSWER_MS)
+    wires.time.jump(ANSWER_MS)
     departed.task.cancel()
     assert count_sent(wires, PlaceLeft, FIRST) == 1
     wires.report_calls(FIRST, SLOTS - 1)
@@ -340,7 +340,7 @@
     assert waiting.replica is None
     wires.load_trackers[FIRST].on_peer_departed("entry")
     wires.placers[FIRST].on_calls()
-    wires.time.advance(20)
+    wires.time.jump(20)
     assert waiting.replica == "r0"
 
 
@@ -352,7 +352,7 @@
     request = PlaceAsk(77, "lm/0", "", "dc", (), "team", 0, 300, 5_000, 0)
     wires.endpoints[FIRST].deliver("entry", request)
     assert wires.load_trackers[FIRST].online_calls("r0") == SLOTS
-    wires.time.advance(20)
+    wires.time.jump(20)
     wires.report_calls(FIRST, SLOTS - 1)
     assert wires.load_trackers[FIRST].online_calls("r0") == SLOTS - 1
 
@@ -382,11 +382,11 @@
     wires = Wires()
     fill(wires)
     calls = [wires.call() for _ in range(5)]
-    wires.time.advance(ANSWER_MS * 2)
+    wires.time.jump(ANSWER_MS * 2)
     wires.placers[FIRST].leave()
     # Until its heartbeat arrives, it still gets requests.
     calls += [wires.call() for _ in range(5)]
-    wires.time.advance(ANSWER_MS * 2)
+    wires.time.jump(ANSWER_MS * 2)
     assert [call.replica for call in calls] == [None] * 10
     assert (wires.placers[FIRST].waiting(), wires.placers[SECOND].waiting()) == (0, 10)
     wires.report_calls(SECOND, SLOTS - 1)
@@ -399,9 +399,9 @@
     fill(wires)
     wires.cut.add(SECOND)
     call = wires.call()
-    wires.time.advance(ANSWER_MS * 2)
+    wires.time.jump(ANSWER_MS * 2)
     wires.placers[FIRST].leave()
-    wires.time.advance(ANSWER_MS)
+    wires.time.jump(ANSWER_MS)
     assert call.results == [Placement()]
 
 
@@ -475,7 +475,7 @@
     late = PlacementNeeds("", 0, 19_000, 19_000, 0)
     for number in range(2_000 + 64 * SLOTS):
         hub.deliver("entry", make_request(number, late._replace(caller=f"t{number % 80}")))
-    wires.time.advance(3_000)
+    wires.time.jump(3_000)
     wires.sent.clear()
     spent: list[float] = []
     for step in range(200):
@@ -488,7 +488,7 @@
             hub.deliver(
                 "entry", make_request(9_000 + 3 * step + part, late._replace(caller="calm"))
             )
-        wires.time.advance(5)
+        wires.time.jump(5)
         spent.append((time.process_time() - began) / 3)
     spent.sort()
     assert count_sent(wires, PlaceTell) > 0
