--- a/tests/test_replica_list.py
+++ b/tests/test_replica_list.py
@@ -14,7 +14,7 @@
 from papayapier.policy.outliers import OutlierDetector
 from papayapier.store.api import Change
 from papayapier.upstream.api import Replica
-from tests.log_catcher import LogCatcher
+from tests.log_capture import LogCapture
 
 
 def read(replica_id: str, value: bytes) -> Result[ListedReplica, str]:
@@ -71,14 +71,14 @@
     replicas, which were live throughout, register again within two seconds.
     """
     world = World()
-    world.time.advance(10_000)
+    world.time.jump(10_000)
     world.back_ms = world.time.clock.now()
     world.remove("a")
     world.remove("b")
     assert world.names() == ["a", "b"]
-    world.time.advance(500)
+    world.time.jump(500)
     world.change("a", b"ready")
-    world.time.advance(ENTRIES_BACK_MS)
+    world.time.jump(ENTRIES_BACK_MS)
     assert world.names() == ["a"]
 
 
@@ -86,7 +86,7 @@
     """Guard against deferring a removal that has nothing to do with an outage."""
     world = World()
     world.back_ms = world.time.clock.now()
-    world.time.advance(ENTRIES_BACK_MS + 1)
+    world.time.jump(ENTRIES_BACK_MS + 1)
     world.remove("a")
     assert world.names() == ["b"]
 
@@ -111,7 +111,7 @@
     in use while the new one stands.
     """
     world = World()
-    logs = LogCatcher()
+    logs = LogCapture()
     with logs.applicationbound():
         world.change("a", b"bad")
     assert world.names() == ["b"]
@@ -177,20 +177,20 @@
         lambda call: time.clock.call_later(0, call),
     )
     listed = ReplicaList(deps)
-    logs = LogCatcher()
+    logs = LogCapture()
     with logs.applicationbound():
         for number in range(3_000):
             listed.on_change(Change(f"s/i-{number}", number + 1, False, b"ready"))
-        time.elapse(1)
+        time.run_for(1)
         assert [len(entries) for entries in reported] == [3_000]
         assert logs.fields(events.REPLICAS_ADDED) == [{"count": 3_000}]
         assert not logs.fields(events.REPLICA_ADDED)
         # An entry that is written again without a change is not reported.
         listed.on_change(Change("s/i-7", 4_000, False, b"ready"))
-        time.elapse(1)
+        time.run_for(1)
         assert len(reported) == 1
         listed.on_change(Change("s/i-7", 4_001, False, b"leaving"))
-        time.elapse(1)
+        time.run_for(1)
         assert len(reported) == 2
 
 
@@ -231,6 +231,6 @@
     listed = ReplicaList(deps)
     listed.on_change(Change("s/a", 1, False, b"ready"))
     assert (listed.listed(), reported) == ([], [])
-    time.elapse(1)
+    time.run_for(1)
     assert listed.listed() == reported[-1]
     assert len(reported[-1]) == 1
--- a/tests/test_send_windows.py
+++ b/tests/test_send_windows.py
@@ -177,7 +177,7 @@
     world.start_request(idempotent=True, body=FREQUENT, due_ms=due_ms)
     waited_ms = 0
     while not world.sends:
-        world.time.advance(STEP_MS)
+        world.time.jump(STEP_MS)
         waited_ms += STEP_MS
     assert WINDOW_MS <= waited_ms <= 2 * WINDOW_MS or waited_ms == due_ms // 2
 
@@ -219,7 +219,7 @@
 
     def step(self) -> None:
         """Answer frequent requests that have run, and end the replicas of crashing ones."""
-        self.time.advance(STEP_MS)
+        self.time.jump(STEP_MS)
         now = self.time.clock.now()
         for send in [send for entry in self.entries for send in entry.sends]:
             began = self._seen.setdefault(id(send), now)
--- a/tests/test_standin_link.py
+++ b/tests/test_standin_link.py
@@ -25,14 +25,14 @@
     for number in range(100):
         link.deliver(arrived.append, number)
     assert len(fake.source.getDelayedCalls()) == 1
-    fake.advance(0)
+    fake.jump(0)
     assert len(fake.source.getDelayedCalls()) == 1
-    fake.advance(DELAY_MS - 1)
+    fake.jump(DELAY_MS - 1)
     link.deliver(arrived.append, 100)
     assert arrived == []
-    fake.advance(1)
+    fake.jump(1)
     assert arrived == list(range(100))
-    fake.advance(DELAY_MS)
+    fake.jump(DELAY_MS)
     assert arrived == list(range(101))
     assert fake.source.getDelayedCalls() == []
 
@@ -52,8 +52,8 @@
     arrived: list[int] = []
     link.deliver(arrived.remove, 1)
     link.deliver(arrived.append, 2)
-    fake.advance(0)
-    fake.advance(DELAY_MS)
+    fake.jump(0)
+    fake.jump(DELAY_MS)
     assert arrived == [2]
 
 
@@ -78,7 +78,7 @@
         """Advance the clock until a call has finished."""
         done = call if isinstance(call, Deferred) else self.start_call(call)
         while not done.called:
-            self.fake.advance(1)
+            self.fake.jump(1)
             await self.clock.sleep(1)
         return await done
 
@@ -136,6 +136,6 @@
         await self.wait_until(self.in_flight)
         await self.abandon(abandoned)
         while not self.server.counts().calls:
-            self.fake.advance(1)
+            self.fake.jump(1)
             await self.clock.sleep(1)
         assert self.server.counts().calls == {"r": 1}
--- a/tests/test_standin_models.py
+++ b/tests/test_standin_models.py
@@ -93,18 +93,18 @@
     instances = InstanceList(fake.clock, lambda: 500, lambda: revisions.append(instances.revision))
     instances.report(make_member("one"))
     instances.report(make_member("two", static=True))
-    fake.advance(499)
+    fake.jump(499)
     assert instances.listed() == []
-    fake.advance(1)
+    fake.jump(1)
     assert [member.id for member in instances.listed()] == ["one", "two"]
     instances.report(make_member("one"))
     assert len(revisions) == 2
-    fake.advance(EXPIRY_MS)
+    fake.jump(EXPIRY_MS)
     assert [member.id for member in instances.listed()] == ["one", "two"]
-    fake.advance(500)
+    fake.jump(500)
     assert [member.id for member in instances.listed()] == ["two"]
     instances.withdraw("two")
-    fake.advance(500)
+    fake.jump(500)
     assert instances.listed() == []
 
 
@@ -117,10 +117,10 @@
     instances = InstanceList(fake.clock, lambda: 0, lambda: None)
     instances.report(make_member("one"))
     instances.pause_expiry()
-    fake.advance(3 * EXPIRY_MS)
+    fake.jump(3 * EXPIRY_MS)
     instances.resume_expiry()
     assert [member.id for member in instances.listed()] == ["one"]
-    fake.advance(EXPIRY_MS)
+    fake.jump(EXPIRY_MS)
     assert instances.listed() == []
 
 
@@ -134,7 +134,7 @@
         True,
         False,
     ]
-    fake.advance(100)
+    fake.jump(100)
     assert [bucket.try_take(rate, amount) for amount in (11, 10)] == [False, True]
 
 
@@ -142,9 +142,9 @@
     fake = fake_clock()
     bucket = TokenBucket(fake.clock)
     assert [bucket.try_take(100, 1_000), bucket.try_take(100, 1)] == [True, False]
-    fake.advance(9_990)
+    fake.jump(9_990)
     assert not bucket.try_take(100, 1_000)
-    fake.advance(10)
+    fake.jump(10)
     assert bucket.try_take(100, 1_000)
 
 
@@ -154,7 +154,7 @@
     rate = 100
     burst = rate * BURST_MS // 1_000
     assert sum(bucket.try_take(rate) for _ in range(rate)) == burst
-    fake.advance(100)
+    fake.jump(100)
     assert sum(bucket.try_take(rate) for _ in range(rate)) == rate // 10
     assert all(bucket.try_take(0) for _ in range(rate))
 
@@ -291,7 +291,7 @@
     assert orders.times == {"x": 1, "y": 1}
     assert orders.loading == 2
     assert orders.state.models == ["base"]
-    fake.advance(300)
+    fake.jump(300)
     assert orders.loading == 0
     assert orders.state.models == ["base", "new"]
     assert len(loaded) == 3
@@ -303,7 +303,7 @@
     for number, kind in enumerate(("load_adapter", "load_version", "change_role")):
         orders.accept(make_order(str(number), number, kind, kind))
     assert orders.loading == 2
-    fake.advance(EngineParams().order_ms)
+    fake.jump(EngineParams().order_ms)
     state = orders.state
     assert (state.adapters, state.version, state.role) == (
         ["load_adapter"],
@@ -352,7 +352,7 @@
     )
     core.accept(generation, output, mode)
     for _ in range(steps):
-        fake.advance(params.base_ms)
+        fake.jump(params.base_ms)
     core.crash()
     assert fake.source.getDelayedCalls() == []
     return len(generated)
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -172,12 +172,12 @@
         self.clock = real
         self.server.register(Member("i-1", "entry", "", HOST, 1, 2, "dc-a", "r", "live"))
         self.server.control({"refuse_connections": True, "restart_ms": 2 * EXPIRY_MS})
-        fake.advance(2 * EXPIRY_MS)
+        fake.jump(2 * EXPIRY_MS)
         await self.wait_until(self.server.is_listening)
         assert [member["id"] for member in (await self.get("/instances")).value["instances"]] == [
             "i-1"
         ]
-        fake.advance(EXPIRY_MS)
+        fake.jump(EXPIRY_MS)
         assert (await self.get("/instances")).value["instances"] == []
 
     async def test_write_cut_before_its_effect_changes_nothing(self) -> None:
--- a/tests/test_standin_weights.py
+++ b/tests/test_standin_weights.py
@@ -43,10 +43,10 @@
     engine = Engine(fake)
     engine.orders.accept(load("m"))
     engine.reads[0].callback(False)
-    fake.advance(RETRY_MS)
+    fake.jump(RETRY_MS)
     engine.reads[1].callback(True)
     assert (engine.orders.loading, engine.orders.state.models) == (1, ["base"])
-    fake.advance(ORDER_MS)
+    fake.jump(ORDER_MS)
     assert (engine.orders.loading, engine.orders.state.models) == (0, ["base", "m"])
 
 
@@ -61,7 +61,7 @@
     assert engine.orders.state.orders == ["1-m"]
     for number in range(TRIES):
         engine.reads[number].callback(False)
-        fake.advance(RETRY_MS)
+        fake.jump(RETRY_MS)
     assert len(engine.reads) == TRIES
     state = engine.orders.state
     assert (engine.orders.loading, state.models, state.orders) == (0, ["base"], [])
@@ -78,7 +78,7 @@
     engine.orders.accept(load("m"))
     engine.crash()
     assert engine.reads[0].called
-    fake.advance(RETRY_MS + ORDER_MS)
+    fake.jump(RETRY_MS + ORDER_MS)
     assert len(engine.reads) == 1
     assert (engine.orders.loading, engine.orders.state.models) == (0, ["base"])
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -37,13 +37,13 @@
         done = started(call)
         end = self.fake.clock.now() + for_ms
         while not done and self.fake.clock.now() < end:
-            self.fake.advance(5)
+            self.fake.jump(5)
         return done[0]
 
     def pass_time(self, for_ms: int, step_ms: int = 100) -> None:
         """Advance the time in steps, because a timer set by a timer starts at the step's end."""
         for _ in range(for_ms // step_ms):
-            self.fake.advance(step_ms)
+            self.fake.jump(step_ms)
 
     def due(self, in_ms: int = 5_000) -> int:
         return self.fake.clock.now() + in_ms
@@ -88,7 +88,7 @@
     version = bench.run(bench.store.create("k", b"old")).unwrap()
     done = bench.run(update_settled(bench.settling, "k", b"id1", version, bench.due()))
     after = bench.run(bench.store.update("k", b"next", done.unwrap())).unwrap()
-    bench.fake.advance(60_000)
+    bench.fake.jump(60_000)
     assert bench.platform.objects["k"].value == b"next"
     assert bench.platform.objects["k"].version == after
 
@@ -121,7 +121,7 @@
     )
     written = bench.platform.objects["k"].version
     bench.run(bench.platform.store("b").update("k", b"theirs", written))
-    bench.fake.advance(100)
+    bench.fake.jump(100)
     assert done == [LOST]
 
 
--- a/tests/test_store_follow.py
+++ b/tests/test_store_follow.py
@@ -69,7 +69,7 @@
         for _ in range(for_ms // 40):
             for store in stores:
                 started(store.update("k", b"", 1))
-            bench.fake.advance(40)
+            bench.fake.jump(40)
         return bench.platform.calls["update"] - before
 
     bench.platform.down = True
@@ -95,7 +95,7 @@
         bench.platform.down = True
         for _ in range(20):
             assert bench.run(store.get("k")) == Err(StoreError.UNAVAILABLE)
-            bench.fake.advance(100)
+            bench.fake.jump(100)
         bench.platform.down = False
         bench.pass_time(10_000)
         assert bench.run(store.get("k")) == Err(StoreError.NOT_FOUND)
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -73,7 +73,7 @@
     def result_of(self, call: Awaitable[Any]) -> Any:
         results: list[Any] = []
         Deferred.fromCoroutine(cast(Any, call)).addCallback(results.append)
-        self.time.advance(RELAY_AFTER_MS + 1)
+        self.time.jump(RELAY_AFTER_MS + 1)
         assert results, "the call has not ended"
         return results[0]
 
--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -12,7 +12,7 @@
 from papayapier.config.teams import ANONYMOUS_TEAM, Team, may_access
 from papayapier.dispatch.lost_sends import request_fingerprint
 from papayapier.entry.forward_refusals import refusal_status
-from papayapier.errors import ErrorKind, not_run
+from papayapier.errors import ErrorKind, not_run_refusal
 from papayapier.jobs.records import job_key
 from papayapier.platform.configuration import read_configuration
 from papayapier.platform.headers import presented_keys, with_team
@@ -177,6 +177,6 @@
 
 def test_refusals_have_the_status_for_their_kind() -> None:
     """Callers decide by the status whether to retry."""
-    assert refusal_status(not_run(ErrorKind.OVER_ALLOWANCE, "")) == 429
-    assert refusal_status(not_run(ErrorKind.NOT_GRANTED, "")) == 503
-    assert refusal_status(not_run(ErrorKind.KEY_CONFLICT, "")) == 409
+    assert refusal_status(not_run_refusal(ErrorKind.OVER_ALLOWANCE, "")) == 429
+    assert refusal_status(not_run_refusal(ErrorKind.NOT_GRANTED, "")) == 503
+    assert refusal_status(not_run_refusal(ErrorKind.KEY_CONFLICT, "")) == 409
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -46,8 +46,8 @@
     timeout = 5
 
     def setUp(self) -> None:
-        invariants.raise_on_failure(True)
-        self.addCleanup(invariants.raise_on_failure, False)
+        invariants.raise_on_violation(True)
+        self.addCleanup(invariants.raise_on_violation, False)
         self.server = RawServer()
         self.port = reactor.listenTCP(0, self.server, interface="127.0.0.1")
         self.replica = Replica("one", "chat", "127.0.0.1", self.port.getHost().port, "dc1")
@@ -88,7 +88,7 @@
         """Leave one idle connection in the pool that may be reused."""
         self.server.answer_with(with_length(complete_body()))
         await self.reply(stream=False)
-        self.fake.elapse(1)
+        self.fake.run_for(1)
 
 
 class CompleteAnswerTest(UpstreamTestCase):
@@ -156,7 +156,7 @@
             cast(Any, MemoryReactorClock)(), self.fake.clock, CFG, make_metrics()
         )
         sending = self.send()
-        self.fake.elapse(CFG.connect_timeout_ms)
+        self.fake.run_for(CFG.connect_timeout_ms)
         failure = (await sending).err_value
         equal((failure.kind, failure.sent, failure.fresh), (FailureKind.CONNECT, Sent.NO, True))
         assert not failure.closed
@@ -202,7 +202,7 @@
         """
         sending = self.send()
         conn = await self.server.next_request()
-        self.fake.elapse(CFG.first_byte_ms)
+        self.fake.run_for(CFG.first_byte_ms)
         failure = (await sending).err_value
         equal(
             (failure.kind, failure.sent, failure.fresh), (FailureKind.TIMED_OUT, Sent.MAYBE, True)
@@ -219,7 +219,7 @@
         sending = self.send()
         conn = await self.server.next_request()
         await deferLater(reactor, 0.01)
-        self.fake.elapse(CFG.progress_ms + 1)
+        self.fake.run_for(CFG.progress_ms + 1)
         conn.write(chunked(LAST_EVENT, DONE, head=b""))
         equal((await sending).unwrap().text, "b")
 
@@ -230,9 +230,9 @@
         await self.server.next_request()
         while not self.tokens:
             await deferLater(reactor, 0)
-        self.fake.elapse(CFG.progress_ms - 1)
+        self.fake.run_for(CFG.progress_ms - 1)
         equal(sending.called, False)
-        self.fake.elapse(1)
+        self.fake.run_for(1)
         failure = (await sending).err_value
         equal((failure.kind, failure.sent), (FailureKind.TIMED_OUT, Sent.MAYBE))
 
@@ -245,7 +245,7 @@
         sending = self.send(stream=False)
         conn = await self.server.next_request()
         conn.write_at_once(with_length(complete_body()))
-        self.fake.advance(CFG.first_byte_ms)
+        self.fake.jump(CFG.first_byte_ms)
         equal((await sending).unwrap().body, complete_body())
 
     async def time_out_on_one_of_two(self, limit_ms: int, due_ms: int) -> Failure:
@@ -258,10 +258,10 @@
             conn.write(with_length(b""))
         await first
         await second
-        self.fake.elapse(1)
+        self.fake.run_for(1)
         sending = self.send(due_ms=due_ms, **plain)
         conn = await self.server.next_request()
-        self.fake.elapse(limit_ms)
+        self.fake.run_for(limit_ms)
         failure = (await sending).err_value
         await conn.closed
         self.server.answer_with(with_length(b""))
@@ -287,7 +287,7 @@
         """A call must end at its due time, even if that is before the first-byte limit."""
         sending = self.send(due_ms=100)
         conn = await self.server.next_request()
-        self.fake.elapse(100)
+        self.fake.run_for(100)
         failure = (await sending).err_value
         equal((failure.kind, failure.sent), (FailureKind.DEADLINE, Sent.MAYBE))
         await conn.closed
@@ -300,7 +300,7 @@
         """
         sending = self.send(stream=False, due_ms=100)
         conn = await self.server.next_request()
-        self.fake.elapse(100)
+        self.fake.run_for(100)
         await sending
         conn.write(with_length(complete_body()))
         self.server.answer_with(with_length(complete_body("r2"), "r2"))
--- a/tests/test_upstream_parts.py
+++ b/tests/test_upstream_parts.py
@@ -114,15 +114,15 @@
     """A replica that hangs must not be flooded with polls at a fixed interval."""
     recorder = _PollRecorder()
     recorder.polls.poll([_replica("a")])
-    recorder.fake.advance(5_000)
+    recorder.fake.jump(5_000)
     assert [name for name, _ in recorder.pending] == ["a"]
     load = Load(1, 0, 4, 5.0, 0)
     recorder.pending[0][1].callback(Ok(load))
-    recorder.fake.advance(121)
+    recorder.fake.jump(121)
     recorder.pending[1][1].callback(Err(Failure(FailureKind.TIMED_OUT, Sent.MAYBE, "")))
-    recorder.fake.advance(79)
+    recorder.fake.jump(79)
     assert len(recorder.pending) == 2
-    recorder.fake.advance(42)
+    recorder.fake.jump(42)
     assert len(recorder.pending) == 3
     assert recorder.results == [load, FailureKind.TIMED_OUT]
     recorder.polls.close()
@@ -132,10 +132,10 @@
     """Only listed replicas are recorder, and no timer remains after close."""
     recorder = _PollRecorder()
     recorder.polls.poll([_replica("a"), _replica("b")])
-    recorder.fake.advance(100)
+    recorder.fake.jump(100)
     assert sorted(name for name, _ in recorder.pending) == ["a", "b"]
     recorder.polls.poll([_replica("b"), _replica("c")])
-    recorder.fake.advance(100)
+    recorder.fake.jump(100)
     assert sorted(name for name, _ in recorder.pending) == ["a", "b", "c"]
     recorder.polls.close()
     assert recorder.fake.source.getDelayedCalls() == []
@@ -149,7 +149,7 @@
     out = OutgoingRequest("GET", "/load", Headers(), b"", 10**9, False)
     for port in range(1, 5):
         links.run(_replica("a")._replace(port=port), out, NO_HANDLER).cancel()
-        fake.advance(FORGET_AFTER_MS + 1)
+        fake.jump(FORGET_AFTER_MS + 1)
     equal(links.addresses(), [("127.0.0.1", 4)])
 
 
@@ -202,6 +202,6 @@
         """An order without an answer must time out, and may have been accepted all the same."""
         sending = Deferred.fromCoroutine(cast(Any, self.send_order(b"")))
         await self.server.next_request()
-        self.fake.elapse(CFG.progress_ms)
+        self.fake.run_for(CFG.progress_ms)
         failure = (await sending).err_value
         equal(failure.sent, Sent.MAYBE)
