--- a/misc/cost_sweep.py
+++ b/misc/cost_sweep.py
@@ -17,7 +17,7 @@
 from misc import fleet
 from misc.fleet_cost import ENTRY_ROLE
 from papayapier import codec
-from papayapier.load import scenario
+from papayapier.load import experiment_file
 from papayapier.load.table import Table
 
 EXPERIMENT: Final = fleet.ROOT / "misc" / "experiments" / "cost.json"
@@ -73,12 +73,12 @@
     return _make_point(value, json.loads(results_path.read_text()))
 
 
-def _make_experiment(axis: str, value: int) -> scenario.Experiment:
-    experiment = scenario.load(EXPERIMENT).unwrap()
+def _make_experiment(axis: str, value: int) -> experiment_file.Experiment:
+    experiment = experiment_file.load_experiment(EXPERIMENT).unwrap()
     if axis == "connections":
         return experiment._replace(idle_connections=value)
     if axis == "callers":
-        callers = scenario.Callers(value)
+        callers = experiment_file.Callers(value)
         return experiment._replace(
             classes=tuple(
                 traffic_class._replace(callers=callers) for traffic_class in experiment.classes
--- a/papayapier/demo.py
+++ b/papayapier/demo.py
@@ -30,7 +30,7 @@
     Settings,
 )
 from papayapier.standin.answers import expected_text
-from papayapier.standin.run import Fleet, FleetParams, run_fleet
+from papayapier.standin.fleet import Fleet, FleetParams, run_fleet
 
 if TYPE_CHECKING:
     from twisted.python.failure import Failure
--- a/papayapier/load/arrivals.py
+++ b/papayapier/load/arrivals.py
@@ -10,7 +10,7 @@
 from itertools import pairwise
 from typing import Final
 
-from papayapier.load.scenario import Phase
+from papayapier.load.experiment_file import Phase
 
 US_PER_MS: Final = 1_000
 US_PER_S: Final = 1_000_000
--- a/papayapier/load/chaos_fleet.py
+++ b/papayapier/load/chaos_fleet.py
@@ -11,7 +11,7 @@
 from papayapier.compose import start_instance
 from papayapier.instance import Instance
 from papayapier.load.chaos_plan import FaultKind, FleetSizes, PlannedFault
-from papayapier.load.pausing import PausableTimers
+from papayapier.load.pausable_timers import PausableTimers
 from papayapier.settings import (
     BatchSettings,
     ConfigSettings,
@@ -25,8 +25,8 @@
     UpstreamSettings,
 )
 from papayapier.standin.engine_steps import EngineParams
+from papayapier.standin.fleet import Fleet, FleetParams, run_fleet
 from papayapier.standin.platform import PlatformControl
-from papayapier.standin.run import Fleet, FleetParams, run_fleet
 from papayapier.standin.switches import Control, Mode
 from papayapier.store.api import LEAVING
 
@@ -231,7 +231,7 @@
             self._clock.call_later(BALANCER_LAG_MS, self._update_balancer)
             await instance.crash()
             # Pending timers of the killed instance must not run any more.
-            state.timers.end()
+            state.timers.stop_permanently()
             state.timers = PausableTimers(self._clock.timers)
         else:
             self._clock.call_later(BALANCER_LAG_MS, self._update_balancer)
--- a/papayapier/load/chaos_jobs.py
+++ b/papayapier/load/chaos_jobs.py
@@ -11,8 +11,8 @@
 from papayapier.config.profiles import BatchRule, Profile
 from papayapier.load import jobs
 from papayapier.load.chaos_fleet import ENGINE_UPSTREAM, ChaosFleet
+from papayapier.load.experiment_file import Job, Lengths
 from papayapier.load.jobs import SubmittedJob
-from papayapier.load.scenario import Job, Lengths
 from papayapier.standin.answers import expected_text
 
 MEAN_GAP_MS: Final = 12_000
--- a/papayapier/load/chaos_operators.py
+++ b/papayapier/load/chaos_operators.py
@@ -10,8 +10,8 @@
 from papayapier import codec
 from papayapier.clock import Clock
 from papayapier.config.profiles import Profile, RetryRule
-from papayapier.load.calls import call_json
 from papayapier.load.chaos_fleet import ChaosFleet, InstanceRef
+from papayapier.load.http_calls import http_call_json
 from papayapier.load.operators import Operator, put_profile
 
 MEAN_GAP_MS: Final = 6_000
@@ -139,7 +139,7 @@
 
 async def _read(ref: InstanceRef, name: str) -> tuple[int, object] | None:
     """Return the version and the document of a profile at one instance."""
-    response = await call_json("GET", f"http://{ref.operator}/v1/profiles/{name}")
+    response = await http_call_json("GET", f"http://{ref.operator}/v1/profiles/{name}")
     if not isinstance(response, Ok):
         return None
     answer = response.ok_value
--- a/papayapier/load/chaos_traffic.py
+++ b/papayapier/load/chaos_traffic.py
@@ -8,12 +8,12 @@
 
 from papayapier.clock import Clock
 from papayapier.config.profiles import Profile
-from papayapier.load.answer import End
 from papayapier.load.chaos_fleet import ENGINE_UPSTREAM, SERVICE_UPSTREAM, ChaosFleet, InstanceRef
-from papayapier.load.client import Client, now_us, send
-from papayapier.load.mix import Mix, Request
+from papayapier.load.client import Client, monotonic_us, send_request
+from papayapier.load.experiment_file import Callers, Lengths, Misuse, RequestClass
 from papayapier.load.outcomes import OutcomeTracker
-from papayapier.load.scenario import Callers, Lengths, Misuse, RequestClass
+from papayapier.load.request_mix import Mix, Request
+from papayapier.load.responses import RequestOutcome
 
 MEAN_GAP_MS: Final = 120
 NO_INSTANCE_MS: Final = 200
@@ -121,25 +121,27 @@
             return
         if req.resend_after_ms >= 0:
             self._clock.call_later(req.resend_after_ms, lambda: self._start(req.make_resend()))
-        record = await send(self._client, ref.entry, req, now_us(self._clock))
+        record = await send_request(self._client, ref.entry, req, monotonic_us(self._clock))
         verdict = record.verdict
-        self.outcome_counts[f"{verdict.end.value} {verdict.kind} {verdict.outcome}".strip()] += 1
+        self.outcome_counts[
+            f"{verdict.request_outcome.value} {verdict.kind} {verdict.outcome}".strip()
+        ] += 1
         self.outcomes.observe(req, record)
         self.flaws[verdict.flaw] += 1
-        if violation := self._violation(ref, verdict.end):
+        if violation := self._violation(ref, verdict.request_outcome):
             self.violations.append(f"{req.request_id} at instance {ref.number}: {violation}")
             self.violations[-1] += f" ({verdict.reason}, {record.timing.total_us // US_PER_MS} ms)"
 
-    def _violation(self, ref: InstanceRef, end: End) -> str:
+    def _violation(self, ref: InstanceRef, end: RequestOutcome) -> str:
         """Return what an outcome violates, or an empty string.
 
         Only the loss of the instance justifies a cut connection.
         """
-        if end is End.WRONG:
+        if end is RequestOutcome.WRONG:
             return "a wrong or incomplete answer looked successful"
-        if end is End.HUNG:
+        if end is RequestOutcome.TIMED_OUT:
             return "a request was never answered"
-        if end is End.CUT and not self._chaos_fleet.was_lost(ref):
+        if end is RequestOutcome.DISCONNECTED and not self._chaos_fleet.was_lost(ref):
             return "an instance that was not lost closed the connection of a request"
         return ""
 
--- a/papayapier/load/client.py
+++ b/papayapier/load/client.py
@@ -26,15 +26,15 @@
 from twisted.web.iweb import IBodyProducer
 
 from papayapier.clock import Clock
-from papayapier.load.answer import (
-    End,
+from papayapier.load.request_mix import Request
+from papayapier.load.responses import (
     ExpectedText,
+    RequestOutcome,
     StreamReader,
     Verdict,
     classify_response,
     classify_stream,
 )
-from papayapier.load.mix import Request
 
 US_PER_S: Final = 1_000_000
 CONNECT_TIMEOUT_S: Final = 5
@@ -64,7 +64,7 @@
     gaps_us: list[int]
 
 
-class Answered(NamedTuple):
+class RequestRecord(NamedTuple):
     """Hold the outcome and timing of one request; call_id is the id given by the instance.
 
     A request whose connection broke before the response headers has no call_id.
@@ -104,26 +104,29 @@
     return Client(clock, agent, pool, expected, give_up_ms)
 
 
-def now_us(clock: Clock) -> int:
+def monotonic_us(clock: Clock) -> int:
     """Return the monotonic time in microseconds, since gaps between tokens are only a few ms."""
     return int(clock.timers.seconds() * US_PER_S)
 
 
-async def send(client: Client, target: str, req: Request, intended_us: int) -> Answered:
+async def send_request(
+    client: Client, target: str, req: Request, intended_us: int
+) -> RequestRecord:
     """Send a request to "HOST:PORT" and return its outcome; never raises."""
-    started_us = now_us(client.clock)
+    started_us = monotonic_us(client.clock)
     receiver = _Receiver(req, client, intended_us)
     exchange = Deferred.fromCoroutine(_exchange(client, target, req, receiver))
     cancellation = _Cancellation()
     timers = [
         client.clock.call_later(
-            client.give_up_ms, lambda: cancellation.cancel_as(End.HUNG, exchange)
+            client.give_up_ms, lambda: cancellation.cancel_as(RequestOutcome.TIMED_OUT, exchange)
         )
     ]
     if req.leave_after_ms >= 0:
         timers.append(
             client.clock.call_later(
-                req.leave_after_ms, lambda: cancellation.cancel_as(End.LEFT, exchange)
+                req.leave_after_ms,
+                lambda: cancellation.cancel_as(RequestOutcome.ABANDONED, exchange),
             )
         )
     try:
@@ -135,19 +138,19 @@
     for timer in timers:
         if timer.active():
             timer.cancel()
-    total_us = now_us(client.clock) - intended_us
+    total_us = monotonic_us(client.clock) - intended_us
     lag_us = started_us - intended_us
     timing = Timing(lag_us, receiver.first_us, total_us, receiver.gaps_us)
-    return Answered(verdict, timing, receiver.call_id)
+    return RequestRecord(verdict, timing, receiver.call_id)
 
 
 class _Cancellation:
     """Record why a request was cancelled; otherwise its failure counts as a cut connection."""
 
     def __init__(self) -> None:
-        self.end = End.CUT
+        self.end = RequestOutcome.DISCONNECTED
 
-    def cancel_as(self, end: End, exchange: "Deferred[Verdict]") -> None:
+    def cancel_as(self, end: RequestOutcome, exchange: "Deferred[Verdict]") -> None:
         self.end = end
         exchange.cancel()
 
@@ -164,7 +167,9 @@
     await receiver.done
     response_id = _header(response, "x-request-id")
     if response_id and response_id != req.request_id:
-        return Verdict(End.WRONG, reason=f"the response has the id of request {response_id}")
+        return Verdict(
+            RequestOutcome.WRONG, reason=f"the response has the id of request {response_id}"
+        )
     return receiver.verdict()
 
 
@@ -212,7 +217,7 @@
         tokens = self._reader.feed(data)
         if not tokens:
             return
-        at_us = now_us(self._client.clock)
+        at_us = monotonic_us(self._client.clock)
         if self._last_us >= 0:
             self.gaps_us.append(at_us - self._last_us)
         else:
--- a/papayapier/load/command.py
+++ b/papayapier/load/command.py
@@ -16,7 +16,7 @@
 from papayapier import codec
 from papayapier.clock import real_clock
 from papayapier.exits import EXIT_FAILED, EXIT_OK, EXIT_USAGE
-from papayapier.load import scenario
+from papayapier.load import experiment_file
 from papayapier.logs import start_logs
 from papayapier.settings import LogSettings
 
@@ -75,7 +75,7 @@
         return run_on_reactor(_chaos(options))
     if options.experiment is None:
         return _usage("either an experiment file or --chaos is required")
-    loaded = scenario.load(options.experiment)
+    loaded = experiment_file.load_experiment(options.experiment)
     if isinstance(loaded, Err):
         return _usage(loaded.err_value)
     if not options.targets:
@@ -88,7 +88,7 @@
     return run_on_reactor(_measure(loaded.ok_value, options))
 
 
-async def _measure(exp: scenario.Experiment, options: argparse.Namespace) -> int:
+async def _measure(exp: experiment_file.Experiment, options: argparse.Namespace) -> int:
     from papayapier.load.experiment import Options, run_experiment
     from papayapier.load.table import report_text
 
--- a/papayapier/load/experiment.py
+++ b/papayapier/load/experiment.py
@@ -16,15 +16,15 @@
 from papayapier.clock import Clock
 from papayapier.load import instances, jobs
 from papayapier.load.batch_meter import BatchMeter, BatchResult, ControlResult, Reading
-from papayapier.load.client import Answered, make_client
+from papayapier.load.client import RequestRecord, make_client
+from papayapier.load.experiment_file import Compare, Experiment, Phase, RequestClass
 from papayapier.load.idle import open_idle
 from papayapier.load.instances import InstanceResult, read_instance
-from papayapier.load.mix import Request
 from papayapier.load.operators import Operator, put_profile
 from papayapier.load.outcomes import OutcomeTracker, repeated_calls
+from papayapier.load.request_mix import Request
 from papayapier.load.results import ClassResult
 from papayapier.load.runner import PhaseHooks, Run
-from papayapier.load.scenario import Compare, Experiment, Phase, RequestClass
 from papayapier.load.series import Series
 from papayapier.load.standins import StandIns, find_standins, read_run_counts, set_switches
 from papayapier.standin.answers import expected_text
@@ -140,7 +140,7 @@
         """Choose an instance as the platform's load balancer does."""
         return self._rand.choice(self._options.targets)
 
-    def _observe(self, req: Request, record: Answered) -> None:
+    def _observe(self, req: Request, record: RequestRecord) -> None:
         self._online_tokens += record.verdict.tokens
         self._outcomes.observe(req, record)
 
--- a/papayapier/load/scenario.py
+++ b/papayapier/load/experiment_file.py
@@ -154,7 +154,7 @@
     compare: Compare = Compare()
 
 
-def load(path: Path) -> Result[Experiment, str]:
+def load_experiment(path: Path) -> Result[Experiment, str]:
     """Read and validate an experiment file; the error names file, field and reason."""
     try:
         text = path.read_text(encoding="utf-8")
--- a/papayapier/load/calls.py
+++ b/papayapier/load/http_calls.py
@@ -21,7 +21,7 @@
 )
 
 
-async def call(
+async def http_call(
     method: str, url: str, body: bytes = b"", headers: dict[str, str] | None = None
 ) -> Result[bytes, str]:
     """Make a call and return the response body, or an error text."""
@@ -40,13 +40,13 @@
     return Ok(content)
 
 
-async def call_json(
+async def http_call_json(
     method: str, url: str, document: object = None, headers: dict[str, str] | None = None
 ) -> Result[Any, str]:
     """Make a call with a JSON body and return the decoded response."""
     body = b"" if document is None else msgspec.json.encode(document)
     fields = {"Content-Type": "application/json", **(headers or {})}
-    decoded = await call(method, url, body, fields)
+    decoded = await http_call(method, url, body, fields)
     return decoded.and_then(lambda content: _decode(url, content))
 
 
--- a/papayapier/load/instances.py
+++ b/papayapier/load/instances.py
@@ -5,7 +5,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 from result import Result
 
-from papayapier.load.calls import call
+from papayapier.load.http_calls import http_call
 
 INVARIANT_FAILURES: Final = "papayapier_invariant_failures"
 BATCH_ITEMS: Final = "papayapier_batch_items_total"
@@ -43,7 +43,7 @@
 
 async def read_instance(target: str) -> Result[InstanceResult, str]:
     """Read one instance's metrics."""
-    response = await call("GET", f"http://{target}/metrics")
+    response = await http_call("GET", f"http://{target}/metrics")
     return response.map(lambda content: InstanceResult(target, _sums(content.decode())))
 
 
--- a/papayapier/load/jobs.py
+++ b/papayapier/load/jobs.py
@@ -8,10 +8,10 @@
 from result import Err, Ok, Result
 from twisted.internet.defer import Deferred
 
-from papayapier.load.answer import ExpectedText
-from papayapier.load.calls import call, call_json
-from papayapier.load.mix import CHAT_PATH, draw_length, draw_words
-from papayapier.load.scenario import Job
+from papayapier.load.experiment_file import Job
+from papayapier.load.http_calls import http_call, http_call_json
+from papayapier.load.request_mix import CHAT_PATH, draw_length, draw_words
+from papayapier.load.responses import ExpectedText
 
 COMPLETED: Final = "completed"
 FINAL_STATUSES: Final = (COMPLETED, "failed", "cancelled", "expired")
@@ -62,7 +62,7 @@
 async def submit(target: str, prepared: PreparedJob, key: str) -> Result[SubmittedJob, str]:
     """Upload a job's items and create the job; the same key yields the same job."""
     headers = {"Content-Type": "application/jsonl"}
-    uploaded = await call("POST", f"http://{target}/v1/files", prepared.file, headers)
+    uploaded = await http_call("POST", f"http://{target}/v1/files", prepared.file, headers)
     if isinstance(uploaded, Err):
         return uploaded
     body = {
@@ -71,19 +71,19 @@
         "completion_window": "24h",
     }
     url = f"http://{target}/v1/batches"
-    created = await call_json("POST", url, body, _job_headers(prepared.job, key))
+    created = await http_call_json("POST", url, body, _job_headers(prepared.job, key))
     return created.map(lambda answer: SubmittedJob(prepared.job, str(answer["id"]), prepared.items))
 
 
 async def progress(target: str, submitted: SubmittedJob) -> Result[Progress, str]:
     """Read the progress of a job."""
-    response = await call_json("GET", f"http://{target}/v1/batches/{submitted.id}")
+    response = await http_call_json("GET", f"http://{target}/v1/batches/{submitted.id}")
     return response.map(_progress)
 
 
 async def cancel(target: str, submitted: SubmittedJob) -> Result[Any, str]:
     """Cancel a job."""
-    return await call_json("POST", f"http://{target}/v1/batches/{submitted.id}/cancel")
+    return await http_call_json("POST", f"http://{target}/v1/batches/{submitted.id}/cancel")
 
 
 async def check_results(
@@ -98,14 +98,14 @@
 
 async def results(target: str, submitted: SubmittedJob) -> Result[list[ResultLine], str]:
     """Read all results of a job, including those of failed items."""
-    response = await call_json("GET", f"http://{target}/v1/batches/{submitted.id}")
+    response = await http_call_json("GET", f"http://{target}/v1/batches/{submitted.id}")
     if isinstance(response, Err):
         return response
     lines: list[ResultLine] = []
     for field in ("output_file_id", "error_file_id"):
         if not (file_id := response.ok_value.get(field)):
             continue
-        content = await call("GET", f"http://{target}/v1/files/{file_id}/content")
+        content = await http_call("GET", f"http://{target}/v1/files/{file_id}/content")
         if isinstance(content, Err):
             return content
         lines += [msgspec.json.decode(line) for line in content.ok_value.splitlines()]
--- a/papayapier/load/operators.py
+++ b/papayapier/load/operators.py
@@ -6,7 +6,7 @@
 
 from papayapier import codec
 from papayapier.config.profiles import Profile
-from papayapier.load.calls import call_json
+from papayapier.load.http_calls import http_call_json
 
 
 class Operator(NamedTuple):
@@ -30,13 +30,13 @@
         "reason": f"load experiment, {step}",
         "change_id": f"{operator.run_id}:{profile.name}:{based_on.ok_value}",
     }
-    response = await call_json("PUT", url, change, headers)
+    response = await http_call_json("PUT", url, change, headers)
     return response.map(lambda answer: int(answer["version"]))
 
 
 async def _version(url: str, headers: dict[str, str]) -> Result[int, str]:
     """Return the current version, or 0 when the profile does not exist yet."""
-    response = await call_json("GET", url, headers=headers)
+    response = await http_call_json("GET", url, headers=headers)
     if isinstance(response, Err):
         return Ok(0) if ": status 404" in response.err_value else response
     return Ok(int(response.ok_value["version"]))
--- a/papayapier/load/outcomes.py
+++ b/papayapier/load/outcomes.py
@@ -6,9 +6,9 @@
 
 from typing import Final, NamedTuple
 
-from papayapier.load.answer import End
-from papayapier.load.client import Answered
-from papayapier.load.mix import Request
+from papayapier.load.client import RequestRecord
+from papayapier.load.request_mix import Request
+from papayapier.load.responses import RequestOutcome
 
 NOT_RUN: Final = "not_run"
 SHOWN: Final = 20
@@ -31,15 +31,18 @@
         self._received: dict[str, _ReceivedOutcomes] = {}
         self.without_call_id = 0
 
-    def observe(self, req: Request, record: Answered) -> None:
+    def observe(self, req: Request, record: RequestRecord) -> None:
         """Record one finished request."""
         if not record.call_id:
             self.without_call_id += 1
             return
         empty = _ReceivedOutcomes([], req.cls.idempotent, 0, 0, 0)
         received = self._received.get(record.call_id, empty)
-        complete = record.verdict.end is End.WHOLE
-        refused = record.verdict.end is End.REFUSED and record.verdict.outcome == NOT_RUN
+        complete = record.verdict.request_outcome is RequestOutcome.COMPLETE
+        refused = (
+            record.verdict.request_outcome is RequestOutcome.REFUSED
+            and record.verdict.outcome == NOT_RUN
+        )
         self._received[record.call_id] = received._replace(
             request_ids=[*received.request_ids, req.request_id],
             complete=received.complete + complete,
--- a/papayapier/load/pausing.py
+++ b/papayapier/load/pausable_timers.py
@@ -12,7 +12,7 @@
 from papayapier.clock import Timer, Timers
 
 
-class HeldTimer:
+class PausableTimer:
     """Own one scheduled call, which may become due while its instance is paused."""
 
     __slots__ = ("_call", "_source", "inner")
@@ -48,7 +48,7 @@
 
     def __init__(self, inner: Timers) -> None:
         self._inner = inner
-        self._deferred: list[HeldTimer] = []
+        self._deferred: list[PausableTimer] = []
         self._ended = False
         self.paused = False
 
@@ -58,11 +58,11 @@
 
     def callLater(self, delay: float, callable: Callable[..., Any]) -> Any:  # noqa: N802
         """Run a call after a delay in seconds, or at the end of the pause."""
-        timer = HeldTimer(self, callable)
+        timer = PausableTimer(self, callable)
         timer.inner = self._inner.callLater(delay, timer.run_or_defer)
         return timer
 
-    def defer(self, timer: HeldTimer) -> None:
+    def defer(self, timer: PausableTimer) -> None:
         """Defer a due call until the end of the pause."""
         self._deferred.append(timer)
 
@@ -70,7 +70,7 @@
         """Defer every call from now on."""
         self.paused = True
 
-    def end(self) -> None:
+    def stop_permanently(self) -> None:
         """Defer every call permanently: the instance is lost, and resume() has no effect."""
         self._ended = True
         self.pause()
--- a/papayapier/load/mix.py
+++ b/papayapier/load/request_mix.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from papayapier.load.scenario import Lengths, RequestClass
+from papayapier.load.experiment_file import Lengths, RequestClass
 
 CHAT_PATH: Final = "/v1/chat/completions"
 VOCABULARY: Final = tuple(f"w{number}" for number in range(2_000))
--- a/papayapier/load/answer.py
+++ b/papayapier/load/responses.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from papayapier.load.mix import Request
+from papayapier.load.request_mix import Request
 
 OK_STATUS: Final = 200
 DATA: Final = b"data:"
@@ -17,7 +17,7 @@
 NO_FINISH_REASON: Final = "stream without a finish_reason"
 
 
-class End(Enum):
+class RequestOutcome(Enum):
     """List the outcomes of a request as its caller sees them.
 
     WRONG is an answer that belongs to another request or is incomplete, and yet looks
@@ -25,12 +25,12 @@
     that the caller itself disconnected.
     """
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     REFUSED = "refused"
     WRONG = "wrong"
-    CUT = "cut"
-    HUNG = "hung"
-    LEFT = "left"
+    DISCONNECTED = "cut"
+    TIMED_OUT = "hung"
+    ABANDONED = "left"
 
 
 class Verdict(NamedTuple):
@@ -39,7 +39,7 @@
     flaw describes how a complete answer deviates from the protocol's format.
     """
 
-    end: End
+    request_outcome: RequestOutcome
     kind: str = ""
     outcome: str = ""
     reason: str = ""
@@ -133,11 +133,11 @@
     """Classify a response that was not streamed."""
     document = decode(body)
     if document is None:
-        return Verdict(End.WRONG, reason=f"status {status}, body is not JSON")
+        return Verdict(RequestOutcome.WRONG, reason=f"status {status}, body is not JSON")
     if "error" in document:
         return _refusal(document["error"], status)
     if status != OK_STATUS:
-        return Verdict(End.WRONG, reason=f"status {status} without an error")
+        return Verdict(RequestOutcome.WRONG, reason=f"status {status} without an error")
     if req.cls.kind == "service":
         return _classify_echo(req, document)
     choices = document.get("choices", [])
@@ -150,24 +150,31 @@
     if reader.document is not None and "error" in reader.document:
         return _refusal(reader.document["error"], OK_STATUS)
     if not reader.terminated:
-        return Verdict(End.CUT, reason="the stream has no end marker", tokens=len(reader.parts))
+        return Verdict(
+            RequestOutcome.DISCONNECTED,
+            reason="the stream has no end marker",
+            tokens=len(reader.parts),
+        )
     verdict = _classify_text(req, "".join(reader.parts), expected)
     return verdict if reader.finished else verdict._replace(flaw=NO_FINISH_REASON)
 
 
 def _classify_echo(req: Request, document: Document) -> Verdict:
     if document.get("echo") != req.body_sha256():
-        return Verdict(End.WRONG, reason="the service's echo does not match the request body")
-    return Verdict(End.WHOLE)
+        return Verdict(
+            RequestOutcome.WRONG, reason="the service's echo does not match the request body"
+        )
+    return Verdict(RequestOutcome.COMPLETE)
 
 
 def _classify_text(req: Request, text: str, expected: ExpectedText) -> Verdict:
     expected_answer = expected(req.prompt, req.max_tokens)
     if text.split() != expected_answer.split():
         return Verdict(
-            End.WRONG, reason=f"unexpected text: {text[:60]!r}, expected {expected_answer[:60]!r}"
+            RequestOutcome.WRONG,
+            reason=f"unexpected text: {text[:60]!r}, expected {expected_answer[:60]!r}",
         )
-    return Verdict(End.WHOLE, tokens=req.max_tokens)
+    return Verdict(RequestOutcome.COMPLETE, tokens=req.max_tokens)
 
 
 def _refusal(error: RefusalBody, status: int) -> Verdict:
@@ -175,5 +182,7 @@
     outcome = error.get("outcome", "")
     reason = error.get("reason", "")
     if not kind or outcome not in ("not_run", "unknown"):
-        return Verdict(End.WRONG, reason=f"status {status}, refusal without kind and outcome")
-    return Verdict(End.REFUSED, kind, outcome, reason, error.get("retry_after_ms", 0))
+        return Verdict(
+            RequestOutcome.WRONG, reason=f"status {status}, refusal without kind and outcome"
+        )
+    return Verdict(RequestOutcome.REFUSED, kind, outcome, reason, error.get("retry_after_ms", 0))
--- a/papayapier/load/results.py
+++ b/papayapier/load/results.py
@@ -9,9 +9,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-from papayapier.load.answer import End
-from papayapier.load.client import Answered
-from papayapier.load.mix import Request
+from papayapier.load.client import RequestRecord
+from papayapier.load.request_mix import Request
+from papayapier.load.responses import RequestOutcome
 
 LOWEST_US: Final = 1
 HIGHEST_US: Final = 3_600_000_000
@@ -82,23 +82,25 @@
         self.refused_after = _histogram()
         self.lag = _histogram()
 
-    def add(self, req: Request, record: Answered) -> None:
+    def add(self, req: Request, record: RequestRecord) -> None:
         """Count one finished request."""
         verdict, timing, _ = record
         self.sent += 1
         self.sent_by[req.caller] += 1
-        self.ends[verdict.end.value] += 1
+        self.ends[verdict.request_outcome.value] += 1
         self.tokens += verdict.tokens
         _record(self.lag, timing.lag_us)
-        if verdict.end is End.WHOLE:
+        if verdict.request_outcome is RequestOutcome.COMPLETE:
             self._add_complete(req, record)
-        elif verdict.end is End.REFUSED:
+        elif verdict.request_outcome is RequestOutcome.REFUSED:
             self.refusals[f"{verdict.kind}/{verdict.outcome}"] += 1
             _record(self.refused_after, timing.total_us)
         elif len(self.reasons) < MAX_REASONS:
-            self.reasons.append(f"{req.request_id}: {verdict.end.value}: {verdict.reason}")
+            self.reasons.append(
+                f"{req.request_id}: {verdict.request_outcome.value}: {verdict.reason}"
+            )
 
-    def _add_complete(self, req: Request, record: Answered) -> None:
+    def _add_complete(self, req: Request, record: RequestRecord) -> None:
         timing = record.timing
         self.complete_by[req.caller] += 1
         _record(self.total, timing.total_us)
@@ -111,7 +113,7 @@
 
     def result(self, counted_ms: int) -> ClassResult:
         """Summarise what was counted during a measured time."""
-        whole = self.ends[End.WHOLE.value]
+        whole = self.ends[RequestOutcome.COMPLETE.value]
         shares = [self.complete_by[caller] / sent for caller, sent in self.sent_by.items()]
         return ClassResult(
             phase=self.phase,
--- a/papayapier/load/runner.py
+++ b/papayapier/load/runner.py
@@ -12,16 +12,16 @@
 from twisted.internet.defer import Deferred, gatherResults
 
 from papayapier.clock import Clock
-from papayapier.load.answer import End
 from papayapier.load.arrivals import US_PER_MS, arrival_times_us
-from papayapier.load.client import Answered, Client, now_us, send
-from papayapier.load.mix import Mix, Request
+from papayapier.load.client import Client, RequestRecord, monotonic_us, send_request
+from papayapier.load.experiment_file import Experiment, Phase
+from papayapier.load.request_mix import Mix, Request
+from papayapier.load.responses import RequestOutcome
 from papayapier.load.results import ClassResult, ClassStats
-from papayapier.load.scenario import Experiment, Phase
 from papayapier.load.series import Series, SeriesCollector
 
 PickInstance = Callable[[], str]
-Observe = Callable[[Request, Answered], None]
+Observe = Callable[[Request, RequestRecord], None]
 
 SETTLING: Final = "(settling)"
 RESENT: Final = "(resent)"
@@ -96,14 +96,14 @@
         phase_no = self._exp.phases.index(phase)
         mix = Mix(self._exp.classes, f"{self._run_id}-{round_no}-{phase_no}", shape, words)
         times = arrival_times_us(phase, random.Random(f"times {self._seed} {round_no}"))
-        start_us = now_us(self._clock)
+        start_us = monotonic_us(self._clock)
         counting = self._clock.sleep(phase.settle_ms)
         counting.addCallback(lambda _: hooks.counting(phase))
         counting.addErrback(self._record_failure)
         arriving = self._arrive(phase, times, start_us, mix)
         await arriving
         await counting
-        remaining_ms = phase.ms - (now_us(self._clock) - start_us) / US_PER_MS
+        remaining_ms = phase.ms - (monotonic_us(self._clock) - start_us) / US_PER_MS
         if remaining_ms > 0:
             await self._clock.sleep(remaining_ms)
         await hooks.after(phase)
@@ -111,7 +111,7 @@
     async def _arrive(self, phase: Phase, times: Iterator[int], start_us: int, mix: Mix) -> None:
         """Send each request at its intended time, or at once when that has passed."""
         for at_us in times:
-            wait_us = start_us + at_us - now_us(self._clock)
+            wait_us = start_us + at_us - monotonic_us(self._clock)
             if wait_us > 0:
                 await self._clock.sleep(wait_us / US_PER_MS)
             self._start(Arrival(phase, start_us, at_us), mix.draw())
@@ -129,7 +129,7 @@
         done.addBoth(lambda _: self._open.discard(done))
 
     async def _send(self, arrival: Arrival, req: Request) -> None:
-        record = await send(
+        record = await send_request(
             self._client, self._pick_instance(), req, arrival.start_us + arrival.at_us
         )
         if req.is_resend:
@@ -138,7 +138,10 @@
             self._stats(arrival.counted_phase(), req.cls.name).add(req, record)
             self._series.add(arrival.phase.name, req.cls.name, arrival.at_us, record)
         self.flaws[record.verdict.flaw] += 1
-        if record.verdict.end is End.WRONG and len(self.wrong_answers) < MAX_WRONG_ANSWERS:
+        if (
+            record.verdict.request_outcome is RequestOutcome.WRONG
+            and len(self.wrong_answers) < MAX_WRONG_ANSWERS
+        ):
             self.wrong_answers.append(f"{req.request_id}: {record.verdict.reason}")
         self._observe(req, record)
 
--- a/papayapier/load/series.py
+++ b/papayapier/load/series.py
@@ -3,8 +3,8 @@
 from collections import defaultdict
 from typing import Final, NamedTuple
 
-from papayapier.load.answer import End
-from papayapier.load.client import Answered
+from papayapier.load.client import RequestRecord
+from papayapier.load.responses import RequestOutcome
 
 US_PER_MS: Final = 1_000
 US_PER_S: Final = 1_000_000
@@ -48,13 +48,13 @@
     def __init__(self) -> None:
         self._bins: dict[tuple[str, str], dict[int, _Bin]] = defaultdict(dict)
 
-    def add(self, phase: str, name: str, at_us: int, record: Answered) -> None:
+    def add(self, phase: str, name: str, at_us: int, record: RequestRecord) -> None:
         """Count one request by its intended send time in its phase."""
         second = self._bins[phase, name].setdefault(at_us // US_PER_S, _Bin())
         second.sent += 1
-        if record.verdict.end is End.WHOLE:
+        if record.verdict.request_outcome is RequestOutcome.COMPLETE:
             second.totals_us.append(record.timing.total_us)
-        elif record.verdict.end is End.REFUSED:
+        elif record.verdict.request_outcome is RequestOutcome.REFUSED:
             second.refused += 1
         else:
             second.other += 1
--- a/papayapier/load/standins.py
+++ b/papayapier/load/standins.py
@@ -5,8 +5,8 @@
 
 from result import Err, Ok, Result
 
-from papayapier.load.calls import call_json
-from papayapier.load.scenario import PLATFORM
+from papayapier.load.experiment_file import PLATFORM
+from papayapier.load.http_calls import http_call_json
 from papayapier.store.api import REPLICA
 
 
@@ -48,7 +48,7 @@
 
 async def find_standins(platform: str) -> Result[StandIns, str]:
     """Read the replicas' addresses from the platform's instance list."""
-    response = await call_json("GET", f"http://{platform}/instances?wait_ms=0&since=0")
+    response = await http_call_json("GET", f"http://{platform}/instances?wait_ms=0&since=0")
     if isinstance(response, Err):
         return response
     listed: list[dict[str, Any]] = response.ok_value["instances"]
@@ -62,7 +62,7 @@
 
 async def set_switches(address: str, control: dict[str, Any]) -> Result[Any, str]:
     """Set switches of one stand-in."""
-    return await call_json("POST", f"http://{address}/control", control)
+    return await http_call_json("POST", f"http://{address}/control", control)
 
 
 async def read_run_counts(standins: StandIns) -> Result[RunCounts, str]:
@@ -70,7 +70,7 @@
     by_upstream: dict[str, Counter[str]] = {}
     tokens = 0
     for upstream, address in standins.replicas.values():
-        response = await call_json("GET", f"http://{address}/counts")
+        response = await http_call_json("GET", f"http://{address}/counts")
         if isinstance(response, Err):
             return response
         counts: dict[str, Any] = response.ok_value
--- a/papayapier/standin/command.py
+++ b/papayapier/standin/command.py
@@ -13,8 +13,8 @@
 from papayapier.clock import real_clock
 from papayapier.exits import EXIT_FAILED, EXIT_OK, EXIT_USAGE
 from papayapier.standin.engine_steps import EngineParams
+from papayapier.standin.fleet import Fleet, FleetParams, run_fleet, run_replicas
 from papayapier.standin.platform import PlatformParams
-from papayapier.standin.run import Fleet, FleetParams, run_fleet, run_replicas
 from papayapier.standin.service import ServiceParams
 from papayapier.store.api import Member
 
--- a/papayapier/standin/engine.py
+++ b/papayapier/standin/engine.py
@@ -81,7 +81,7 @@
             cancelled=dict(self.core.cancelled),
             tokens=self.core.tokens,
             running=self.core.running(),
-            orders=dict(self.core.orders.times),
+            orders=dict(self.core.orders.accepted_counts),
         )
 
     def restart(self) -> Deferred[None]:
--- a/papayapier/standin/orders.py
+++ b/papayapier/standin/orders.py
@@ -52,9 +52,9 @@
         "_on_loaded",
         "_params",
         "_timers",
+        "accepted_counts",
         "loading",
         "state",
-        "times",
     )
 
     def __init__(
@@ -69,7 +69,7 @@
         self._params = params
         self._timers = timers
         self._on_loaded = on_loaded
-        self.times: dict[str, int] = {}
+        self.accepted_counts: dict[str, int] = {}
         self.loading = 0
         self.state = _initial_state(params, 0)
 
@@ -88,7 +88,7 @@
                 return False
             self.state = self.state._replace(fence=order["fence"])
         order_id = order["order_id"]
-        self.times[order_id] = self.times.get(order_id, 0) + 1
+        self.accepted_counts[order_id] = self.accepted_counts.get(order_id, 0) + 1
         self.state = self.state._replace(orders=[*self.state.orders, order_id][-MAX_LISTED_ORDERS:])
         self._load(order)
         return True
--- a/tests/scenario/actions.py
+++ b/tests/scenario/actions.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 from twisted.internet.defer import Deferred, DeferredList
 
-from papayapier.load.calls import call, call_json
+from papayapier.load.http_calls import http_call, http_call_json
 from tests.scenario import jobs, steps
 from tests.scenario.checks import wait_until
 from tests.scenario.requests import RequestGroup, make_requests
@@ -191,15 +191,15 @@
 
 async def _put_replica(world: World, replica: dict[str, Any]) -> None:
     url = f"http://{world.platform}/instances/{replica['id']}"
-    _unwrap(await call("PUT", url, msgspec.json.encode(replica)))
+    _unwrap(await http_call("PUT", url, msgspec.json.encode(replica)))
 
 
 async def _control(address: str, switches: dict[str, object]) -> None:
-    _unwrap(await call("POST", f"http://{address}/control", msgspec.json.encode(switches)))
+    _unwrap(await http_call("POST", f"http://{address}/control", msgspec.json.encode(switches)))
 
 
 async def _profile_version(instance: Instance, name: str) -> int:
-    reply = await call_json("GET", f"http://{instance.address('operator')}/v1/profiles/{name}")
+    reply = await http_call_json("GET", f"http://{instance.address('operator')}/v1/profiles/{name}")
     return int(reply.ok_value["version"]) if isinstance(reply, Ok) else 0
 
 
@@ -218,7 +218,7 @@
         "reason": "scenario",
         "change_id": f"{writer}-{step.name}-{step.due}-{based_on}",
     }
-    return await call_json(
+    return await http_call_json(
         "PUT", f"http://{instance.address('operator')}/v1/profiles/{step.name}", change
     )
 
--- a/tests/scenario/checks.py
+++ b/tests/scenario/checks.py
@@ -9,8 +9,8 @@
 
 from result import Err
 
-from papayapier.load.answer import End
-from papayapier.load.calls import call
+from papayapier.load.http_calls import http_call
+from papayapier.load.responses import RequestOutcome
 from tests.scenario import jobs
 from tests.scenario.requests import RequestGroup
 from tests.scenario.steps import Condition
@@ -53,14 +53,14 @@
 
 async def _answered(world: World, condition: Condition) -> CheckResult:
     group = world.group(condition.subject)
-    all_complete = group.is_finished() and group.count(End.WHOLE) == group.sent
+    all_complete = group.is_finished() and group.count(RequestOutcome.COMPLETE) == group.sent
     return CheckResult(all_complete, _describe(group), group.is_finished())
 
 
 async def _ended(world: World, condition: Condition) -> CheckResult:
     """Check that each request got its own complete answer, a refusal or a cut connection."""
     group = world.group(condition.subject)
-    failed = group.count(End.WRONG) + group.count(End.HUNG)
+    failed = group.count(RequestOutcome.WRONG) + group.count(RequestOutcome.TIMED_OUT)
     return CheckResult(group.is_finished() and not failed, _describe(group), failed > 0)
 
 
@@ -69,12 +69,12 @@
 
 
 async def _some_answered(world: World, condition: Condition) -> CheckResult:
-    number = world.group(condition.subject).count(End.WHOLE)
+    number = world.group(condition.subject).count(RequestOutcome.COMPLETE)
     return CheckResult(number == condition.number, f"{number} answered")
 
 
 async def _some_refused(world: World, condition: Condition) -> CheckResult:
-    number = world.group(condition.subject).count(End.REFUSED)
+    number = world.group(condition.subject).count(RequestOutcome.REFUSED)
     return CheckResult(number == condition.number, f"{number} refused")
 
 
@@ -148,13 +148,13 @@
 
 async def _ready(world: World, condition: Condition) -> CheckResult:
     address = world.instance(condition.subject).address("operator")
-    reply = await call("GET", f"http://{address}/readyz")
+    reply = await http_call("GET", f"http://{address}/readyz")
     return CheckResult(not isinstance(reply, Err), str(reply))
 
 
 async def _not_ready(world: World, condition: Condition) -> CheckResult:
     address = world.instance(condition.subject).address("operator")
-    reply = await call("GET", f"http://{address}/readyz")
+    reply = await http_call("GET", f"http://{address}/readyz")
     return CheckResult(isinstance(reply, Err) and "status 503" in reply.err_value, str(reply))
 
 
--- a/tests/scenario/jobs.py
+++ b/tests/scenario/jobs.py
@@ -7,7 +7,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from papayapier.load.calls import call, call_json
+from papayapier.load.http_calls import http_call, http_call_json
 from papayapier.standin.answers import expected_text
 
 CHAT_URL: Final = "/v1/chat/completions"
@@ -50,30 +50,30 @@
         "completion_window": "24h",
     }
     headers = {"X-Papayapier-Profile": profile, "Idempotency-Key": key}
-    created = await call_json("POST", f"http://{address}/v1/batches", job_document, headers)
+    created = await http_call_json("POST", f"http://{address}/v1/batches", job_document, headers)
     return created.map(lambda answer: Job(str(answer["id"]), bodies))
 
 
 async def call_json_lines(url: str, body: bytes) -> Result[Any, str]:
     """Post JSON lines and return the answer's document."""
-    response = await call("POST", url, body, {"Content-Type": "application/jsonl"})
+    response = await http_call("POST", url, body, {"Content-Type": "application/jsonl"})
     return response.map(msgspec.json.decode)
 
 
 async def cancel(address: str, job: Job) -> Result[Any, str]:
     """Cancel a job."""
-    return await call_json("POST", f"http://{address}/v1/batches/{job.id}/cancel")
+    return await http_call_json("POST", f"http://{address}/v1/batches/{job.id}/cancel")
 
 
 async def read_state(address: str, job: Job) -> Result[JobState, str]:
     """Read the status and the counts of a job."""
-    reply = await call_json("GET", f"http://{address}/v1/batches/{job.id}")
+    reply = await http_call_json("GET", f"http://{address}/v1/batches/{job.id}")
     return reply.map(_state)
 
 
 async def wrong_results(address: str, job: Job) -> Result[list[str], str]:
     """Return a description of each duplicate, missing, foreign or mixed-up result."""
-    reply = await call_json("GET", f"http://{address}/v1/batches/{job.id}")
+    reply = await http_call_json("GET", f"http://{address}/v1/batches/{job.id}")
     if isinstance(reply, Err):
         return reply
     lines: list[Any] = []
@@ -81,7 +81,7 @@
         file_id = reply.ok_value.get(field)
         if not file_id:
             continue
-        content = await call("GET", f"http://{address}/v1/files/{file_id}/content")
+        content = await http_call("GET", f"http://{address}/v1/files/{file_id}/content")
         if isinstance(content, Err):
             return content
         lines += [msgspec.json.decode(line) for line in content.ok_value.splitlines()]
--- a/tests/scenario/requests.py
+++ b/tests/scenario/requests.py
@@ -3,10 +3,10 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from papayapier.load.answer import End, Verdict
-from papayapier.load.client import Answered, Client, now_us, send
-from papayapier.load.mix import CHAT_PATH, Request
-from papayapier.load.scenario import RequestClass
+from papayapier.load.client import Client, RequestRecord, monotonic_us, send_request
+from papayapier.load.experiment_file import RequestClass
+from papayapier.load.request_mix import CHAT_PATH, Request
+from papayapier.load.responses import RequestOutcome, Verdict
 from tests.scenario.steps import Send
 
 MAX_TOKENS = 20
@@ -18,37 +18,41 @@
     def __init__(self, label: str) -> None:
         self.label = label
         self.sent = 0
-        self.answers: list[Answered] = []
+        self.answers: list[RequestRecord] = []
 
     def start(self, client: Client, address: str, requests: list[Request]) -> None:
         """Send all the requests at once."""
         for request in requests:
             self.sent += 1
-            pending = Deferred.fromCoroutine(send(client, address, request, now_us(client.clock)))
+            pending = Deferred.fromCoroutine(
+                send_request(client, address, request, monotonic_us(client.clock))
+            )
             pending.addCallback(self.answers.append)
 
-    def count(self, end: End) -> int:
+    def count(self, end: RequestOutcome) -> int:
         """Return how many requests ended with an outcome."""
-        return sum(answer.verdict.end is end for answer in self.answers)
+        return sum(answer.verdict.request_outcome is end for answer in self.answers)
 
     def is_finished(self) -> bool:
         """Tell whether every request has ended."""
         return len(self.answers) == self.sent
 
-    def refused(self, outcome: str) -> list[Answered]:
+    def refused(self, outcome: str) -> list[RequestRecord]:
         """Return the requests whose refusal states an outcome."""
         return [answer for answer in self.answers if answer.verdict.outcome == outcome]
 
     def summary(self) -> str:
         """Return the number of requests by outcome, in a fixed order."""
-        counts = [(end.value, self.count(end)) for end in End]
+        counts = [(end.value, self.count(end)) for end in RequestOutcome]
         return ", ".join(f"{number} {name}" for name, number in counts if number)
 
     def failed_verdicts(self) -> list[Verdict]:
         """Return the verdicts of at most three requests without a complete answer."""
-        return [answer.verdict for answer in self.answers if answer.verdict.end is not End.WHOLE][
-            :3
-        ]
+        return [
+            answer.verdict
+            for answer in self.answers
+            if answer.verdict.request_outcome is not RequestOutcome.COMPLETE
+        ][:3]
 
 
 def make_requests(step: Send, upstream: str, case_id: str) -> list[Request]:
--- a/tests/scenario/world.py
+++ b/tests/scenario/world.py
@@ -12,8 +12,8 @@
 from twisted.internet.defer import DeferredList
 
 from papayapier.clock import Clock, real_clock
-from papayapier.load.calls import call, call_json
 from papayapier.load.client import Client, make_client
+from papayapier.load.http_calls import http_call, http_call_json
 from papayapier.standin.answers import expected_text
 from tests.scenario.jobs import Job
 from tests.scenario.processes import Child, start
@@ -185,7 +185,7 @@
 
 async def read_json(url: str) -> Any:
     """Read a JSON document; raise CaseError if that fails."""
-    reply = await call_json("GET", url)
+    reply = await http_call_json("GET", url)
     if isinstance(reply, Err):
         raise CaseError(reply.err_value)
     return reply.ok_value
@@ -193,7 +193,7 @@
 
 async def read_metric(address: str, name: str, label: str = "") -> float:
     """Read one sample of an instance's metrics, 0 if absent; label is part of its text."""
-    reply = await call("GET", f"http://{address}/metrics")
+    reply = await http_call("GET", f"http://{address}/metrics")
     if isinstance(reply, Err):
         raise CaseError(reply.err_value)
     for line in reply.ok_value.decode().splitlines():
--- a/tests/test_instance.py
+++ b/tests/test_instance.py
@@ -19,7 +19,7 @@
 from papayapier.errors import ErrorKind, not_run_refusal
 from papayapier.graceful_shutdown import GracefulShutdown, ShutdownDeps
 from papayapier.policy.drain import Drain, DrainPlan
-from papayapier.standin.run import Fleet, FleetParams, run_fleet
+from papayapier.standin.fleet import Fleet, FleetParams, run_fleet
 from papayapier.standin.switches import Mode
 from tests.entry_world import ANSWER, CHAT, GATE, EntryWorld, RunResult
 from tests.raw_client import connect, post
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -14,22 +14,22 @@
 from twisted.web.server import NOT_DONE_YET, Request, Site
 
 from papayapier.clock import fake_clock, real_clock
-from papayapier.load import arrivals, runner, scenario
-from papayapier.load.answer import (
+from papayapier.load import arrivals, experiment_file, runner
+from papayapier.load.chaos_plan import FaultKind, FleetSizes, draw_plan
+from papayapier.load.client import Client, RequestRecord, Timing, make_client
+from papayapier.load.experiment import Options, run_experiment
+from papayapier.load.outcomes import OutcomeTracker
+from papayapier.load.pausable_timers import PausableTimers
+from papayapier.load.report import report_html, report_json
+from papayapier.load.request_mix import Mix
+from papayapier.load.responses import (
     NO_FINISH_REASON,
-    End,
+    RequestOutcome,
     StreamReader,
     Verdict,
     classify_response,
     classify_stream,
 )
-from papayapier.load.chaos_plan import FaultKind, FleetSizes, draw_plan
-from papayapier.load.client import Answered, Client, Timing, make_client
-from papayapier.load.experiment import Options, run_experiment
-from papayapier.load.mix import Mix
-from papayapier.load.outcomes import OutcomeTracker
-from papayapier.load.pausing import PausableTimers
-from papayapier.load.report import report_html, report_json
 from papayapier.load.results import jain_index
 from papayapier.load.table import report_text
 from papayapier.standin.answers import expected_text
@@ -38,10 +38,10 @@
 PHASE = {"name": "one", "ms": 200, "settle_ms": 0, "rate_per_s": 100}
 
 
-def experiment(**changes: object) -> scenario.Experiment:
+def experiment(**changes: object) -> experiment_file.Experiment:
     """Make a small experiment."""
     document = {"name": "small", "classes": [CHAT], "phases": [PHASE], **changes}
-    return scenario.parse(json.dumps(document)).unwrap()
+    return experiment_file.parse(json.dumps(document)).unwrap()
 
 
 @pytest.mark.parametrize(
@@ -59,21 +59,21 @@
 )
 def test_an_error_names_the_field(changes: dict[str, object], where: str) -> None:
     document = {"name": "small", "classes": [CHAT], "phases": [PHASE], **changes}
-    assert scenario.parse(json.dumps(document)).unwrap_err().startswith(where)
+    assert experiment_file.parse(json.dumps(document)).unwrap_err().startswith(where)
 
 
 def test_all_shipped_experiments_are_valid() -> None:
     paths = sorted(Path(__file__).parent.parent.joinpath("misc/experiments").glob("*.json"))
-    assert [scenario.load(path).err() for path in paths] == [None] * len(paths)
+    assert [experiment_file.load_experiment(path).err() for path in paths] == [None] * len(paths)
 
 
 def test_arrivals_follow_steps_and_bursts() -> None:
-    phase = scenario.Phase(
+    phase = experiment_file.Phase(
         "x",
         ms=20_000,
         rate_per_s=100,
-        steps=(scenario.Step(10_000, 200),),
-        bursts=(scenario.Burst(15_000, 1_000, 5),),
+        steps=(experiment_file.Step(10_000, 200),),
+        bursts=(experiment_file.Burst(15_000, 1_000, 5),),
     )
     times = list(arrivals.arrival_times_us(phase, random.Random(1)))
     counts = [sum(start <= at < start + 1_000_000 for at in times) for start in (0, 12e6, 15e6)]
@@ -95,27 +95,33 @@
     req = Mix(experiment().classes, "r", random.Random(1), random.Random(2)).draw()
     own = expected_text(req.prompt, req.max_tokens)
 
-    def end(status: int, document: object) -> End:
-        return classify_response(req, status, json.dumps(document).encode(), expected_text).end
+    def end(status: int, document: object) -> RequestOutcome:
+        return classify_response(
+            req, status, json.dumps(document).encode(), expected_text
+        ).request_outcome
 
     def answer(text: str) -> object:
         return {"choices": [{"message": {"content": text}, "finish_reason": "length"}]}
 
-    assert end(200, answer(own)) is End.WHOLE
-    assert end(200, answer(own.rsplit(" ", 1)[0])) is End.WRONG
-    assert end(200, answer(expected_text("other", req.max_tokens))) is End.WRONG
-    assert end(429, {"error": {"kind": "overloaded", "outcome": "not_run"}}) is End.REFUSED
-    assert end(500, {"error": {"kind": "internal"}}) is End.WRONG
+    assert end(200, answer(own)) is RequestOutcome.COMPLETE
+    assert end(200, answer(own.rsplit(" ", 1)[0])) is RequestOutcome.WRONG
+    assert end(200, answer(expected_text("other", req.max_tokens))) is RequestOutcome.WRONG
+    assert (
+        end(429, {"error": {"kind": "overloaded", "outcome": "not_run"}}) is RequestOutcome.REFUSED
+    )
+    assert end(500, {"error": {"kind": "internal"}}) is RequestOutcome.WRONG
 
 
 def test_a_stream_without_its_end_marker_is_cut() -> None:
     req = Mix(experiment().classes, "r", random.Random(1), random.Random(2)).draw()
     reader = StreamReader()
     tokens = feed_answer(reader, expected_text(req.prompt, req.max_tokens))
-    assert classify_stream(req, reader, expected_text).end is End.CUT
+    assert (
+        classify_stream(req, reader, expected_text).request_outcome is RequestOutcome.DISCONNECTED
+    )
     reader.feed(b"data: [DONE]\n\n")
     assert tokens == req.max_tokens
-    assert classify_stream(req, reader, expected_text).end is End.WHOLE
+    assert classify_stream(req, reader, expected_text).request_outcome is RequestOutcome.COMPLETE
     assert classify_stream(req, reader, expected_text).flaw == ""
     reader.finished = False
     assert classify_stream(req, reader, expected_text).flaw == NO_FINISH_REASON
@@ -147,17 +153,17 @@
     """
     document = {**CHAT, "kind": "service", "path": "/services/gate/x", "idempotent": False}
     req = Mix(experiment(classes=[document]).classes, "r", *[random.Random(1)] * 2).draw()
-    refused = Verdict(End.REFUSED, "overloaded", "not_run")
+    refused = Verdict(RequestOutcome.REFUSED, "overloaded", "not_run")
     outcomes = OutcomeTracker()
     for call_id, verdict in (
         ("refused", refused),
         ("refused-then-answered", refused),
-        ("refused-then-answered", Verdict(End.WHOLE)),
-        ("twice", Verdict(End.WHOLE)),
-        ("never", Verdict(End.WHOLE)),
-        ("", Verdict(End.CUT)),
+        ("refused-then-answered", Verdict(RequestOutcome.COMPLETE)),
+        ("twice", Verdict(RequestOutcome.COMPLETE)),
+        ("never", Verdict(RequestOutcome.COMPLETE)),
+        ("", Verdict(RequestOutcome.DISCONNECTED)),
     ):
-        outcomes.observe(req, Answered(verdict, Timing(0, -1, 1, []), call_id))
+        outcomes.observe(req, RequestRecord(verdict, Timing(0, -1, 1, []), call_id))
     found = outcomes.contradictions({"refused": 1, "refused-then-answered": 1, "twice": 2})
     assert [line.split(" ", 1)[1] for line in found] == [
         "was refused as not run, and ran 1 times",
--- a/tests/test_orders_http.py
+++ b/tests/test_orders_http.py
@@ -68,8 +68,8 @@
         assert [engine.state.version for engine in states] == ["2", "2"]
         assert ["pass-7b" in engine.state.models for engine in states] == [True, True]
         assert sorted(engine.state.role for engine in states) == ["mixed", "prefill"]
-        assert all(times == 1 for engine in states for times in engine.times.values())
-        assert sum(len(engine.times) for engine in states) == ORDERS
+        assert all(times == 1 for engine in states for times in engine.accepted_counts.values())
+        assert sum(len(engine.accepted_counts) for engine in states) == ORDERS
 
 
 async def _stop(control: Any, orders: Any) -> None:
--- a/tests/test_outage_start.py
+++ b/tests/test_outage_start.py
@@ -15,7 +15,7 @@
 from papayapier.clock import Clock, Timers, real_clock
 from papayapier.compose import start_instance
 from papayapier.fleet_view import FleetView, OwnInstance, ReplicaPolicies
-from papayapier.load.pausing import HeldTimer, PausableTimers
+from papayapier.load.pausable_timers import PausableTimer, PausableTimers
 from papayapier.metrics import make_metrics
 from papayapier.policy.batch_share import BatchShare
 from papayapier.policy.loads import LoadTracker
@@ -31,7 +31,7 @@
     PlatformSettings,
     Settings,
 )
-from papayapier.standin.run import Fleet, FleetParams, run_fleet
+from papayapier.standin.fleet import Fleet, FleetParams, run_fleet
 from papayapier.store.api import ENTRY, LIVE, REPLICA, Member
 from papayapier.store.members import MembersChanged
 from tests.log_capture import LogCapture
@@ -49,12 +49,12 @@
 
     def __init__(self, inner: Timers) -> None:
         super().__init__(inner)
-        self._made: list[HeldTimer] = []
+        self._made: list[PausableTimer] = []
         self._crashed = False
 
     def callLater(self, delay: float, callable: Callable[..., Any]) -> Any:  # noqa: N802
         if self._crashed:
-            return HeldTimer(self, callable)
+            return PausableTimer(self, callable)
         timer = super().callLater(delay, callable)
         self._made.append(timer)
         return timer
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -13,8 +13,8 @@
 from papayapier.standin.answers import expected_text
 from papayapier.standin.engine import EngineServer, start_engine
 from papayapier.standin.engine_steps import EngineParams
+from papayapier.standin.fleet import FleetParams, run_fleet
 from papayapier.standin.prefix_cache import BLOCK_TOKENS, CacheParams
-from papayapier.standin.run import FleetParams, run_fleet
 from papayapier.standin.service import ServiceParams, ServiceServer, start_service
 from papayapier.standin.switches import Control, Mode
 from tests.standin_case import HOST, REACTOR, HttpResponse, StandInCase
--- a/tests/test_standin_models.py
+++ b/tests/test_standin_models.py
@@ -288,7 +288,7 @@
         params = EngineParams(checks_fence=checks, order_ms=300)
         orders = Orders(params, Timers(fake.clock), lambda: loaded.append(True))
         assert [orders.accept(make_order("x", 5)), orders.accept(make_order("y", 4))] == accepted
-    assert orders.times == {"x": 1, "y": 1}
+    assert orders.accepted_counts == {"x": 1, "y": 1}
     assert orders.loading == 2
     assert orders.state.models == ["base"]
     fake.jump(300)
--- a/tests/test_standin_weights.py
+++ b/tests/test_standin_weights.py
@@ -4,9 +4,9 @@
 
 from papayapier.clock import FakeClock, fake_clock
 from papayapier.standin.engine_steps import EngineParams, WeightSource
+from papayapier.standin.fleet import Fleet, FleetParams, run_fleet
 from papayapier.standin.orders import Order, Orders
 from papayapier.standin.platform import PlatformParams
-from papayapier.standin.run import Fleet, FleetParams, run_fleet
 from papayapier.standin.timers import Timers
 from papayapier.standin.weights import WeightParams
 from tests.standin_case import REACTOR, HttpResponse, StandInCase
@@ -65,7 +65,7 @@
     assert len(engine.reads) == TRIES
     state = engine.orders.state
     assert (engine.orders.loading, state.models, state.orders) == (0, ["base"], [])
-    assert engine.orders.times == {"1-m": 1}
+    assert engine.orders.accepted_counts == {"1-m": 1}
 
 
 def test_crash_cancels_a_load() -> None:
