--- a/misc/make_docs.py
+++ b/misc/make_docs.py
@@ -24,7 +24,7 @@
     text: str
 
 
-def pages() -> list[Page]:
+def make_pages() -> list[Page]:
     """Return all generated pages."""
     return [Page("EVENTS.md", make_events_page()), Page("SETTINGS.md", make_settings_page())]
 
@@ -123,7 +123,7 @@
 def main(args: list[str]) -> int:
     """Write the pages, or with --check compare them with the files; return the exit code."""
     stale_pages = 0
-    for page in pages():
+    for page in make_pages():
         path = DOCS / page.name
         if "--check" not in args:
             path.write_text(page.text, encoding="utf-8")
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -48,7 +48,7 @@
 }
 
 
-@pytest.mark.parametrize("page", make_docs.pages(), ids=lambda page: page.name)
+@pytest.mark.parametrize("page", make_docs.make_pages(), ids=lambda page: page.name)
 def test_generated_page_matches_the_code(page: make_docs.Page) -> None:
     """Guard against a reference page that was not generated again after a change."""
     written = (ROOT / "docs" / page.name).read_text(encoding="utf-8")
