--- a/tests/scenario/actions.py
+++ b/tests/scenario/actions.py
@@ -133,7 +133,7 @@
     instance = world.instance(step.name)
     if instance.child is None:
         raise CaseError(f"instance {step.name} was not started")
-    instance.child.signal(SIGNALS[step.action])
+    instance.child.send_signal(SIGNALS[step.action])
     if step.action == "pause":
         instance.paused = True
         world.clock.call_later(step.pause_ms, lambda: _resume(instance))
@@ -186,7 +186,7 @@
 def _resume(instance: Instance) -> None:
     instance.paused = False
     if instance.child is not None:
-        instance.child.signal(Signals.SIGCONT)
+        instance.child.send_signal(Signals.SIGCONT)
 
 
 async def _put_replica(world: World, replica: dict[str, Any]) -> None:
--- a/tests/scenario/checks.py
+++ b/tests/scenario/checks.py
@@ -160,7 +160,7 @@
 
 async def _logged(world: World, condition: Condition) -> CheckResult:
     child = world.instance(condition.subject).child
-    number = 0 if child is None else child.logged(condition.number)
+    number = 0 if child is None else child.logged_count(condition.number)
     return CheckResult(number > 0, f"event {condition.number} was not logged")
 
 
--- a/tests/scenario/driver.py
+++ b/tests/scenario/driver.py
@@ -47,6 +47,6 @@
     """Return the last lines that each process has printed."""
     logs = []
     for child in world.children:
-        lines = list(child.tail)[-MAX_LOG_LINES:]
+        lines = list(child.last_output_lines)[-MAX_LOG_LINES:]
         logs.append(f"--- {child.name} (exit code {child.exit_code})\n" + "\n".join(lines))
     return "\n".join(logs)
--- a/tests/scenario/processes.py
+++ b/tests/scenario/processes.py
@@ -17,7 +17,7 @@
 STDERR: Final = 2
 
 
-class Child(ProcessProtocol):
+class ChildProcess(ProcessProtocol):
     """Hold a child process: its output, and its exit code when it has ended."""
 
     def __init__(self, name: str) -> None:
@@ -26,7 +26,7 @@
         self.ended: Deferred[None] = Deferred()
         self.documents: list[dict[str, Any]] = []
         self.printed = ""
-        self.tail: deque[str] = deque(maxlen=MAX_TAIL_LINES)
+        self.last_output_lines: deque[str] = deque(maxlen=MAX_TAIL_LINES)
         self._partial_lines = {1: b"", STDERR: b""}
         self._waiters: list[tuple[str, Deferred[dict[str, Any]]]] = []
 
@@ -55,7 +55,7 @@
             self._waiters.append((key, waiter))
         return waiter
 
-    def signal(self, number: Signals) -> None:
+    def send_signal(self, number: Signals) -> None:
         """Send a signal; do nothing if the process has ended."""
         if self.exit_code is not None:
             return
@@ -64,16 +64,16 @@
         except ProcessExitedAlready:
             return
 
-    def logged(self, event: int) -> int:
+    def logged_count(self, event: int) -> int:
         """Return how often the event with a number was logged."""
         return sum(document.get("event") == event for document in self.documents)
 
     def last_lines(self) -> str:
         """Return the last printed lines as one text."""
-        return "\n".join(self.tail)
+        return "\n".join(self.last_output_lines)
 
     def _add_line(self, line: str) -> None:
-        self.tail.append(line)
+        self.last_output_lines.append(line)
         self.printed += line + "\n"
         document = _parse_json(line)
         if document is None:
@@ -85,11 +85,11 @@
                 waiter.callback(document)
 
 
-def start(name: str, *arguments: str) -> Child:
+def start_process(name: str, *arguments: str) -> ChildProcess:
     """Run "papayapier ARGUMENTS" as a child process."""
     from twisted.internet import reactor
 
-    child = Child(name)
+    child = ChildProcess(name)
     command = [sys.executable, "-m", "papayapier", *arguments]
     cast(Any, reactor).spawnProcess(
         child, sys.executable, args=command, env=None, path=str(ROOT), childFDs={1: "r", 2: "r"}
--- a/tests/scenario/world.py
+++ b/tests/scenario/world.py
@@ -16,7 +16,7 @@
 from papayapier.load.http_calls import http_call, http_call_json
 from papayapier.standin.answers import expected_text
 from tests.scenario.jobs import Job
-from tests.scenario.processes import Child, start
+from tests.scenario.processes import ChildProcess, start_process
 from tests.scenario.requests import RequestGroup
 from tests.scenario.steps import DefineProfile
 
@@ -43,7 +43,7 @@
         self.name = name
         self.settings = settings
         self.file = file
-        self.child: Child | None = None
+        self.child: ChildProcess | None = None
         self.paused = False
         self.may_exit = False
 
@@ -68,7 +68,7 @@
             self.clock, expected_text, REQUEST_TIMEOUT_MS, fresh_connections=True
         )
         self.platform = ""
-        self.children: list[Child] = []
+        self.children: list[ChildProcess] = []
         self.replicas: dict[str, dict[str, Any]] = {}
         self.engines: set[str] = set()
         self.instances: dict[str, Instance] = {}
@@ -79,9 +79,9 @@
         self.race_accepted: list[bool] = []
         self.transcript: list[str] = []
 
-    async def spawn(self, name: str, *arguments: str) -> Child:
+    async def spawn(self, name: str, *arguments: str) -> ChildProcess:
         """Start a process that ends with the case."""
-        child = start(name, *arguments)
+        child = start_process(name, *arguments)
         self.children.append(child)
         return child
 
@@ -168,7 +168,7 @@
             child = instance.child
             if child is None:
                 continue
-            if child.logged(INVARIANT_BROKEN_EVENT):
+            if child.logged_count(INVARIANT_BROKEN_EVENT):
                 found.append(f"instance {instance.name} logged an invariant violation")
             if child.exit_code is not None and not instance.may_exit:
                 found.append(f"instance {instance.name} ended with {child.exit_code}")
@@ -177,7 +177,7 @@
     async def close(self) -> None:
         """Kill every process of the case."""
         for child in self.children:
-            child.signal(Signals.SIGKILL)
+            child.send_signal(Signals.SIGKILL)
         await DeferredList([child.ended for child in self.children])
         await self.client.close()
         self.folder.cleanup()
--- a/tests/site/case.py
+++ b/tests/site/case.py
@@ -20,4 +20,4 @@
         return Deferred.fromCoroutine(self.world.close())
 
     def port(self, number: int = 1) -> int:
-        return self.world.callers[f"entry-{number}"]
+        return self.world.caller_ports[f"entry-{number}"]
--- a/tests/site/soak.py
+++ b/tests/site/soak.py
@@ -25,7 +25,7 @@
 from papayapier.errors import ErrorKind
 from papayapier.policy.crash_quarantine import MAX_LOSSES
 from tests.site.replicas import EVENTS_PER_STREAM, never_fails
-from tests.site.world import SiteWorld, configuration, new_id, pause, start_task
+from tests.site.world import SiteWorld, make_configuration, new_request_id, sleep, start_task
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -120,35 +120,35 @@
         if self.large:
             activities.append(self._send_bursts())
         loops = [start_task(loop) for loop in activities]
-        await pause(seconds)
+        await sleep(seconds)
         self.stopping = True
         await gatherResults(loops)
         await gatherResults(self._tasks)
         self._end_faults()
-        for name in self.world.callers:
-            await self.world.until_ready(name)
-        await pause(RECOVERY_S)
+        for name in self.world.caller_ports:
+            await self.world.wait_until_ready(name)
+        await sleep(RECOVERY_S)
         await self._check()
         return Report(self.answers, self.faults, len(self.accepted_jobs), self.violations)
 
     def _port(self) -> int:
-        return self.rng.choice(list(self.world.callers.values()))
+        return self.rng.choice(list(self.world.caller_ports.values()))
 
     async def _send_requests(self) -> None:
         while not self.stopping:
             path = self.rng.choice(["/look/", "/once/", "/stream/once/", "/stream/again/"])
             self._tasks.append(start_task(self._send_request(path)))
-            await pause(REQUEST_GAP_S)
+            await sleep(REQUEST_GAP_S)
 
     async def _send_bursts(self) -> None:
         """Send more requests at once than the replicas can run."""
         while not self.stopping:
             path = self.rng.choice(["/stream/once/", "/stream/again/"])
             self._tasks += [start_task(self._send_request(path)) for _ in range(BURST_REQUESTS)]
-            await pause(BURST_GAP_S)
+            await sleep(BURST_GAP_S)
 
     async def _send_request(self, path: str) -> None:
-        request_id = new_id()
+        request_id = new_request_id()
         if "once" in path:
             self.at_most_once_ids.append(request_id)
         try:
@@ -172,14 +172,14 @@
         path = self.rng.choice(CRASHING_PATHS)
         while not self.stopping:
             self._tasks.append(start_task(self._send_request(path)))
-            await pause(CRASHING_GAP_S)
+            await sleep(CRASHING_GAP_S)
 
     async def _send_over_allowance(self) -> None:
         """Send far more than a team's allowance, and sometimes use an unknown key."""
         while not self.stopping:
             key = UNKNOWN_KEY if self.rng.random() < 0.05 else "kq-capped"
             self._tasks.append(start_task(self._send_as(key)))
-            await pause(CAPPED_GAP_S)
+            await sleep(CAPPED_GAP_S)
 
     async def _send_as(self, key: str) -> None:
         try:
@@ -196,7 +196,7 @@
         while not self.stopping:
             number += 1
             self._tasks.append(start_task(self._submit_job(f"job-{number}")))
-            await pause(JOB_GAP_S)
+            await sleep(JOB_GAP_S)
 
     async def _submit_job(self, job_id: str) -> None:
         for _ in range(self.rng.choice([1, 1, 2, 3])):
@@ -228,11 +228,11 @@
             if inject in (self._kill, self._suspend):
                 self.uncounted_faults.append(inject.__name__)
             await inject()
-            await pause(self.rng.uniform(0.2, FAULT_GAP_S))
+            await sleep(self.rng.uniform(0.2, FAULT_GAP_S))
 
     async def _store_unavailable(self) -> None:
         self.world.store.unavailable = True
-        await pause(self.rng.uniform(0.2, 2.5))
+        await sleep(self.rng.uniform(0.2, 2.5))
         self.world.store.unavailable = False
 
     async def _writes_unanswered(self) -> None:
@@ -241,21 +241,21 @@
     async def _kill(self) -> None:
         name = self.rng.choice(list(self.world.children))
         child = self.world.children[name]
-        child.signal(SIGKILL)
+        child.send_signal(SIGKILL)
         await child.ended
         self.world.restart(name)
 
     async def _suspend(self) -> None:
         child = self.rng.choice(list(self.world.children.values()))
-        child.signal(SIGSTOP)
-        await pause(self.rng.uniform(0.2, 2.5))
-        child.signal(SIGCONT)
+        child.send_signal(SIGSTOP)
+        await sleep(self.rng.uniform(0.2, 2.5))
+        child.send_signal(SIGCONT)
 
     async def _break_replica(self) -> None:
         replica = self.rng.choice(self.world.replicas)
         fault = self.rng.choice(["cut", "shed"])
         replica.cut_after_events, replica.shed = (2, False) if fault == "cut" else (0, True)
-        await pause(self.rng.uniform(0.2, 1.5))
+        await sleep(self.rng.uniform(0.2, 1.5))
         replica.cut_after_events, replica.shed = 0, False
 
     async def _fail_streams(self) -> None:
@@ -266,11 +266,11 @@
             return b"/stream/" in request.path and rng.random() < ERROR_SHARE
 
         while not self.stopping:
-            await pause(rng.uniform(0.2, FAULT_GAP_S))
+            await sleep(rng.uniform(0.2, FAULT_GAP_S))
             failing = list(self.world.replicas)
             for replica in failing:
                 replica.should_fail = fails
-            await pause(rng.uniform(0.2, FAULT_GAP_S))
+            await sleep(rng.uniform(0.2, FAULT_GAP_S))
             for replica in failing:
                 replica.should_fail = never_fails
 
@@ -281,10 +281,10 @@
         )
         self.world.add_like(previous)
         previous.register("draining")
-        await pause(0.5)
+        await sleep(0.5)
         self.world.store.remove("servers", previous.id)
         previous.starts_at_removal = len(previous.started_requests)
-        await pause(0.5)
+        await sleep(0.5)
 
     async def _restart_replica(self) -> None:
         registered = self.world.store.names("servers")
@@ -300,12 +300,12 @@
         if listed and self.rng.random() < 0.5:
             replica = self.rng.choice(listed)
             self.world.store.put("servers", replica.id, invalid)
-            await pause(self.rng.uniform(0.2, 1.0))
+            await sleep(self.rng.uniform(0.2, 1.0))
             replica.register("ready")
             return
-        name = f"foreign-{new_id()}"
+        name = f"foreign-{new_request_id()}"
         self.world.store.put("servers", name, invalid)
-        await pause(self.rng.uniform(0.2, 1.0))
+        await sleep(self.rng.uniform(0.2, 1.0))
         self.world.store.remove("servers", name)
 
     async def _change_configuration(self) -> None:
@@ -318,7 +318,7 @@
         added = f"kq-{len(self.withdrawn_keys) + 1}"
         self.config_version += 1
         self._write_configuration(previous, added)
-        await pause(CONFIG_APPLIED_S)
+        await sleep(CONFIG_APPLIED_S)
         self.config_version += 1
         self._write_configuration(added)
         self.withdrawn_keys.append(previous)
@@ -327,7 +327,7 @@
         """Put a configuration in the store; callers use the last key from now on."""
         self.world.api_key = keys[-1]
         teams = [{"name": "yard", "apiKeys": list(keys)}, CAPPED_TEAM]
-        document = {**configuration(self.config_version), "tenants": teams}
+        document = {**make_configuration(self.config_version), "tenants": teams}
         self.world.store.put("config", "main", document)
 
     def _end_faults(self) -> None:
@@ -343,9 +343,9 @@
         for request_id in self.at_most_once_ids:
             if start_counts[request_id] > 1:
                 self.violations.append(f"{request_id}: ran {start_counts[request_id]} times")
-        if self.world.crashed() > MAX_LOSSES + len(self.uncounted_faults):
+        if self.world.crashed_count() > MAX_LOSSES + len(self.uncounted_faults):
             self.violations.append(
-                f"{self.world.crashed()} replicas were crashed by one request,"
+                f"{self.world.crashed_count()} replicas were crashed by one request,"
                 f" {self.uncounted_faults} allowed for"
             )
         for request_id in self.refused_as_not_run:
@@ -354,7 +354,7 @@
         for job_id in self.accepted_jobs:
             await self._check_job(job_id)
         self._check_teams()
-        for port in self.world.callers.values():
+        for port in self.world.caller_ports.values():
             for key in self.withdrawn_keys:
                 reply = await self.world.get(port, "/look/1", Authorization=f"Bearer {key}")
                 if reply.status != 401:
@@ -392,7 +392,7 @@
 
     async def _check_job(self, job_id: str) -> None:
         results_by_entry = []
-        for port in self.world.callers.values():
+        for port in self.world.caller_ports.values():
             results = await self.world.results(port, job_id, ITEMS_PER_JOB)
             results_by_entry.append(
                 [(result["id"], result["state"], result["text"]) for result in results]
--- a/tests/site/world.py
+++ b/tests/site/world.py
@@ -18,7 +18,7 @@
 from twisted.web.http_headers import Headers
 
 from papayapier import events
-from tests.scenario.processes import Child, start
+from tests.scenario.processes import ChildProcess, start_process
 from tests.site.replicas import StandinReplica
 from tests.site.store import StandinStore
 
@@ -42,7 +42,7 @@
         return json.loads(self.body)
 
 
-def configuration(version: int = 1, **changes: Any) -> dict[str, Any]:
+def make_configuration(version: int = 1, **changes: Any) -> dict[str, Any]:
     """Return an operator's configuration; changes are applied to every route."""
     limits = {
         "maxHeaderBytes": 16384,
@@ -91,9 +91,9 @@
     def __init__(self) -> None:
         self._folder = TemporaryDirectory()
         self.store = StandinStore()
-        self.store.put("config", "main", configuration())
+        self.store.put("config", "main", make_configuration())
         self.replicas = [StandinReplica(self.store, name) for name in ("lm", "lm", "app", "app")]
-        self.children: dict[str, Child] = {}
+        self.children: dict[str, ChildProcess] = {}
         # Settings of the protocol between processes, except its port.
         self.peer_settings: dict[str, Any] = {}
         # Settings of where calls wait for a free slot.
@@ -102,7 +102,7 @@
         self.memory_settings: dict[str, Any] = {}
         # The API key that callers send, if any.
         self.api_key = ""
-        self.callers: dict[str, int] = {}
+        self.caller_ports: dict[str, int] = {}
         self.readiness_ports: dict[str, int] = {}
         self.agent = _Agent(reactor, connectTimeout=2, pool=_Pool(reactor, persistent=False))
 
@@ -125,7 +125,7 @@
 
         replica.on_crash = replace
 
-    def crashed(self) -> int:
+    def crashed_count(self) -> int:
         """Return how many replicas a request has crashed, except those that were draining.
 
         A connection that is cut when a draining replica ends does not show that the request on
@@ -139,37 +139,37 @@
             self.start_entry(f"entry-{number + 1}")
         for number in range(keepers):
             self.start_keeper(f"keeper-{number + 1}")
-        for name in self.callers:
-            await self.until_ready(name)
+        for name in self.caller_ports:
+            await self.wait_until_ready(name)
         for child in self.children.values():
             await self.wait_until(partial(_has_started, child), f"{child.name} starts")
 
     def start_entry(self, name: str) -> None:
         """Start an entry."""
-        self.callers[name], self.readiness_ports[name] = _free_port(), _free_port()
+        self.caller_ports[name], self.readiness_ports[name] = _free_port(), _free_port()
         listen = {
-            "callers": f"127.0.0.1:{self.callers[name]}",
+            "callers": f"127.0.0.1:{self.caller_ports[name]}",
             "readiness": f"127.0.0.1:{self.readiness_ports[name]}",
         }
         # The first entry listens before its program is imported, as entries on the platform do.
-        early_listen = ("--callers", listen["callers"]) if len(self.callers) == 1 else ()
+        early_listen = ("--callers", listen["callers"]) if len(self.caller_ports) == 1 else ()
         self._start(name, "entry", {"listen": listen}, *early_listen)
 
     def restart(self, name: str) -> None:
         """Start a process again with the same settings and addresses."""
         path = Path(self._folder.name) / f"{name}.json"
-        if name in self.callers:
-            address = f"127.0.0.1:{self.callers[name]}"
+        if name in self.caller_ports:
+            address = f"127.0.0.1:{self.caller_ports[name]}"
             arguments = ("--settings", str(path), "--callers", address)
-            self.children[name] = start(name, "entry", *arguments)
+            self.children[name] = start_process(name, "entry", *arguments)
         else:
-            self.children[name] = start(name, "keeper", "--settings", str(path))
+            self.children[name] = start_process(name, "keeper", "--settings", str(path))
 
     def write_configuration(
         self, version: int, teams: list[dict[str, Any]], **changes: Any
     ) -> None:
         """Write a configuration with teams into the store."""
-        document = {**configuration(version, **changes), "tenants": teams}
+        document = {**make_configuration(version, **changes), "tenants": teams}
         self.store.put("config", "main", document)
 
     async def wait_until_listening(self, port: int) -> None:
@@ -182,7 +182,7 @@
         for _ in range(1_000):
             if is_open():
                 return
-            await pause(0.005)
+            await sleep(0.005)
         raise AssertionError(f"no process listens on port {port}")
 
     def start_keeper(self, name: str) -> None:
@@ -205,9 +205,9 @@
         }
         path = Path(self._folder.name) / f"{name}.json"
         path.write_text(json.dumps(settings))
-        self.children[name] = start(name, role, "--settings", str(path), *arguments)
+        self.children[name] = start_process(name, role, "--settings", str(path), *arguments)
 
-    async def until_ready(self, name: str) -> None:
+    async def wait_until_ready(self, name: str) -> None:
         """Wait until the readiness check of an entry succeeds."""
 
         async def ready() -> bool:
@@ -220,7 +220,7 @@
         for _ in range(200):
             if await ready():
                 return
-            await pause(0.05)
+            await sleep(0.05)
         raise AssertionError(f"{name} is not ready: {self.children[name].last_lines()}")
 
     async def get(self, port: int, path: str, **headers: str) -> Reply:
@@ -231,7 +231,11 @@
         self, port: int, method: str, path: str, body: bytes = b"", **headers: str
     ) -> Reply:
         """Send a request as a caller does; an answer that breaks off raises an exception."""
-        all_headers = {"Host": [HOST], "X-Deadline-Ms": ["4000"], "X-Request-Id": [new_id()]}
+        all_headers = {
+            "Host": [HOST],
+            "X-Deadline-Ms": ["4000"],
+            "X-Request-Id": [new_request_id()],
+        }
         if self.api_key:
             all_headers["Authorization"] = [f"Bearer {self.api_key}"]
         all_headers |= {name.replace("_", "-"): [value] for name, value in headers.items()}
@@ -270,7 +274,7 @@
                 assert reply.json()["nextToken"] == len(received)
             if len(received) >= wanted:
                 return received
-            await pause(0.1)
+            await sleep(0.1)
         lines = "\n".join(child.last_lines() for child in self.children.values())
         raise AssertionError(f"job {job_id} has fewer than {wanted} results\n{lines}")
 
@@ -279,24 +283,24 @@
         for _ in range(200):
             if holds():
                 return
-            await pause(0.05)
+            await sleep(0.05)
         raise AssertionError(what)
 
     async def close(self) -> None:
         """Kill all processes and stop the stand-ins."""
         for child in self.children.values():
-            child.signal(SIGKILL)
+            child.send_signal(SIGKILL)
         for child in self.children.values():
             await child.ended
         for replica in self.replicas:
             await replica.close()
         await self.store.close()
-        await pause(0)
+        await sleep(0)
         self._folder.cleanup()
 
     async def stop(self, name: str) -> int | None:
         """Send SIGTERM, wait until the process has ended, and return its exit code."""
-        self.children[name].signal(SIGTERM)
+        self.children[name].send_signal(SIGTERM)
         await self.children[name].ended
         return self.children[name].exit_code
 
@@ -324,16 +328,16 @@
         pass
 
 
-def _has_started(child: Child) -> bool:
-    return child.logged(events.PROCESS_STARTED.number) > 0
+def _has_started(child: ChildProcess) -> bool:
+    return child.logged_count(events.PROCESS_STARTED.number) > 0
 
 
-def new_id() -> str:
+def new_request_id() -> str:
     """Return a fresh request id."""
     return f"{next(_IDS):016x}"
 
 
-def pause(seconds: float) -> Deferred[None]:
+def sleep(seconds: float) -> Deferred[None]:
     """Return a Deferred that fires after some seconds."""
     return deferLater(reactor, seconds, lambda: None)
 
--- a/tests/test_crashing_work.py
+++ b/tests/test_crashing_work.py
@@ -19,7 +19,7 @@
 from tests.dispatch_world import DispatchWorld, result
 from tests.forward_world import ForwardWorld
 from tests.jobs_run_world import World as RunWorld
-from tests.site.world import SiteWorld, new_id, pause
+from tests.site.world import SiteWorld, new_request_id, sleep
 
 # How many replica losses quarantine a request.
 MAX_LOSSES = 3
@@ -71,9 +71,9 @@
 
     async def _retry(self, number: int) -> int:
         """Retry the request at one of the entries in turn; return the status, or 0 if none came."""
-        port = self.world.callers[f"entry-{number % 2 + 1}"]
+        port = self.world.caller_ports[f"entry-{number % 2 + 1}"]
         try:
-            reply = await self.world.get(port, "/stream/once/crash", X_Request_Id=new_id())
+            reply = await self.world.get(port, "/stream/once/crash", X_Request_Id=new_request_id())
         except Exception as exc:
             assert "ResponseFailed" in repr(exc) or "ResponseNeverReceived" in repr(exc), exc
             return 0
@@ -86,11 +86,11 @@
         statuses = []
         for number in range(8):
             statuses.append(await self._retry(number))
-            await pause(0.4)
+            await sleep(0.4)
             # Other requests are served meanwhile.
-            other_reply = await world.get(world.callers["entry-1"], f"/stream/again/{number}")
+            other_reply = await world.get(world.caller_ports["entry-1"], f"/stream/again/{number}")
             assert other_reply.status == 200
-        assert world.crashed() == MAX_LOSSES, statuses
+        assert world.crashed_count() == MAX_LOSSES, statuses
         assert statuses[MAX_LOSSES:] == [503] * (8 - MAX_LOSSES)
 
     def test_quarantine_applies_at_every_entry(self) -> Any:
@@ -103,18 +103,18 @@
         world.replace_crashed()
         for number in range(MAX_LOSSES):
             await self._retry(number)
-            await pause(0.4)
+            await sleep(0.4)
         # A keeper stores the known losses every second.
-        await pause(1.5)
+        await sleep(1.5)
         for name, child in list(world.children.items()):
-            child.signal(SIGKILL)
+            child.send_signal(SIGKILL)
             await child.ended
             world.restart(name)
-        for name in world.callers:
-            await world.until_ready(name)
-        await pause(1.0)
+        for name in world.caller_ports:
+            await world.wait_until_ready(name)
+        await sleep(1.0)
         assert [await self._retry(number) for number in range(2)] == [503, 503]
-        assert world.crashed() == MAX_LOSSES
+        assert world.crashed_count() == MAX_LOSSES
 
     def test_quarantine_survives_a_restart_of_all_processes(self) -> Any:
         """Guard against losses that are only in memory and forgotten when all processes restart."""
--- a/tests/test_instance.py
+++ b/tests/test_instance.py
@@ -23,7 +23,7 @@
 from papayapier.standin.switches import Mode
 from tests.entry_world import ANSWER, CHAT, GATE, EntryWorld, RunResult
 from tests.raw_client import connect, post
-from tests.scenario.processes import Child, start
+from tests.scenario.processes import ChildProcess, start_process
 
 LAG_MS = 3_000
 LIMIT_MS = 60_000
@@ -206,7 +206,7 @@
     timeout = 60
 
     def setUp(self) -> Deferred[None]:  # type: ignore[override]
-        self.children: list[Child] = []
+        self.children: list[ChildProcess] = []
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(lambda: Deferred.fromCoroutine(self.close()))
         return Deferred.fromCoroutine(self.begin())
@@ -217,13 +217,13 @@
 
     async def close(self) -> None:
         for child in self.children:
-            child.signal(SIGTERM)
-            child.signal(SIGTERM)
+            child.send_signal(SIGTERM)
+            child.send_signal(SIGTERM)
             await child.ended
         await self.fleet.close()
         self.folder.cleanup()
 
-    def serve(self, name: str = "a", **changes: Any) -> Child:
+    def serve(self, name: str = "a", **changes: Any) -> ChildProcess:
         settings = {
             "instance": {"id": name, "data_centre": "dc-a", "region": "local"},
             "platform": {"host": "127.0.0.1", "port": self.fleet.platform.port},
@@ -234,11 +234,11 @@
         }
         path = Path(self.folder.name) / f"{name}.json"
         path.write_text(json.dumps(settings | changes))
-        child = start(name, "serve", "--settings", str(path))
+        child = start_process(name, "serve", "--settings", str(path))
         self.children.append(child)
         return child
 
-    async def wait_ready(self, child: Child) -> int:
+    async def wait_ready(self, child: ChildProcess) -> int:
         """Create the profiles, wait until the child is ready, and return its callers' port."""
         started = await child.document_with("entry_port")
         operator, entry = started["operator_port"], started["entry_port"]
@@ -307,12 +307,12 @@
             ]
             while len(outcomes) < 50:
                 await real_clock().sleep(5)
-            child.signal(SIGTERM)
+            child.send_signal(SIGTERM)
             await gatherResults(callers)
             await child.ended
             assert set(outcomes) <= {"whole", "leaving"}, outcomes
-            assert (child.exit_code, child.logged(events.INVARIANT_BROKEN.number)) == (0, 0)
-            assert child.logged(events.DRAIN_LIMIT.number) == 0
+            assert (child.exit_code, child.logged_count(events.INVARIANT_BROKEN.number)) == (0, 0)
+            assert child.logged_count(events.DRAIN_LIMIT.number) == 0
 
         return Deferred.fromCoroutine(run())
 
@@ -327,11 +327,11 @@
             client.write(GATE_CALL)
             while not self.fleet.services[0].counts().total:
                 await real_clock().sleep(5)
-            child.signal(SIGTERM)
+            child.send_signal(SIGTERM)
             await child.document_with("handing_over")
             await real_clock().sleep(400)
             assert child.exit_code is None
-            child.signal(SIGTERM)
+            child.send_signal(SIGTERM)
             await child.ended
             await client.closed
             assert child.exit_code == 1
@@ -356,7 +356,7 @@
             for child, (name, _, reason, code) in zip(children, cases, strict=True):
                 await child.ended
                 assert child.exit_code == code, name
-                (line,) = child.tail
+                (line,) = child.last_output_lines
                 assert line.startswith("papayapier: ") and reason in line, line
 
         return Deferred.fromCoroutine(run())
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -16,13 +16,13 @@
 from papayapier.platform.replicas import read_replica
 from papayapier.store.api import Change
 from papayapier.upstream.api import Load, Replica
-from tests.site.world import HOST, configuration
+from tests.site.world import HOST, make_configuration
 
 REPLICA = Replica("i-1", "lm", "10.0.0.1", 80, "z")
 
 
 def encoded(version: int = 1, **changes: Any) -> bytes:
-    return json.dumps(configuration(version, **changes)).encode()
+    return json.dumps(make_configuration(version, **changes)).encode()
 
 
 def test_routes_define_which_requests_may_be_repeated() -> None:
@@ -40,7 +40,7 @@
 
 
 def test_the_longest_prefix_of_the_host_is_chosen() -> None:
-    document = configuration()
+    document = make_configuration()
     document["routes"].append({**document["routes"][0], "name": "deep", "pathPrefix": "/look/a/"})
     table = RouteTable(read_configuration(json.dumps(document).encode()).unwrap())
     names = [table.find(HOST + ":80", path) for path in ("/look/a/b", "/look/b", "/other/")]
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -11,7 +11,7 @@
 from tests.site.case import SiteCase
 from tests.site.replicas import EVENTS_PER_STREAM
 from tests.site.soak import run_soak
-from tests.site.world import configuration, new_id, pause, start_task
+from tests.site.world import make_configuration, new_request_id, sleep, start_task
 
 STREAM = b"".join(f"id: {n}\ndata: piece {n}\n\n".encode() for n in range(1, EVENTS_PER_STREAM + 1))
 TEXT = "\n".join(f"piece {n}" for n in range(1, EVENTS_PER_STREAM + 1))
@@ -34,7 +34,7 @@
         assert {(result["state"], result["text"]) for result in results} == {("completed", TEXT)}
         assert (await world.get(self.port(), "/nowhere/1")).status == 404
         # An entry that has just started cannot deny a job yet: keepers may still have a copy of it.
-        await pause(LOCAL_JOBS_WRITTEN_MS / 1_000)
+        await sleep(LOCAL_JOBS_WRITTEN_MS / 1_000)
         assert (await world.get(self.port(), "/v1/lots/no-such-job")).status == 404
         body = await world.get(self.port(2), "/v1/items/job-1?id=job-1-0")
         assert body.body == b"ask"
@@ -64,8 +64,8 @@
     async def _error_then_cut(self) -> None:
         # Failure: a stream that is retried after an error and then cut ends as if complete.
         world = self.world
-        world.store.put("config", "main", configuration(maxAttempts=2))
-        request_ids = {new_id(), new_id()}
+        world.store.put("config", "main", make_configuration(maxAttempts=2))
+        request_ids = {new_request_id(), new_request_id()}
         unanswered_ids = set(request_ids)
 
         def fails(request: Any) -> bool:
@@ -101,12 +101,12 @@
         for replica in world.replicas[:2]:
             replica.stall_after_events = 2
         await world.start(entries=1, keepers=0)
-        was_cut = start_task(self._is_cut_off(1, new_id()))
+        was_cut = start_task(self._is_cut_off(1, new_request_id()))
         await world.wait_until(
             lambda: any(replica.open_requests for replica in world.replicas[:2]), "a stream is open"
         )
-        await pause(0.1)
-        world.children["entry-1"].signal(signal)
+        await sleep(0.1)
+        world.children["entry-1"].send_signal(signal)
         assert await was_cut
 
     def test_a_stream_is_cut_where_its_entry_is_killed(self) -> Any:
@@ -122,7 +122,7 @@
         for replica in world.replicas[:2]:
             replica.cut_after_events = 1
         await world.start(entries=1, keepers=0)
-        request_id = new_id()
+        request_id = new_request_id()
         try:
             reply = await world.get(self.port(), "/stream/once/1", X_Request_Id=request_id)
         except Exception as exc:
@@ -153,7 +153,7 @@
         assert len(await world.results(self.port(), "job-1", 3)) == 3
         assert (await world.get(self.port(2), "/v1/lots/job-2")).status == 503
         world.store.unavailable = False
-        await pause(1.5)
+        await sleep(1.5)
         assert (await world.submit(self.port(2), "job-2")).status == 202
         await world.results(self.port(), "job-2", 3)
 
@@ -169,26 +169,26 @@
         # An entry sends copies of a job to the keepers that are registered in the store and
         # reachable. On a busy machine it learns of the last keeper up to 1.5 s after that keeper
         # has started, and refuses jobs until then.
-        entries = [world.children[name] for name in world.callers]
+        entries = [world.children[name] for name in world.caller_ports]
         await world.wait_until(
-            lambda: all(entry.logged(events.PEER_UP.number) >= 4 for entry in entries),
+            lambda: all(entry.logged_count(events.PEER_UP.number) >= 4 for entry in entries),
             "the entries receive heartbeats of the keepers",
         )
-        await pause(2.0)
+        await sleep(2.0)
         world.store.unavailable = True
         assert (await world.submit(self.port(), "job-1")).status == 202
         assert (await world.submit(self.port(2), "job-1")).status == 202
         for name, child in list(world.children.items()):
-            child.signal(SIGKILL)
+            child.send_signal(SIGKILL)
             await child.ended
             world.restart(name)
-        for port in world.callers.values():
+        for port in world.caller_ports.values():
             await world.wait_until_listening(port)
         assert world.store.names("papayapier-jobs") == []
         world.store.unavailable = False
-        for name in world.callers:
-            await world.until_ready(name)
-        for port in world.callers.values():
+        for name in world.caller_ports:
+            await world.wait_until_ready(name)
+        for port in world.caller_ports.values():
             assert len(await world.results(port, "job-1", 3)) == 3
         assert world.store.names("papayapier-jobs") == ["job-1"]
 
@@ -206,7 +206,7 @@
             assert (await sent).status == 202
         await world.results(self.port(), "job-1", 3)
         assert world.store.names("papayapier-jobs") == ["job-1"]
-        await pause(0.5)
+        await sleep(0.5)
         assert len(await world.results(self.port(2), "job-1", 3)) == 3
 
     def test_a_job_submitted_twice(self) -> Any:
@@ -219,7 +219,7 @@
         await world.start(entries=2, keepers=2)
         assert (await world.submit(self.port(2), "job-1")).status == 202
         stream = start_task(world.get(self.port(1), "/stream/once/1"))
-        await pause(0.05)
+        await sleep(0.05)
         stops = [start_task(world.stop(name)) for name in ("entry-1", "keeper-1")]
         assert (await stream).body == STREAM
         for stop in stops:
@@ -235,7 +235,7 @@
         await world.start(entries=1, keepers=2)
         for number in range(4):
             assert (await world.submit(self.port(), f"job-{number}")).status == 202
-        world.children["keeper-1"].signal(SIGKILL)
+        world.children["keeper-1"].send_signal(SIGKILL)
         for number in range(4):
             results = await world.results(self.port(), f"job-{number}", 3)
             assert len({result["id"] for result in results}) == 3
@@ -248,14 +248,14 @@
         # changes the host; it stays in force when an unreadable configuration follows.
         world = self.world
         await world.start(entries=1, keepers=0)
-        world.store.put("config", "main", configuration(version=5, host="other.example"))
-        await pause(0.5)
+        world.store.put("config", "main", make_configuration(version=5, host="other.example"))
+        await sleep(0.5)
         assert (await world.get(self.port(), "/look/1")).status == 404
         assert (await world.get(self.port(), "/look/1", Host="other.example")).status == 200
         world.store.put("config", "main", {"version": 6, "routes": "none"})
-        await pause(0.5)
+        await sleep(0.5)
         assert (await world.get(self.port(), "/look/1", Host="other.example")).status == 200
-        assert world.children["entry-1"].logged(604) == 1
+        assert world.children["entry-1"].logged_count(604) == 1
 
     def test_a_configuration_changes(self) -> Any:
         return Deferred.fromCoroutine(self._configuration())
@@ -265,7 +265,7 @@
         world = self.world
         await world.start(entries=1, keepers=0)
         world.replicas[2].register("draining")
-        await pause(0.3)
+        await sleep(0.3)
         for number in range(6):
             assert (await world.get(self.port(), f"/look/{number}")).status == 200
         assert world.replicas[2].started_requests == []
@@ -286,10 +286,10 @@
         )
         assert (await world.send(self.port(), "DELETE", "/v1/lots/job-1")).status == 200
         assert (await world.send(self.port(), "DELETE", "/v1/lots/job-1")).status == 200
-        await pause(0.5)
+        await sleep(0.5)
         started = sum(len(replica.started_requests) for replica in world.replicas)
         assert (await world.submit(self.port(), "job-1")).status == 202
-        await pause(1.0)
+        await sleep(1.0)
         assert sum(len(replica.started_requests) for replica in world.replicas) == started
 
     def test_a_job_is_cancelled(self) -> Any:
@@ -300,11 +300,11 @@
         # while the entry imports its program waits in the kernel's accept queue and is served.
         world = self.world
         await world.start(entries=1, keepers=0)
-        world.children["entry-1"].signal(SIGKILL)
+        world.children["entry-1"].send_signal(SIGKILL)
         await world.children["entry-1"].ended
         world.restart("entry-1")
         await world.wait_until_listening(self.port())
-        assert not world.children["entry-1"].logged(101)
+        assert not world.children["entry-1"].logged_count(101)
         assert (await world.get(self.port(), "/look/1")).status == 200
 
     def test_a_restarted_entry_listens_at_once(self) -> Any:
--- a/tests/test_site_nonreading_replica.py
+++ b/tests/test_site_nonreading_replica.py
@@ -11,7 +11,7 @@
 from tests.site.case import SiteCase
 from tests.site.replicas import SLOTS
 from tests.site.store import StandinStore
-from tests.site.world import pause, start_task
+from tests.site.world import sleep, start_task
 
 reactor: Any = installed
 
@@ -66,14 +66,14 @@
         pending: list[Any] = []
         while len(pending) < TOTAL_BODIES:
             pending += [start_task(self._send_body()) for _ in range(BODIES_PER_ROUND)]
-            await pause(ROUND_GAP_S)
+            await sleep(ROUND_GAP_S)
         return Counter(await gatherResults(pending))
 
     async def _send_calls(self) -> Counter[int]:
         pending: list[Any] = []
         while len(pending) < TOTAL_CALLS:
             pending.append(start_task(self.world.get(self.port(), "/look/1")))
-            await pause(CALL_GAP_S)
+            await sleep(CALL_GAP_S)
         return Counter(reply.status for reply in await gatherResults(pending))
 
     def _peak_memory_mb(self) -> float:
@@ -88,7 +88,7 @@
         await world.start(entries=1, keepers=0)
         replica = NonReadingReplica(world.store, "app")
         try:
-            await pause(1.0)
+            await sleep(1.0)
             pending_bodies = start_task(self._send_bodies())
             statuses = await self._send_calls()
             outcomes = await pending_bodies
--- a/tests/test_site_overload.py
+++ b/tests/test_site_overload.py
@@ -9,7 +9,7 @@
 from papayapier import events
 from tests.site.case import SiteCase
 from tests.site.replicas import SLOTS
-from tests.site.world import new_id, pause, start_task
+from tests.site.world import new_request_id, sleep, start_task
 
 # A stream takes about 0.13 s, so that eight slots run 60 a second; the load is three times that.
 TOTAL_CALLS: Final = 100
@@ -43,7 +43,7 @@
             reply = await world.get(self.port(), "/stream/again/1")
             if reply.status == 200 and self._has_placed_calls():
                 return
-            await pause(0.05)
+            await sleep(0.05)
         raise AssertionError("no hub places calls")
 
     def _has_placed_calls(self) -> bool:
@@ -57,7 +57,7 @@
         port = self.port(1 + self.sent_count % 2)
         path = self.paths[self.sent_count % len(self.paths)]
         self.sent_count += 1
-        request_id = new_id()
+        request_id = new_request_id()
         self.path_by_request[request_id] = path
         try:
             reply = await self.world.get(port, path, X_Request_Id=request_id)
@@ -75,7 +75,7 @@
         pending: list[Any] = []
         while len(pending) < TOTAL_CALLS:
             pending += [start_task(self._send_one()) for _ in range(round_size)]
-            await pause(ROUND_GAP_S)
+            await sleep(ROUND_GAP_S)
         return Counter(await gatherResults(pending))
 
     def _max_open_requests(self) -> int:
@@ -110,9 +110,9 @@
         """Return the name of the process at which calls are queued."""
         for _ in range(200):
             for name, child in self.world.children.items():
-                if child.logged(events.PART_FULL.number):
+                if child.logged_count(events.PART_FULL.number):
                     return name
-            await pause(0.01)
+            await sleep(0.01)
         raise AssertionError("no call is queued at a placer")
 
     async def _stop_placer(self, signal: Signals) -> str:
@@ -121,8 +121,8 @@
         await self._start_site(queue=True)
         load = start_task(self._load())
         placer = await self._placer_with_queue()
-        await pause(QUEUE_FILL_S)
-        self.world.children[placer].signal(signal)
+        await sleep(QUEUE_FILL_S)
+        self.world.children[placer].send_signal(signal)
         outcomes: Counter[str] = await load
         assert set(outcomes) <= {"whole", "503"}, outcomes
         assert outcomes["whole"] >= TOTAL_CALLS / 2, outcomes
@@ -152,7 +152,7 @@
 
     async def _placer_drains(self) -> None:
         placer = await self._stop_placer(SIGTERM)
-        assert self.world.children[placer].logged(events.PLACES_HANDED_OVER.number) == 1
+        assert self.world.children[placer].logged_count(events.PLACES_HANDED_OVER.number) == 1
         assert self._max_open_requests() <= MAX_OPEN + self._unplaced_count()
 
     def test_a_placer_stopped_while_calls_are_queued(self) -> Any:
--- a/tests/test_site_slow_callers.py
+++ b/tests/test_site_slow_callers.py
@@ -10,7 +10,7 @@
 from tests.raw_client import RawClient, connect
 from tests.site.case import SiteCase
 from tests.site.replicas import LARGE_PATH
-from tests.site.world import HOST, new_id, pause, start_task
+from tests.site.world import HOST, new_request_id, sleep, start_task
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -57,7 +57,7 @@
             clients += await gatherResults(
                 [start_task(begin_caller()) for _ in range(CALLERS_PER_ROUND)]
             )
-            await pause(ROUND_GAP_S)
+            await sleep(ROUND_GAP_S)
         return clients
 
     async def _read_and_send_slowly(
@@ -69,7 +69,7 @@
             for client in senders:
                 if client.transport is not None and not client.received:
                     client.write(b"y")
-            await pause(BYTE_GAP_S)
+            await sleep(BYTE_GAP_S)
 
     async def _response_times_ms(self) -> list[float]:
         """Return the response times of some small requests, shortest first."""
@@ -120,7 +120,7 @@
 def _request_head(method: str, path: str) -> bytes:
     return (
         f"{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Deadline-Ms: 4000\r\n"
-        f"X-Request-Id: {new_id()}\r\n"
+        f"X-Request-Id: {new_request_id()}\r\n"
     ).encode()
 
 
--- a/tests/test_site_teams.py
+++ b/tests/test_site_teams.py
@@ -7,7 +7,7 @@
 
 from papayapier import events
 from tests.site.case import SiteCase
-from tests.site.world import new_id, pause, start_task
+from tests.site.world import new_request_id, sleep, start_task
 
 CONFIG_APPLIED_S = 2.0
 
@@ -50,7 +50,7 @@
         assert (await world.get(self.port(2), "/v1/lots/job-1")).status in (404, 503)
         # The team's key is replaced by another key.
         world.write_configuration(2, [make_team("yard", new), make_team("depot", other)])
-        await pause(CONFIG_APPLIED_S)
+        await sleep(CONFIG_APPLIED_S)
         world.api_key = old
         for number in (1, 2):
             assert (await world.get(self.port(number), "/look/3")).status == 401
@@ -62,15 +62,15 @@
         assert items == {"yard"}
         # A key may be reassigned from one team to another.
         world.write_configuration(3, [make_team("yard", other), make_team("depot", new)])
-        await pause(CONFIG_APPLIED_S)
-        reassigned_request = new_id()
+        await sleep(CONFIG_APPLIED_S)
+        reassigned_request = new_request_id()
         assert (
             await world.get(self.port(), "/look/5", X_Request_Id=reassigned_request)
         ).status == 200
         assert (reassigned_request, "depot", None) in self.received_headers()
         # A configuration with one unreadable part changes nothing.
         world.write_configuration(4, [make_team("yard", other), {"name": "depot", "apiKeys": 7}])
-        await pause(CONFIG_APPLIED_S)
+        await sleep(CONFIG_APPLIED_S)
         assert (await world.get(self.port(), "/look/6")).status == 200
         self.check_keys_not_leaked(old, new, other, "k-unknown")
 
@@ -99,7 +99,7 @@
         world.write_configuration(1, [limited, make_team("depot", "k-2")])
         await world.start(entries, keepers)
         # Wait until every process has read the list of all processes, which is polled slowly.
-        await pause(3)
+        await sleep(3)
         world.api_key = "k-1"
         statuses: list[int] = []
         retry_after_s: list[float] = []
@@ -112,14 +112,14 @@
                 retry_after_s.append(float(reply.headers.getRawHeaders("Retry-After")[0]))
 
         for _ in range(10):
-            await pause(0.1)
+            await sleep(0.1)
             for done in [start_task(send(number)) for number in range(12)]:
                 await done
         served = statuses.count(200)
         assert 5 <= served <= (5 * 5 + 5) * 1.1 + 20
         # A granter that does not answer in time is skipped, and the entry logs it.
         silent_granters = sum(
-            child.logged(events.GRANTER_SILENT.number) for child in world.children.values()
+            child.logged_count(events.GRANTER_SILENT.number) for child in world.children.values()
         )
         assert set(statuses) <= ({200, 429, 503} if silent_granters else {200, 429})
         assert 429 in statuses
@@ -129,7 +129,7 @@
         for number in range(20):
             assert (await world.get(self.port(), f"/look/{number}")).status == 200
         exhausted = sum(
-            child.logged(events.ALLOWANCE_BINDS.number) for child in world.children.values()
+            child.logged_count(events.ALLOWANCE_BINDS.number) for child in world.children.values()
         )
         assert 1 <= exhausted <= 3
 
@@ -147,10 +147,10 @@
         world = self.world
         world.peer_settings = {"full_mesh": 4}
         await world.start(2, 6)
-        await pause(1.5)
+        await sleep(1.5)
         for name in ("keeper-1", "keeper-2"):
-            world.children[name].signal(SIGKILL)
-        await pause(0.5)
+            world.children[name].send_signal(SIGKILL)
+        await sleep(0.5)
         names = [f"job-{number}" for number in range(12)]
         for name in names:
             assert (await world.submit(self.port(), name, 1)).status == 202
--- a/tests/test_site_world.py
+++ b/tests/test_site_world.py
@@ -11,7 +11,7 @@
 from twisted.web.http_headers import Headers
 
 from tests.site.replicas import CRASH_DELAY_S
-from tests.site.world import Reply, SiteWorld, pause, start_task
+from tests.site.world import Reply, SiteWorld, sleep, start_task
 
 reactor: Any = installed
 _Agent: Any = Agent
@@ -35,7 +35,7 @@
     def test_an_added_replica_is_not_counted_as_crashed(self) -> None:
         # Failure: a replica that the soak adds is counted as crashed.
         self.world.add_like(self.world.replicas[0])
-        assert self.world.crashed() == 0
+        assert self.world.crashed_count() == 0
 
     async def _send_crashing(self, number: int) -> Reply | str:
         replica = self.world.replicas[number]
@@ -52,7 +52,7 @@
         assert await self._send_crashing(replica_count - 1) == "ResponseNeverReceived"
         # The replacement can be crashed as well, and each replica counts once.
         assert await self._send_crashing(replica_count) == "ResponseNeverReceived"
-        assert (self.world.crashed(), len(self.world.replicas)) == (2, replica_count + 2)
+        assert (self.world.crashed_count(), len(self.world.replicas)) == (2, replica_count + 2)
 
     def test_a_request_crashes_an_added_replica_too(self) -> Any:
         # Failure: the request that crashes all other replicas does not crash an added replica.
@@ -61,7 +61,7 @@
     async def _draining_replica_crashes(self) -> None:
         self.world.replicas[0].register("draining")
         assert await self._send_crashing(0) == "ResponseNeverReceived"
-        assert self.world.crashed() == 0
+        assert self.world.crashed_count() == 0
 
     def test_a_draining_replica_is_not_counted(self) -> Any:
         # Failure: a request that ends a draining replica counts as having crashed it.
@@ -94,9 +94,9 @@
 
     async def _two_requests_crash_one_replica(self) -> None:
         pending = [start_task(self._send_crashing(0)) for _ in range(2)]
-        await pause(2 * CRASH_DELAY_S)
+        await sleep(2 * CRASH_DELAY_S)
         assert [await response for response in pending] == ["ResponseNeverReceived"] * 2
-        assert self.world.crashed() == 1
+        assert self.world.crashed_count() == 1
 
     def test_two_requests_crash_a_replica_once(self) -> Any:
         # Failure: a replica that runs two crashing requests is counted and replaced twice.
--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -18,7 +18,7 @@
 from papayapier.platform.headers import presented_keys, with_team
 from tests.jobs_run_world import World
 from tests.jobs_world import JOB, JobServiceWorld, item
-from tests.site.world import configuration
+from tests.site.world import make_configuration
 
 KEY = "ftimaj3nr26tta828m82"
 TEAMS: list[dict[str, Any]] = [
@@ -28,7 +28,7 @@
 
 
 def table(*teams: dict[str, Any], **changes: Any) -> RouteTable:
-    document = {**configuration(**changes), "tenants": list(teams)}
+    document = {**make_configuration(**changes), "tenants": list(teams)}
     return RouteTable(read_configuration(json.dumps(document).encode()).unwrap())
 
 
@@ -68,14 +68,14 @@
 def test_public_routes_and_no_teams_require_no_key() -> None:
     """Keys are required only on routes that are not public, and only if teams are defined."""
     assert table(*TEAMS).authenticate(True, []) == Ok(ANONYMOUS_TEAM)
-    bare = RouteTable(read_configuration(json.dumps(configuration()).encode()).unwrap())
+    bare = RouteTable(read_configuration(json.dumps(make_configuration()).encode()).unwrap())
     assert bare.authenticate(False, []) == Ok(None)
     assert isinstance(table().authenticate(False, [b"Bearer x"]), Err)
 
 
 def test_a_host_of_public_jobs_requires_no_key() -> None:
     """A host has public jobs only if all its routes for jobs are public."""
-    host = str(configuration()["routes"][0]["host"])
+    host = str(make_configuration()["routes"][0]["host"])
     assert table(*TEAMS, public=True).has_public_jobs(host)
     assert not table(*TEAMS).has_public_jobs(host)
     assert not table(*TEAMS, public=True).has_public_jobs("other.example")
@@ -97,7 +97,7 @@
     field: str, value: Any, at: str
 ) -> None:
     """The error for an invalid team names its field and must not contain a key."""
-    document = {**configuration(), "tenants": [{**TEAMS[0], field: value}, TEAMS[1]]}
+    document = {**make_configuration(), "tenants": [{**TEAMS[0], field: value}, TEAMS[1]]}
     read = read_configuration(json.dumps(document).encode())
     assert isinstance(read, Err)
     assert at in read.err_value
