--- a/tests/test_outage_start.py
+++ b/tests/test_outage_start.py
@@ -59,8 +59,8 @@
         self._made.append(timer)
         return timer
 
-    def end(self) -> None:
-        super().end()
+    def stop_permanently(self) -> None:
+        super().stop_permanently()
         self._crashed = True
         for timer in self._made:
             timer.cancel()
