--- a/papayapier/entry/site.py
+++ b/papayapier/entry/site.py
@@ -68,7 +68,7 @@
             self.requestHeaders.removeHeader(b"Expect")
             self._refuse_body(self._too_large())
             return
-        if length is not None and not self._site.buffered_bytes.takes(length):
+        if length is not None and not self._site.buffered_bytes.has_capacity(length):
             self.requestHeaders.removeHeader(b"Expect")
             self._refuse_body(_no_memory())
             return
@@ -85,7 +85,7 @@
         if self._received_bytes > self._limit:
             self._refuse_body(self._too_large())
             return
-        if not self._site.buffered_bytes.takes(len(data)):
+        if not self._site.buffered_bytes.has_capacity(len(data)):
             self._refuse_body(_no_memory())
             return
         self._count(len(data))
@@ -205,7 +205,7 @@
         # The requests are notified first, so that they are cleaned up before this is not counted.
         super().connectionLost(reason)
         self.site.connections.discard(self)
-        self.site.buffered_bytes.on_gone(id(self))
+        self.site.buffered_bytes.on_disconnected(id(self))
 
     def discard_rest(self, request: BoundedRequest) -> None:
         """Discard what the caller still sends; the next answer is the last on this connection.
--- a/papayapier/node/keeper.py
+++ b/papayapier/node/keeper.py
@@ -126,7 +126,7 @@
         await _start_progress(base, runner)
     base.hub.on_change(runner.update_owned_jobs)
     base.hub.subscribe(
-        Heartbeat, lambda peer, heartbeat: reachability.on_report(peer, heartbeat.unheard)
+        Heartbeat, lambda peer, heartbeat: reachability.on_report(peer, heartbeat.unreachable)
     )
     # A peer without open calls takes no slot; slots that it has freed are used in the next round.
     base.hub.subscribe(
--- a/tests/test_batch_machines.py
+++ b/tests/test_batch_machines.py
@@ -203,7 +203,7 @@
         self.later(self._resubmit(batch, key, profile))
 
     async def _submit(self, batch: Any, key: str, profile: str) -> None:
-        intake = batch.new_file(CALLER, "in", "batch")
+        intake = batch.start_upload(CALLER, "in", "batch")
         lines = "".join(
             f'{{"custom_id": "c{n}", "url": "/v1/completions", "body": {{"n": {n}}}}}\n'
             for n in range(70)
--- a/tests/test_batch_parts.py
+++ b/tests/test_batch_parts.py
@@ -77,7 +77,7 @@
             cuts = cuts[1:] + cuts[:1]
             assert result_now(intake.feed(piece)) is None
         record = world.run_until_done(intake.finish()).unwrap()
-        assert record.items() == count and max(record.chunks) <= 10
+        assert record.item_count() == count and max(record.chunks) <= 10
         lines = result_now(join_pieces(world.instances["a"].reader.input_lines(record, print)))
         assert [json.loads(entry)["body"]["n"] for entry in lines.splitlines()] == list(
             range(count)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -385,7 +385,7 @@
         world.sends[0].done.errback(ZeroDivisionError())
     (answer,) = kept
     assert codec.unpack(answer.body, Refusal).unwrap().outcome is Outcome.UNKNOWN
-    assert len(logs.fields(events.REQUEST_CRASHED)) == 1
+    assert len(logs.fields_of(events.REQUEST_CRASHED)) == 1
     assert world.is_idle()
 
 
@@ -472,8 +472,8 @@
             usable = policies.load_tracker.usable_replicas("lm", 0)
             assert [replica.id for replica in usable] == ["lm-0"] * (member.state == LIVE)
         view.on_members_changed(MembersChanged([], ["lm-0"]))
-    assert len(logs.fields(events.REPLICA_LEAVING)) == 1
-    assert len(logs.fields(events.REPLICA_ADDED)) == 2
+    assert len(logs.fields_of(events.REPLICA_LEAVING)) == 1
+    assert len(logs.fields_of(events.REPLICA_ADDED)) == 2
     assert view.upstream_names() == []
 
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -135,7 +135,7 @@
             client = await self.world.send(post("/v1/chat/completions", body, CHAT), b"0\r\n\r\n")
             assert b'"outcome":"unknown"' in client.received
             assert b"[DONE]" not in client.received
-            crashed = self.world.logs.fields(events.REQUEST_CRASHED)
+            crashed = self.world.logs.fields_of(events.REQUEST_CRASHED)
             assert [event["error"] for event in crashed] == ["ZeroDivisionError()"] * 2
 
         started: list[bool] = []
@@ -205,10 +205,10 @@
             )
             client.stop_reading()
             await finished
-            (slow,) = self.world.logs.fields(events.CALLER_SLOW)
+            (slow,) = self.world.logs.fields_of(events.CALLER_SLOW)
             assert slow["unread_bytes"] <= chat.MAX_UNREAD_BYTES + 2 * len(text.data)
             await self.world.closed()
-            assert self.world.logs.fields(events.CALLER_GONE)
+            assert self.world.logs.fields_of(events.CALLER_GONE)
 
         return Deferred.fromCoroutine(run())
 
@@ -265,7 +265,7 @@
             client.abort()
             await cancelled
             await self.world.closed()
-            assert self.world.logs.fields(events.CALLER_GONE)
+            assert self.world.logs.fields_of(events.CALLER_GONE)
 
         return Deferred.fromCoroutine(run())
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -135,7 +135,7 @@
     values = {element.key: element.value for element in listing.objects}
     assert values.pop("servers/x", b"") == b""
     assert values == {"servers/a": b'{"v":1}', "servers/z": b"text"}
-    assert len(logs.fields(events.STORE_ODD_OBJECT)) == 1
+    assert len(logs.fields_of(events.STORE_ODD_OBJECT)) == 1
 
 
 @pytest.mark.parametrize("invalid", INVALID)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -141,7 +141,7 @@
         world.sends[0].answer(500)
         world.time.jump(1_000)
         world.sends[1].fail(FailureKind.TRUNCATED, Sent.MAYBE)
-    (result,) = logs.fields(events.REQUEST_ENDED)
+    (result,) = logs.fields_of(events.REQUEST_ENDED)
     assert (result["status"], result["kept"]) == (500, True)
 
 
@@ -153,7 +153,7 @@
         world.sends[0].events(1, 2)
         world.sends[0].fail(FailureKind.TRUNCATED, Sent.MAYBE)
         world.time.jump(100)
-    (retried,) = logs.fields(events.REQUEST_RETRIED)
+    (retried,) = logs.fields_of(events.REQUEST_RETRIED)
     assert (retried["kind"], retried["last_event"]) == ("cut", 2)
 
 
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -166,7 +166,7 @@
                 client.write(b"GET /stream HTTP/1.1\r\nHost: x\r\n\r\n")
             await self.clock.sleep(200)
             under_load_ms = await self._response_ms(150)
-            ended = self.logs.fields(events.CALLER_SLOW)
+            ended = self.logs.fields_of(events.CALLER_SLOW)
             assert ended
             assert all(event["unread_ms"] >= 0 for event in ended)
             # Bytes that arrive between two reviews may exceed the bound.
--- a/tests/test_instance.py
+++ b/tests/test_instance.py
@@ -172,7 +172,7 @@
             stopped = Deferred.fromCoroutine(self.stop.run())
             await self.pass_time(LIMIT_MS + 100)
             await stopped
-            (left,) = self.world.logs.fields(events.DRAIN_LIMIT)
+            (left,) = self.world.logs.fields_of(events.DRAIN_LIMIT)
             assert left == {
                 "connections": 1,
                 "requests": 1,
@@ -195,7 +195,7 @@
             self.handed_over.errback(ZeroDivisionError())
             await self.pass_time(100)
             await stopped
-            assert self.world.logs.fields(events.HAND_OVER_FAILED)
+            assert self.world.logs.fields_of(events.HAND_OVER_FAILED)
 
         return Deferred.fromCoroutine(run())
 
--- a/tests/test_jobs_progress.py
+++ b/tests/test_jobs_progress.py
@@ -125,7 +125,7 @@
     with logs.applicationbound():
         Deferred.fromCoroutine(progress.save_regularly(disk.deps, 0))
         disk.time.run_for(10 * progress.SAVE_MS)
-    assert len(logs.fields(events.PROGRESS_NOT_SAVED)) == 1
+    assert len(logs.fields_of(events.PROGRESS_NOT_SAVED)) == 1
 
 
 def test_a_start_does_not_wait_for_a_disk_that_hangs(tmp_path: Path) -> None:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -142,4 +142,4 @@
         missing = MembersFile(f"{folder}/none", time.clock, lambda: AgedMembers([], 0))
         missing.save_soon()
         missing.close()
-        assert len(logs.fields(events.MEMBERS_FOLDER_FAILED)) == 2
+        assert len(logs.fields_of(events.MEMBERS_FOLDER_FAILED)) == 2
--- a/tests/test_outage_start.py
+++ b/tests/test_outage_start.py
@@ -118,7 +118,7 @@
 
     async def crash(self, name: str) -> None:
         await self.running.pop(name).crash()
-        self.timers[name].end()
+        self.timers[name].stop_permanently()
 
     async def get(self, name: str, path: str) -> tuple[int, str]:
         url = f"http://{HOST}:{self.running[name].ports.entry}{path}"
@@ -179,7 +179,7 @@
             await self.until_ready("b")
             assert await self.send_request("b") == 200
             assert self.known("b", REPLICA) == self.known("a", REPLICA)
-            (fields,) = self.logs.fields(events.MEMBERS_FROM_PEER)
+            (fields,) = self.logs.fields_of(events.MEMBERS_FROM_PEER)
             assert (fields["peer"], fields["members"]) == ("a", 5)
 
         return Deferred.fromCoroutine(run())
--- a/tests/test_replica_list.py
+++ b/tests/test_replica_list.py
@@ -115,7 +115,7 @@
     with logs.applicationbound():
         world.change("a", b"bad")
     assert world.names() == ["b"]
-    assert [fields["used_before"] for fields in logs.fields(events.REPLICA_UNREADABLE)] == [True]
+    assert [fields["used_before"] for fields in logs.fields_of(events.REPLICA_UNREADABLE)] == [True]
     assert len(logs.seen) == 1
     world.change("a", b"ready")
     assert world.names() == ["a", "b"]
@@ -183,8 +183,8 @@
             listed.on_change(Change(f"s/i-{number}", number + 1, False, b"ready"))
         time.run_for(1)
         assert [len(entries) for entries in reported] == [3_000]
-        assert logs.fields(events.REPLICAS_ADDED) == [{"count": 3_000}]
-        assert not logs.fields(events.REPLICA_ADDED)
+        assert logs.fields_of(events.REPLICAS_ADDED) == [{"count": 3_000}]
+        assert not logs.fields_of(events.REPLICA_ADDED)
         # An entry that is written again without a change is not reported.
         listed.on_change(Change("s/i-7", 4_000, False, b"ready"))
         time.run_for(1)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -158,8 +158,11 @@
         sending = self.send()
         self.fake.run_for(CFG.connect_timeout_ms)
         failure = (await sending).err_value
-        equal((failure.kind, failure.sent, failure.fresh), (FailureKind.CONNECT, Sent.NO, True))
-        assert not failure.closed
+        equal(
+            (failure.kind, failure.sent, failure.new_connection),
+            (FailureKind.CONNECT, Sent.NO, True),
+        )
+        assert not failure.connection_refused
 
     async def test_due_before_it_is_sent(self) -> None:
         """A call whose due time has passed must not open a connection."""
