--- a/tests/test_replica_list.py
+++ b/tests/test_replica_list.py
@@ -116,7 +116,7 @@
         world.change("a", b"bad")
     assert world.names() == ["b"]
     assert [fields["used_before"] for fields in logs.fields_of(events.REPLICA_UNREADABLE)] == [True]
-    assert len(logs.seen) == 1
+    assert len(logs.records) == 1
     world.change("a", b"ready")
     assert world.names() == ["a", "b"]
 
