--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -90,7 +90,7 @@
 class SlotShare(BatchShare):
     """Give batch all slots of a replica that this instance's online calls do not use."""
 
-    def limit(self, replica_id: str, book: LoadTracker, now: int) -> int:
+    def max_streams(self, replica_id: str, book: LoadTracker, now: int) -> int:
         return max(0, book.slots(replica_id) - book.own_calls(replica_id).online)
 
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -31,6 +31,7 @@
     "dispatch": (2,),
     "entry": (2, 5, 6),
     "fleet_view": (3,),
+    "graceful_shutdown": (1,),
     "instance": (1,),
     "invariants": (9,),
     "jobs": (5,),
@@ -42,7 +43,6 @@
     "platform": (4,),
     "serve": (1,),
     "standin": (1,),
-    "stopping": (1,),
     "store": (4,),
     "upstream": (3,),
 }
