--- a/papayapier/batch/api.py
+++ b/papayapier/batch/api.py
@@ -41,10 +41,10 @@
 class BatchDispatch(NamedTuple):
     """Group the functions through which batch items reach replicas.
 
-    room returns how many more items of an upstream may be passed to run now. run returns the
-    complete reply or a refusal; it waits for capacity, yields to online requests and resumes
-    by itself. Cancelling the Deferred that wraps run stops the item at the replica. watch_room
-    registers a callback for when the capacity may have grown.
+    free_slots returns how many more items of an upstream may be passed to run now. run returns
+    the complete reply or a refusal; it waits for capacity, yields to online requests and resumes
+    by itself. Cancelling the Deferred that wraps run stops the item at the replica.
+    watch_capacity registers a callback for when the capacity may have grown.
     """
 
     free_slots: Callable[[str], int]
@@ -55,9 +55,9 @@
 class BatchDeps(NamedTuple):
     """Group what batch jobs need of the rest of the program.
 
-    instance and boot together identify this run of the instance. profile returns a profile by
-    name. live_instances lists the instances that the platform reports as live, including this
-    one. lease_store is a view of the store used for leases only, with priority over other
+    instance and boot together identify this run of the instance. find_profile returns a profile
+    by name. live_instances lists the instances that the platform reports as live, including
+    this one. lease_store is a view of the store used for leases only, with priority over other
     calls: bulk writes must not delay a renewal until the lease lapses.
     """
 
--- a/papayapier/config/accept.py
+++ b/papayapier/config/accept.py
@@ -34,8 +34,8 @@
 class ChangeRequest(NamedTuple):
     """Describe a requested change; a document of None deletes, a based_on of 0 creates.
 
-    change_id stays the same when the operator repeats the call. strand allows a change after
-    which queued requests or items can no longer run.
+    change_id stays the same when the operator repeats the call. allow_stranding allows a
+    change after which queued requests or items can no longer run.
     """
 
     subject: Subject
--- a/papayapier/config/route_table.py
+++ b/papayapier/config/route_table.py
@@ -113,7 +113,10 @@
     def authenticate(
         self, public: bool, authorization: Sequence[bytes]
     ) -> Result[Team | None, Refusal]:
-        """Return the team of a request: ANYBODY on public routes, None if no teams are defined."""
+        """Return the team of a request, or None if no teams are defined.
+
+        On public routes it is ANONYMOUS_TEAM.
+        """
         if self.cfg.teams is None:
             return Ok(None)
         return Ok(ANONYMOUS_TEAM) if public else self.cfg.teams.authenticate(authorization)
--- a/papayapier/config/start.py
+++ b/papayapier/config/start.py
@@ -26,7 +26,7 @@
 class ConfigDeps(NamedTuple):
     """Group the dependencies of the configuration service.
 
-    tell and broadcast send a message to one peer or to all, and return immediately. queued_under
+    send and broadcast send a message to one peer or to all, and return immediately. queued_under
     counts the queued requests and items of a profile. upstream_names returns the upstreams that
     have replicas. plan returns the topology of the links between instances.
     """
--- a/papayapier/fleet_view.py
+++ b/papayapier/fleet_view.py
@@ -89,18 +89,18 @@
 
     def publish(self, now: int) -> None:
         """Update the metrics of each replica, and log ejections and their ends."""
-        book, outliers, share = self._policies
+        load_tracker, outliers, share = self._policies
         for upstream in self.upstream_names():
-            usable = book.usable_replicas(upstream, now)
+            usable = load_tracker.usable_replicas(upstream, now)
             in_use = [replica for replica in usable if outliers.is_healthy(replica.id)]
             self._metrics.replicas_usable.labels(upstream).set(len(in_use))
             self._log_ejections(upstream, {r.id for r in usable} - {r.id for r in in_use})
             for replica in usable:
-                own = book.own_calls(replica.id)
+                own = load_tracker.own_calls(replica.id)
                 in_flight = self._metrics.replica_in_flight
                 in_flight.labels(replica.id, "online").set(own.online)
                 in_flight.labels(replica.id, "batch").set(own.batch)
-                limit = share.max_streams(replica.id, book, now)
+                limit = share.max_streams(replica.id, load_tracker, now)
                 self._metrics.batch_limit.labels(replica.id).set(limit)
 
     def _log_ejections(self, upstream: str, ejected: set[str]) -> None:
@@ -122,12 +122,14 @@
 
     def replicas_needed(self, upstream: str, now: int) -> int:
         """Return how many replicas the current online load of an upstream requires."""
-        book = self._policies.load_tracker
-        replicas = book.usable_replicas(upstream, now)
-        slots = [book.slots(replica.id) for replica in replicas]
+        load_tracker = self._policies.load_tracker
+        replicas = load_tracker.usable_replicas(upstream, now)
+        slots = [load_tracker.slots(replica.id) for replica in replicas]
         if not slots:
             return 1
-        running = [book.estimate(r.id, now) - book.batch_calls(r.id) for r in replicas]
+        running = [
+            load_tracker.estimate(r.id, now) - load_tracker.batch_calls(r.id) for r in replicas
+        ]
         listed = sum(1 for m in self._members.values() if m.upstream == upstream)
         # The replicas used here are a representative sample of the listed ones.
         return max(1, math.ceil(listed * sum(running) / (TARGET_UTILISATION * sum(slots))))
@@ -179,8 +181,8 @@
         members = [m for name in self._upstream_names for m in self._used_replicas(name, listed)]
         replicas = [_replica(member) for member in members]
         leaving = {member.id for member in members if member.state == LEAVING}
-        book, outliers, share = self._policies
-        book.on_listed(replicas, leaving)
+        load_tracker, outliers, share = self._policies
+        load_tracker.on_listed(replicas, leaving)
         outliers.on_listed(replicas)
         for replica in replicas:
             share.set_upstream(replica.id, replica.upstream)
--- a/papayapier/graceful_shutdown.py
+++ b/papayapier/graceful_shutdown.py
@@ -45,8 +45,8 @@
 class ShutdownDeps(NamedTuple):
     """Group the dependencies of a graceful shutdown.
 
-    online and items return the number of unfinished requests and batch items; hand_over hands
-    batch work over to other instances.
+    online_count and item_count return the number of unfinished requests and batch items;
+    hand_over hands batch work over to other instances.
     """
 
     clock: "Clock"
--- a/papayapier/load/responses.py
+++ b/papayapier/load/responses.py
@@ -21,8 +21,9 @@
     """List the outcomes of a request as its caller sees them.
 
     WRONG is an answer that belongs to another request or is incomplete, and yet looks
-    successful. CUT is a connection that closed early, which a caller can detect. LEFT means
-    that the caller itself disconnected.
+    successful. DISCONNECTED is a connection that closed early, which a caller can detect.
+    TIMED_OUT is a request without a complete answer in time. ABANDONED means that the caller
+    itself disconnected.
     """
 
     COMPLETE = "whole"
--- a/papayapier/orders/controller.py
+++ b/papayapier/orders/controller.py
@@ -55,9 +55,10 @@
 class OrderControllerDeps(NamedTuple):
     """Group the dependencies of the order controller.
 
-    wanted returns the wanted state of all upstreams, replicas the listed replicas that are not
-    leaving, instances the ids of the live entry instances. need returns how many serving replicas
-    an upstream's current load requires; the configured minimum applies in addition.
+    wanted_upstreams returns the wanted state of all upstreams, replicas the listed replicas that
+    are not leaving, instances the ids of the live entry instances. required_serving returns how
+    many serving replicas an upstream's current load requires; the configured minimum applies in
+    addition.
     """
 
     clock: Clock
