--- a/misc/bench_entry.py
+++ b/misc/bench_entry.py
@@ -178,10 +178,10 @@
     return Row(cost_us["service"], cost_us["unary"], cost_us["short"], per_token, idle_share)
 
 
-async def _measure_cpu(instance: Process, work: Deferred[Any]) -> tuple[float, int]:
-    """Return the processor time in seconds that the instance uses until work ends, and the ms."""
+async def _measure_cpu(instance: Process, workload_run: Deferred[Any]) -> tuple[float, int]:
+    """Return the processor time in seconds that the instance uses during a run, and the ms."""
     instance.sample()
-    await work
+    await workload_run
     instance.sample()
     before, after = instance.samples[-2:]
     return after.cpu_s - before.cpu_s, after.wall_ms - before.wall_ms
--- a/misc/capacity/crowd.py
+++ b/misc/capacity/crowd.py
@@ -33,43 +33,52 @@
 def main(args: list[str]) -> None:
     """Register the peers and run those that are neighbours of the measured instance."""
     platform, peer_port, count = args[0], int(args[1]), int(args[2])
-    measured_place = InstanceLocation(MEASURED_INSTANCE, DATA_CENTRES[0], _region(0))
-    places = [
+    measured_location = InstanceLocation(MEASURED_INSTANCE, DATA_CENTRES[0], _region(0))
+    locations = [
         InstanceLocation(
             f"listed-{i}", DATA_CENTRES[i % len(DATA_CENTRES)], _region(i % len(DATA_CENTRES))
         )
         for i in range(count)
     ]
     cfg = PeerSettings(port=0)
-    plan = make_plan(measured_place, places, LinkLimits(cfg.full_mesh, cfg.picks, cfg.relays))
-    measured = _make_member(measured_place, peer_port)
-    for place in places:
+    plan = make_plan(measured_location, locations, LinkLimits(cfg.full_mesh, cfg.picks, cfg.relays))
+    measured = _make_member(measured_location, peer_port)
+    for location in locations:
         port = CLOSED_PORT
-        if place.id in plan.neighbours:
-            port = _start_hub(place, cfg, measured)
-        url = f"http://{platform}/instances/{place.id}"
-        fleets.request("PUT", url, codec.to_json(_make_member(place, port)))
+        if location.id in plan.neighbours:
+            port = _start_hub(location, cfg, measured)
+        url = f"http://{platform}/instances/{location.id}"
+        fleets.request("PUT", url, codec.to_json(_make_member(location, port)))
     print(codec.to_json(sorted(plan.neighbours)).decode(), flush=True)
     cast(Any, reactor).run()
 
 
-def _start_hub(place: InstanceLocation, cfg: PeerSettings, measured: Member) -> int:
+def _start_hub(location: InstanceLocation, cfg: PeerSettings, measured: Member) -> int:
     """Start the hub of one neighbour and return its port."""
-    identity = Identity(place.id, 1, fleets.HOST, place.data_centre, place.region)
+    identity = Identity(location.id, 1, fleets.HOST, location.data_centre, location.region)
 
     def heartbeat() -> Heartbeat:
-        return Heartbeat(place.id, 1, "serving", 1)
+        return Heartbeat(location.id, 1, "serving", 1)
 
-    rand = random.Random(place.id)
+    rand = random.Random(location.id)
     hub = PeerHub(cast(Any, reactor), real_clock(), cfg, identity, heartbeat, make_metrics(), rand)
     port = hub.start().unwrap()
     hub.set_members([measured])
     return port
 
 
-def _make_member(place: InstanceLocation, port: int) -> Member:
+def _make_member(location: InstanceLocation, port: int) -> Member:
     return Member(
-        place.id, ENTRY, "", fleets.HOST, port, port, place.data_centre, place.region, LIVE, True
+        location.id,
+        ENTRY,
+        "",
+        fleets.HOST,
+        port,
+        port,
+        location.data_centre,
+        location.region,
+        LIVE,
+        True,
     )
 
 
--- a/misc/capacity/spread_paths.py
+++ b/misc/capacity/spread_paths.py
@@ -50,40 +50,40 @@
     fleet: FleetSize, limits: LinkLimits, hop_times: HopTimes, store_ms: float
 ) -> list[MethodCost]:
     """Return the cost of every propagation method."""
-    places = _make_places(fleet)
-    links = _make_links(places, limits)
+    locations = _make_locations(fleet)
+    links = _make_links(locations, limits)
     return [
         _direct_watches(fleet, store_ms),
         _relays_only(fleet, limits, hop_times, store_ms),
-        _flood(fleet, links, places, hop_times),
-        _tree(fleet, links, places, hop_times),
+        _flood(fleet, links, locations, hop_times),
+        _tree(fleet, links, locations, hop_times),
         _gossip(fleet, hop_times),
     ]
 
 
 def neighbour_counts(fleet: FleetSize, limits: LinkLimits) -> tuple[float, int]:
     """Return the mean and the largest number of neighbours."""
-    links = _make_links(_make_places(fleet), limits)
+    links = _make_links(_make_locations(fleet), limits)
     counts = [len(names) for names in links.values()]
     return sum(counts) / len(counts), max(counts)
 
 
-def _make_places(fleet: FleetSize) -> dict[str, InstanceLocation]:
-    places = {}
+def _make_locations(fleet: FleetSize) -> dict[str, InstanceLocation]:
+    locations = {}
     for index in range(fleet.instances):
         data_centre = index % fleet.data_centres
         name = f"i{index}"
-        places[name] = InstanceLocation(
+        locations[name] = InstanceLocation(
             name, f"dc-{data_centre}", f"region-{data_centre % fleet.regions}"
         )
-    return places
+    return locations
 
 
-def _make_links(places: dict[str, InstanceLocation], limits: LinkLimits) -> dict[str, set[str]]:
-    links: dict[str, set[str]] = {name: set() for name in places}
-    for name, place in places.items():
-        others = [other for other in places.values() if other is not place]
-        for neighbour in make_plan(place, others, limits).neighbours:
+def _make_links(locations: dict[str, InstanceLocation], limits: LinkLimits) -> dict[str, set[str]]:
+    links: dict[str, set[str]] = {name: set() for name in locations}
+    for name, location in locations.items():
+        others = [other for other in locations.values() if other is not location]
+        for neighbour in make_plan(location, others, limits).neighbours:
             links[name].add(neighbour)
             links[neighbour].add(name)
     return links
@@ -115,23 +115,23 @@
 def _flood(
     fleet: FleetSize,
     links: dict[str, set[str]],
-    places: dict[str, InstanceLocation],
+    locations: dict[str, InstanceLocation],
     hop_times: HopTimes,
 ) -> MethodCost:
     """Forward a change on every link except the one that it arrived on."""
     copies = (sum(len(names) - 1 for names in links.values()) + 1) / fleet.instances
-    return _peer_links("all links", copies, fleet, links, places, hop_times)
+    return _peer_links("all links", copies, fleet, links, locations, hop_times)
 
 
 def _tree(
     fleet: FleetSize,
     links: dict[str, set[str]],
-    places: dict[str, InstanceLocation],
+    locations: dict[str, InstanceLocation],
     hop_times: HopTimes,
 ) -> MethodCost:
     """Forward a change on the links that were not pruned, one copy for each instance."""
     copies = (fleet.instances - 1) / fleet.instances
-    return _peer_links("pruned tree (built)", copies, fleet, links, places, hop_times)
+    return _peer_links("pruned tree (built)", copies, fleet, links, locations, hop_times)
 
 
 def _peer_links(
@@ -139,21 +139,21 @@
     copies: float,
     fleet: FleetSize,
     links: dict[str, set[str]],
-    places: dict[str, InstanceLocation],
+    locations: dict[str, InstanceLocation],
     hop_times: HopTimes,
 ) -> MethodCost:
     # Factor 2: each copy counts as sent by one instance and as received by another.
     bytes_per_s = 2 * copies * fleet.change_bytes * fleet.changes_per_s
     relays = fleet.data_centres * 2
     calls_per_s = relays * (1 / WATCH_WAIT_S + 2 * fleet.changes_per_s)
-    reached = _arrival_times(links, places, hop_times, next(iter(links)))
+    reached = _arrival_times(links, locations, hop_times, next(iter(links)))
     missed = 1 - len(reached) / fleet.instances
     return MethodCost(name, copies, bytes_per_s, calls_per_s, max(reached.values()), missed)
 
 
 def _arrival_times(
     links: dict[str, set[str]],
-    places: dict[str, InstanceLocation],
+    locations: dict[str, InstanceLocation],
     hop_times: HopTimes,
     origin: str,
 ) -> dict[str, float]:
@@ -163,7 +163,7 @@
     while pending:
         name = pending.popleft()
         for neighbour in sorted(links[name]):
-            same_region = places[name].region == places[neighbour].region
+            same_region = locations[name].region == locations[neighbour].region
             arrival_ms = arrivals_ms[name] + (
                 hop_times.in_region_ms if same_region else hop_times.cross_region_ms
             )
--- a/misc/measure_batch.py
+++ b/misc/measure_batch.py
@@ -237,13 +237,13 @@
 
 
 async def _upload(batch: Batch, clock: Clock, items: int) -> str:
-    intake = batch.start_upload(CALLER, "measure.jsonl", "batch")
+    file_upload = batch.start_upload(CALLER, "measure.jsonl", "batch")
     for start in range(0, items, CHUNK_LINES):
         lines = [_make_line(n) for n in range(start, min(items, start + CHUNK_LINES))]
-        refusal = await intake.feed(b"".join(lines))
+        refusal = await file_upload.feed(b"".join(lines))
         assert refusal is None, refusal
         await clock.sleep(0)
-    return (await intake.finish()).unwrap().file_id
+    return (await file_upload.finish()).unwrap().file_id
 
 
 def _make_line(number: int) -> bytes:
--- a/papayapier/components.py
+++ b/papayapier/components.py
@@ -44,7 +44,7 @@
     view: FleetView
     crash_watch: CrashWatch
     upstreams: UpstreamClient
-    reports: LoadPolls
+    load_polls: LoadPolls
 
 
 class Services(NamedTuple):
--- a/papayapier/compose.py
+++ b/papayapier/compose.py
@@ -112,7 +112,7 @@
     view = FleetView(own_instance, policies, base.metrics)
     crash_watch = CrashWatch(base.clock, base.metrics, lambda: base.budget.down_since() is None)
     upstreams = make_upstream_client(base.reactor, base.clock, cfg.upstream, base.metrics)
-    reports = make_load_polls(
+    load_polls = make_load_polls(
         base.clock,
         base.rand,
         cfg.upstream.load_poll_ms,
@@ -120,7 +120,7 @@
         LoadPollHandlers(view.on_load, crash_watch.on_poll_failed),
         lambda replica: policies.load_tracker.reported_ms(replica.id),
     )
-    return Fleet(policies, view, crash_watch, upstreams, reports)
+    return Fleet(policies, view, crash_watch, upstreams, load_polls)
 
 
 def _make_services(base: Base, fleet: Fleet) -> Services:
@@ -330,7 +330,7 @@
     )
     fleet.view.set_listeners(
         FleetListeners(
-            fleet.reports.poll,
+            fleet.load_polls.poll,
             services.hub.set_members,
             services.batch.on_members_changed,
             fleet.crash_watch.on_listed,
@@ -347,7 +347,7 @@
         batch=services.batch,
         claims=services.claims,
         orders=services.orders,
-        reports=fleet.reports,
+        load_polls=fleet.load_polls,
         upstreams=fleet.upstreams,
         follower=members.follower,
         reporter=members.reporter,
--- a/papayapier/config/config_file.py
+++ b/papayapier/config/config_file.py
@@ -45,7 +45,7 @@
                 version = self._registry.version()
                 events.emit(events.CONFIG_FROM_FOLDER, objects=len(objects), version=version)
 
-    def changed(self) -> None:
+    def schedule_save(self) -> None:
         """Schedule a save; changes in quick succession are saved once."""
         if self._folder:
             self._saving.schedule()
--- a/papayapier/config/sync.py
+++ b/papayapier/config/sync.py
@@ -165,7 +165,7 @@
 
     def _changed(self) -> None:
         self._deps.metrics.config_version.set(self._registry.version())
-        self._config_file.changed()
+        self._config_file.schedule_save()
 
 
 def _size(item: ConfigPush) -> int:
--- a/papayapier/instance.py
+++ b/papayapier/instance.py
@@ -57,7 +57,7 @@
     batch: "Batch"
     claims: "Claims"
     orders: "OrderController"
-    reports: "LoadPolls"
+    load_polls: "LoadPolls"
     upstreams: "UpstreamClient"
     follower: "MemberFollower"
     reporter: "MemberReporter"
@@ -193,7 +193,7 @@
         components.follower.stop()
         components.members_file.close()
         components.reporter.stop()
-        components.reports.close()
+        components.load_polls.close()
         components.online.close()
         components.claims.stop()
         components.item_dispatch.close()
--- a/papayapier/load/chaos.py
+++ b/papayapier/load/chaos.py
@@ -162,8 +162,8 @@
         self._violations += batch.repeated_items(started)
         self._violations += traffic.outcomes.contradictions({**started, **non_idempotent})
         self._violations += [
-            f"internal check failed: {promise.value}, {number} times"
-            for promise, number in invariants.VIOLATIONS.items()
+            f"internal check failed: {invariant.value}, {number} times"
+            for invariant, number in invariants.VIOLATIONS.items()
         ]
 
     def _add_event(self, text: str) -> None:
--- a/papayapier/load/chaos_fleet.py
+++ b/papayapier/load/chaos_fleet.py
@@ -194,12 +194,12 @@
         until_ms = self._clock.now() + event.ms
         self._leaving_until_ms[event.target] = until_ms
 
-        def end() -> None:
+        def end_fault() -> None:
             # Another event may have made the same engine leave again in the meantime.
             if self._leaving_until_ms[event.target] == until_ms:
                 self.standins.platform.register(member)
 
-        self._clock.call_later(event.ms, end)
+        self._clock.call_later(event.ms, end_fault)
 
     def _pause(self, event: PlannedFault) -> None:
         timers = self._states[event.target].timers
--- a/papayapier/load/chaos_traffic.py
+++ b/papayapier/load/chaos_traffic.py
@@ -132,16 +132,16 @@
             self.violations.append(f"{req.request_id} at instance {ref.number}: {violation}")
             self.violations[-1] += f" ({verdict.reason}, {record.timing.total_us // US_PER_MS} ms)"
 
-    def _violation(self, ref: InstanceRef, end: RequestOutcome) -> str:
+    def _violation(self, ref: InstanceRef, outcome: RequestOutcome) -> str:
         """Return what an outcome violates, or an empty string.
 
-        Only the loss of the instance justifies a cut connection.
+        Only the loss of the instance justifies a closed connection.
         """
-        if end is RequestOutcome.WRONG:
+        if outcome is RequestOutcome.WRONG:
             return "a wrong or incomplete answer looked successful"
-        if end is RequestOutcome.TIMED_OUT:
+        if outcome is RequestOutcome.TIMED_OUT:
             return "a request was never answered"
-        if end is RequestOutcome.DISCONNECTED and not self._chaos_fleet.was_lost(ref):
+        if outcome is RequestOutcome.DISCONNECTED and not self._chaos_fleet.was_lost(ref):
             return "an instance that was not lost closed the connection of a request"
         return ""
 
--- a/papayapier/load/client.py
+++ b/papayapier/load/client.py
@@ -132,9 +132,9 @@
     try:
         verdict = await exchange
     except CancelledError:
-        verdict = Verdict(cancellation.end, reason="no answer in time")
+        verdict = Verdict(cancellation.outcome, reason="no answer in time")
     except CONNECTION_ERRORS as exc:
-        verdict = Verdict(cancellation.end, reason=f"{type(exc).__name__}: {exc}")
+        verdict = Verdict(cancellation.outcome, reason=f"{type(exc).__name__}: {exc}")
     for timer in timers:
         if timer.active():
             timer.cancel()
@@ -145,13 +145,13 @@
 
 
 class _Cancellation:
-    """Record why a request was cancelled; otherwise its failure counts as a cut connection."""
+    """Record why a request was cancelled; otherwise its failure counts as DISCONNECTED."""
 
     def __init__(self) -> None:
-        self.end = RequestOutcome.DISCONNECTED
+        self.outcome = RequestOutcome.DISCONNECTED
 
-    def cancel_as(self, end: RequestOutcome, exchange: "Deferred[Verdict]") -> None:
-        self.end = end
+    def cancel_as(self, outcome: RequestOutcome, exchange: "Deferred[Verdict]") -> None:
+        self.outcome = outcome
         exchange.cancel()
 
 
--- a/papayapier/load/results.py
+++ b/papayapier/load/results.py
@@ -1,7 +1,8 @@
 """Collect outcomes and latencies of the requests, by phase and class.
 
 Times are recorded in HdrHistograms in microseconds with three significant digits. A request
-without an answer (hung, cut) has no latency to record; it is still counted in the totals.
+without an answer (timed out, disconnected) has no latency to record; it is still counted in the
+totals.
 """
 
 from collections import Counter
--- a/papayapier/load/table.py
+++ b/papayapier/load/table.py
@@ -79,7 +79,7 @@
             result.name,
             " ".join(f"{kind}={count}" for kind, count in sorted(result.refusals.items())) or "-",
             f"{result.refused_after.p99:.1f}",
-            " ".join(f"{end}={count}" for end, count in sorted(result.ends.items())),
+            " ".join(f"{outcome}={count}" for outcome, count in sorted(result.ends.items())),
             f"{result.fairness:.3f}",
             f"{result.worst_caller:.2f}",
             f"{result.worst_other:.2f}",
--- a/papayapier/standin/service.py
+++ b/papayapier/standin/service.py
@@ -76,7 +76,7 @@
         self._running = 0
         link = Link(clock, params.link_delay_ms)
         self._listener = Listener(reactor, self._handle, host, port, link)
-        self._faults = ProcessFaults(clock, self._listener, self._drop_work)
+        self._faults = ProcessFaults(clock, self._listener, self._drop_calls)
         self._listener.open()
 
     @property
@@ -103,7 +103,7 @@
 
     def close(self) -> Deferred[None]:
         """Stop serving; calls in progress are lost."""
-        self._drop_work()
+        self._drop_calls()
         return self._faults.close()
 
     def _handle(self, request: Request) -> None:
@@ -157,7 +157,7 @@
         _respond(call)
         self._start_calls()
 
-    def _drop_work(self) -> None:
+    def _drop_calls(self) -> None:
         self._timers.cancel_all()
         self._waiting.clear()
         self._running = 0
