--- a/papayapier/batch/file_upload.py
+++ b/papayapier/batch/file_upload.py
@@ -100,7 +100,7 @@
 
     async def finish(self) -> Result[FileRecord, Refusal]:
         """Store the remaining items and the record, with which the file exists."""
-        refusal = await self._process_line(self._splitter.rest())
+        refusal = await self._process_line(self._splitter.remainder())
         refusal = refusal or await self._check_complete()
         if refusal is None and self._items:
             refusal = await self._store_chunk()
--- a/papayapier/batch/lines.py
+++ b/papayapier/batch/lines.py
@@ -55,7 +55,7 @@
         self._buffer(rest[-1])
         return lines
 
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Return the incomplete last line."""
         return b"".join(self._parts)
 
--- a/papayapier/load/chaos_fleet.py
+++ b/papayapier/load/chaos_fleet.py
@@ -208,7 +208,7 @@
         self._clock.call_later(event.ms, timers.resume)
 
     def _stop_instance(self, event: PlannedFault) -> None:
-        """Stop or kill an instance, unless too few would be left; restart it later."""
+        """Stop or crash an instance, unless too few would be left; restart it later."""
         state = self._states[event.target]
         running = sum(
             1 for other in self._states if other.instance is not None and not other.restarting
@@ -230,7 +230,7 @@
             state.lost_ms = self._clock.now()
             self._clock.call_later(BALANCER_LAG_MS, self._update_balancer)
             await instance.crash()
-            # Pending timers of the killed instance must not run any more.
+            # Pending timers of the crashed instance must not run any more.
             state.timers.stop_permanently()
             state.timers = PausableTimers(self._clock.timers)
         else:
--- a/papayapier/load/experiment_file.py
+++ b/papayapier/load/experiment_file.py
@@ -135,7 +135,7 @@
 
 
 class Experiment(NamedTuple):
-    """Hold one experiment; a request without an answer after give_up_ms counts as hung.
+    """Hold one experiment; a request without an answer after give_up_ms counts as timed out.
 
     idle_connections are opened to the instances round robin and kept open without requests.
     """
--- a/papayapier/orders/order_machine.py
+++ b/papayapier/orders/order_machine.py
@@ -55,19 +55,19 @@
     __slots__ = (
         "blames_item",
         "confirm_after_ms",
-        "given_ms",
         "item",
         "order_id",
         "reason",
+        "sent_ms",
         "until_ms",
     )
 
-    def __init__(self, order_id: str, item: Item, given_ms: int, until_ms: int) -> None:
+    def __init__(self, order_id: str, item: Item, sent_ms: int, until_ms: int) -> None:
         self.order_id = order_id
         self.item = item
-        self.given_ms = given_ms
+        self.sent_ms = sent_ms
         self.until_ms = until_ms
-        self.confirm_after_ms = given_ms
+        self.confirm_after_ms = sent_ms
         self.reason = ""
         self.blames_item = False
 
--- a/papayapier/orders/replica_tracker.py
+++ b/papayapier/orders/replica_tracker.py
@@ -139,7 +139,7 @@
         self.may_lack_items = self.may_lack_items or state != self.state
         self.state = state
         self._state_requested_ms = requested_ms
-        if self._order is None or self._machine is None or requested_ms < self._order.given_ms:
+        if self._order is None or self._machine is None or requested_ms < self._order.sent_ms:
             return None
         if in_effect(state, self._order.item):
             self._machine.on_effect()
