--- a/papayapier/policy/allowances.py
+++ b/papayapier/policy/allowances.py
@@ -85,7 +85,7 @@
 class GrantReply(NamedTuple):
     """Reply to a request for a grant; after_ms is when to retry.
 
-    ask names the instance to take over from, or the one that grants in this instance's place.
+    granter names the instance to take over from, or the one that grants in this instance's place.
     """
 
     outcome: GrantOutcome
@@ -207,7 +207,7 @@
         return self._view
 
     def request(self, name: str, limit: Allowance, now: int, is_retry: bool = False) -> GrantReply:
-        """Decide on one request of a team; returned says that it is a retry."""
+        """Decide on one request of a team; is_retry says that it is a retry."""
         team = self._team(name, now)
         share = self._view.share()
         rank = self._rank(team.ranking)
--- a/papayapier/policy/batch_limits.py
+++ b/papayapier/policy/batch_limits.py
@@ -24,8 +24,8 @@
 class SlotUse(NamedTuple):
     """Hold the open calls at a replica.
 
-    online and batch are those of all instances, own this instance's portion of batch. place is this
-    instance's rank, from 0, among those sharing, or NO_PART.
+    online and batch are those of all instances, own this instance's portion of batch. rank is this
+    instance's rank, from 0, among those sharing, or NO_SHARE.
     """
 
     slots: int
--- a/papayapier/policy/batch_share.py
+++ b/papayapier/policy/batch_share.py
@@ -9,7 +9,7 @@
    call that it sends takes the place of one of its own batch streams at once and without a message,
    and no two instances use the same idle slot. An instance whose online calls exceed its share
    takes slots of the others. They learn of it from its heartbeat, or see calls waiting in the
-   replica's load report, and give up their part.
+   replica's load report, and release slots of their own.
 2. Headroom. An instance reserves the slots that its online calls used at their recent peak; the
    peak decays with a half-life. Bursts find free slots, and batch streams are not cancelled and
    resumed for every single online call.
@@ -143,38 +143,46 @@
             row.step_times.observe(load.running, load.slots, load.step_ms)
             row.step_report_ms = load.at_ms
 
-    def free_streams(self, replica_id: str, book: LoadTracker, now: int) -> int:
+    def free_streams(self, replica_id: str, load_tracker: LoadTracker, now: int) -> int:
         """Return how many more batch streams this instance may open on a replica now."""
-        return max(0, self.max_streams(replica_id, book, now) - book.own_calls(replica_id).batch)
+        return max(
+            0,
+            self.max_streams(replica_id, load_tracker, now)
+            - load_tracker.own_calls(replica_id).batch,
+        )
 
-    def excess_streams(self, replica_id: str, book: LoadTracker, now: int) -> int:
+    def excess_streams(self, replica_id: str, load_tracker: LoadTracker, now: int) -> int:
         """Return how many batch streams this instance must cancel on a replica now."""
-        return max(0, book.own_calls(replica_id).batch - self.max_streams(replica_id, book, now))
+        return max(
+            0,
+            load_tracker.own_calls(replica_id).batch
+            - self.max_streams(replica_id, load_tracker, now),
+        )
 
-    def max_streams(self, replica_id: str, book: LoadTracker, now: int) -> int:
+    def max_streams(self, replica_id: str, load_tracker: LoadTracker, now: int) -> int:
         """Return how many batch streams this instance may have on a replica now."""
         upstream = self._upstreams.get(replica_id, "")
         rule = self._rules.get(upstream, BatchRule())
-        slots = book.slots(replica_id)
+        slots = load_tracker.slots(replica_id)
         settings = ISOLATION_SETTINGS.get(rule.isolation)
         if settings is None:
             share = rule.share if rule.isolation == "static" else 1.0
             return self._shares.share(replica_id, int(slots * share))
-        self._shares.review(book, now)
+        self._shares.review(load_tracker, now)
         row = self._row(replica_id)
         row.slots = slots
-        row.running += RUNNING_WEIGHT * (book.estimate(replica_id, now) - row.running)
-        online = book.online_calls(replica_id)
+        row.running += RUNNING_WEIGHT * (load_tracker.estimate(replica_id, now) - row.running)
+        online = load_tracker.online_calls(replica_id)
         if online:
             self._online_ms[upstream] = now
         if now >= row.cap_updated_ms + REFRESH_MS:
             quiet = now >= self._online_ms.get(upstream, -settings.quiet_ms) + settings.quiet_ms
             row.cap = _cap(row.step_times, settings, online, slots, quiet)
             row.cap_updated_ms = now
-        reserve = _reserve(row, settings, book.own_calls(replica_id).online, now)
+        reserve = _reserve(row, settings, load_tracker.own_calls(replica_id).online, now)
         cap = row.cap - self._spare_for_idle()
         available = self._shares.share(replica_id, cap) - reserve
-        available -= max(row.cut, self._outgrown(replica_id, book, cap))
+        available -= max(row.cut, self._peer_excess(replica_id, load_tracker, cap))
         limit = max(0, min(self._shares.share(replica_id, int(slots * rule.share)), available))
         return self._ramped(row, limit, settings.ramp_ms, now)
 
@@ -210,8 +218,8 @@
         an instance without batch work can start some.
         """
         gap_ms = ramp_ms * self._shares.live()
-        risen = row.ramp + min(max(0, now - row.ramp_ms), MAX_RAMP_STEP_MS) / gap_ms
-        row.ramp = min(float(limit), max(1.0, risen))
+        raised = row.ramp + min(max(0, now - row.ramp_ms), MAX_RAMP_STEP_MS) / gap_ms
+        row.ramp = min(float(limit), max(1.0, raised))
         row.ramp_ms = now
         return int(row.ramp)
 
@@ -231,12 +239,12 @@
         idle = live - len(self._shares.sharing())
         return math.ceil(SPARE_SLOTS_FOR_IDLE * idle / live)
 
-    def _outgrown(self, replica_id: str, book: LoadTracker, cap: int) -> int:
+    def _peer_excess(self, replica_id: str, load_tracker: LoadTracker, cap: int) -> int:
         """Return this instance's share of the slots by which others exceed their shares."""
         excess_total = 0
         full_peers = 0
         sharing = self._shares.sharing()
-        for peer, online in book.peers_online(replica_id).items():
+        for peer, online in load_tracker.peers_online(replica_id).items():
             excess = online - self._shares.share(replica_id, cap, peer)
             excess_total += max(0, excess)
             full_peers += excess >= 0 and peer in sharing
--- a/papayapier/policy/batch_sharers.py
+++ b/papayapier/policy/batch_sharers.py
@@ -54,11 +54,15 @@
     )
 
 
-def totals_to_report(book: LoadTracker, hubs: Sequence[str], own_id: str) -> tuple[ReplicaUse, ...]:
+def totals_to_report(
+    load_tracker: LoadTracker, hubs: Sequence[str], own_id: str
+) -> tuple[ReplicaUse, ...]:
     """Return the totals of the replicas that this hub reports on."""
     hubs = hubs if own_id in hubs else [*hubs, own_id]
     return tuple(
-        ReplicaUse(replica_id, book.online_calls(replica_id), book.batch_calls(replica_id))
-        for replica_id in book.used_replicas()
+        ReplicaUse(
+            replica_id, load_tracker.online_calls(replica_id), load_tracker.batch_calls(replica_id)
+        )
+        for replica_id in load_tracker.used_replicas()
         if max(hubs, key=lambda hub: score(replica_id, hub)) == own_id
     )
--- a/papayapier/policy/crash_quarantine.py
+++ b/papayapier/policy/crash_quarantine.py
@@ -28,7 +28,7 @@
 # two of them, counting its own retries. At a third loss of the same fingerprint, chance is the less
 # likely explanation.
 MAX_LOSSES: Final = 3
-# A request that replicas have answered recently was most likely only open when they ended.
+# A request that replicas have answered recently was most likely only open when they crashed.
 MAX_LOSSES_ANSWERED: Final = 6
 ANSWERED_RECENTLY_MS: Final = 60_000
 # An item of a job is not refused but waits, and runs once at a time, so that it may be tried more
@@ -71,8 +71,8 @@
 class ReplicaLoss(NamedTuple):
     """Report that a replica was lost while it ran a request, and how long ago.
 
-    work is the fingerprint of the request. lately says that the fingerprint had been answered in
-    the minute before its first loss.
+    fingerprint identifies the request. recently_answered says that it had been answered in the
+    minute before its first loss.
     """
 
     fingerprint: str
@@ -105,8 +105,8 @@
 
     __slots__ = ("answered", "last_ms", "losses", "max_losses")
 
-    def __init__(self, most: int) -> None:
-        self.max_losses = most
+    def __init__(self, max_losses: int) -> None:
+        self.max_losses = max_losses
         self.losses: list[_LossRecord] = []
         self.answered = 0
         self.last_ms = 0
@@ -310,7 +310,7 @@
         while len(self._leaving) > MAX_FINGERPRINTS:
             del self._leaving[next(iter(self._leaving))]
 
-    def sweep(self, now: int, list_fresh: bool) -> None:
+    def sweep(self, now: int, list_is_fresh: bool) -> None:
         """Withdraw losses of replicas that are listed long after, and forget old fingerprints."""
 
         def is_listed(loss: _LossRecord) -> bool:
@@ -319,7 +319,7 @@
         for fingerprint, record in list(self._records.items()):
             if record.last_ms + FORGET_MS <= now:
                 self._forget(fingerprint)
-            elif list_fresh:
+            elif list_is_fresh:
                 self._withdraw(fingerprint, is_listed)
 
     def snapshot(self, now: int, only: Collection[str] = ()) -> list[ReplicaLoss]:
--- a/papayapier/policy/fair_queue.py
+++ b/papayapier/policy/fair_queue.py
@@ -2,9 +2,9 @@
 
 Start-time fair queueing, on two levels: between ranks by weight, and within a rank between callers.
 Each has a tag, the virtual time at which its next request may start; the lowest tag is served and
-advances by cost / weight. A caller that returns after being idle starts at the present virtual time
-instead of in the past, so that idling earns no burst, and keeps the tag of its last request, so
-that sending one request at a time gives no advantage. A weight, unlike strict priority, cannot
+advances by cost / weight. A caller that sends again after being idle starts at the present virtual
+time instead of in the past, so that idling earns no burst, and keeps the tag of its last request,
+so that sending one request at a time gives no advantage. A weight, unlike strict priority, cannot
 starve anybody. A caller's own requests are ordered by due time.
 
 Requests that can no longer be in time rank behind all that can: served first, each of them would
--- a/papayapier/policy/first_byte.py
+++ b/papayapier/policy/first_byte.py
@@ -14,8 +14,8 @@
 from typing import Final
 
 FLOOR_MS: Final = 1_000
-# A call that was given a free slot begins at once. If it has received nothing for this share of the
-# objective, it can still be in time elsewhere.
+# A call that was sent to a free slot starts at once. If it has received nothing for this share of
+# the objective, it can still be in time elsewhere.
 PLACED_LIMIT_SHARE: Final = 0.55
 MIN_PLACED_LIMIT_MS: Final = 100
 SMOOTHING: Final = 1 / 8
@@ -69,7 +69,7 @@
     def placed_limit_ms(
         self, upstream: str, left_ms: int, attempts_left: int, objective_ms: int
     ) -> int:
-        """Return how long an attempt may wait that was given a free slot.
+        """Return how long an attempt that was sent to a free slot may wait.
 
         Other attempts wait for a slot; without that wait the time varies little.
         """
--- a/papayapier/policy/handover.py
+++ b/papayapier/policy/handover.py
@@ -45,7 +45,7 @@
     """Record who runs a job in its owner's place, and the time of its last report."""
 
     holder: str
-    heard_ms: int
+    last_report_ms: int
 
 
 class HandoverTracker:
@@ -76,7 +76,7 @@
         expired_jobs = [
             job_id
             for job_id, handover in self._handovers.items()
-            if handover.holder not in live or now >= handover.heard_ms + HANDOVER_EXPIRY_MS
+            if handover.holder not in live or now >= handover.last_report_ms + HANDOVER_EXPIRY_MS
         ]
         for job_id in expired_jobs:
             del self._handovers[job_id]
--- a/papayapier/policy/orphans.py
+++ b/papayapier/policy/orphans.py
@@ -2,7 +2,7 @@
 
 A job's owner follows from the set of live instances, and instances' views of that may differ for
 longer than any message takes: each of two instances takes the other for the owner, and neither runs
-the job. So the instance that would be next to own a job asks its owner whether it runs it, then
+the job. So the instance that would be next to own a job queries its owner whether it runs it, then
 each instance that precedes it in the ranking, and takes the job over when each has denied it or not
 replied twice. No decision depends on whose view is right: a job that two instances run wastes runs,
 and its results stay correct.
@@ -26,7 +26,7 @@
 
 
 class _Check:
-    """Record whom to ask about a job, its owner first, the next time, and the denials so far."""
+    """Record whom to query about a job, its owner first, the next time, and the denials so far."""
 
     __slots__ = ("candidates", "denials", "next_ms", "owner")
 
@@ -38,9 +38,9 @@
 
 
 class RunsReply(NamedTuple):
-    """Hold an owner's reply about the jobs that it was asked about.
+    """Hold an owner's reply about the jobs in a check.
 
-    over are the jobs of which every result is stored.
+    finished are the jobs of which every result is stored.
     """
 
     runs: frozenset[str]
@@ -65,7 +65,7 @@
     def due_checks(
         self, open_jobs: Mapping[str, str], candidates: Callable[[str], Sequence[str]], now: int
     ) -> dict[str, list[str]]:
-        """Return the jobs to check now, by the instance to ask.
+        """Return the jobs to check now, by the instance to query.
 
         open_jobs maps each job to its owner; candidates returns the instances that may own a job.
         """
@@ -100,15 +100,13 @@
         self._checks[job_id] = check
         return check
 
-    def on_reply(self, requested: Collection[str], answer: RunsReply, now: int) -> frozenset[str]:
+    def on_reply(self, requested: Collection[str], reply: RunsReply, now: int) -> frozenset[str]:
         """Handle a reply; return the jobs that this instance takes over."""
-        self._finished.update(answer.finished.intersection(requested))
+        self._finished.update(reply.finished.intersection(requested))
         denied = [
-            known
-            for known in requested
-            if known not in answer.runs and known not in answer.finished
+            known for known in requested if known not in reply.runs and known not in reply.finished
         ]
-        for job_id in answer.runs.intersection(requested):
+        for job_id in reply.runs.intersection(requested):
             self._taken_over.discard(job_id)
             if job_id in self._checks:
                 self._checks[job_id].denials = 0
--- a/papayapier/policy/place_queue.py
+++ b/papayapier/policy/place_queue.py
@@ -23,12 +23,12 @@
 from papayapier.policy.waiting import RETRY_AFTER_SHARE
 
 ONE_CALL: Final = 1.0
-# In one pass, up to so many requests are skipped that want none of the free replicas.
-MAX_PASSED_OVER: Final = 8
+# In one pass, up to this many requests are skipped for which no free replica may be chosen.
+MAX_SKIPPED: Final = 8
 
 
 class PlacementRequest(NamedTuple):
-    """Describe one request for a replica of a partition; shunned replicas are excluded."""
+    """Describe one request for a replica of a partition; excluded names replicas not to choose."""
 
     ticket: int
     partition: str
@@ -57,9 +57,9 @@
 PlacementOutcome = Assigned | PlacementRefused
 # Returns the replicas of a partition that are in use.
 UsedReplicas = Callable[[str, int], frozenset[str]]
-# Tells whether a replica takes another call now.
+# Tells whether a replica has capacity for another call now.
 HasCapacity = Callable[[str, int], bool]
-# Chooses one of some replicas for a request, or returns None if it wants none of them.
+# Chooses one of some replicas for a request, or returns None if none of them may be chosen.
 ChooseReplica = Callable[[PlacementRequest, frozenset[str], int], str | None]
 
 
@@ -70,17 +70,21 @@
     """
 
     def __init__(
-        self, max_queued: int, in_use: UsedReplicas, takes: HasCapacity, choose: ChooseReplica
+        self,
+        max_queued: int,
+        in_use: UsedReplicas,
+        has_capacity: HasCapacity,
+        choose: ChooseReplica,
     ) -> None:
         self._queue = AdmissionQueue(max_queued)
         self._in_use = in_use
-        self._takes = takes
+        self._has_capacity = has_capacity
         self._choose = choose
         self._requests: dict[int, PlacementRequest] = {}
         self._retry_times: dict[str, RetryTimes] = {}
 
     def offer(self, request: PlacementRequest, now: int) -> PlacementRefused | None:
-        """Queue a request, or refuse it at once; decided() returns the outcome of queued ones."""
+        """Queue a request, or refuse it at once; outcomes() returns those of queued requests."""
         entry = _queue_entry(request, now)
         result = self._queue.offer(entry, now)
         if isinstance(result, Err):
@@ -97,13 +101,13 @@
             yield self._refuse(request, after_ms, now - entry.enqueued_ms, now)
 
     def remove(self, ticket: int) -> bool:
-        """Remove a request that nobody waits for; return whether it was queued."""
+        """Remove a request whose outcome is no longer needed; return whether it was queued."""
         self._requests.pop(ticket, None)
         return self._queue.remove(ticket)
 
-    def queued(self, part: str) -> int:
+    def queued(self, partition: str) -> int:
         """Return how many requests for a partition are queued."""
-        return self._queue.queued(part)
+        return self._queue.queued(partition)
 
     def depth(self) -> int:
         """Return how many requests are queued."""
@@ -114,29 +118,31 @@
         return ticket in self._requests
 
     def _place(self, now: int) -> Iterator[Assigned]:
-        passed_over: list[QueuedRequest] = []
-        free_by_part: dict[str, set[str]] = {}
-
-        def free_replicas(part: str) -> set[str]:
-            if part not in free_by_part:
-                used = self._in_use(part, now)
-                free_by_part[part] = {free for free in used if self._takes(free, now)}
-            return free_by_part[part]
-
-        while self._requests and len(passed_over) < MAX_PASSED_OVER:
-            entry = self._queue.take(now, lambda part: bool(free_replicas(part)))
+        skipped: list[QueuedRequest] = []
+        free_by_partition: dict[str, set[str]] = {}
+
+        def free_replicas(partition: str) -> set[str]:
+            if partition not in free_by_partition:
+                used = self._in_use(partition, now)
+                free_by_partition[partition] = {
+                    free for free in used if self._has_capacity(free, now)
+                }
+            return free_by_partition[partition]
+
+        while self._requests and len(skipped) < MAX_SKIPPED:
+            entry = self._queue.take(now, lambda partition: bool(free_replicas(partition)))
             if entry is None:
                 break
             request = self._requests[entry.ticket]
             replica = self._choose(request, frozenset(free_replicas(request.partition)), now)
             if replica is None:
-                passed_over.append(entry)
+                skipped.append(entry)
                 continue
             del self._requests[entry.ticket]
             yield Assigned(request, replica, now - entry.enqueued_ms)
-            if not self._takes(replica, now):
+            if not self._has_capacity(replica, now):
                 free_replicas(request.partition).discard(replica)
-        for entry in passed_over:
+        for entry in skipped:
             self._queue.put_back(entry)
 
     def _refuse(
@@ -151,16 +157,16 @@
 
 
 def _queue_entry(request: PlacementRequest, now: int) -> QueuedRequest:
-    wanting = request.needs
+    needs = request.needs
     return QueuedRequest(
         ticket=request.ticket,
-        caller=wanting.caller,
+        caller=needs.caller,
         upstream=request.partition,
         profile="",
-        rank=wanting.rank,
-        due_ms=now + wanting.objective_ms,
+        rank=needs.rank,
+        due_ms=now + needs.objective_ms,
         cost=ONE_CALL,
         enqueued_ms=now,
-        give_up_ms=now + wanting.timeout_ms,
-        retry_by_ms=now + wanting.retry_within_ms,
+        give_up_ms=now + needs.timeout_ms,
+        retry_by_ms=now + needs.retry_within_ms,
     )
--- a/papayapier/policy/placers.py
+++ b/papayapier/policy/placers.py
@@ -26,9 +26,9 @@
 class PlacementNeeds(NamedTuple):
     """Describe the call that a replica is requested for; times are in ms from now.
 
-    aim_ms is the time left to meet the latency objective, left_ms the time left until the answer is
-    no longer wanted. Until return_ms a refused caller can still retry in time; 0 says that it may
-    not retry.
+    objective_ms is the time left to meet the latency objective, timeout_ms the time left until the
+    answer is no longer wanted. Until retry_within_ms a refused caller can still retry in time; 0
+    says that it may not retry.
     """
 
     caller: str
@@ -41,7 +41,7 @@
 class Placement(NamedTuple):
     """Return the replica that was chosen, or the refusal; neither means undecided.
 
-    has_room says that the replica had a free slot.
+    has_capacity says that the replica had a free slot.
     """
 
     replica: str = ""
--- a/papayapier/policy/replica_limits.py
+++ b/papayapier/policy/replica_limits.py
@@ -16,7 +16,7 @@
 
 
 class _CallRate:
-    """Count the calls given to one replica, with exponential decay."""
+    """Count the calls sent to one replica, with exponential decay."""
 
     __slots__ = ("at_ms", "calls")
 
@@ -34,12 +34,12 @@
     """Track how fast replicas take calls; empty_ms passes from the end of one to the next."""
 
     def __init__(self, empty_ms: int) -> None:
-        # The share of the decaying count that was given within empty_ms, at an even rate.
+        # The share of the decaying count that was sent within empty_ms, at an even rate.
         self._recent_share = empty_ms * math.log(2) / HALF_LIFE_MS
         self._rates: dict[str, _CallRate] = {}
 
     def on_sent(self, replica_id: str, now: int) -> None:
-        """Count a call given to a replica."""
+        """Count a call sent to a replica."""
         rate = self._rates.setdefault(replica_id, _CallRate(now))
         rate.decay(now)
         rate.calls += 1
--- a/papayapier/policy/retries.py
+++ b/papayapier/policy/retries.py
@@ -1,4 +1,4 @@
-"""Decide whether a failed call is retried, and what its caller is told if not.
+"""Decide whether a failed call is retried, and which refusal its caller receives if not.
 
 A non-idempotent call is retried only when the replica cannot have received it. Retries are limited
 to a share of the requests, because an upstream that fails under load would otherwise get a multiple
@@ -53,9 +53,11 @@
 NOWHERE: Final = FailedAt("", 0, 0)
 
 
-def failed_at(book: LoadTracker, replica: Replica) -> FailedAt:
+def failed_at(load_tracker: LoadTracker, replica: Replica) -> FailedAt:
     """Return what the retry budget needs to know of a replica."""
-    return FailedAt(replica.id, book.slots(replica.id), len(book.replicas(replica.upstream)))
+    return FailedAt(
+        replica.id, load_tracker.slots(replica.id), len(load_tracker.replicas(replica.upstream))
+    )
 
 
 class _Window:
--- a/papayapier/policy/retry_times.py
+++ b/papayapier/policy/retry_times.py
@@ -1,7 +1,7 @@
 """Spread the retries of refused callers over time.
 
 Motivation: hundreds of calls are refused within a tenth of a second. Given the same retry time,
-their callers would return as one new burst. So each refusal gets a time of its own, one after the
+their callers would retry in one new burst. So each refusal gets a time of its own, one after the
 other at the rate at which slots become free, starting when the backlog will have been worked off.
 """
 
--- a/papayapier/policy/routing.py
+++ b/papayapier/policy/routing.py
@@ -50,8 +50,9 @@
 class RouteRequest(NamedTuple):
     """Describe what routing needs to know of a call.
 
-    told includes the calls that peers have reported; see REPORTED_WEIGHT. fresh says that they were
-    reported within some 50 ms. within names the only replicas to choose from, unless empty.
+    includes_peers counts the calls that peers have reported; see REPORTED_WEIGHT. fresh says that
+    they were reported within some 50 ms. candidates names the only replicas to choose from, unless
+    empty.
     """
 
     upstream: str
@@ -66,43 +67,56 @@
 
 
 def choose_replica(
-    book: LoadTracker, outliers: OutlierDetector, req: RouteRequest, rand: random.Random, now: int
+    load_tracker: LoadTracker,
+    outliers: OutlierDetector,
+    req: RouteRequest,
+    rand: random.Random,
+    now: int,
 ) -> str | None:
     """Return the replica for a call, or None when no replica may take it."""
-    usable = _candidates(book, outliers, req.upstream, req.exclude, now, req.candidates)
+    usable = _candidates(load_tracker, outliers, req.upstream, req.exclude, now, req.candidates)
     if not usable:
         return None
     usable = _without_probes(outliers, usable, req)
     if req.prefix and len(usable) > 1:
-        cached_replica = _replica_with_prefix(book, outliers, usable, req, now)
+        cached_replica = _replica_with_prefix(load_tracker, outliers, usable, req, now)
         if cached_replica is not None:
             return cached_replica
     if req.fresh and len(usable) <= MAX_COMPARED:
         sampled = usable
     else:
         sampled = _sampled(
-            book, usable, rand, now, DRAWS_WHEN_REPORTED if req.includes_peers else DRAWS
+            load_tracker, usable, rand, now, DRAWS_WHEN_REPORTED if req.includes_peers else DRAWS
         )
     costs = [
-        (_cost(book, outliers, replica, req, now), rand.random(), replica.id) for replica in sampled
+        (_cost(load_tracker, outliers, replica, req, now), rand.random(), replica.id)
+        for replica in sampled
     ]
     _, _, chosen = min(costs)
     return chosen
 
 
 def pick_replica(
-    book: LoadTracker, outliers: OutlierDetector, req: RouteRequest, rand: random.Random, now: int
+    load_tracker: LoadTracker,
+    outliers: OutlierDetector,
+    req: RouteRequest,
+    rand: random.Random,
+    now: int,
 ) -> Replica | None:
     """Return the replica for a call; one that failed it may have recovered if all have."""
-    chosen = choose_replica(book, outliers, req, rand, now)
+    chosen = choose_replica(load_tracker, outliers, req, rand, now)
     if chosen is None and req.exclude:
-        chosen = choose_replica(book, outliers, req._replace(exclude=frozenset()), rand, now)
+        chosen = choose_replica(
+            load_tracker, outliers, req._replace(exclude=frozenset()), rand, now
+        )
     if chosen is None:
         return None
-    return next(replica for replica in book.replicas(req.upstream) if replica.id == chosen)
+    return next(replica for replica in load_tracker.replicas(req.upstream) if replica.id == chosen)
 
 
-def free_capacity(book: LoadTracker, outliers: OutlierDetector, upstream: str, now: int) -> float:
+def free_capacity(
+    load_tracker: LoadTracker, outliers: OutlierDetector, upstream: str, now: int
+) -> float:
     """Return how many more online calls the replicas of an upstream could run at once.
 
     Engines queue in order of arrival and know no priorities: a call that waits in an engine can no
@@ -110,12 +124,12 @@
     do not count, since they yield. A few calls more than there are slots keep a replica busy until
     the next report.
     """
-    candidates = _candidates(book, outliers, upstream, frozenset(), now)
-    return sum(max(0.0, _free(book, replica, now)) for replica in candidates)
+    candidates = _candidates(load_tracker, outliers, upstream, frozenset(), now)
+    return sum(max(0.0, _free(load_tracker, replica, now)) for replica in candidates)
 
 
 def _candidates(
-    book: LoadTracker,
+    load_tracker: LoadTracker,
     outliers: OutlierDetector,
     upstream: str,
     exclude: frozenset[str],
@@ -123,7 +137,7 @@
     within: frozenset[str] = frozenset(),
 ) -> Sequence[Replica]:
     """Return the replicas in use; if all are ejected, trying one is better than refusing."""
-    usable = book.usable_replicas(upstream, now)
+    usable = load_tracker.usable_replicas(upstream, now)
     if within:
         usable = [replica for replica in usable if replica.id in within]
     usable = [replica for replica in usable if replica.id not in exclude]
@@ -140,58 +154,64 @@
 
 
 def _sampled(
-    book: LoadTracker, usable: Sequence[Replica], rand: random.Random, now: int, draws: int
+    load_tracker: LoadTracker, usable: Sequence[Replica], rand: random.Random, now: int, draws: int
 ) -> Sequence[Replica]:
     """Return the replicas to compare: a few at random, full ones only if all are full."""
     sampled = usable if len(usable) <= draws else rand.sample(usable, draws)
-    fitting = [replica for replica in sampled if not _full(book, replica, now)]
+    fitting = [replica for replica in sampled if not _full(load_tracker, replica, now)]
     if not fitting and len(sampled) < len(usable):
-        fitting = [replica for replica in usable if not _full(book, replica, now)]
+        fitting = [replica for replica in usable if not _full(load_tracker, replica, now)]
     return fitting or sampled
 
 
 def _replica_with_prefix(
-    book: LoadTracker,
+    load_tracker: LoadTracker,
     outliers: OutlierDetector,
     usable: Sequence[Replica],
     req: RouteRequest,
     now: int,
 ) -> str | None:
     """Return the replica that has the prefix cached if its load is within the bound."""
-    costs = {replica.id: _cost(book, outliers, replica, req, now) for replica in usable}
-    slack = AFFINITY_SLACK_CALLS / max(book.slots(replica.id) for replica in usable)
+    costs = {replica.id: _cost(load_tracker, outliers, replica, req, now) for replica in usable}
+    slack = AFFINITY_SLACK_CALLS / max(load_tracker.slots(replica.id) for replica in usable)
     if req.includes_peers:
         bound = min(costs.values()) + slack
     else:
         bound = AFFINITY_FACTOR * sum(costs.values()) / len(costs) + slack
     ranked = sorted(usable, key=lambda replica: -score(req.prefix, replica.id))
     for replica in ranked[:AFFINITY_TRIES]:
-        if costs[replica.id] <= bound and not _full(book, replica, now):
+        if costs[replica.id] <= bound and not _full(load_tracker, replica, now):
             return replica.id
     return None
 
 
-def _full(book: LoadTracker, replica: Replica, now: int) -> bool:
-    return _free(book, replica, now) <= 0.0
+def _full(load_tracker: LoadTracker, replica: Replica, now: int) -> bool:
+    return _free(load_tracker, replica, now) <= 0.0
 
 
-def _free(book: LoadTracker, replica: Replica, now: int) -> float:
-    return FULL_FACTOR * book.slots(replica.id) - book.online_pressure(replica.id, now)
+def _free(load_tracker: LoadTracker, replica: Replica, now: int) -> float:
+    return FULL_FACTOR * load_tracker.slots(replica.id) - load_tracker.online_pressure(
+        replica.id, now
+    )
 
 
 def _cost(
-    book: LoadTracker, outliers: OutlierDetector, replica: Replica, req: RouteRequest, now: int
+    load_tracker: LoadTracker,
+    outliers: OutlierDetector,
+    replica: Replica,
+    req: RouteRequest,
+    now: int,
 ) -> float:
-    own = book.own_calls(replica.id)
+    own = load_tracker.own_calls(replica.id)
     if req.includes_peers:
-        calls = own.online + REPORTED_WEIGHT * (book.online_calls(replica.id) - own.online)
-        calls += REPORTED_BATCH_WEIGHT * book.batch_calls(replica.id)
+        calls = own.online + REPORTED_WEIGHT * (load_tracker.online_calls(replica.id) - own.online)
+        calls += REPORTED_BATCH_WEIGHT * load_tracker.batch_calls(replica.id)
         calls += outliers.penalty(replica.id, now)
-        return calls / book.slots(replica.id)
-    others = max(0.0, book.estimate(replica.id, now) - own.online - own.batch)
-    calls = own.online + OTHERS_WEIGHT * others / book.instance_count(replica.id)
+        return calls / load_tracker.slots(replica.id)
+    others = max(0.0, load_tracker.estimate(replica.id, now) - own.online - own.batch)
+    calls = own.online + OTHERS_WEIGHT * others / load_tracker.instance_count(replica.id)
     calls += own.batch if req.batch else BATCH_WEIGHT * own.batch
     if replica.data_centre != req.data_centre:
         calls += OTHER_DATA_CENTRE_CALLS
     calls += outliers.penalty(replica.id, now)
-    return calls / book.slots(replica.id)
+    return calls / load_tracker.slots(replica.id)
--- a/papayapier/policy/slot_shares.py
+++ b/papayapier/policy/slot_shares.py
@@ -39,15 +39,15 @@
         self._live = tuple(sorted({*instances, self._instance_id}))
         self._share_among(self._live)
 
-    def review(self, book: LoadTracker, now: int) -> None:
-        """Exclude the instances without batch calls, or include them again."""
+    def review(self, load_tracker: LoadTracker, now: int) -> None:
+        """Exclude the instances without batch calls, or include all again."""
         if now < self._last_review_ms + REVIEW_MS:
             return
         self._last_review_ms = now
-        if book.batch_open_ms(now) < LEAVE_OUT_AFTER_MS:
+        if load_tracker.batch_open_ms(now) < LEAVE_OUT_AFTER_MS:
             self._share_among(self._live)
             return
-        with_batch = book.batch_peers(now, BATCH_REPORT_MS)
+        with_batch = load_tracker.batch_peers(now, BATCH_REPORT_MS)
         self._share_among(
             tuple(name for name in self._live if name == self._instance_id or name in with_batch)
         )
--- a/papayapier/policy/waiting.py
+++ b/papayapier/policy/waiting.py
@@ -27,7 +27,7 @@
 
 
 def is_repeated(left_ms: int, timeout_ms: int) -> bool:
-    """Tell whether a caller has used up some of its time elsewhere; timeout_ms 0 is unknown."""
+    """Tell whether a caller has spent time on an earlier attempt; timeout_ms 0 is unknown."""
     return left_ms < timeout_ms - FIRST_TIME_SLACK_MS
 
 
