--- a/papayapier/dispatch/api.py
+++ b/papayapier/dispatch/api.py
@@ -48,7 +48,7 @@
 class DispatchDeps(NamedTuple):
     """Group the dependencies of one instance's dispatch.
 
-    uses_changed is called whenever the number of open calls at a replica changes.
+    on_uses_changed is called whenever the number of open calls at a replica changes.
     """
 
     clock: Clock
--- a/papayapier/dispatch/crash_watch.py
+++ b/papayapier/dispatch/crash_watch.py
@@ -36,14 +36,14 @@
 class CrashWatch:
     """Own the replica losses and notify the listeners of changes."""
 
-    def __init__(self, clock: Clock, metrics: Metrics, list_fresh: Callable[[], bool]) -> None:
-        """Create a tracker; list_fresh returns whether the list of replicas is up to date."""
+    def __init__(self, clock: Clock, metrics: Metrics, list_is_fresh: Callable[[], bool]) -> None:
+        """Create a tracker; list_is_fresh returns whether the list of replicas is up to date."""
         self._clock = clock
         self._metrics = metrics
-        self._list_fresh = list_fresh
-        self._book = CrashTracker()
+        self._list_is_fresh = list_is_fresh
+        self._tracker = CrashTracker()
         self._quarantined: frozenset[str] = frozenset()
-        self._reviewed = 0
+        self._reviewed_changes = 0
         self._timer: Timer | None = None
         self._listeners: CrashListeners | None = None
 
@@ -53,64 +53,64 @@
 
     def refusal(self, request_id: str, get_fingerprint: GetFingerprint) -> Refusal | None:
         """Return the refusal of a request that is quarantined, or None."""
-        if self._book.is_empty():
+        if self._tracker.is_empty():
             return None
         fingerprint = get_fingerprint()
-        hold_ms = self._book.quarantine_ms(fingerprint, self._clock.now())
-        return self._refuse(request_id, fingerprint) if hold_ms else None
+        quarantine_ms = self._tracker.quarantine_ms(fingerprint, self._clock.now())
+        return self._refuse(request_id, fingerprint) if quarantine_ms else None
 
     def retry_spacing_ms(self, get_fingerprint: GetFingerprint) -> int:
         """Return the minimum pause before a request that one more loss would quarantine, in ms."""
-        return 0 if self._book.is_empty() else self._book.suspect_pause_ms(get_fingerprint())
+        return 0 if self._tracker.is_empty() else self._tracker.suspect_pause_ms(get_fingerprint())
 
     def send_window_wait_ms(self, get_fingerprint: GetFingerprint) -> int:
         """Return the wait before a request that one more loss would quarantine, in ms."""
         return (
             0
-            if self._book.is_empty()
-            else self._book.send_windows.wait_ms(get_fingerprint(), self._clock.now())
+            if self._tracker.is_empty()
+            else self._tracker.send_windows.wait_ms(get_fingerprint(), self._clock.now())
         )
 
     def take_send_window(self, get_fingerprint: GetFingerprint) -> bool:
         """Return whether a request may be sent now, and take its send window if it needs one."""
-        return self._book.is_empty() or self._book.send_windows.try_send(
+        return self._tracker.is_empty() or self._tracker.send_windows.try_send(
             get_fingerprint(), self._clock.now()
         )
 
     def suspects(self, get_fingerprint: GetFingerprint) -> list[str]:
         """Return the fingerprints that share replica losses, and send windows, with a request."""
-        return self._book.send_windows.other_suspects(get_fingerprint())
+        return self._tracker.send_windows.other_suspects(get_fingerprint())
 
     def item_pause_ms(self, get_fingerprint: GetFingerprint) -> int:
         """Return for how long an item may not be sent, in ms; 0 if it may."""
         return (
             0
-            if self._book.is_empty()
-            else self._book.item_pause_ms(get_fingerprint(), self._clock.now())
+            if self._tracker.is_empty()
+            else self._tracker.item_pause_ms(get_fingerprint(), self._clock.now())
         )
 
     def item_refusal(self, item_id: str, get_fingerprint: GetFingerprint) -> Refusal | None:
         """Return the refusal of a quarantined item without attempts left, or None."""
-        hold_ms = self.item_pause_ms(get_fingerprint)
-        if not hold_ms or not self._book.is_item_exhausted(get_fingerprint()):
+        pause_ms = self.item_pause_ms(get_fingerprint)
+        if not pause_ms or not self._tracker.is_item_exhausted(get_fingerprint()):
             return None
         return self._refuse(item_id, get_fingerprint())
 
     def _refuse(self, request_id: str, fingerprint: str) -> Refusal:
-        replicas = self._book.lost_replicas(fingerprint)
-        return_ms = self._book.retry_after_ms(fingerprint, self._clock.now())
+        replicas = self._tracker.lost_replicas(fingerprint)
+        retry_after_ms = self._tracker.retry_after_ms(fingerprint, self._clock.now())
         events.emit(
             events.REQUEST_HELD,
             request=request_id,
             work=fingerprint,
             replicas=replicas,
-            return_ms=return_ms,
+            return_ms=retry_after_ms,
         )
         reason = (
             f"{len(replicas)} replicas were lost while they ran the same request; "
-            f"it is not sent for {return_ms // MS_PER_S} s"
+            f"it is not sent for {retry_after_ms // MS_PER_S} s"
         )
-        return not_run_refusal(ErrorKind.ENDS_REPLICAS, reason, return_ms)
+        return not_run_refusal(ErrorKind.ENDS_REPLICAS, reason, retry_after_ms)
 
     def on_send_finished(
         self,
@@ -122,10 +122,10 @@
     ) -> None:
         """Record the result of a send."""
         if isinstance(result, Ok) or _replica_answered(result.err_value):
-            self._book.on_alive(replica.id, started_ms)
+            self._tracker.on_alive(replica.id, started_ms)
             self._record_answer(get_fingerprint)
         elif result.err_value.connection_refused:
-            self._book.on_ended(replica.id)
+            self._tracker.on_ended(replica.id)
         elif is_lost(result.err_value):
             self._record_loss(request_id, get_fingerprint(), replica, result.err_value)
         self._review_if_changed()
@@ -133,15 +133,15 @@
     def on_poll_failed(self, replica: Replica, failure: Failure) -> None:
         """Record the failure of a call other than a send, such as a load poll."""
         if failure.connection_refused:
-            self._book.on_ended(replica.id)
+            self._tracker.on_ended(replica.id)
 
     def on_reported(
         self, losses: Iterable[ReplicaLoss], answered: Iterable[str]
     ) -> list[ReplicaLoss]:
-        """Record what a peer reports or a disk holds; return the losses not known before."""
-        new_losses = self._book.on_losses_received(losses, self._clock.now())
+        """Record losses and answers from a peer or a disk; return the losses not known before."""
+        new_losses = self._tracker.on_losses_received(losses, self._clock.now())
         for fingerprint in answered:
-            self._book.on_answered(fingerprint)
+            self._tracker.on_answered(fingerprint)
         self._review_if_changed()
         return new_losses
 
@@ -151,11 +151,11 @@
 
     def recently_answered(self, fingerprints: Iterable[str]) -> list[str]:
         """Return the fingerprints answered just before their losses, or recently here."""
-        return self._book.recently_answered(fingerprints, self._clock.now())
+        return self._tracker.recently_answered(fingerprints, self._clock.now())
 
     def on_recently_answered(self, fingerprints: Iterable[str], peer_id: str) -> list[str]:
         """Record that a peer answered requests recently; return those whose losses count less."""
-        cleared = self._book.on_answers_received(fingerprints, self._clock.now())
+        cleared = self._tracker.on_answers_received(fingerprints, self._clock.now())
         for fingerprint in cleared:
             events.emit(events.WORK_CLEARED, work=fingerprint, peer=peer_id)
         self._review_if_changed()
@@ -163,15 +163,15 @@
 
     def on_listed(self, listed: Collection[str], leaving: Collection[str]) -> None:
         """Replace the list of replicas, and of those that leave as planned."""
-        self._book.on_listed(listed, leaving)
+        self._tracker.on_listed(listed, leaving)
 
     def snapshot(self, only: Collection[str] = ()) -> list[ReplicaLoss]:
         """Return the losses of all requests, or of the given fingerprints."""
-        return self._book.snapshot(self._clock.now(), only)
+        return self._tracker.snapshot(self._clock.now(), only)
 
     def still_counts(self, loss: ReplicaLoss) -> bool:
         """Return whether a loss still counts."""
-        return self._book.is_current(loss)
+        return self._tracker.is_current(loss)
 
     def close(self) -> None:
         """Stop the timer."""
@@ -180,8 +180,8 @@
 
     def _record_answer(self, get_fingerprint: GetFingerprint) -> None:
         fingerprint = get_fingerprint()
-        self._book.record_answer(fingerprint, self._clock.now())
-        if self._book.on_answered(fingerprint) and self._listeners is not None:
+        self._tracker.record_answer(fingerprint, self._clock.now())
+        if self._tracker.on_answered(fingerprint) and self._listeners is not None:
             self._listeners.on_answered(fingerprint)
 
     def _record_loss(
@@ -189,31 +189,31 @@
     ) -> None:
         log_lost_send(request_id, fingerprint, replica, failure)
         self._metrics.sends_lost.labels(failure.kind.value).inc()
-        is_new = self._book.on_replica_lost(fingerprint, replica.id, self._clock.now())
+        is_new = self._tracker.on_replica_lost(fingerprint, replica.id, self._clock.now())
         if is_new and self._listeners is not None:
             self._listeners.on_loss(ReplicaLoss(fingerprint, replica.id, 0))
 
     def _review_if_changed(self) -> None:
-        if self._reviewed != self._book.change_count:
+        if self._reviewed_changes != self._tracker.change_count:
             self._review()
 
     def _review(self) -> None:
         """Notify of requests that have entered or left quarantine."""
-        self._reviewed = self._book.change_count
-        before, self._quarantined = self._quarantined, self._book.quarantined(self._clock.now())
+        self._reviewed_changes = self._tracker.change_count
+        before, self._quarantined = self._quarantined, self._tracker.quarantined(self._clock.now())
         for fingerprint in sorted(self._quarantined - before):
-            replicas = self._book.lost_replicas(fingerprint)
+            replicas = self._tracker.lost_replicas(fingerprint)
             events.emit(events.WORK_HELD, work=fingerprint, replicas=replicas)
             if self._listeners is not None:
                 self._listeners.on_quarantined(fingerprint)
         for fingerprint in sorted(before - self._quarantined):
             events.emit(events.WORK_RELEASED, work=fingerprint)
         self._metrics.works_held.set(len(self._quarantined))
-        if not self._book.is_empty() and (self._timer is None or not self._timer.active()):
+        if not self._tracker.is_empty() and (self._timer is None or not self._timer.active()):
             self._timer = self._clock.call_later(SWEEP_MS, self._sweep)
 
     def _sweep(self) -> None:
-        self._book.sweep(self._clock.now(), self._list_fresh())
+        self._tracker.sweep(self._clock.now(), self._list_is_fresh())
         self._review()
 
 
--- a/papayapier/dispatch/forward_state.py
+++ b/papayapier/dispatch/forward_state.py
@@ -67,11 +67,11 @@
 class ForwardDeps(NamedTuple):
     """Group the dependencies of forwarding.
 
-    head makes the headers for a replica from those of the request, the replica, the remaining ms
-    and the last event. uses_changed is called whenever the number of open calls at a replica
-    changes. place returns the decision of the placer, which chooses replicas for all instances;
-    unanswered notifies the placer of a replica that did not answer. fresh returns whether peers
-    report their open calls within about 50 ms.
+    make_headers builds the headers for a replica from those of the request, the replica, the
+    remaining ms and the last event. on_uses_changed is called whenever the number of open calls at
+    a replica changes. place returns the decision of the placer, which chooses replicas for all
+    instances; on_unanswered notifies the placer of a replica that did not answer.
+    peer_loads_are_fresh returns whether peers report their open calls within about 50 ms.
     """
 
     clock: "Clock"
--- a/papayapier/dispatch/outcome_checks.py
+++ b/papayapier/dispatch/outcome_checks.py
@@ -11,11 +11,11 @@
 
 
 def check_send(
-    book: "LoadTracker", replica: "Replica", call_id: str, may_run_again: bool, now: int
+    load_tracker: "LoadTracker", replica: "Replica", call_id: str, may_run_again: bool, now: int
 ) -> None:
     """Check, immediately before a send, that it is allowed and that its replica is usable."""
     check_invariant(may_run_again, Invariant.AT_MOST_ONCE, call=call_id, replica=replica.id)
-    usable = book.usable_replicas(replica.upstream, now)
+    usable = load_tracker.usable_replicas(replica.upstream, now)
     check_invariant(replica in usable, Invariant.LEAVING_IDLE, call=call_id, replica=replica.id)
 
 
--- a/papayapier/dispatch/relayed_stream.py
+++ b/papayapier/dispatch/relayed_stream.py
@@ -28,7 +28,7 @@
     def __init__(self, caller_stream: CallerStream, last_event: int, resumable: bool) -> None:
         self._caller_stream = caller_stream
         self._cutter = EventSplitter(last_event)
-        # The next event is the first from a replica that was asked to resume the stream.
+        # The next event is the first from a replica that resumes the stream.
         self._resumed = resumable and last_event != NO_EVENT
         self.started = False
         self.declared = False
--- a/papayapier/dispatch/start_queue.py
+++ b/papayapier/dispatch/start_queue.py
@@ -84,7 +84,7 @@
     """Own the queued and running online requests of one instance.
 
     reserved returns how many starts at an upstream are decided but not yet counted as open calls;
-    elsewhere returns whether requests of an upstream are queued at a peer instead.
+    queued_at_peer returns whether requests of an upstream are queued at a peer instead.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
     ) -> None:
         self._deps = deps
         self._reserved = reserved
-        self._elsewhere = queued_at_peer
+        self._queued_at_peer = queued_at_peer
         self._callers = CallerLimits()
         self._waiters: dict[int, _Waiter] = {}
         self._next_ticket = 1
@@ -228,7 +228,7 @@
 
     def _can_start(self, upstream: str) -> bool:
         """Return whether the replicas could start one more online request now."""
-        if self._elsewhere(upstream):
+        if self._queued_at_peer(upstream):
             return True
         now = self._deps.clock.now()
         free = free_capacity(self._deps.load_tracker, self._deps.outliers, upstream, now)
