--- a/papayapier/jobs/item_run.py
+++ b/papayapier/jobs/item_run.py
@@ -47,7 +47,7 @@
     def _add(self, event_id: int, data: str) -> Fault | None:
         last = self._state.last_event
         # Joining the events of two runs with a gap or an overlap would produce a text that no
-        # replica has sent, and nothing but reading it would reveal that.
+        # replica has sent, and only reading it would reveal that.
         if last != NO_EVENT and event_id != last + 1:
             return Fault(FailureKind.INVALID, f"event {event_id} received after event {last}")
         self._state.last_event = event_id
--- a/papayapier/jobs/job_files.py
+++ b/papayapier/jobs/job_files.py
@@ -25,7 +25,7 @@
 
 
 class Loaded(NamedTuple):
-    """Hold the jobs read from a folder; odd lists the unreadable files with the reason."""
+    """Hold the jobs read from a folder; unreadable names the other files with the reason."""
 
     jobs: list[LocalJob]
     unreadable: list[str]
@@ -42,7 +42,7 @@
 
 
 def remove(folder: str, job_id: str) -> Result[None, str]:
-    """Remove a job's file and sync its folder; otherwise a power loss could restore the file."""
+    """Remove a job's file and sync its folder; otherwise a power failure could restore the file."""
     path = _path(folder, job_id)
     try:
         path.unlink(missing_ok=True)
--- a/papayapier/jobs/job_service.py
+++ b/papayapier/jobs/job_service.py
@@ -61,12 +61,13 @@
 class JobServiceDeps(NamedTuple):
     """Group the dependencies of JobService.
 
-    heard decides for how long a read of the store remains valid. keep replicates a job to keepers'
-    disks. store_away returns whether the store is known to be unavailable. settled returns whether
-    a job that is not in the store exists nowhere; after an outage this is false until keepers have
-    created the jobs that they accepted meanwhile. elsewhere reads results through another instance,
-    given a job, a position, a wait time and a team; None means that they must be read here. known
-    returns a job's record if this instance follows the job records in the store.
+    notifications decides for how long a read of the store remains valid. replicate copies a job to
+    keepers' disks. is_store_unavailable returns whether the store is known to be unavailable.
+    is_store_complete returns whether a job that is not in the store exists nowhere; after an outage
+    this is false until keepers have created the jobs that they accepted meanwhile. read_remote
+    reads results through another instance, given a job, a position, a wait time and a team; None
+    means that they must be read here. known_record returns a job's record if this instance follows
+    the job records in the store.
     """
 
     clock: Clock
@@ -146,8 +147,8 @@
             record = record._replace(items=(), parts=len(parts))
         settling = SettleDeps(self._deps.store, self._deps.clock, self._deps.rand)
         value = encode(record)
-        work = create_settled(settling, job_key(job_id), value, due_ms)
-        creating = PendingResult(self._deps.clock, work)
+        create = create_settled(settling, job_key(job_id), value, due_ms)
+        creating = PendingResult(self._deps.clock, create)
         copies = NOT_REQUESTED
         if not record.parts:
             copies = await self._replicate_unless_created(job_id, value, creating, objective_ms)
@@ -176,7 +177,7 @@
         """Replicate a job to keepers' disks if the store does not respond in time."""
         wait_ms = store_wait_ms(objective_ms, self._deps.is_store_unavailable())
         created = await creating.wait_at_most(wait_ms)
-        # A definite reply of the store decides; keepers are only requested without one.
+        # A definite reply of the store decides; keepers receive copies only without one.
         if created is not None and (
             isinstance(created, Ok) or created.err_value not in UNCERTAIN_ERRORS
         ):
--- a/papayapier/jobs/local_job_store.py
+++ b/papayapier/jobs/local_job_store.py
@@ -29,7 +29,7 @@
 
 
 class LocalJobStoreDeps(NamedTuple):
-    """Group the dependencies of Vault.
+    """Group the dependencies of LocalJobStore.
 
     in_thread runs a blocking call. held is called for each newly stored job, to run it while the
     store is still unavailable; not for jobs left by an earlier run of this keeper, because only the
--- a/papayapier/jobs/notifications.py
+++ b/papayapier/jobs/notifications.py
@@ -63,7 +63,7 @@
         )
 
     def count(self, now: int) -> int:
-        """Return the number of notifications, or NOT_SURE while a write is overdue."""
+        """Return the number of notifications, or UNCONFIRMED while a write is overdue."""
         if any(now - begun_ms > MAX_WRITE_MS for begun_ms in self._unconfirmed.values()):
             return UNCONFIRMED
         return self._count
@@ -86,7 +86,7 @@
     """Decide from the writers' notifications whether a read of the store is still current.
 
     writers returns the instances that may write results, live all instances considered live. A
-    live writer counts even if none of its heartbeats arrive here, as is usual in a large fleet.
+    live writer counts even if none of its heartbeats arrive here, as is common in a large fleet.
     """
 
     def __init__(
--- a/papayapier/jobs/owned_job.py
+++ b/papayapier/jobs/owned_job.py
@@ -60,7 +60,7 @@
         self.items: dict[str, ItemState] = {item.id: ItemState(item) for item in record.items}
         self.unwritten: dict[str, ItemResult] = {}
         self.listed = 0
-        # Monotonic time at which the job was taken or an item was last completed here.
+        # Monotonic time at which this instance took the job, or last completed an item of it.
         self.last_progress_ms = 0
         # On the wall clock; infinite until the job's route is known.
         self.due_ms = math.inf
@@ -86,10 +86,10 @@
         )
         return now - last_ms >= (STALLED_RUNNING_MS if self.is_running() else STALLED_MS)
 
-    def finish(self, item_id: str, end: ItemOutcome) -> None:
+    def finish(self, item_id: str, outcome: ItemOutcome) -> None:
         """Record the result of an item, which is then to be written."""
         state = self.items.pop(item_id)
-        self.unwritten[item_id] = ItemResult(item_id, end, state.text())
+        self.unwritten[item_id] = ItemResult(item_id, outcome, state.text())
 
     def progress(self) -> list[ItemProgress]:
         """Return the progress of items that have begun, or are finished but not yet written."""
--- a/papayapier/jobs/progress.py
+++ b/papayapier/jobs/progress.py
@@ -1,14 +1,14 @@
 """Save the progress of a keeper's items on its disk, so that its next start resumes from there.
 
-The replica losses per request fingerprint are saved too; otherwise, after a power loss of the whole
-fleet, a request could end as many replicas again.
+The replica losses per request fingerprint are saved too; otherwise, after a power failure of the
+whole fleet, a request could crash as many replicas again.
 
 Motivation: all processes may be killed or lose power at once, possibly while the store is
 unavailable. Progress that was not yet written was held in memory only, and all of those items ran
 again from their beginning, at the same time as all other waiting requests.
 
 Losing the disk costs only time, as all confirmed results are in the store. Two files are written
-alternately, so that if one is torn by a power loss the previous one remains.
+alternately, so that if one is torn by a power failure the previous one remains.
 """
 
 from collections.abc import Awaitable, Callable, Sequence
@@ -25,8 +25,8 @@
 from papayapier.policy.crash_quarantine import ReplicaLoss
 
 FILES: Final = ("progress-0", "progress-1")
-# A run takes about five seconds, so a power loss costs a tenth of a run on average. A write of 25
-# items of 10 kB is far below the throughput of a slow disk.
+# A run takes about five seconds, so a power failure costs a tenth of a run on average. A write of
+# 25 items of 10 kB is far below the throughput of a slow disk.
 SAVE_MS: Final = 1_000
 # Bounds how long a start waits for a disk that hangs.
 LOAD_MS: Final = 500
--- a/papayapier/jobs/runner.py
+++ b/papayapier/jobs/runner.py
@@ -22,7 +22,7 @@
 from papayapier.jobs.progress import ItemProgress
 from papayapier.jobs.records import JOBS_PREFIX, ItemOutcome, JobRecord, read_record
 from papayapier.jobs.runs import RunDeps, Runs
-from papayapier.jobs.takeover import JobTakeover, LookDeps
+from papayapier.jobs.takeover import JobTakeover, TakeoverDeps
 from papayapier.policy.ownership import rendezvous_owner
 from papayapier.store.api import Change, Store
 
@@ -41,8 +41,8 @@
 class RunnerDeps(NamedTuple):
     """Group the dependencies of JobRunner.
 
-    tell_groups is called with a job's id, its number of groups, and the last group if this instance
-    wrote it.
+    notify_groups is called with a job's id, its number of groups, and the last group if this
+    instance wrote it.
     """
 
     runs: RunDeps
@@ -72,7 +72,7 @@
         self._owned: dict[str, OwnedJob] = {}
         self._owners = JobOwners(deps.runs.load_tracker, deps.table, deps.runs.sharing)
         self.takeover = JobTakeover(
-            LookDeps(
+            TakeoverDeps(
                 self._clock,
                 deps.runs.instance_id,
                 self._open,
@@ -140,10 +140,10 @@
         """
         if job_id in self._open or job_id in self._owned:
             return False
-        ended_here = (
+        responsible_if_cancelled = (
             rendezvous_owner(job_id, self._deps.runs.sharing()) == self._deps.runs.instance_id
         )
-        return job_id in self._completed or ended_here
+        return job_id in self._completed or responsible_if_cancelled
 
     def stored_record(self, job_id: str) -> JobRecord | None:
         """Return a job's record if it was read from the store and contains all items."""
@@ -202,7 +202,8 @@
         events.emit(events.RUN_RELEASED, job=job_id, listed=job.listed)
         self._runs.cancel_job(job)
         if job.loaded:
-            # The job may return, for example after another keeper was unreachable for a moment.
+            # This instance may own the job again, for example if another keeper was unreachable for
+            # a moment.
             self.restore_progress(job.progress())
         if not job.unwritten:
             del self._owned[job_id]
@@ -286,7 +287,7 @@
         if self._stopping or table is None:
             return
         if self._in_round:
-            # Called from the end of a run that this round cancelled; the next round uses its slot.
+            # Called at the end of a run that this round cancelled; the next round uses its slot.
             self.schedule_round()
             return
         self._in_round = True
--- a/papayapier/jobs/runs.py
+++ b/papayapier/jobs/runs.py
@@ -1,7 +1,7 @@
 """Run items of jobs in the slots that online calls leave free, and free slots that they need.
 
 runner.py tracks the jobs. This module starts the runs of their items at replicas and handles the
-result of each run. policy/batch_order.py decides the order of items, policy/batch_room.py the
+result of each run. policy/batch_order.py decides the order of items, policy/batch_limits.py the
 number of runs at a replica.
 """
 
@@ -49,9 +49,9 @@
 class RunDeps(NamedTuple):
     """Group the dependencies of Runs.
 
-    sharing returns the live instances that run batch, including this one; hidden those of them that
-    this instance cannot reach but others can. head builds the headers for a replica, of_team sets
-    the team of an item. body decodes the body of an item.
+    sharing returns the live instances that run batch, including this one; unreachable those of
+    them that this instance cannot reach but others can. make_headers builds the headers for a
+    replica, with_team sets the team of an item. decode_body decodes the body of an item.
     """
 
     clock: Clock
@@ -142,10 +142,10 @@
                     break
                 if self._is_quarantined(job, state):
                     continue
-                if self._standing(upstream, job, state, wall).late:
+                if self._rank_item(upstream, job, state, wall).late:
                     late.append((job, route, state))
                 elif not self._start_with_share(finder, job, route, state):
-                    self._displace(slots, upstream, wall)
+                    self._preempt_late_run(slots, upstream, wall)
                     full_upstreams.add(upstream)
         for job, route, state in late:
             upstream = route.shares[0].upstream
@@ -181,10 +181,10 @@
             self._start(job, route, state, replica, has_share=False)
         return replica is not None
 
-    def _standing(self, upstream: str, job: OwnedJob, state: ItemState, wall: float) -> ItemRank:
-        return rank_item(self._times_at(upstream), len(state.texts), job.due_ms, wall)
+    def _rank_item(self, upstream: str, job: OwnedJob, state: ItemState, wall: float) -> ItemRank:
+        return rank_item(self._run_times(upstream), len(state.texts), job.due_ms, wall)
 
-    def _times_at(self, upstream: str) -> RunTimeEstimator:
+    def _run_times(self, upstream: str) -> RunTimeEstimator:
         return self._times.setdefault(upstream, RunTimeEstimator())
 
     def _start_with_share(
@@ -196,11 +196,11 @@
             self._start(job, route, state, replica)
         return replica is not None
 
-    def _displace(self, slots: SlotSnapshot, upstream: str, wall: float) -> None:
+    def _preempt_late_run(self, slots: SlotSnapshot, upstream: str, wall: float) -> None:
         """Cancel one late run, so that an item that can be done in time may start in its place."""
         for run in self._runs.values():
             replica_id = run.replica.id
-            if run.replica.upstream != upstream or not self._run_standing(run, wall).late:
+            if run.replica.upstream != upstream or not self._rank_run(run, wall).late:
                 continue
             # Above the start limit, runs continue but none are started, so cancelling a run there
             # would not free a slot for another item.
@@ -292,21 +292,21 @@
 
         The delay is bounded, because the quarantine ends early if the replica proves to be alive.
         """
-        hold_ms = self._deps.crashes.item_pause_ms(partial(self._fingerprint, job, state))
-        state.quarantined = hold_ms > 0
-        if hold_ms:
-            state.not_before_ms = self._deps.clock.now() + min(hold_ms, QUARANTINE_CHECK_MS)
+        pause_ms = self._deps.crashes.item_pause_ms(partial(self._fingerprint, job, state))
+        state.quarantined = pause_ms > 0
+        if pause_ms:
+            state.not_before_ms = self._deps.clock.now() + min(pause_ms, QUARANTINE_CHECK_MS)
         return state.quarantined
 
     def _log_quarantine(self, job: OwnedJob, state: ItemState) -> None:
-        hold_ms = self._deps.crashes.item_pause_ms(partial(self._fingerprint, job, state))
-        if hold_ms:
+        pause_ms = self._deps.crashes.item_pause_ms(partial(self._fingerprint, job, state))
+        if pause_ms:
             events.emit(
                 events.ITEM_HELD,
                 job=job.job_id,
                 item=state.item.id,
                 work=state.fingerprint,
-                hold_ms=hold_ms,
+                hold_ms=pause_ms,
             )
 
     def _on_run_result(
@@ -325,7 +325,7 @@
             if failure.kind is FailureKind.CANCELLED:
                 return
             state.not_before_ms = now + RETRY_DELAY_MS
-            if _blames(failure):
+            if _counts_against_replica(failure):
                 self._deps.outliers.on_end(replica.id, False, None, now)
             self._log_retry(job, state, replica, failure.reason)
             self._log_quarantine(job, state)
@@ -333,7 +333,7 @@
         answer = sent.ok_value
         if isinstance(answer, StreamedAnswer):
             self._deps.outliers.on_end(replica.id, True, None, now)
-            self._times_at(replica.upstream).on_done(len(state.texts), state.ran_ms)
+            self._run_times(replica.upstream).on_done(len(state.texts), state.ran_ms)
             events.emit(
                 events.ITEM_DONE,
                 job=job.job_id,
@@ -392,12 +392,12 @@
         for replica_id, runs in by_replica.items():
             over = len(runs) - keep_limit(replica_use(slots, replica_id))
             if over > 0:
-                ranked = ((self._run_standing(run, wall), run) for run in runs)
+                ranked = ((self._rank_run(run, wall), run) for run in runs)
                 for run in preempted(ranked, over):
                     self._cancel_run(run, "online calls need the slot", over)
 
-    def _run_standing(self, run: _Run, wall: float) -> ItemRank:
-        return self._standing(run.replica.upstream, run.job, run.state, wall)
+    def _rank_run(self, run: _Run, wall: float) -> ItemRank:
+        return self._rank_item(run.replica.upstream, run.job, run.state, wall)
 
     def _cancel_run(self, run: _Run, reason: str, over: int) -> None:
         events.emit(
@@ -411,7 +411,7 @@
         run.task.cancel()
 
 
-def _blames(failure: Failure) -> bool:
+def _counts_against_replica(failure: Failure) -> bool:
     """Return whether a failed run counts against its replica.
 
     A replica that refuses connections has ended, and has the most free slots of all until it is
--- a/papayapier/jobs/takeover.py
+++ b/papayapier/jobs/takeover.py
@@ -1,7 +1,7 @@
 """Take over jobs whose owners do not run them, and hand over jobs that cannot be run here.
 
 policy/orphans.py decides which instance checks a job and what follows from the owner's reply.
-policy/handing.py decides to which instances a job is offered and which of them runs it.
+policy/handover.py decides to which instances a job is offered and which of them runs it.
 """
 
 from collections.abc import Callable, Collection, Mapping, Sequence
@@ -16,7 +16,7 @@
 from papayapier.policy.orphans import OrphanDetector, RunsReply
 
 
-class LookDeps(NamedTuple):
+class TakeoverDeps(NamedTuple):
     """Group the dependencies of JobTakeover.
 
     open holds the records of jobs that are not closed, owned the jobs that run here and closed the
@@ -38,7 +38,7 @@
 class JobTakeover:
     """Track the jobs that run on an instance other than their owner."""
 
-    def __init__(self, deps: LookDeps) -> None:
+    def __init__(self, deps: TakeoverDeps) -> None:
         self._deps = deps
         self._orphans = OrphanDetector(deps.instance_id)
         self._handovers = HandoverTracker()
@@ -85,18 +85,20 @@
         """Return which of the given jobs this instance runs in place of their owners."""
         return [job_id for job_id in job_ids if self._orphans.is_taken_over(job_id)]
 
-    def on_check_reply(self, owner_id: str, asked: Sequence[str], answer: RunsReply | None) -> None:
+    def on_check_reply(
+        self, owner_id: str, requested: Sequence[str], reply: RunsReply | None
+    ) -> None:
         """Handle an owner's reply about its jobs, or None for no reply; take over orphaned jobs."""
         now = self._deps.clock.now()
-        taken_before = self.taken_over(asked)
-        if answer is None:
-            taken = self._orphans.on_no_reply(asked, now)
+        taken_before = self.taken_over(requested)
+        if reply is None:
+            taken = self._orphans.on_no_reply(requested, now)
         else:
-            taken = self._orphans.on_reply(asked, answer, now)
-        reason = "silent" if answer is None else "denied"
+            taken = self._orphans.on_reply(requested, reply, now)
+        reason = "silent" if reply is None else "denied"
         for job_id in taken:
             events.emit(events.RUN_ADOPTED, job=job_id, owner=owner_id, reason=reason)
-        if self.taken_over(asked) != taken_before:
+        if self.taken_over(requested) != taken_before:
             self._deps.on_change()
 
     def on_check_request(
@@ -147,9 +149,9 @@
             return None
         return next((job_id for job_id in job_ids if self._can_start(job_id)), None)
 
-    def on_claim_reply(self, owner_id: str, job_id: str, answer: RunsReply) -> None:
+    def on_claim_reply(self, owner_id: str, job_id: str, reply: RunsReply) -> None:
         """Handle an owner's reply to the claim of an offered job; run the job if it is free."""
-        if job_id in answer.runs or job_id in answer.finished or job_id not in self._deps.open:
+        if job_id in reply.runs or job_id in reply.finished or job_id not in self._deps.open:
             return
         events.emit(events.RUN_ADOPTED, job=job_id, owner=owner_id, reason="offered")
         self._orphans.take_over(job_id, owner_id, self._deps.clock.now())
