--- a/papayapier/claims/service.py
+++ b/papayapier/claims/service.py
@@ -68,7 +68,7 @@
 class ClaimDeps(NamedTuple):
     """Group the dependencies of Claims.
 
-    boot is drawn at random at process start. ask_writer requests the state() of a claim reference
+    boot is drawn at random at process start. query_writer requests the state() of a claim reference
     from an instance; any text but the four states means that the request failed.
     """
 
@@ -128,8 +128,8 @@
         """Claim a key before its request is sent, or return the state of an earlier delivery."""
         req = _Request(claim_id(caller, key), content, due_ms)
         begun = await self._begin(req)
-        end = begun.ok_value if isinstance(begun, Ok) else begun.err_value.kind
-        label = end.value if isinstance(end, ErrorKind) else type(end).__name__.lower()
+        outcome = begun.ok_value if isinstance(begun, Ok) else begun.err_value.kind
+        label = outcome.value if isinstance(outcome, ErrorKind) else type(outcome).__name__.lower()
         self._deps.metrics.claim_ends.labels(end=label).inc()
         return begun
 
@@ -220,12 +220,12 @@
         return await self._not_claimed(req, op.result, known)
 
     async def _not_claimed(
-        self, req: _Request, end: OpResult | None, known: Known
+        self, req: _Request, result: OpResult | None, known: Known
     ) -> BeginResult | RetryBegin:
         """Return why a delivery could not claim its key; its own attempt is given up already."""
-        if isinstance(end, Found) and end.record is not None:
-            return await self._decide(req, end.record, may_claim=True)
-        if isinstance(end, Stored):
+        if isinstance(result, Found) and result.record is not None:
+            return await self._decide(req, result.record, may_claim=True)
+        if isinstance(result, Stored):
             return Err(not_run_refusal(ErrorKind.DEADLINE, "the key was claimed too late"))
         if known.record is not None and not self._is_free(known.record):
             return await self._decide(req, known.record, may_claim=False)
