--- a/papayapier/peer/hub.py
+++ b/papayapier/peer/hub.py
@@ -83,9 +83,9 @@
         self._metrics = metrics
         self._rand = rand
         self._signer = NO_SIGNER
-        place = InstanceLocation(me.instance, me.data_centre, me.region, me.hub)
+        location = InstanceLocation(me.instance, me.data_centre, me.region, me.hub)
         limits = LinkLimits(cfg.full_mesh, cfg.picks, cfg.relays)
-        self._roster = Roster(place, limits, cfg.silent_after_ms)
+        self._roster = Roster(location, limits, cfg.silent_after_ms)
         self._budget = ByteBudget(cfg.early_bytes_per_s, clock.now())
         self._inbox = Inbox(reactor, self._receive)
         self._links = Links(lambda address: Outbox(reactor, address.host, address.port))
@@ -96,7 +96,7 @@
         self._listeners: list[Callable[[], None]] = []
         self._live: list[str] = [me.instance]
         self._hubs: tuple[str, ...] = ()
-        self._vouched = frozenset({me.instance} if me.hub else ())
+        self._agreed_live = frozenset({me.instance} if me.hub else ())
         self._call_notifier = CallNotifier(me.instance, early_recipients, self.send)
         self._counts = MessageCounts(metrics)
         self._last_sent: Heartbeat | None = None
@@ -158,14 +158,14 @@
 
     def agreed_live(self) -> frozenset[str]:
         """Return which of the instances that may be hubs are live by a majority of the hubs."""
-        return self._vouched
+        return self._agreed_live
 
     def plan(self) -> LinkPlan:
         """Return the current plan of links; a relay watches the store for its data centre."""
         return self._roster.plan()
 
     def on_change(self, call: Callable[[], None]) -> None:
-        """Call back whenever live(), vouched() or the choice of hubs has changed."""
+        """Call back whenever live(), agreed_live() or the choice of hubs has changed."""
         self._listeners.append(call)
 
     def subscribe(self, kind: type[Message], handler: Handler) -> None:
@@ -270,10 +270,10 @@
         return not plan.full_mesh and self._me.instance in plan.hubs
 
     def _with_link_state(self, heartbeat: Heartbeat, now: Millis) -> Heartbeat:
-        gone = self._roster.unavailable(now) if self._is_hub() else ()
-        unheard = self._roster.unreachable(now)
+        unavailable = self._roster.unavailable(now) if self._is_hub() else ()
+        unreachable = self._roster.unreachable(now)
         return heartbeat._replace(
-            unreachable=unheard, interval_ms=self._interval_ms, unavailable=gone
+            unreachable=unreachable, interval_ms=self._interval_ms, unavailable=unavailable
         )
 
     def _send_heartbeat_to(self, peer_ids: Sequence[str], heartbeat: Heartbeat) -> int:
@@ -371,8 +371,8 @@
 
     def _hello(self, picked: bool) -> Hello:
         me = self._me
-        place = (me.host, self._port, me.data_centre, me.region)
-        return Hello(me.instance, me.boot, *place, picked, me.hub)
+        location = (me.host, self._port, me.data_centre, me.region)
+        return Hello(me.instance, me.boot, *location, picked, me.hub)
 
     def _on_peer_change(self, peer_change: PeerChange) -> None:
         if peer_change.change is Change.REMOVED:
@@ -387,10 +387,10 @@
     def _notify_listeners(self) -> None:
         live = self._roster.live()
         hubs = self._roster.plan().hubs
-        vouched = self._roster.agreed_live(self._clock.now())
-        if (live, hubs, vouched) == (self._live, self._hubs, self._vouched):
+        agreed_live = self._roster.agreed_live(self._clock.now())
+        if (live, hubs, agreed_live) == (self._live, self._hubs, self._agreed_live):
             return
-        self._vouched = vouched
+        self._agreed_live = agreed_live
         if hubs != self._hubs and not self._roster.plan().full_mesh:
             events.emit(events.HUBS_CHOSEN, hubs=list(hubs), was=list(self._hubs))
         self._live, self._hubs = live, hubs
--- a/papayapier/peer/loss_exchange.py
+++ b/papayapier/peer/loss_exchange.py
@@ -71,7 +71,7 @@
             CrashListeners(self._on_replica_lost, self._on_answered, self._on_quarantined)
         )
         deps.hub.subscribe(LossesTold, self._on_losses_told)
-        deps.hub.subscribe(LossesAsk, self._on_losses_ask)
+        deps.hub.subscribe(LossesAsk, self._on_losses_request)
         deps.hub.subscribe(NoLosses, self._on_no_losses)
         deps.hub.subscribe(LatelyAsk, self._on_recent_query)
         deps.hub.on_change(self._request_losses)
@@ -205,8 +205,8 @@
         if own:
             self._deps.hub.broadcast(LatelyAsk(tuple(sorted(own))))
 
-    def _on_recent_query(self, peer_id: str, ask: LatelyAsk) -> None:
-        recent = self._deps.watch.recently_answered(ask.fingerprints)
+    def _on_recent_query(self, peer_id: str, query: LatelyAsk) -> None:
+        recent = self._deps.watch.recently_answered(query.fingerprints)
         if recent:
             self._deps.hub.send(peer_id, LossesTold((), (), tuple(recent)))
 
@@ -238,7 +238,7 @@
     def _on_no_losses(self, _peer_id: str, _message: NoLosses) -> None:
         self._has_reply = True
 
-    def _on_losses_ask(self, peer_id: str, _ask: LossesAsk) -> None:
+    def _on_losses_request(self, peer_id: str, _request: LossesAsk) -> None:
         losses = self._deps.watch.snapshot()
         self._deps.hub.send(peer_id, LossesTold(tuple(losses)) if losses else NoLosses())
 
--- a/papayapier/peer/loss_messages.py
+++ b/papayapier/peer/loss_messages.py
@@ -8,7 +8,8 @@
 class LossesTold(NamedTuple):
     """Report replica losses and the fingerprints of requests that were answered.
 
-    answered lists fingerprints answered since a loss, lately those answered recently before it.
+    answered lists fingerprints answered since a loss, recently_answered those answered recently
+    before it.
     """
 
     losses: tuple[ReplicaLoss, ...]
--- a/papayapier/peer/members.py
+++ b/papayapier/peer/members.py
@@ -32,7 +32,7 @@
 
 
 class MembersDeps(NamedTuple):
-    """Group what the exchange needs; tell sends a message and returns False if it could not."""
+    """Group what the exchange needs; send returns False if a message could not be sent."""
 
     clock: Clock
     rand: random.Random
--- a/papayapier/peer/messages.py
+++ b/papayapier/peer/messages.py
@@ -26,15 +26,15 @@
     """Report that the sender is live, its configuration and its open calls.
 
     boot is a random number drawn at process start; it distinguishes a restarted instance from a
-    paused one. config_digest detects what config_version cannot: a missing object whose version
-    is below the highest. unheard lists the peers whose heartbeats do not arrive at the sender.
-    every_ms is the sender's current heartbeat interval; the receiver's silence limit depends on
+    paused one. config_digest detects what config_version cannot: a missing object whose version is
+    below the highest. unreachable lists the peers whose heartbeats do not arrive at the sender.
+    interval_ms is the sender's current heartbeat interval; the receiver's silence limit depends on
     it. totals is sent by hubs: the open calls of all instances at each replica reported.
-    groups_told counts the numbered notifications of this boot, or is NOT_SURE; words are the
-    most recent of them, where no separate JobChanged carries them. gone is sent by hubs: the
-    instances that may be hubs and are silent or leaving, for instances that are not their
-    neighbours. picked is true if the sender's own plan includes the receiver, and false if the
-    sender only reciprocates a link that the receiver's plan wants.
+    notification_count counts the numbered notifications of this boot, or is UNCONFIRMED;
+    notifications holds the most recent of them, where no separate JobChanged carries them.
+    unavailable is sent by hubs: the instances that may be hubs and are silent or leaving, for
+    instances that are not their neighbours. picked is true if the sender's own plan includes the
+    receiver, and false if the sender only reciprocates a link that the receiver's plan wants.
     """
 
     instance: str
@@ -190,7 +190,7 @@
 class MirrorAsk(NamedTuple):
     """Request what a peer has read of a prefix itself; the reply is a StoreTell.
 
-    since is WHOLE for a listing, otherwise the revision after which changes are wanted.
+    since is FULL_LISTING for a listing, otherwise the revision after which changes are wanted.
     """
 
     correlation_id: int
@@ -220,8 +220,8 @@
 class StoreTell(NamedTuple):
     """Answer StoreAsk or MirrorAsk.
 
-    error is empty on success, else the name of the store's error. back_ms_ago is the time
-    since the store became reachable again for the sender, or NEVER_AWAY.
+    error is empty on success, else the name of the store's error. recovered_ms_ago is the
+    time since the store became reachable again for the sender, or NO_OUTAGE.
     """
 
     correlation_id: int
@@ -257,7 +257,7 @@
 
 
 class ResultsTell(NamedTuple):
-    """Answer ResultsAsk; known says whether the sender could read the job."""
+    """Answer ResultsAsk; job_known says whether the sender could read the job."""
 
     correlation_id: int
     job_known: bool
@@ -268,7 +268,7 @@
 class AllowAsk(NamedTuple):
     """Request a grant for one request of a team from the team's granter.
 
-    rate_per_s and burst are the team's allowance as the requester knows it; returned says
+    rate_per_s and burst are the team's allowance as the requester knows it; is_retry says
     that the request was refused before and is a retry.
     """
 
@@ -280,9 +280,10 @@
 
 
 class AllowTell(NamedTuple):
-    """Answer AllowAsk; said names a value of policy.allowances.Said.
+    """Answer AllowAsk; outcome names a value of policy.allowances.GrantOutcome.
 
-    after_ms is the time after which to retry. ask names the granter if the sender is not it.
+    retry_after_ms is the time after which to retry. granter names the granter if it is not the
+    sender.
     """
 
     correlation_id: int
@@ -301,7 +302,7 @@
 
 
 class TakeOverTell(NamedTuple):
-    """Answer TakeOverAsk; was_first says whether the sender was the granter until now."""
+    """Answer TakeOverAsk; was_granter says whether the sender was the granter until now."""
 
     correlation_id: int
     was_granter: bool
@@ -320,7 +321,7 @@
 
 
 class KeepTell(NamedTuple):
-    """Answer KeepAsk; kept says whether the job is written to disk and synced."""
+    """Answer KeepAsk; stored says whether the job is written to disk and synced."""
 
     correlation_id: int
     stored: bool
--- a/papayapier/peer/peer_state.py
+++ b/papayapier/peer/peer_state.py
@@ -28,7 +28,8 @@
 class Change(Enum):
     """Name the changes of a peer's state.
 
-    REPORTS_CHANGED means that the set of instances that the peer reports as gone has changed.
+    REPORTS_CHANGED means that the set of instances that the peer reports as unavailable has
+    changed.
     """
 
     UP = "up"
@@ -117,12 +118,12 @@
         return self.is_neighbour() and not self.up and not self.is_leaving()
 
 
-def is_serving(peer_id: str, peer: Peer, reported_gone: Sequence[frozenset[str]]) -> bool:
+def is_serving(peer_id: str, peer: Peer, reported_unavailable: Sequence[frozenset[str]]) -> bool:
     """Return whether a peer serves, as far as this instance can know.
 
-    reported_gone holds the set of gone instances that each live hub reports. For a peer that is
-    not a neighbour the list decides, unless it may be a hub and a majority of the live hubs
-    report it as gone.
+    reported_unavailable holds the set of instances that each live hub reports as unavailable. For
+    a peer that is not a neighbour the list decides, unless it may be a hub and a majority of the
+    live hubs report it as unavailable.
     """
     if peer.is_leaving():
         return False
@@ -130,13 +131,15 @@
         return peer.up
     if not peer.member.hub:
         return peer.listed
-    if reported_gone:
-        return peer.listed and is_live_by_majority(peer_id, reported_gone)
+    if reported_unavailable:
+        return peer.listed and is_live_by_majority(peer_id, reported_unavailable)
     return peer.listed and not peer.lost
 
 
-def is_live_by_majority(peer_id: str, reported_gone: Sequence[frozenset[str]]) -> bool:
-    return 2 * sum(peer_id in gone for gone in reported_gone) <= len(reported_gone)
+def is_live_by_majority(peer_id: str, reported_unavailable: Sequence[frozenset[str]]) -> bool:
+    return 2 * sum(peer_id in reported for reported in reported_unavailable) <= len(
+        reported_unavailable
+    )
 
 
 def view_of(peer_id: str, peer: Peer, now: Millis) -> PeerView:
--- a/papayapier/peer/placement_messages.py
+++ b/papayapier/peer/placement_messages.py
@@ -6,10 +6,10 @@
 class PlaceAsk(NamedTuple):
     """Request a replica from the hub that places calls in a partition of an upstream.
 
-    part names the partition; the replicas in shunned are not to be chosen. With aim_ms the
-    request may be queued or refused if no replica has capacity: caller and rank identify the
-    caller and its priority, aim_ms is what is left of the latency objective, left_ms what is
-    left of the time budget, and return_ms the time within which a refused caller can retry.
+    The replicas in excluded are not to be chosen. With objective_ms the request may be queued or
+    refused if no replica has capacity: caller and rank identify the caller and its priority,
+    objective_ms is what is left of the latency objective, timeout_ms what is left of the time
+    budget, and retry_within_ms the time within which a refused caller can retry.
     """
 
     correlation_id: int
@@ -33,9 +33,9 @@
 class PlaceTell(NamedTuple):
     """Answer PlaceAsk; replica is empty if none was chosen.
 
-    held_ms, if not 0, says that the request is queued and that the next reply to it comes within
-    this time; after_ms, if not 0, that it is refused and may be retried after this time; leaving
-    that this hub no longer places calls and another hub does.
+    queued_ms, if not 0, says that the request is queued and that the next reply to it comes within
+    this time; retry_after_ms, if not 0, that it is refused and may be retried after this time;
+    leaving that this hub no longer places calls and another hub does.
     """
 
     correlation_id: int
--- a/papayapier/peer/roster.py
+++ b/papayapier/peer/roster.py
@@ -55,8 +55,10 @@
 
     def live(self) -> list[str]:
         """Return the sorted ids of this instance and of the live peers."""
-        reported_gone = self._reported_gone()
-        serving = (i for i, peer in self._peers.items() if is_serving(i, peer, reported_gone))
+        reported_unavailable = self._reported_unavailable()
+        serving = (
+            i for i, peer in self._peers.items() if is_serving(i, peer, reported_unavailable)
+        )
         return sorted([self._me.id, *serving])
 
     def agreed_live(self, now: Millis) -> frozenset[str]:
@@ -67,11 +69,11 @@
         takes precedence over what this instance observes itself.
         """
         # In a full mesh hubs report nobody: there each instance gets everybody's heartbeats.
-        reported_gone = [] if self._plan.full_mesh else self._reported_gone()
+        reported_unavailable = [] if self._plan.full_mesh else self._reported_unavailable()
         if not self._plan.full_mesh and self._me.id in self._plan.hubs:
-            reported_gone.append(frozenset(self.unavailable(now)))
+            reported_unavailable.append(frozenset(self.unavailable(now)))
         own = {self._me.id} if self._me.hub else set()
-        if not reported_gone:
+        if not reported_unavailable:
             reachable = (i for i in self.live() if i in self._peers)
             return frozenset(i for i in reachable if self._peers[i].member.hub) | own
         others = (
@@ -80,7 +82,7 @@
             if peer.member.hub
             and (peer.listed or peer.up)
             and not peer.is_leaving()
-            and is_live_by_majority(i, reported_gone)
+            and is_live_by_majority(i, reported_unavailable)
         )
         return frozenset(others) | own
 
@@ -221,8 +223,8 @@
         peer = self._peers.get(peer_id)
         return peer is not None and peer.picked
 
-    def _reported_gone(self) -> list[frozenset[str]]:
-        """Return the instances that each live hub reports as gone."""
+    def _reported_unavailable(self) -> list[frozenset[str]]:
+        """Return the instances that each live hub reports as unavailable."""
         heartbeats = [self._peers[i].last_heartbeat for i in self._plan.hubs if self._is_up(i)]
         return [
             frozenset(heartbeat.unavailable) for heartbeat in heartbeats if heartbeat is not None
@@ -267,9 +269,11 @@
 
     def _follow_plan(self, now: Millis) -> list[Step]:
         """Open links to the peers that the topology wants now, and close the other links."""
-        places = [_place_of(peer.member) for peer in self._peers.values() if not peer.is_leaving()]
+        locations = [
+            _location_of(peer.member) for peer in self._peers.values() if not peer.is_leaving()
+        ]
         lost = {i for i, peer in self._peers.items() if peer.lost}
-        self._plan = make_plan(self._me, places, self._limits, lost)
+        self._plan = make_plan(self._me, locations, self._limits, lost)
         steps: list[Step] = []
         for peer_id, peer in sorted(self._peers.items()):
             wanted = peer_id in self._plan.neighbours or (peer.picked and peer.is_leaving())
@@ -368,5 +372,5 @@
     return member.kind == ENTRY and member.id != own_id and member.peer_port != 0
 
 
-def _place_of(member: Member) -> InstanceLocation:
+def _location_of(member: Member) -> InstanceLocation:
     return InstanceLocation(member.id, member.data_centre, member.region, member.hub)
--- a/papayapier/peer/run_messages.py
+++ b/papayapier/peer/run_messages.py
@@ -6,7 +6,7 @@
 class RunsAsk(NamedTuple):
     """Request which of some jobs a keeper runs; by the requester's view it owns them.
 
-    taken are those of the jobs that the requester runs in the keeper's place.
+    adopted lists those of the jobs that the requester runs in the keeper's place.
     """
 
     correlation_id: int
@@ -15,7 +15,7 @@
 
 
 class RunsTell(NamedTuple):
-    """Answer RunsAsk; over lists the jobs that have all results stored or were ended."""
+    """Answer RunsAsk; finished lists the jobs that have all results stored or were ended."""
 
     correlation_id: int
     running: tuple[str, ...]
--- a/papayapier/peer/topology.py
+++ b/papayapier/peer/topology.py
@@ -74,14 +74,14 @@
     silent: Collection[str] = (),
 ) -> LinkPlan:
     """Pick the neighbours of an instance among all listed; silent instances are not hubs."""
-    hubs = choose_hubs([me, *(place for place in others if place.id not in silent)])
+    hubs = choose_hubs([me, *(location for location in others if location.id not in silent)])
     if len(others) < limits.full_mesh:
-        return LinkPlan(frozenset(place.id for place in others), True, True, hubs)
+        return LinkPlan(frozenset(location.id for location in others), True, True, hubs)
     if hubs:
-        everybody = frozenset(place.id for place in others)
+        everybody = frozenset(location.id for location in others)
         return LinkPlan(everybody if me.id in hubs else frozenset(hubs), False, False, hubs)
     centres = _by_data_centre([me, *others])
-    local = [place.id for place in centres[me.data_centre] if place.id != me.id]
+    local = [location.id for location in centres[me.data_centre] if location.id != me.id]
     rank = _rank(me, centres[me.data_centre], limits.relays)
     picked = set(_local_picks(me.id, local, limits))
     if rank is not None:
@@ -89,16 +89,16 @@
     return LinkPlan(frozenset(picked), rank is not None, False)
 
 
-def choose_hubs(places: Sequence[InstanceLocation]) -> tuple[str, ...]:
+def choose_hubs(locations: Sequence[InstanceLocation]) -> tuple[str, ...]:
     """Choose the hubs among the instances that may be hubs.
 
     The hubs are in as many different data centres as possible.
     """
-    centres = _by_data_centre(place for place in places if place.hub)
+    centres = _by_data_centre(location for location in locations if location.hub)
     ranked = [
         (rank, -score(HUB_KEY, name), name)
         for centre in centres.values()
-        for rank, name in enumerate(_top(HUB_KEY, [place.id for place in centre], MAX_HUBS))
+        for rank, name in enumerate(_top(HUB_KEY, [location.id for location in centre], MAX_HUBS))
     ]
     return tuple(name for _, _, name in sorted(ranked)[:MAX_HUBS])
 
@@ -119,8 +119,8 @@
 ) -> set[str]:
     """Return the relays of the same rank in other data centres that a relay is linked with."""
     regions = defaultdict(set)
-    for centre, places in centres.items():
-        regions[places[0].region].add(centre)
+    for centre, locations in centres.items():
+        regions[locations[0].region].add(centre)
     targets = set(regions[me.region])
     gateways = {region: _gateway(region, rank, names) for region, names in regions.items()}
     if gateways[me.region] == me.data_centre:
@@ -133,21 +133,21 @@
     return _top(f"{GATEWAY_KEY}/{rank}/{region}", centres, 1)[0]
 
 
-def _relay_of(centre: str, rank: int, places: Sequence[InstanceLocation]) -> str:
+def _relay_of(centre: str, rank: int, locations: Sequence[InstanceLocation]) -> str:
     """Return the relay of a rank; with too few instances the last one serves the rank too."""
-    ranked = relays(centre, [place.id for place in places], rank + 1)
+    ranked = relays(centre, [location.id for location in locations], rank + 1)
     return ranked[-1]
 
 
-def _rank(me: InstanceLocation, places: Sequence[InstanceLocation], count: int) -> int | None:
-    ranked = relays(me.data_centre, [place.id for place in places], count)
+def _rank(me: InstanceLocation, locations: Sequence[InstanceLocation], count: int) -> int | None:
+    ranked = relays(me.data_centre, [location.id for location in locations], count)
     return ranked.index(me.id) if me.id in ranked else None
 
 
-def _by_data_centre(places: Iterable[InstanceLocation]) -> dict[str, list[InstanceLocation]]:
+def _by_data_centre(locations: Iterable[InstanceLocation]) -> dict[str, list[InstanceLocation]]:
     centres: dict[str, list[InstanceLocation]] = defaultdict(list)
-    for place in places:
-        centres[place.data_centre].append(place)
+    for location in locations:
+        centres[location.data_centre].append(location)
     return centres
 
 
