--- a/papayapier/node/allowances.py
+++ b/papayapier/node/allowances.py
@@ -140,8 +140,8 @@
     """Hold the dependencies of the granting side.
 
     granting returns the keepers that grant, as far as this instance knows; listed returns all
-    keepers with an object in the store. leaving tells whether this instance is about to stop. team
-    returns a team from this instance's configuration.
+    keepers with an object in the store. leaving returns whether this instance is about to stop.
+    team returns a team from this instance's configuration.
     """
 
     hub: PeerHub
@@ -217,7 +217,7 @@
             ),
         )
 
-    def on_ask(peer_id: str, request: AllowAsk) -> None:
+    def on_request(peer_id: str, request: AllowAsk) -> None:
         update_view()
         limit = _limit_of(deps, request)
         decision = deps.grants.request(request.team, limit, deps.clock.now(), request.is_retry)
@@ -234,5 +234,5 @@
         deps.hub.send(peer_id, TakeOverTell(request.correlation_id, left.was_first, left.tokens))
 
     deps.hub.on_change(update_view)
-    deps.hub.subscribe(AllowAsk, on_ask)
+    deps.hub.subscribe(AllowAsk, on_request)
     deps.hub.subscribe(TakeOverAsk, on_take_over)
--- a/papayapier/node/base.py
+++ b/papayapier/node/base.py
@@ -73,7 +73,7 @@
     cfg: NodeSettings
     role: Role
     metrics: Metrics
-    raw_store: Store
+    direct_store: Store
     budget: Budget
     drain: Drain
     load_tracker: LoadTracker
@@ -85,7 +85,7 @@
     outage_tracker: OutageTracker
     nodes: NodeList
     hub: PeerHub
-    links: ConnectionPools
+    pools: ConnectionPools
     send: ForwardCallSender
     # Returns the store, called directly or relayed through a peer.
     view: Callable[[Priority], Store]
@@ -108,8 +108,8 @@
     """Build the shared parts and start to listen for peers."""
     metrics = make_metrics()
     platform = cfg.store.platform()
-    raw_store = platform_store(reactor, clock, platform, metrics)
-    budget = make_budget(raw_store, clock, rand, platform)
+    direct_store = platform_store(reactor, clock, platform, metrics)
+    budget = make_budget(direct_store, clock, rand, platform)
     drain = Drain(DrainPlan(cfg.stop.balancer_lag_ms, cfg.stop.limit_ms()))
     load_tracker = LoadTracker()
     outliers = OutlierDetector()
@@ -159,7 +159,7 @@
     listening = hub.start()
     if isinstance(listening, Err):
         return listening
-    links = ConnectionPools(reactor, clock, cfg.upstream)
+    pools = ConnectionPools(reactor, clock, cfg.upstream)
     outage_tracker = OutageTracker(clock, budget)
     crashes = CrashWatch(
         clock, metrics, lambda: is_list_current(outage_tracker.last_return_ms(), clock.now())
@@ -169,7 +169,7 @@
             clock, REPLICAS_PREFIX, read_replica, outage_tracker.last_return_ms, on_replicas, defer
         )
     )
-    send = ForwardCallDeps(links, decode_facts, load_tracker.on_report, replicas.on_moved, metrics)
+    send = ForwardCallDeps(pools, decode_facts, load_tracker.on_report, replicas.on_moved, metrics)
     relay = RelayDeps(clock, rand, hub, lambda: budget.down_since() is not None)
     placement_deps = PlacementDeps(
         clock,
@@ -203,7 +203,7 @@
         cfg=cfg,
         role=role,
         metrics=metrics,
-        raw_store=raw_store,
+        direct_store=direct_store,
         budget=budget,
         drain=drain,
         load_tracker=load_tracker,
@@ -215,7 +215,7 @@
         outage_tracker=outage_tracker,
         nodes=nodes,
         hub=hub,
-        links=links,
+        pools=pools,
         send=make_forward_call_sender(send),
         view=lambda priority: with_relay(budget.view(priority), relay),
         loss_exchange=loss_exchange,
@@ -238,8 +238,8 @@
 class FollowUrgency(NamedTuple):
     """Set how soon changes under a prefix must be known.
 
-    slowness multiplies the wait of a watch and the poll interval; gather_ms is the pause after each
-    change, in which further changes are collected.
+    slowness multiplies the wait of a watch and the poll interval; collect_ms is the pause after
+    each change, in which further changes are collected.
     """
 
     slowness: int
@@ -270,7 +270,7 @@
     On a keeper a mirror serves them to other processes; is_relevant selects what it passes on.
     """
     cfg = base.cfg
-    pace = FollowIntervals(
+    intervals = FollowIntervals(
         cfg.follow.watch_ms * urgency.slowness,
         cfg.follow.poll_ms * urgency.slowness,
         cfg.store.longest_pause_ms,
@@ -280,7 +280,7 @@
     wait_for_watcher = prefix == REPLICAS_PREFIX
     store = with_hub_mirrors(base.view(Priority.CONFIG), base.mirror_deps, source, wait_for_watcher)
     if base.role is Role.KEEPER:
-        valid_ms = pace.watch_ms + pace.collect_ms + MIRROR_MARGIN_MS
+        valid_ms = intervals.watch_ms + intervals.collect_ms + MIRROR_MARGIN_MS
         mirror = Mirror(base.clock, valid_ms, is_relevant)
         base.mirrors[prefix] = mirror
         notify_both = _call_both(on_change, mirror.on_change)
@@ -290,11 +290,11 @@
             base.rand,
             prefix,
             notify_both,
-            pace,
+            intervals,
             lambda reached: mirror.on_reached(reached, source.direct),
         )
     else:
-        follower = Follower(store, base.clock, base.rand, prefix, on_change, pace)
+        follower = Follower(store, base.clock, base.rand, prefix, on_change, intervals)
     base.followers.append(follower)
     follower.start()
     return follower
@@ -370,8 +370,8 @@
     base.loss_exchange.close()
     base.placer.close()
     base.hub.close()
-    await base.links.close()
-    await base.raw_store.close()
+    await base.pools.close()
+    await base.direct_store.close()
 
 
 def _subscribe(base: NodeBase, role: Role) -> None:
--- a/papayapier/node/entry.py
+++ b/papayapier/node/entry.py
@@ -245,14 +245,14 @@
     def able_keepers(record: JobRecord, running: Sequence[str]) -> Collection[str]:
         return eligible_instances(base.load_tracker, base.routing.table(), running, record)
 
-    keeping = JobCopiesDeps(base.hub, keepers, base.cfg.jobs.copies(), able_keepers)
+    copies_deps = JobCopiesDeps(base.hub, keepers, base.cfg.jobs.copies(), able_keepers)
     job_service = JobService(
         JobServiceDeps(
             base.clock,
             base.rand,
             base.view(Priority.CLAIM),
             notifications,
-            replicate=partial(replicate, keeping),
+            replicate=partial(replicate, copies_deps),
             is_store_unavailable=lambda: base.budget.down_since() is not None,
             is_store_complete=partial(_local_jobs_written, base, base.clock.now()),
             read_remote=make_job_reader(base.hub, base.clock, keepers),
--- a/papayapier/node/job_copies.py
+++ b/papayapier/node/job_copies.py
@@ -28,8 +28,8 @@
 class JobCopiesDeps(NamedTuple):
     """Hold the dependencies of an entry.
 
-    keepers returns the reachable keepers, able those of them that can run a job's items. copies is
-    the number of disks that must store a job.
+    keepers returns the reachable keepers, able_keepers those of them that can run a job's items.
+    copies is the number of disks that must store a job.
     """
 
     hub: PeerHub
@@ -82,12 +82,12 @@
             self.done.callback(Copies(enough, maybe_held=True, held=self.stored))
 
 
-def serve_keeping(hub: PeerHub, local_jobs: LocalJobStore) -> None:
+def serve_copies(hub: PeerHub, local_jobs: LocalJobStore) -> None:
     """Answer entries that request to store a job on this keeper's disk."""
 
     def on_request(peer_id: str, request: KeepAsk) -> None:
         done = Deferred.fromCoroutine(local_jobs.store(LocalJob(request.job_id, request.value)))
-        done.addCallback(lambda kept: hub.send(peer_id, KeepTell(request.correlation_id, kept)))
+        done.addCallback(lambda stored: hub.send(peer_id, KeepTell(request.correlation_id, stored)))
         done.addErrback(log_failure, "keep")
 
     hub.subscribe(KeepAsk, on_request)
--- a/papayapier/node/job_reading.py
+++ b/papayapier/node/job_reading.py
@@ -5,8 +5,9 @@
 waits: of 2,340 calls to the store in 32 s with 37 jobs, 2,150 came from such reads. A single keeper
 that gets all reads of a job polls the store once in 0.7 s, and its own groups wake waiting readers.
 
-Correctness does not depend on which keeper is asked: each keeper that answers has read the store as
-recently as the entry itself would have to. An entry that gets no answer reads the store itself.
+Correctness does not depend on which keeper gets the request: each keeper that answers has read the
+store as recently as the entry itself would have to. An entry that gets no answer reads the store
+itself.
 """
 
 from collections.abc import Awaitable, Callable, Collection
--- a/papayapier/node/keeper.py
+++ b/papayapier/node/keeper.py
@@ -29,7 +29,7 @@
     follow_common,
     make_base,
 )
-from papayapier.node.job_copies import run_in_threads, serve_keeping
+from papayapier.node.job_copies import run_in_threads, serve_copies
 from papayapier.node.job_reading import read_from_store, serve_reads
 from papayapier.node.lost_keepers import mark_lost_keepers
 from papayapier.node.orphans import recover_orphans, serve_run_requests
@@ -266,7 +266,7 @@
             runner.on_stored_locally,
         )
     )
-    serve_keeping(base.hub, local_jobs)
+    serve_copies(base.hub, local_jobs)
     loading = Deferred.fromCoroutine(local_jobs.start())
     loading.addErrback(log_failure, "vault")
     base.tasks.append(loading)
--- a/papayapier/node/large_fleet.py
+++ b/papayapier/node/large_fleet.py
@@ -13,7 +13,7 @@
     """Hold the partitions of the upstreams.
 
     live returns the instances that are reachable and not leaving, chosen those that are selected as
-    hubs, vouched those that the hubs consider live.
+    hubs, agreed_live those that the hubs consider live.
     """
 
     def __init__(
@@ -21,14 +21,14 @@
         nodes: NodeList,
         live: Callable[[], Sequence[str]],
         chosen: Callable[[], Sequence[str]],
-        vouched: Callable[[], Collection[str]],
+        agreed_live: Callable[[], Collection[str]],
         table: Callable[[], RouteTable | None],
     ) -> None:
         self.partitions = make_partitions(())
         self._nodes = nodes
         self._live = live
         self._chosen = chosen
-        self._vouched = vouched
+        self._agreed_live = agreed_live
         self._table = table
 
     def on_replicas(self, replicas: Sequence[Replica]) -> None:
@@ -42,7 +42,7 @@
 
     def _keepers(self) -> list[str]:
         """Return the keepers that share batch work, by the criterion the keepers use."""
-        return sorted(self._nodes.with_role(Role.KEEPER).intersection(self._vouched()))
+        return sorted(self._nodes.with_role(Role.KEEPER).intersection(self._agreed_live()))
 
     def concerned_keepers(self, replicas: Collection[str]) -> set[str]:
         """Return the keepers that share some replicas' batch slots or place their online calls."""
--- a/papayapier/node/lost_keepers.py
+++ b/papayapier/node/lost_keepers.py
@@ -1,12 +1,12 @@
 """Mark keepers as lost in the store after a long silence, so that starting processes know it.
 
-Motivation: when all processes restart at once, some of the listed keepers may be gone for good.
+Motivation: when all processes restart at once, some of the listed keepers may never return.
 Until their silence is detected, all processes take them for job owners, hubs and granters of
 allowances, and the work assigned to them waits or is refused.
 
-The first hub marks them, and only while it reaches most keepers; if two processes believe to be the
-first hub, the second write fails. A keeper that was only disconnected registers again when it reads
-that it is marked as lost.
+The first hub marks them, and only while it reaches most keepers; if two processes each consider
+themselves the first hub, the second write fails. A keeper that was only disconnected registers
+again when it reads that it is marked as lost.
 """
 
 from typing import Final
--- a/papayapier/node/mirrors.py
+++ b/papayapier/node/mirrors.py
@@ -2,12 +2,12 @@
 
 Motivation: 84 processes that followed five kinds of objects, and read jobs, made 6,304 calls to the
 store in 24 s, although a fifth of the calls would have done. A few hubs watch the store for all
-processes and each process asks one of them, so the number of watches at the store does not depend
-on the size of the fleet.
+processes and each process sends requests to one of them, so the number of watches at the store does
+not depend on the size of the fleet.
 
-Correctness does not depend on any one hub. A hub that is unreachable, leaves, or has not heard from
-the store itself sends no answer, and the process calls the store as it would without hubs. The
-revisions are those of the store, so the process resumes where it was.
+Correctness does not depend on any one hub. A hub that is unreachable, leaves, or has received no
+answer from the store itself sends none, and the process calls the store as it would without hubs.
+The revisions are those of the store, so the process resumes where it was.
 """
 
 from collections.abc import Callable
--- a/papayapier/node/orphans.py
+++ b/papayapier/node/orphans.py
@@ -1,4 +1,4 @@
-"""Find orphaned jobs: ask owners whether they run their jobs, and offer stalled jobs to peers."""
+"""Find orphaned jobs: query owners whether they run their jobs, and offer stalled jobs to peers."""
 
 from collections.abc import Sequence
 from typing import Final
--- a/papayapier/node/placement.py
+++ b/papayapier/node/placement.py
@@ -70,7 +70,7 @@
             del skipped_until[hub_id]
         return placer_of(key, [hub for hub in deps.hubs() if hub not in skipped_until])
 
-    async def place(req: RouteRequest, wanting: PlacementNeeds) -> Placement:
+    async def place(req: RouteRequest, needs: PlacementNeeds) -> Placement:
         if deps.hub.plan().full_mesh:
             return UNDECIDED
         keys = deps.parts().keys.get(req.upstream)
@@ -84,7 +84,7 @@
                 return UNDECIDED
             passed_ms = deps.clock.now() - began_ms
             request = _PlacementRequest(
-                deps, hub_id, key, req, _after_delay(wanting, passed_ms) if deps.queue else None
+                deps, hub_id, key, req, _after_delay(needs, passed_ms) if deps.queue else None
             )
             reply = await request.answer()
             if reply is None and hub_id not in skipped_until:
@@ -119,14 +119,14 @@
         hub_id: str,
         key: str,
         req: RouteRequest,
-        wanting: PlacementNeeds | None,
+        needs: PlacementNeeds | None,
     ) -> None:
         self._deps = deps
         self._hub_id = hub_id
         self._key = key
         self._req = req
-        self._wanting = wanting
-        self._ask_id = 0
+        self._needs = needs
+        self._correlation_id = 0
         self.queued = False
 
     async def answer(self) -> PlaceTell | None:
@@ -140,46 +140,48 @@
                     return reply.ok_value
                 self.queued = True
                 wait_ms = reply.ok_value.queued_ms + ANSWER_MS
-                reply = await self._deps.hub.wait_further_reply(self._hub_id, self._ask_id, wait_ms)
+                reply = await self._deps.hub.wait_further_reply(
+                    self._hub_id, self._correlation_id, wait_ms
+                )
             return None
         finally:
             # The caller has left, or the request goes to another hub.
-            if unfinished and self._wanting is not None:
-                self._deps.hub.send(self._hub_id, PlaceLeft(self._ask_id))
+            if unfinished and self._needs is not None:
+                self._deps.hub.send(self._hub_id, PlaceLeft(self._correlation_id))
 
     def _message(self, correlation_id: int) -> PlaceAsk:
-        self._ask_id = correlation_id
-        req, wanting = self._req, self._wanting
-        shunned = tuple(_shunned(self._deps, req))
-        message = PlaceAsk(correlation_id, self._key, req.prefix, req.data_centre, shunned)
-        if wanting is None:
+        self._correlation_id = correlation_id
+        req, needs = self._req, self._needs
+        excluded = tuple(_excluded(self._deps, req))
+        message = PlaceAsk(correlation_id, self._key, req.prefix, req.data_centre, excluded)
+        if needs is None:
             return message
         return message._replace(
-            caller=wanting.caller,
-            rank=wanting.rank,
-            objective_ms=wanting.objective_ms,
-            timeout_ms=wanting.timeout_ms,
-            retry_within_ms=wanting.retry_within_ms,
+            caller=needs.caller,
+            rank=needs.rank,
+            objective_ms=needs.objective_ms,
+            timeout_ms=needs.timeout_ms,
+            retry_within_ms=needs.retry_within_ms,
         )
 
 
-def _shunned(deps: PlacementDeps, req: RouteRequest) -> set[str]:
+def _excluded(deps: PlacementDeps, req: RouteRequest) -> set[str]:
     """Return the replicas to avoid, by the results of calls that this instance has made."""
     now = deps.clock.now()
-    shunned = set(req.exclude)
+    excluded = set(req.exclude)
     for replica in deps.load_tracker.usable_replicas(req.upstream, now):
         returning = not req.idempotent and deps.outliers.is_returning(replica.id)
         if returning or deps.outliers.is_ejected(replica.id, now):
-            shunned.add(replica.id)
-    return shunned
+            excluded.add(replica.id)
+    return excluded
 
 
-def _after_delay(wanting: PlacementNeeds, passed_ms: int) -> PlacementNeeds:
+def _after_delay(needs: PlacementNeeds, passed_ms: int) -> PlacementNeeds:
     """Return the remaining times after some time has passed."""
-    return wanting._replace(
-        objective_ms=max(1, wanting.objective_ms - passed_ms),
-        timeout_ms=max(1, wanting.timeout_ms - passed_ms),
-        retry_within_ms=max(0, wanting.retry_within_ms - passed_ms),
+    return needs._replace(
+        objective_ms=max(1, needs.objective_ms - passed_ms),
+        timeout_ms=max(1, needs.timeout_ms - passed_ms),
+        retry_within_ms=max(0, needs.retry_within_ms - passed_ms),
     )
 
 
--- a/papayapier/node/placer.py
+++ b/papayapier/node/placer.py
@@ -1,9 +1,9 @@
 """Place the calls of all instances, and queue requests while no replica has capacity.
 
 A request that waits longer than NOTIFY_AFTER_MS gets a notification that it is queued, and further
-ones before the previous expires: a requester takes silence for a lost hub and asks the next one.
-If such an answer is lost, the call waits longer but never takes two places, because a requester's
-calls are counted only once it reports them itself.
+ones before the previous expires: a requester takes silence for a lost hub and sends the request to
+the next one. If such an answer is lost, the call waits longer but never takes two places, because a
+requester's calls are counted only once it reports them itself.
 """
 
 import heapq
@@ -65,7 +65,7 @@
 
 
 class Placer:
-    """Answer placement requests, and hold those that are queued."""
+    """Answer placement requests, and track those that are queued."""
 
     def __init__(self, deps: PlacerDeps) -> None:
         self._deps = deps
@@ -318,7 +318,7 @@
 
 
 def _to_placement(request: PlaceAsk, ticket: int) -> PlacementRequest:
-    wanting = PlacementNeeds(
+    needs = PlacementNeeds(
         request.caller,
         request.rank,
         request.objective_ms,
@@ -331,5 +331,5 @@
         request.prompt,
         request.data_centre,
         frozenset(request.excluded),
-        wanting,
+        needs,
     )
--- a/papayapier/node/processes.py
+++ b/papayapier/node/processes.py
@@ -2,7 +2,7 @@
 
 Each process writes one object about itself at its start. Heartbeats show which processes are live,
 but a process that has just started has received none yet. Until it detected their silence, it would
-take keepers that are gone for good for owners, hubs and granters. So one of the keepers marks
+treat keepers that never return as owners, hubs and granters. So one of the keepers marks
 others as lost after a long silence. A process that finds itself marked as lost registers again.
 """
 
@@ -162,11 +162,11 @@
 ) -> None:
     """Write this process's object, retrying for as long as the store is unreachable."""
     value = msgspec.json.encode(record)
-    pauses = Backoff(rand)
+    backoff = Backoff(rand)
     while True:
         done = await store.create(NODES_PREFIX + node_id, value)
         if done == Err(StoreError.CONFLICT):
             done = await store.update(NODES_PREFIX + node_id, value, ANY_VERSION)
         if isinstance(done, Ok):
             return
-        await clock.sleep(pauses.next_ms())
+        await clock.sleep(backoff.next_ms())
--- a/papayapier/node/replica_list.py
+++ b/papayapier/node/replica_list.py
@@ -109,7 +109,7 @@
                 return
 
     def _on_unreadable(self, replica_id: str, reason: str) -> None:
-        """Remove an entry that no longer decodes; the replica it named before may be gone."""
+        """Remove an entry that no longer decodes; its replica may have been removed."""
         events.emit(
             events.REPLICA_UNREADABLE,
             replica=replica_id,
--- a/papayapier/node/retirement.py
+++ b/papayapier/node/retirement.py
@@ -62,9 +62,9 @@
 
     async def _write_status(self, node_id: str, stage: Stage) -> None:
         store = self._base.view(Priority.CONFIG)
-        pauses = Backoff(self._base.rand)
+        backoff = Backoff(self._base.rand)
         while True:
             done = await store.update(status_key(node_id), encode_stage(stage), ANY_VERSION)
             if isinstance(done, Ok):
                 return
-            await self._base.clock.sleep(pauses.next_ms())
+            await self._base.clock.sleep(backoff.next_ms())
--- a/papayapier/node/run.py
+++ b/papayapier/node/run.py
@@ -19,7 +19,7 @@
 
 
 def run_node(role: Role, path: Path, cfg: NodeSettings, callers_socket: CallerSocket | None) -> int:
-    """Run a process until it is asked to stop.
+    """Run a process until a stop is requested.
 
     callers_socket is the socket for callers if it is already open.
     """
--- a/papayapier/node/store_messages.py
+++ b/papayapier/node/store_messages.py
@@ -44,11 +44,11 @@
 def _with_changes(reply: StoreTell, changes: tuple[StoreChange, ...]) -> StoreTell:
     if sum(len(change.key) + len(change.value) for change in changes) < MIN_COMPRESSED_BYTES:
         return reply._replace(changes=changes)
-    return reply._replace(compressed_changes=_packed(changes))
+    return reply._replace(compressed_changes=_compress(changes))
 
 
 @lru_cache(4)
-def _packed(changes: tuple[StoreChange, ...]) -> bytes:
+def _compress(changes: tuple[StoreChange, ...]) -> bytes:
     """Compress changes; cached, because many processes request the same revision."""
     return zlib.compress(codec.pack(changes), COMPRESSION_LEVEL)
 
--- a/papayapier/node/store_relay.py
+++ b/papayapier/node/store_relay.py
@@ -2,8 +2,9 @@
 
 The store may answer some machines and not others, or the network between one machine and the store
 may fail. Without the relay such a process refuses batch jobs, does not know what is listed, and
-sends to replicas that have gone, although a process next to it can read and write the store. Only
-calls that are safe to repeat are relayed: reads, and conditional writes, which take effect once.
+sends to replicas that have been removed, although a process next to it can read and write the
+store. Only calls that are safe to repeat are relayed: reads, and conditional writes, which take
+effect once.
 
 A call whose direct answer is late is sent through a peer as well, and the first definite answer
 counts. If both copies of a create reach the store, the second gets a conflict with the first;
