--- a/papayapier/store/members.py
+++ b/papayapier/store/members.py
@@ -5,7 +5,7 @@
 that cannot be read changes nothing here, because an outage of the platform must not look like
 the loss of all upstreams.
 
-Until the first successful read, a list that somebody else has read is used instead (learn): a
+Until the first successful read, a list that somebody else has read is used instead (use_list): a
 peer's, or the one saved in the data folder. The platform's own list always replaces it.
 """
 
@@ -54,7 +54,7 @@
         self._rng = rng
         self._on_members = on_members
         self._on_read_failed = on_read_failed
-        self._learned_read_ms: int | None = None
+        self._provided_read_ms: int | None = None
         self._task: Deferred[None] | None = None
 
     def start(self) -> None:
@@ -71,20 +71,20 @@
         """Use a list that somebody else read at read_ms; return False if it is not newer."""
         if self.last_read_ms is not None:
             return False
-        if self._learned_read_ms is not None and read_ms <= self._learned_read_ms:
+        if self._provided_read_ms is not None and read_ms <= self._provided_read_ms:
             return False
-        self._learned_read_ms = read_ms
+        self._provided_read_ms = read_ms
         self._apply({member.id: member for member in members})
         return True
 
     def age_ms(self) -> int | None:
         """Return the time since the list was read from the platform, or None without a list."""
-        read_ms = self._learned_read_ms if self.last_read_ms is None else self.last_read_ms
+        read_ms = self._provided_read_ms if self.last_read_ms is None else self.last_read_ms
         return None if read_ms is None else self._clock.now() - read_ms
 
     async def _loop(self) -> None:
         since = 0
-        pauses = Backoff(self._rng)
+        backoff = Backoff(self._rng)
         while True:
             # The first read does not wait for a change: if the platform does not answer, only
             # the timeout of this read delays a start with a list from elsewhere.
@@ -93,9 +93,9 @@
                 since = 0
                 if self.last_read_ms is None:
                     self._on_read_failed()
-                await self._clock.sleep(pauses.next_ms())
+                await self._clock.sleep(backoff.next_ms())
                 continue
-            pauses.reset()
+            backoff.reset()
             self.last_read_ms = self._clock.now()
             self._apply({member.id: member for member in found.ok_value.instances})
             since = found.ok_value.revision
@@ -143,18 +143,18 @@
         The platform drops a record that is left behind some seconds later.
         """
         self.stop()
-        pauses = Backoff(self._rng)
+        backoff = Backoff(self._rng)
         for _ in range(MAX_WITHDRAW_ATTEMPTS):
             if isinstance(await self._store.withdraw(self._member.id), Ok):
                 return True
-            await self._clock.sleep(pauses.next_ms())
+            await self._clock.sleep(backoff.next_ms())
         return False
 
     async def _loop(self) -> None:
-        pauses = Backoff(self._rng)
+        backoff = Backoff(self._rng)
         while True:
             if isinstance(await self._store.report(self._member), Ok):
-                pauses.reset()
+                backoff.reset()
                 await self._clock.sleep(REPORT_MS * self._rng.uniform(0.8, 1.0))
             else:
-                await self._clock.sleep(pauses.next_ms())
+                await self._clock.sleep(backoff.next_ms())
--- a/papayapier/store/mirror.py
+++ b/papayapier/store/mirror.py
@@ -51,10 +51,10 @@
     """
 
     def __init__(
-        self, clock: Clock, max_silence_ms: int, matters: IsRelevant = always_relevant
+        self, clock: Clock, max_silence_ms: int, is_relevant: IsRelevant = always_relevant
     ) -> None:
         self._clock = clock
-        self._is_relevant = matters
+        self._is_relevant = is_relevant
         self._max_silence_ms = max_silence_ms
         self._objects: dict[str, Change] = {}
         self._log: deque[_LoggedChange] = deque()
--- a/papayapier/store/watch.py
+++ b/papayapier/store/watch.py
@@ -41,7 +41,7 @@
     """Set how long a watch may wait and how often the poll lists the objects.
 
     longest_pause_ms bounds the growing pauses between attempts while the store does not answer.
-    gather_ms is a pause after each change: a watch ends at the first change, so that a hundred
+    collect_ms is a pause after each change: a watch ends at the first change, so that a hundred
     separate changes would cost every follower a hundred calls without it.
     """
 
@@ -61,7 +61,7 @@
         rng: random.Random,
         prefix: str,
         on_change: OnChange,
-        pace: FollowIntervals,
+        intervals: FollowIntervals,
         on_reached: OnReached = _ignore_revision,
     ) -> None:
         self.last_listed_ms: int | None = None
@@ -70,7 +70,7 @@
         self._rng = rng
         self._prefix = prefix
         self._on_change = on_change
-        self._pace = pace
+        self._intervals = intervals
         self._on_reached = on_reached
         self._versions: dict[str, int] = {}
         self._deleted: dict[str, int] = {}
@@ -92,33 +92,33 @@
             task.cancel()
 
     async def _watch_loop(self) -> None:
-        pauses = Backoff(self._rng, self._pace.longest_pause_ms)
+        backoff = Backoff(self._rng, self._intervals.longest_pause_ms)
         while True:
             since = await self._list_all()
             while since is not None:
                 self._on_reached(since)
                 since = await self._watch_once(since)
                 if since is not None:
-                    pauses.reset()
+                    backoff.reset()
                     await self._pause_after_change()
             self._on_reached(None)
             # A successful listing does not reset the pauses: if listings work and watches are
             # cut at once, this loop would otherwise list without a pause.
-            await self._clock.sleep(pauses.next_ms())
+            await self._clock.sleep(backoff.next_ms())
 
     async def _poll_loop(self) -> None:
         while True:
-            await self._clock.sleep(self._pace.poll_ms * self._rng.uniform(0.8, 1.0))
+            await self._clock.sleep(self._intervals.poll_ms * self._rng.uniform(0.8, 1.0))
             await self._list_all()
 
     async def _pause_after_change(self) -> None:
         changed, self._has_changed = self._has_changed, False
-        if changed and self._pace.collect_ms:
-            await self._clock.sleep(self._pace.collect_ms)
+        if changed and self._intervals.collect_ms:
+            await self._clock.sleep(self._intervals.collect_ms)
 
     async def _watch_once(self, since: int) -> int | None:
         """Wait for changes; return the revision reached, or None to list again."""
-        found = await self._store.watch(self._prefix, since, self._pace.watch_ms)
+        found = await self._store.watch(self._prefix, since, self._intervals.watch_ms)
         if isinstance(found, Err):
             events.emit(events.WATCH_RESTARTED, prefix=self._prefix, reason=found.err_value.value)
             return None
--- a/papayapier/store/writes.py
+++ b/papayapier/store/writes.py
@@ -53,12 +53,12 @@
 
 
 async def create_settled(
-    settling: SettleDeps, key: str, value: bytes, due_ms: int
+    deps: SettleDeps, key: str, value: bytes, due_ms: int
 ) -> Result[int, StoreError]:
     """Create an object; the value must contain a unique write id."""
 
     async def attempt() -> Result[int, StoreError]:
-        return await settling.store.create(key, value)
+        return await deps.store.create(key, value)
 
     def effect(found: Result[Stored, StoreError]) -> Result[int, StoreError] | None:
         if found == Err(StoreError.NOT_FOUND):
@@ -67,27 +67,27 @@
             return None
         return _own_write_or_lost(found, value)
 
-    return await _settle(settling, _Write(key, attempt, effect), due_ms)
+    return await _settle(deps, _Write(key, attempt, effect), due_ms)
 
 
 async def update_settled(
-    settling: SettleDeps, key: str, value: bytes, version: int, due_ms: int
+    deps: SettleDeps, key: str, value: bytes, version: int, due_ms: int
 ) -> Result[int, StoreError]:
     """Update an object at a version; the value must contain a unique write id."""
 
     async def attempt() -> Result[int, StoreError]:
-        return await settling.store.update(key, value, version)
+        return await deps.store.update(key, value, version)
 
     def effect(found: Result[Stored, StoreError]) -> Result[int, StoreError] | None:
         if found == Err(StoreError.NOT_FOUND):
             return Err(StoreError.LOST)
         return _own_write_or_lost(found, value)
 
-    return await _settle(settling, _Write(key, attempt, effect), due_ms)
+    return await _settle(deps, _Write(key, attempt, effect), due_ms)
 
 
 async def delete_settled(
-    settling: SettleDeps, key: str, version: int, due_ms: int
+    deps: SettleDeps, key: str, version: int, due_ms: int
 ) -> Result[int, StoreError]:
     """Delete an object at a version; return the deletion's version or ALREADY_DELETED.
 
@@ -95,14 +95,14 @@
     """
 
     async def attempt() -> Result[int, StoreError]:
-        return await settling.store.delete(key, version)
+        return await deps.store.delete(key, version)
 
     def effect(found: Result[Stored, StoreError]) -> Result[int, StoreError] | None:
         if found == Err(StoreError.NOT_FOUND):
             return Ok(ALREADY_DELETED)
         return Err(StoreError.LOST) if isinstance(found, Ok) else None
 
-    return await _settle(settling, _Write(key, attempt, effect), due_ms)
+    return await _settle(deps, _Write(key, attempt, effect), due_ms)
 
 
 def _own_write_or_lost(
@@ -115,19 +115,19 @@
     return Err(StoreError.LOST)
 
 
-async def _settle(settling: SettleDeps, write: _Write, due_ms: int) -> Result[int, StoreError]:
+async def _settle(deps: SettleDeps, write: _Write, due_ms: int) -> Result[int, StoreError]:
     answer = await write.attempt()
     if answer != Err(StoreError.LOST):
         return answer
     pause_ms = MIN_PAUSE_MS
-    while settling.clock.now() < due_ms:
-        definite = await _retry(settling.store, write)
+    while deps.clock.now() < due_ms:
+        definite = await _retry(deps.store, write)
         if definite is not None:
             outcome = "ok" if isinstance(definite, Ok) else definite.err_value.value
             events.emit(events.WRITE_READ_BACK, key=write.key, outcome=outcome)
             return definite
-        left_ms = due_ms - settling.clock.now()
-        await settling.clock.sleep(min(left_ms, pause_ms * settling.rng.uniform(0.5, 1.0)))
+        left_ms = due_ms - deps.clock.now()
+        await deps.clock.sleep(min(left_ms, pause_ms * deps.rng.uniform(0.5, 1.0)))
         pause_ms = min(MAX_PAUSE_MS, 2 * pause_ms)
     return Err(StoreError.LOST)
 
