--- a/papayapier/entry/batch_routes.py
+++ b/papayapier/entry/batch_routes.py
@@ -90,14 +90,14 @@
     """Handle the requests of each route."""
 
     def __init__(
-        self, batch: Batch, auth: "CallerAuth", refusing: Callable[[], Refusal | None]
+        self, batch: Batch, auth: "CallerAuth", get_refusal: Callable[[], Refusal | None]
     ) -> None:
         self._batch = batch
         self._auth = auth
-        self._refusing = refusing
+        self._get_refusal = get_refusal
 
     def _authorize_new_work(self, request: "WebRequest") -> Result[str, Refusal]:
-        refusal = self._refusing()
+        refusal = self._get_refusal()
         return self._auth(request) if refusal is None else Err(refusal)
 
     async def upload(self, request: "WebRequest") -> bytes:
--- a/papayapier/entry/forward_routes.py
+++ b/papayapier/entry/forward_routes.py
@@ -45,8 +45,8 @@
 class HeaderNames(NamedTuple):
     """Define the platform's names of the request headers.
 
-    shown_keys returns the headers in which a caller may send its key; of_team replaces them by the
-    name of the caller's team.
+    presented_keys returns the headers in which a caller may send its key; with_team replaces them
+    by the name of the caller's team.
     """
 
     request_id: str
@@ -61,7 +61,8 @@
 class JobHandlers(NamedTuple):
     """Hold the handlers of batch jobs; submit accepts a job from a team on a job route.
 
-    called parses a request on any path as a call on a job, or returns None; perform runs the call.
+    parse_call parses a request on any path as a call on a job, or returns None; perform runs the
+    call.
     """
 
     submit: "Callable[[Any, Route, str], Awaitable[None]]"
@@ -72,8 +73,9 @@
 class ForwardRouteDeps(NamedTuple):
     """Group the dependencies of the routes; table returns None while there is no configuration.
 
-    known waits, just after a start, until requests can be routed. allow returns whether a team may
-    send one more request. Until starting_until_ms the granter may not be known yet, and callers may
+    get_refusal returns the refusal that new requests get, if any. wait_until_routable waits, just
+    after a start, until requests can be routed. allow returns whether a team may send one more
+    request. Until starting_until_ms the granter may not be known yet, and callers may
     have waited for this start or come from other instances that did not answer.
     """
 
--- a/papayapier/entry/job_routes.py
+++ b/papayapier/entry/job_routes.py
@@ -33,7 +33,7 @@
 class JobCallFormat(NamedTuple):
     """Group the functions that parse and run the platform's calls on jobs.
 
-    called parses a request as a call on a job, or returns None; perform runs a call for a team.
+    parse_call parses a request as a call on a job, or returns None; perform runs a call for a team.
     """
 
     request_id: str
