--- a/papayapier/upstream/api.py
+++ b/papayapier/upstream/api.py
@@ -15,7 +15,8 @@
     """Address one replica of an upstream.
 
     id identifies one boot of the replica, so that state recorded for one boot is not applied to
-    the next. known_as is the name by which the replica identifies itself, if it differs from id.
+    the next. announced_name is the name by which the replica identifies itself, if it differs from
+    id.
     """
 
     id: str
@@ -34,10 +35,10 @@
     """Describe one request to a replica; its text fields are sent unchanged.
 
     path starts with a slash. stream requests SSE and a callback per token. due_ms is on the
-    monotonic clock. fresh requires a new connection instead of an idle one from the pool. plain
-    marks the replica as a plain service even if the path is one of a model engine's; the answer
-    of a plain service is passed on unchanged, whatever its status. first_byte_ms of 0 applies
-    the limit of the settings.
+    monotonic clock. new_connection requires a new connection instead of an idle one from the pool.
+    plain_service marks the replica as a plain service even if the path is one of a model engine's;
+    the answer of a plain service is passed on unchanged, whatever its status. first_byte_ms of 0
+    applies the limit of the settings.
     """
 
     call_id: str
@@ -76,10 +77,10 @@
 class Failure(NamedTuple):
     """Explain why a call has no answer.
 
-    fresh states that the connection was new. Silence on a reused connection may be the fault of
-    the connection alone, so the call should be retried before the replica is considered faulty.
-    closed states that the connection was refused: nothing listens at the replica's address. A
-    network partition does not refuse connections.
+    new_connection states that the connection was new. Silence on a reused connection may be the
+    fault of the connection alone, so the call should be retried before the replica is considered
+    faulty. connection_refused states that the connection was refused: nothing listens at the
+    replica's address. A network partition does not refuse connections.
     """
 
     kind: FailureKind
@@ -93,7 +94,7 @@
 class Load(NamedTuple):
     """Hold the load as reported by a replica; at_ms is when the report was received.
 
-    lagging is False for a report that was current when it was received, as in the header of an
+    delayed is False for a report that was current when it was received, as in the header of an
     answer.
     """
 
--- a/papayapier/upstream/engine_calls.py
+++ b/papayapier/upstream/engine_calls.py
@@ -66,7 +66,7 @@
     """
     try:
         keys: dict[str, Any] = dict(_KEYS_DECODER.decode(body))
-        # The caller may itself have asked to continue after some text.
+        # The caller may itself have requested to continue after some text.
         resumed = _TEXT_DECODER.decode(keys.get("resume_text", b"null")) or ""
     except msgspec.MsgspecError:
         return body
--- a/papayapier/upstream/forward_call.py
+++ b/papayapier/upstream/forward_call.py
@@ -26,10 +26,10 @@
 class AnswerMetadata(NamedTuple):
     """Hold what the status and headers of an answer say about the request.
 
-    signed: the replica itself produced the answer. not_run: the replica states that it did not
-    and will not run the request. moved: the address now belongs to another replica. encoded:
-    the body was changed on its way from the replica. load_unread: the answer contains a load
-    report that cannot be parsed.
+    signed: the replica itself produced the answer. not_run: the replica states that it did not and
+    will not run the request. address_reassigned: the address now belongs to another replica.
+    encoded: the body was changed on its way from the replica. load_unreadable: the answer contains
+    a load report that cannot be parsed.
     """
 
     request_id: str
@@ -102,10 +102,10 @@
 
 
 class ForwardCallDeps(NamedTuple):
-    """Group the dependencies of make_raw_send.
+    """Group the dependencies of make_forward_call_sender.
 
-    on_load is called with the load that an answer reports, on_moved with the id of a replica
-    whose address now belongs to another replica.
+    on_load is called with the load that an answer reports, on_address_reassigned with the
+    id of a replica whose address now belongs to another replica.
     """
 
     pools: ConnectionPools
@@ -154,14 +154,14 @@
 class _AnswerReader:
     """Process the parts of one answer as they are received."""
 
-    __slots__ = ("_body", "_call", "_consumer", "_consuming", "_head", "_read_facts", "metadata")
+    __slots__ = ("_body", "_call", "_consumer", "_consuming", "_head", "_read_metadata", "metadata")
 
     def __init__(
-        self, call: ForwardCall, consumer: StreamConsumer | None, read_facts: ReadMetadata
+        self, call: ForwardCall, consumer: StreamConsumer | None, read_metadata: ReadMetadata
     ) -> None:
         self._call = call
         self._consumer = consumer
-        self._read_facts = read_facts
+        self._read_metadata = read_metadata
         self._head: ResponseHead | None = None
         self._body = BodyCollector(MAX_BODY_BYTES)
         self._consuming = False
@@ -179,7 +179,7 @@
         return ForwardAnswer(self._head.status, self._head.headers, self._body.body())
 
     def _on_head(self, head: ResponseHead) -> Result[OnData, Fault]:
-        metadata = self._read_facts(head.status, head.headers, head.at_ms)
+        metadata = self._read_metadata(head.status, head.headers, head.at_ms)
         self._head = head
         if metadata.request_id and metadata.request_id != self._call.request_id:
             return Err(
