--- a/papayapier/upstream/exchange.py
+++ b/papayapier/upstream/exchange.py
@@ -33,7 +33,7 @@
     headers: Headers
     body: bytes
     due_ms: int
-    fresh: bool
+    new_connection: bool
     first_byte_ms: int = 0
 
 
@@ -112,7 +112,7 @@
             return
         self._start_timer()
         outgoing = self._outgoing
-        agent: Any = self._pool.agent(self._lease, outgoing.fresh)
+        agent: Any = self._pool.agent(self._lease, outgoing.new_connection)
         url = f"http://{self._replica.host}:{self._replica.port}{outgoing.path}"
         body = _Body(outgoing.body) if outgoing.body else None
         try:
@@ -234,7 +234,7 @@
         self._lease.abort()
         if self._lease.protocol is None and self._request is not None:
             self._request.cancel()
-        if self._sent is Sent.MAYBE and not self._lease.fresh and self._may_be_path_failure(fault):
+        if self._sent is Sent.MAYBE and not self._lease.is_new and self._may_be_path_failure(fault):
             self._pool.mark_dead_before(self._last_progress_ms)
 
     def _may_be_path_failure(self, fault: Fault) -> bool:
@@ -258,10 +258,10 @@
                 replica=self._replica.id,
                 path=self._outgoing.path,
                 reason=fault.reason,
-                fresh=self._lease.fresh,
+                fresh=self._lease.is_new,
             )
         return Failure(
-            fault.kind, self._sent, fault.reason, fault.status, self._lease.fresh, self._refused
+            fault.kind, self._sent, fault.reason, fault.status, self._lease.is_new, self._refused
         )
 
 
--- a/papayapier/upstream/forward_call.py
+++ b/papayapier/upstream/forward_call.py
@@ -104,8 +104,8 @@
 class ForwardCallDeps(NamedTuple):
     """Group the dependencies of make_forward_call_sender.
 
-    on_load is called with the load that an answer reports, on_address_reassigned with the
-    id of a replica whose address now belongs to another replica.
+    on_load is called with the load that an answer reports, on_address_reassigned with the id
+    of a replica whose address now belongs to another replica.
     """
 
     pools: ConnectionPools
--- a/papayapier/upstream/pool.py
+++ b/papayapier/upstream/pool.py
@@ -49,12 +49,12 @@
     not written.
     """
 
-    __slots__ = ("_before_write", "_endpoint", "fresh", "protocol")
+    __slots__ = ("_before_write", "_endpoint", "is_new", "protocol")
 
     def __init__(self, endpoint: TCP4ClientEndpoint, before_write: Callable[[], bool]) -> None:
         self._endpoint = endpoint
         self._before_write = before_write
-        self.fresh = False
+        self.is_new = False
         self.protocol: Any = None
 
     def endpointForURI(self, uri: object) -> "ConnectionLease":  # noqa: N802
@@ -63,7 +63,7 @@
 
     def connect(self, protocolFactory: Any) -> Deferred[Any]:  # noqa: N803
         """Open a new connection."""
-        self.fresh = True
+        self.is_new = True
         done: Deferred[Any] = self._endpoint.connect(protocolFactory)
         return done.addCallback(_set_tcp_options)
 
@@ -145,7 +145,7 @@
     def getConnection(self, key: Any, endpoint: Any) -> Deferred[Any]:  # noqa: N802
         while True:
             given: Deferred[Any] = super().getConnection(key, endpoint)
-            if endpoint.fresh or self._is_reusable(given.result):
+            if endpoint.is_new or self._is_reusable(given.result):
                 return given.addCallback(endpoint.assign)
             _abort(given.result)
 
