--- a/papayapier/peer/roster.py
+++ b/papayapier/peer/roster.py
@@ -177,8 +177,8 @@
         if not peer.is_neighbour():
             return steps
         was_leaving = peer.is_leaving()
-        gone_before = () if peer.last_heartbeat is None else peer.last_heartbeat.unavailable
-        if heartbeat.unavailable != gone_before:
+        reported_before = () if peer.last_heartbeat is None else peer.last_heartbeat.unavailable
+        if heartbeat.unavailable != reported_before:
             steps.append(PeerChange(sender, Change.REPORTS_CHANGED))
         if peer.up and peer.boot != heartbeat.boot:
             steps.append(PeerChange(sender, Change.RESTARTED))
@@ -262,8 +262,8 @@
         steps: list[Step] = []
         if peer.is_leaving() and not was_leaving:
             steps.append(PeerChange(member.id, Change.LEAVING))
-        moved = (before.host, before.peer_port) != (member.host, member.peer_port)
-        if moved and peer.is_neighbour():
+        address_changed = (before.host, before.peer_port) != (member.host, member.peer_port)
+        if address_changed and peer.is_neighbour():
             steps.append(_redial(member.id, peer, now))
         return steps
 
