--- a/papayapier/entry/forward_routes.py
+++ b/papayapier/entry/forward_routes.py
@@ -75,8 +75,8 @@
 
     get_refusal returns the refusal that new requests get, if any. wait_until_routable waits, just
     after a start, until requests can be routed. allow returns whether a team may send one more
-    request. Until starting_until_ms the granter may not be known yet, and callers may
-    have waited for this start or come from other instances that did not answer.
+    request. Until starting_until_ms the granter may not be known yet, and callers may have waited
+    for this start or come from other instances that did not answer.
     """
 
     clock: "Clock"
