--- a/papayapier/node/base.py
+++ b/papayapier/node/base.py
@@ -243,7 +243,7 @@
     """
 
     slowness: int
-    gather_ms: int
+    collect_ms: int
 
 
 # Configuration: few changes, in force everywhere within two seconds.
@@ -274,7 +274,7 @@
         cfg.follow.watch_ms * urgency.slowness,
         cfg.follow.poll_ms * urgency.slowness,
         cfg.store.longest_pause_ms,
-        urgency.gather_ms,
+        urgency.collect_ms,
     )
     source = StoreSource()
     wait_for_watcher = prefix == REPLICAS_PREFIX
--- a/papayapier/node/entry.py
+++ b/papayapier/node/entry.py
@@ -318,9 +318,10 @@
     A process that has just started does not know whether the store was unreachable before, so its
     own start counts like a return of the store.
     """
-    back_ms = base.outage_tracker.last_return_ms()
+    recovered_ms = base.outage_tracker.last_return_ms()
     return (
-        back_ms is not None and base.clock.now() >= max(back_ms, began_ms) + LOCAL_JOBS_WRITTEN_MS
+        recovered_ms is not None
+        and base.clock.now() >= max(recovered_ms, began_ms) + LOCAL_JOBS_WRITTEN_MS
     )
 
 
--- a/papayapier/node/job_copies.py
+++ b/papayapier/node/job_copies.py
@@ -43,8 +43,10 @@
     if len(value) > MAX_JOB_BYTES:
         return NOT_REQUESTED
     keepers = sorted(deps.keepers())
-    able = read_record(value).map(lambda record: deps.able_keepers(record, keepers)).unwrap_or(())
-    chosen = holders(job_id, keepers, deps.copies, able)
+    able_keepers = (
+        read_record(value).map(lambda record: deps.able_keepers(record, keepers)).unwrap_or(())
+    )
+    chosen = holders(job_id, keepers, deps.copies, able_keepers)
     if not chosen:
         return NOT_REQUESTED
     counter = _CopyCounter(deps.copies, len(chosen))
--- a/papayapier/node/placement.py
+++ b/papayapier/node/placement.py
@@ -38,8 +38,8 @@
 class PlacementDeps(NamedTuple):
     """Hold the dependencies of placement requests.
 
-    hubs returns the live hubs, parts the partitions of the replicas. With queue the hub may queue
-    or refuse a call for which no replica has capacity.
+    hubs returns the live hubs, partitions those of the upstreams' replicas. With queue the hub may
+    queue or refuse a call for which no replica has capacity.
     """
 
     clock: Clock
@@ -48,7 +48,7 @@
     load_tracker: LoadTracker
     outliers: OutlierDetector
     hubs: Callable[[], list[str]]
-    parts: Callable[[], Partitions]
+    partitions: Callable[[], Partitions]
     queue: bool = False
 
 
@@ -56,7 +56,7 @@
     """Return whether calls of an upstream are queued at a hub instead of at this instance."""
     if not deps.queue or deps.hub.plan().full_mesh:
         return False
-    return upstream in deps.parts().keys and bool(deps.hubs())
+    return upstream in deps.partitions().keys and bool(deps.hubs())
 
 
 def make_place(deps: PlacementDeps) -> Place:
@@ -73,7 +73,7 @@
     async def place(req: RouteRequest, needs: PlacementNeeds) -> Placement:
         if deps.hub.plan().full_mesh:
             return UNDECIDED
-        keys = deps.parts().keys.get(req.upstream)
+        keys = deps.partitions().keys.get(req.upstream)
         if not keys:
             return UNDECIDED
         key = deps.rand.choice(keys)
@@ -196,7 +196,7 @@
     """Return the function that reports an unresponsive replica to the hub that places there."""
 
     def report(replica: Replica) -> None:
-        key = deps.parts().key_of.get(replica.id)
+        key = deps.partitions().key_of.get(replica.id)
         if not deps.queue or deps.hub.plan().full_mesh or key is None:
             return
         hub_id = placer_of(key, deps.hubs())
--- a/papayapier/node/placer.py
+++ b/papayapier/node/placer.py
@@ -42,7 +42,7 @@
 class PlacerDeps(NamedTuple):
     """Hold the dependencies of placement for other instances.
 
-    parts returns the partitions of the replicas. turnaround_ms is how long a slot stays empty
+    partitions returns the partitions of the replicas. turnaround_ms is how long a slot stays empty
     between the calls that are placed there.
     """
 
@@ -51,7 +51,7 @@
     hub: PeerHub
     load_tracker: LoadTracker
     outliers: OutlierDetector
-    parts: Callable[[], Partitions]
+    partitions: Callable[[], Partitions]
     metrics: Metrics
     turnaround_ms: int
 
@@ -136,7 +136,7 @@
         self.leave()
 
     def _on_request(self, peer_id: str, request: PlaceAsk) -> None:
-        members = self._deps.parts().members.get(request.partition, frozenset())
+        members = self._deps.partitions().members.get(request.partition, frozenset())
         now = self._deps.clock.now()
         placement = _to_placement(request, next(self._tickets))
         if not members or not request.objective_ms:
@@ -233,7 +233,7 @@
         del self._ticket_of[requester.peer, requester.correlation_id]
 
     def _usable_replicas(self, partition: str, now: int) -> frozenset[str]:
-        members = self._deps.parts().members.get(partition, frozenset())
+        members = self._deps.partitions().members.get(partition, frozenset())
         usable = [
             replica.id
             for replica in self._deps.load_tracker.usable_replicas(upstream_of(partition), now)
@@ -256,7 +256,7 @@
         return not_avoided
 
     def _has_capacity(self, replica: str, now: int) -> bool:
-        reports_apply = self._deps.parts().key_of.get(replica) not in self._ignored_reports
+        reports_apply = self._deps.partitions().key_of.get(replica) not in self._ignored_reports
         if reports_apply and self._unanswered_reports.is_avoided(replica, now):
             return False
         load_tracker = self._deps.load_tracker
@@ -307,7 +307,7 @@
         if now < self._next_full_log.get(partition, 0):
             return
         self._next_full_log[partition] = now + LOG_INTERVAL_MS
-        members = self._deps.parts().members.get(partition, frozenset())
+        members = self._deps.partitions().members.get(partition, frozenset())
         events.emit(
             events.PART_FULL,
             part=partition,
--- a/papayapier/node/processes.py
+++ b/papayapier/node/processes.py
@@ -2,8 +2,8 @@
 
 Each process writes one object about itself at its start. Heartbeats show which processes are live,
 but a process that has just started has received none yet. Until it detected their silence, it would
-treat keepers that never return as owners, hubs and granters. So one of the keepers marks
-others as lost after a long silence. A process that finds itself marked as lost registers again.
+treat keepers that never return as owners, hubs and granters. So one of the keepers marks others
+as lost after a long silence. A process that finds itself marked as lost registers again.
 """
 
 import random
