--- a/tests/batch_world.py
+++ b/tests/batch_world.py
@@ -83,9 +83,9 @@
         for call in waiting:
             self.run(call)
 
-    async def await_open(self, work: Awaitable[T]) -> T:
+    async def await_open(self, awaitable: Awaitable[T]) -> T:
         """Await an external operation, and return its result when the gate is open."""
-        done = await work
+        done = await awaitable
         if self.is_closed:
             opened: Deferred[None] = Deferred()
             self._waiting.append(lambda: opened.callback(None))
@@ -200,10 +200,10 @@
     return Reply(status, "application/json", body, "", 1, "stop", None, 1, 1)
 
 
-def result_now(work: Any) -> Any:
+def result_now(awaitable: Any) -> Any:
     """Return the result of a coroutine that finishes without waiting."""
     out: list[Any] = []
-    Deferred.fromCoroutine(work).addBoth(out.append)
+    Deferred.fromCoroutine(awaitable).addBoth(out.append)
     assert out, "still waiting"
     return out[0]
 
@@ -266,10 +266,10 @@
         assert invariants.violation_count() == 0, invariants.VIOLATIONS
         assert BACKGROUND_FAILURES.failures == []
 
-    def run_until_done(self, work: Any) -> Any:
+    def run_until_done(self, awaitable: Any) -> Any:
         """Return the result of a coroutine, advancing the clock as far as needed."""
         out: list[Any] = []
-        Deferred.fromCoroutine(work).addBoth(out.append)
+        Deferred.fromCoroutine(awaitable).addBoth(out.append)
         for _ in range(500):
             if out:
                 return out[0]
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -90,8 +90,8 @@
 class SlotShare(BatchShare):
     """Give batch all slots of a replica that this instance's online calls do not use."""
 
-    def limit(self, replica_id: str, book: LoadTracker, now: int) -> int:
-        return max(0, book.slots(replica_id) - book.own_calls(replica_id).online)
+    def limit(self, replica_id: str, load_tracker: LoadTracker, now: int) -> int:
+        return max(0, load_tracker.slots(replica_id) - load_tracker.own_calls(replica_id).online)
 
 
 class DispatchWorld:
@@ -104,7 +104,7 @@
         self.sends: list[Send] = []
         self.slow_cancels = False
         self.queue = AdmissionQueue(queued)
-        self.book = LoadTracker()
+        self.load_tracker = LoadTracker()
         self.outliers = OutlierDetector()
         self.metrics = make_metrics()
         self.crashes = CrashWatch(self.time.clock, self.metrics, lambda: True)
@@ -117,7 +117,7 @@
             clock=self.time.clock,
             rand=random.Random(1),
             data_centre="dc",
-            load_tracker=self.book,
+            load_tracker=self.load_tracker,
             outliers=self.outliers,
             crashes=self.crashes,
             queue=self.queue,
@@ -147,7 +147,7 @@
             return await send.done
 
     def list_replicas(self, leaving: Sequence[str] = ()) -> None:
-        self.book.on_listed(self.replicas, set(leaving))
+        self.load_tracker.on_listed(self.replicas, set(leaving))
         self.outliers.on_listed(self.replicas)
         self.crashes.on_listed([replica.id for replica in self.replicas], leaving)
 
@@ -162,9 +162,9 @@
 
     def report(self) -> None:
         for replica in self.replicas:
-            own = self.book.own_calls(replica.id)
+            own = self.load_tracker.own_calls(replica.id)
             load = Load(own.online + own.batch, 0, self.slots, 0.0, self.time.clock.now())
-            self.book.on_report(replica.id, load)
+            self.load_tracker.on_report(replica.id, load)
 
     def advance(self, delay_ms: int, step_ms: int = 10) -> None:
         """Advance the time in small steps, so that repeated timers fire at the right times."""
@@ -220,7 +220,7 @@
     def is_idle(self) -> bool:
         """Return whether nothing is queued, running or counted as open."""
         left = self.online.unfinished_count() + self.lanes.unfinished_count() + self.queue.depth()
-        return left == 0 and self.book.own_uses() == []
+        return left == 0 and self.load_tracker.own_uses() == []
 
 
 def result(pending: Deferred[RunResult]) -> RunResult:
--- a/tests/forward_world.py
+++ b/tests/forward_world.py
@@ -90,7 +90,7 @@
     def __init__(self, replicas: int = 3, seed: int = 3, time: FakeClock | None = None) -> None:
         self.time = time or fake_clock()
         self.sends: list[Send] = []
-        self.book = LoadTracker()
+        self.load_tracker = LoadTracker()
         self.outliers = OutlierDetector()
         self.replicas = [Replica(f"r{n}", "lm", "h", n, "dc") for n in range(replicas)]
         self.crashes = CrashWatch(self.time.clock, make_metrics(), lambda: True)
@@ -101,7 +101,7 @@
             clock=self.time.clock,
             rand=random.Random(seed),
             data_centre="dc",
-            load_tracker=self.book,
+            load_tracker=self.load_tracker,
             outliers=self.outliers,
             crashes=self.crashes,
             queue=AdmissionQueue(100),
@@ -119,8 +119,8 @@
         self.placed = UNDECIDED
         self.placement_requests: list[PlacementNeeds] = []
 
-    async def _place(self, _req: RouteRequest, wanting: PlacementNeeds) -> Placement:
-        self.placement_requests.append(wanting)
+    async def _place(self, _req: RouteRequest, needs: PlacementNeeds) -> Placement:
+        self.placement_requests.append(needs)
         return self.placed
 
     async def _send(
@@ -165,10 +165,10 @@
         self.list_replicas()
 
     def list_replicas(self) -> None:
-        self.book.on_listed(self.replicas, ())
+        self.load_tracker.on_listed(self.replicas, ())
         self.outliers.on_listed(self.replicas)
         self.crashes.on_listed([replica.id for replica in self.replicas], ())
 
     def open_calls(self) -> int:
         """Return how many calls count as open."""
-        return sum(use.online for use in self.book.own_uses())
+        return sum(use.online for use in self.load_tracker.own_uses())
--- a/tests/jobs_run_world.py
+++ b/tests/jobs_run_world.py
@@ -47,7 +47,7 @@
 
     def __init__(self, *upstreams: str, replicas: int = 1) -> None:
         self.time = fake_clock()
-        self.book = LoadTracker()
+        self.load_tracker = LoadTracker()
         self.outliers = OutlierDetector()
         self.replicas = [
             Replica(f"{name}-{number + 1}", name, "h", 1, "dc")
@@ -68,7 +68,7 @@
             clock=self.time.clock,
             rand=random.Random(1),
             instance_id="a",
-            load_tracker=self.book,
+            load_tracker=self.load_tracker,
             outliers=self.outliers,
             crashes=self.crashes,
             send=self._send,
@@ -83,7 +83,9 @@
         self.runs = Runs(deps, lambda job: self.done.append(job.job_id), lambda: None)
 
     def list_replicas(self) -> None:
-        self.book.on_listed(self.replicas, (), {replica.id: SLOTS for replica in self.replicas})
+        self.load_tracker.on_listed(
+            self.replicas, (), {replica.id: SLOTS for replica in self.replicas}
+        )
         self.outliers.on_listed(self.replicas)
         self.crashes.on_listed([replica.id for replica in self.replicas], ())
 
--- a/tests/jobs_world.py
+++ b/tests/jobs_world.py
@@ -55,7 +55,7 @@
         self.objects: dict[str, tuple[int, bytes]] = {}
         self.revision = 0
         self.calls: list[str] = []
-        self.held: list[Deferred[None]] = []
+        self.blocked_calls: list[Deferred[None]] = []
         self.hold = False
         self.fault: Callable[[str, str], StoreError | None] = lambda _call, _key: None
 
@@ -65,16 +65,16 @@
         return self.revision
 
     def release(self) -> None:
-        held, self.held = self.held, []
-        for blocked in held:
+        blocked_calls, self.blocked_calls = self.blocked_calls, []
+        for blocked in blocked_calls:
             blocked.callback(None)
 
     def store(self) -> Store:
         async def get(key: str) -> Result[Stored, StoreError]:
             self.calls.append(f"get {key}")
             if self.hold:
-                self.held.append(Deferred())
-                await self.held[-1]
+                self.blocked_calls.append(Deferred())
+                await self.blocked_calls[-1]
             fault = self.fault("get", key)
             if fault is not None:
                 return Err(fault)
@@ -105,8 +105,8 @@
         async def list_(prefix: str, after: str, _limit: int) -> Result[Listing, StoreError]:
             self.calls.append(f"list {prefix}")
             if self.hold:
-                self.held.append(Deferred())
-                await self.held[-1]
+                self.blocked_calls.append(Deferred())
+                await self.blocked_calls[-1]
             fault = self.fault("list", prefix)
             if fault is not None:
                 return Err(fault)
@@ -161,16 +161,16 @@
     def has_group(self, number: int, *names: str) -> None:
         self.memory.put(group_key(JOB, number), encode(group(*names)))
 
-    def begin(self, work: Awaitable[T]) -> "StartedCoroutine[T]":
-        return StartedCoroutine(work)
+    def begin(self, awaitable: Awaitable[T]) -> "StartedCoroutine[T]":
+        return StartedCoroutine(awaitable)
 
 
 class StartedCoroutine(list[T]):
     """Start a coroutine; the list contains its result once it has finished."""
 
-    def __init__(self, work: Awaitable[T]) -> None:
+    def __init__(self, awaitable: Awaitable[T]) -> None:
         super().__init__()
-        Deferred.fromCoroutine(work).addCallback(self.append)  # type: ignore[arg-type]
+        Deferred.fromCoroutine(awaitable).addCallback(self.append)  # type: ignore[arg-type]
 
     def end(self) -> T:
         assert self, "the coroutine has not finished"
--- a/tests/test_batch_jobs.py
+++ b/tests/test_batch_jobs.py
@@ -392,5 +392,5 @@
     return str(call.body.decode().replace(" ", "").replace("}", ","))
 
 
-async def _as_coroutine(work: Any) -> Any:
-    return await work
+async def _as_coroutine(awaitable: Any) -> Any:
+    return await awaitable
--- a/tests/test_buffered_bytes.py
+++ b/tests/test_buffered_bytes.py
@@ -32,40 +32,42 @@
 
 def test_longest_unread_is_dropped_first() -> None:
     """Guard against dropping a caller that has read recently."""
-    held = BufferedBytes(100)
+    buffered = BufferedBytes(100)
     unread = [Unread(1, 50, 60), Unread(2, 10, 30), Unread(3, 90, 40)]
-    assert [entry.caller for entry in held.callers_to_drop(unread)] == [2]
-    assert held.total() == 100
+    assert [entry.caller for entry in buffered.callers_to_drop(unread)] == [2]
+    assert buffered.total() == 100
 
 
 @pytest.mark.parametrize("gone", [1, 2, 3, 4])
 def test_unread_bytes_count_until_disconnect(gone: int) -> None:
     """Guard against counting a disconnected caller's bytes, or subtracting them twice."""
-    held = BufferedBytes(200)
+    buffered = BufferedBytes(200)
     unread = {1: 60, 2: 30, 3: 40}
-    assert held.callers_to_drop(Unread(number, 0, size) for number, size in unread.items()) == []
-    held.on_disconnected(gone)
-    held.on_disconnected(gone)
-    assert held.total() == sum(unread.values()) - unread.get(gone, 0)
+    assert (
+        buffered.callers_to_drop(Unread(number, 0, size) for number, size in unread.items()) == []
+    )
+    buffered.on_disconnected(gone)
+    buffered.on_disconnected(gone)
+    assert buffered.total() == sum(unread.values()) - unread.get(gone, 0)
 
 
 def test_bodies_count_until_they_end() -> None:
     """Guard against bodies beyond the bound, and against counting them after their end."""
-    held = BufferedBytes(100)
-    held.on_body(30)
-    assert held.total() == 30 * COPIES_PER_BODY
-    assert not held.has_capacity(30)
-    held.on_body(-30)
-    assert held.has_capacity(50)
-    assert not held.has_capacity(51)
+    buffered = BufferedBytes(100)
+    buffered.on_body(30)
+    assert buffered.total() == 30 * COPIES_PER_BODY
+    assert not buffered.has_capacity(30)
+    buffered.on_body(-30)
+    assert buffered.has_capacity(50)
+    assert not buffered.has_capacity(51)
 
 
 def test_without_a_bound_everything_is_buffered() -> None:
     """Guard against refusing bodies where no bound is set."""
-    held = BufferedBytes(UNBOUNDED)
-    held.on_body(1_000_000_000)
-    assert held.has_capacity(1_000_000_000)
-    assert held.callers_to_drop([Unread(1, 0, 1_000_000_000)]) == []
+    buffered = BufferedBytes(UNBOUNDED)
+    buffered.on_body(1_000_000_000)
+    assert buffered.has_capacity(1_000_000_000)
+    assert buffered.callers_to_drop([Unread(1, 0, 1_000_000_000)]) == []
 
 
 class _Answers(_Resource):  # type: ignore[misc]
@@ -108,8 +110,8 @@
         )
         assert isinstance(opened, Ok)
         self.listening = opened.ok_value
-        self.held = BufferedBytes(MAX_BYTES)
-        self.watch = UnreadWatch(self.clock, self.listening.site, self.held, make_metrics())
+        self.buffered = BufferedBytes(MAX_BYTES)
+        self.watch = UnreadWatch(self.clock, self.listening.site, self.buffered, make_metrics())
         self.watch.start()
         self.clients: list[RawClient] = []
         self.max_buffered = 0
@@ -147,7 +149,7 @@
             await client.until(b"whole")
             durations_ms.append((time.monotonic() - began) * 1_000)
             self.answers.feed()
-            self.max_buffered = max(self.max_buffered, self._unread() + self.held.total())
+            self.max_buffered = max(self.max_buffered, self._unread() + self.buffered.total())
             await self.clock.sleep(10)
         return sorted(durations_ms)
 
@@ -171,7 +173,7 @@
             assert all(event["unread_ms"] >= 0 for event in ended)
             # Bytes that arrive between two reviews may exceed the bound.
             await self.clock.sleep(2 * REVIEW_MS)
-            assert self.held.total() <= MAX_BYTES
+            assert self.buffered.total() <= MAX_BYTES
             assert under_load_ms[len(under_load_ms) // 2] <= max(
                 5.0, 3 * before_ms[len(before_ms) // 2]
             )
@@ -186,7 +188,7 @@
             for client in slow:
                 client.write(post("/body", b"y" * 400_000)[:-300_000])
             await self.clock.sleep(300)
-            assert self.held.total() <= MAX_BYTES
+            assert self.buffered.total() <= MAX_BYTES
             refused = [refused_client for refused_client in slow if refused_client.received]
             assert refused
             assert {refused_client.status() for refused_client in refused} == {503}
@@ -196,7 +198,7 @@
             for client in slow:
                 client.abort()
             await self.clock.sleep(100)
-            assert self.held.total() == 0
+            assert self.buffered.total() == 0
             complete = await self._connect()
             complete.write(post("/body", b"y" * 400_000))
             await complete.until(b"400000")
@@ -212,7 +214,7 @@
                 client.shrink_receive_buffer()
                 client.stop_reading()
                 client.write(b"GET /stream HTTP/1.1\r\nHost: x\r\n\r\n")
-            while not self.held.total():
+            while not self.buffered.total():
                 self.answers.feed()
                 await self.clock.sleep(10)
             # No review follows this one.
@@ -222,6 +224,6 @@
             deadline_ms = self.clock.now() + 5_000
             while self.listening.site.connections and self.clock.now() < deadline_ms:
                 await self.clock.sleep(10)
-            assert self.held.total() == 0
+            assert self.buffered.total() == 0
 
         return Deferred.fromCoroutine(run())
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -202,9 +202,9 @@
 def test_request_paused_in_begin_is_not_sent_after_its_due_time(
     fleet: Fleet, answers_first: bool
 ) -> None:
-    # Guards against sending a request after its caller was told that it was not sent. The process
-    # is paused after the claim's write was sent and resumes after the due time, when the response
-    # to the write must not be treated as if it had arrived in time.
+    # Guards against sending a request after replying to its caller that it was not sent. The
+    # process is paused after the claim's write was sent and resumes after the due time, when the
+    # response to the write must not be treated as if it had arrived in time.
     delivery = fleet.deliver("a", "k", due_in_ms=100)
     fleet.advance(10)
     fleet.instances["a"].paused = True
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -81,8 +81,8 @@
 
     def send_heartbeat(self, name: str) -> None:
         """Send one instance's heartbeat to all others."""
-        book = self.configs[name].registry
-        message = Heartbeat(name, 1, "live", book.version(), (), book.digest())
+        registry = self.configs[name].registry
+        message = Heartbeat(name, 1, "live", registry.version(), (), registry.digest())
         for peer in self.configs:
             if peer != name and (name, peer) not in self.silent:
                 self.configs[peer].on_peer_message(name, message)
@@ -278,22 +278,22 @@
 
 def test_lower_version_is_never_applied() -> None:
     """An older object that arrives late must not replace a newer one."""
-    book = ProfileRegistry()
+    registry = ProfileRegistry()
     new = records.encode(records.Record(document=gate(3_000), history=[]))
     old = records.encode(records.Record(document=gate(2_000), history=[]))
-    assert book.apply(GATE.key, 9, new)
-    assert not book.apply(GATE.key, 8, old)
-    profile = book.profile("gate")
+    assert registry.apply(GATE.key, 9, new)
+    assert not registry.apply(GATE.key, 8, old)
+    profile = registry.profile("gate")
     assert profile is not None
-    assert (profile.due_ms, book.version()) == (3_000, 9)
+    assert (profile.due_ms, registry.version()) == (3_000, 9)
 
 
 def test_record_of_a_newer_release_is_applied() -> None:
     """Unknown fields of a newer release must not prevent an object from being applied."""
-    book = ProfileRegistry()
+    registry = ProfileRegistry()
     document = gate(3_000, retry={"attempts": 2, "later": 1}, later=[])
     value = codec.to_json({"document": document, "history": [], "later": {}})
-    assert book.apply(GATE.key, 1, value)
+    assert registry.apply(GATE.key, 1, value)
 
 
 def test_missing_middle_object_is_found_by_digest() -> None:
@@ -311,14 +311,14 @@
         Subject(PROFILES, "chat"), gate(name="chat"), 0, "test", "change-chat", "ana"
     )
     fleet.apply("a", other)
-    books = [fleet.configs[name].registry for name in "ac"]
-    assert books[0].version() == books[1].version()
+    registries = [fleet.configs[name].registry for name in "ac"]
+    assert registries[0].version() == registries[1].version()
     assert fleet.due("c") is None
     for _ in range(2):
         fleet.send_heartbeat("b")
         fleet.run(500)
     assert fleet.due("c") == 2_000
-    assert books[0].digest() == books[1].digest()
+    assert registries[0].digest() == registries[1].digest()
 
 
 def test_watch_and_poll_each_suffice() -> None:
--- a/tests/test_event_splitter.py
+++ b/tests/test_event_splitter.py
@@ -48,7 +48,7 @@
     ],
 )
 def test_ids_are_read_from_their_own_field(data: bytes, last: int) -> None:
-    """An id in the data, or one that is not a number, must not be taken for an event id."""
+    """An id in the data, or one that is not a number, must not be treated as an event id."""
     splitter = EventSplitter()
     assert splitter.feed(data) == data
     assert splitter.last_id == last
--- a/tests/test_fleet_model.py
+++ b/tests/test_fleet_model.py
@@ -1,4 +1,4 @@
-"""Test which instances are hubs, linked and taken for live, in fleets of hundreds of instances.
+"""Test which instances are hubs, linked and considered live, in fleets of hundreds of instances.
 
 The rosters of all instances are simulated in one process (fleet_model).
 """
@@ -9,7 +9,7 @@
 from papayapier.peer.topology import MAX_HUBS
 from tests.fleet_model import Model
 
-# The silence after which a hub is taken for lost, and a heartbeat of those that report it.
+# The silence after which a hub is considered lost, and a heartbeat of those that report it.
 MISSED_MS = 3_000
 
 
--- a/tests/test_fleet_owners.py
+++ b/tests/test_fleet_owners.py
@@ -3,7 +3,7 @@
 Accepted jobs were run by no keeper: seven of 104 on a day with two keepers replaced for good. A
 keeper is lost for good; by rendezvous hashing it ranks first for a job and a hub second. Hubs asked
 entries whether they reach the keeper; entries are linked with hubs only and so never report it, so
-that hubs took the lost keeper for the owner and all others took a hub for it.
+that hubs considered the lost keeper the owner, and all others considered a hub the owner.
 """
 
 from collections import Counter
@@ -14,7 +14,7 @@
 from tests.fleet_model import Model
 
 JOBS = [f"job-{n}" for n in range(300)]
-# The silence after which a keeper is taken for lost, and a heartbeat of the hubs that report it.
+# The silence after which a keeper is considered lost, and a heartbeat of the hubs that report it.
 MISSED_MS = 4_000
 SIZES = [(61, 12), (165, 30)]
 
@@ -132,7 +132,7 @@
 def test_lost_keeper_of_full_mesh_is_not_live() -> None:
     """Guard against a small fleet that requests allowances from a lost keeper for ever.
 
-    Hubs of a full mesh report no unreachable peers, which was taken for reaching all of them.
+    Hubs of a full mesh report no unreachable peers, which was interpreted as reaching all of them.
     """
     model = settled_model(6, 3)
     model.lose(["keeper-1"])
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -47,13 +47,15 @@
     world = ForwardWorld()
     waiting: Deferred[Placement] = Deferred()
 
-    async def place(_req: RouteRequest, _wanting: PlacementNeeds) -> Placement:
+    async def place(_req: RouteRequest, _needs: PlacementNeeds) -> Placement:
         return await waiting
 
     world.deps = world.deps._replace(place=place)
     results = world.start_request(idempotent=True, body=b"crash")
-    work = request_fingerprint("POST", "", "/a", b"crash")
-    world.crashes.on_reported([ReplicaLoss(work, f"gone{n}", 0) for n in range(MAX_LOSSES)], ())
+    fingerprint = request_fingerprint("POST", "", "/a", b"crash")
+    world.crashes.on_reported(
+        [ReplicaLoss(fingerprint, f"gone{n}", 0) for n in range(MAX_LOSSES)], ()
+    )
     waiting.callback(Placement("r0"))
     assert not world.sends
     result = results[0]
@@ -362,7 +364,7 @@
     """Guard against an entry that counts its own calls only and chooses full replicas."""
     world = ForwardWorld()
     uses = [ReplicaUse("r0", 6, 0), ReplicaUse("r1", 1, 0), ReplicaUse("r2", 6, 0)]
-    world.book.on_peer_calls("peer", uses, world.time.clock.now())
+    world.load_tracker.on_peer_calls("peer", uses, world.time.clock.now())
     for _ in range(4):
         world.start_request(idempotent=True)
     assert {send.replica.id for send in world.sends} == {"r1"}
--- a/tests/test_jobs_free_slots.py
+++ b/tests/test_jobs_free_slots.py
@@ -14,13 +14,13 @@
 SLOTS = 8
 
 
-def snapshot(sharing: list[str], hidden: list[str]) -> SlotSnapshot:
-    book = LoadTracker()
+def snapshot(sharing: list[str], unreachable: list[str]) -> SlotSnapshot:
+    load_tracker = LoadTracker()
     replica = Replica("r", "lm", "h", 1, "dc")
-    book.on_listed([replica], (), {"r": SLOTS})
+    load_tracker.on_listed([replica], (), {"r": SLOTS})
     outliers = OutlierDetector()
     outliers.on_listed([replica])
-    return SlotSnapshot(random.Random(1), "a", book, outliers, sharing, hidden)
+    return SlotSnapshot(random.Random(1), "a", load_tracker, outliers, sharing, unreachable)
 
 
 def test_idle_slots_of_a_reachable_instance_are_used() -> None:
--- a/tests/test_jobs_runs.py
+++ b/tests/test_jobs_runs.py
@@ -54,7 +54,7 @@
     world.pump()
     assert len(world.sent) == 2
     for _ in range(SLOTS - 1):
-        world.book.on_sent("lm-1", False, world.time.clock.now())
+        world.load_tracker.on_sent("lm-1", False, world.time.clock.now())
     world.pump()
     assert sorted(world.sent) == ["urgent-0"]
 
--- a/tests/test_local_job_store.py
+++ b/tests/test_local_job_store.py
@@ -50,12 +50,12 @@
         self.memory = MemoryStore()
         self.folders = {f"k{n}": tempfile.TemporaryDirectory() for n in range(count)}
         self.vaults: dict[str, LocalJobStore] = {}
-        self.held: list[str] = []
+        self.stored_ids: list[str] = []
         for name in self.folders:
             self.start(name)
 
     def start(self, name: str) -> None:
-        vault = LocalJobStore(
+        local_store = LocalJobStore(
             LocalJobStoreDeps(
                 self.time.clock,
                 random.Random(1),
@@ -64,16 +64,16 @@
                 KEEP_S,
                 500,
                 run_directly,
-                lambda job_id, _record: self.held.append(job_id),
+                lambda job_id, _record: self.stored_ids.append(job_id),
             )
         )
-        self.vaults[name] = vault
-        Deferred.fromCoroutine(vault.start())
+        self.vaults[name] = local_store
+        Deferred.fromCoroutine(local_store.start())
 
     def stop(self, name: str) -> None:
-        vault = self.vaults.pop(name, None)
-        if vault is not None:
-            vault.close()
+        local_store = self.vaults.pop(name, None)
+        if local_store is not None:
+            local_store.close()
 
     def wipe(self, name: str) -> None:
         for path in Path(self.folders[name].name).iterdir():
@@ -86,7 +86,7 @@
         self.memory.fault = lambda _call, _key: None
 
     def pending(self) -> int:
-        return sum(vault.pending_count() for vault in self.vaults.values())
+        return sum(local_store.pending_count() for local_store in self.vaults.values())
 
     def files(self) -> int:
         return sum(len(list(Path(folder.name).iterdir())) for folder in self.folders.values())
@@ -143,8 +143,8 @@
     return encode(record("a")._replace(accepted_ms=BEGAN_MS))
 
 
-def begin(work: Awaitable[Any]) -> StartedCoroutine[Any]:
-    return StartedCoroutine(work)
+def begin(awaitable: Awaitable[Any]) -> StartedCoroutine[Any]:
+    return StartedCoroutine(awaitable)
 
 
 @pytest.mark.parametrize("cut", [0, 10, 40, 60])
@@ -165,7 +165,7 @@
 def test_a_job_is_created_when_the_store_is_available_again(keepers: Keepers) -> None:
     keepers.make_store_unavailable()
     kept = begin(keepers.vaults["k0"].store(LocalJob(JOB, value())))
-    assert (kept.end(), keepers.held) == (True, [JOB])
+    assert (kept.end(), keepers.stored_ids) == (True, [JOB])
     keepers.time.jump(5_000)
     assert keepers.memory.objects == {}
     keepers.make_store_available()
@@ -195,13 +195,13 @@
     assert job_files.write(keepers.folders["k0"].name, LocalJob(JOB, value())) == Ok(None)
     keepers.start("k0")
     keepers.time.jump(5_000)
-    assert (keepers.held, keepers.pending()) == ([], 1)
+    assert (keepers.stored_ids, keepers.pending()) == ([], 1)
     done = encode(record("a")._replace(ended=True))
     keepers.memory.put(job_key(JOB), done)
     keepers.make_store_available()
     keepers.time.jump(1_000)
     assert keepers.memory.objects[job_key(JOB)][1] == done
-    assert (keepers.held, keepers.pending(), keepers.files()) == ([], 0, 0)
+    assert (keepers.stored_ids, keepers.pending(), keepers.files()) == ([], 0, 0)
 
 
 def test_an_existing_job_is_not_overwritten(keepers: Keepers) -> None:
--- a/tests/test_loss_exchange.py
+++ b/tests/test_loss_exchange.py
@@ -233,9 +233,9 @@
 
 @pytest.mark.parametrize("closed", [False, True])
 def test_a_network_cut_quarantines_no_request_for_long(closed: bool) -> None:
-    # Symptom: a request that many callers send alike is refused for minutes after a network cut.
+    # Symptom: a request that many callers send alike is refused for minutes after a partition.
     # Sequence: all replicas become silent while they run it, and no connection to them can be
-    # made; then the cut is over. Cause: an unreachable replica was taken for one that has ended.
+    # made; then the partition ends. Cause: an unreachable replica was counted as ended.
     net = Net()
     (node,) = net.start("a")
     at = [Replica(f"r{number}", "lm", "h", 1, "dc") for number in range(MAX_LOSSES)]
--- a/tests/test_lost_keepers.py
+++ b/tests/test_lost_keepers.py
@@ -41,8 +41,8 @@
     class Plan:
         hubs = ("k1", "k2")
 
-    def __init__(self, vouched: set[str]) -> None:
-        self._vouched = vouched
+    def __init__(self, agreed_live: set[str]) -> None:
+        self._agreed_live = agreed_live
 
     def plan(self) -> "Hub.Plan":
         return self.Plan()
@@ -51,11 +51,11 @@
         return SILENT
 
     def agreed_live(self) -> frozenset[str]:
-        return frozenset(self._vouched)
+        return frozenset(self._agreed_live)
 
 
 class World:
-    def __init__(self, me: str, vouched: set[str]) -> None:
+    def __init__(self, me: str, agreed_live: set[str]) -> None:
         self.time = fake_clock()
         self.memory = MemoryStore()
         self.registered_again: list[str] = []
@@ -69,7 +69,7 @@
             )
             Deferred.fromCoroutine(registration)
         self.read()
-        hub = Hub(vouched)
+        hub = Hub(agreed_live)
         Deferred.fromCoroutine(
             mark_lost_keepers(cast(Any, hub), self.time.clock, self.nodes, self.memory.store(), me)
         )
@@ -85,12 +85,12 @@
 
 def test_first_hub_marks_lost_keepers_if_it_reaches_most() -> None:
     """Guard against marks by hubs that are not the first, or that are disconnected themselves."""
-    for me, vouched, written in [
+    for me, agreed_live, written in [
         ("k1", {"k1", "k2"}, ["k3"]),
         ("k2", {"k1", "k2"}, []),
         ("k1", {"k1"}, []),
     ]:
-        world = World(me, vouched)
+        world = World(me, agreed_live)
         for _ in range(8):
             world.time.jump(1_000)
         assert world.lost() == written
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -69,7 +69,7 @@
     def test_long_list_is_sent_in_parts_and_used_only_complete(self) -> None:
         # Symptom: after a restart in an outage some replicas get no calls.
         # Sequence: the list has several parts; the link is replaced between two of them.
-        # Cause: an incomplete list was take_sent for the complete one.
+        # Cause: an incomplete list was used as if it were complete.
         self.responder.follower.use_list(self.members(6_000), self.time.clock.now())
         first, *rest = self.answer()
         assert rest and all(len(codec.pack(part)) < 2 * MAX_PART_BYTES for part in (first, *rest))
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -200,7 +200,7 @@
     def test_lagging_list_does_not_move_a_peer_back(self) -> None:
         # Symptom: a peer is dialled again each time the list is read.
         # Sequence: it restarted at another port and sent Hello; the list has the old record.
-        # Cause: the source read last is taken for the newer one.
+        # Cause: the source that was read last is treated as the newer source.
         roster = self.roster("b")
         hello = Hello("b", 2, "127.0.0.1", 9001, "dc-a", "local")
         assert roster.on_hello(hello, at(100)) == [Redial("b")]
--- a/tests/test_place_queue.py
+++ b/tests/test_place_queue.py
@@ -21,15 +21,15 @@
 
 
 def wanting(
-    caller: str = "a", rank: int = 0, aim_ms: int = AIM_MS, is_retry: bool = False
+    caller: str = "a", rank: int = 0, objective_ms: int = AIM_MS, is_retry: bool = False
 ) -> PlacementNeeds:
-    return PlacementNeeds(caller, rank, aim_ms, LEFT_MS, 0 if is_retry else RETURN_MS)
+    return PlacementNeeds(caller, rank, objective_ms, LEFT_MS, 0 if is_retry else RETURN_MS)
 
 
-def asked(
-    ticket: int, want: PlacementNeeds, shunned: frozenset[str] = frozenset()
+def make_request(
+    ticket: int, needs: PlacementNeeds, excluded: frozenset[str] = frozenset()
 ) -> PlacementRequest:
-    return PlacementRequest(ticket, PART, "", "dc", shunned, want)
+    return PlacementRequest(ticket, PART, "", "dc", excluded, needs)
 
 
 class Fleet:
@@ -59,8 +59,10 @@
             results.append(result)
         return results
 
-    def ask(self, ticket: int, now: int, want: PlacementNeeds) -> list[Assigned | PlacementRefused]:
-        refused = self.queue.offer(asked(ticket, want), now)
+    def ask(
+        self, ticket: int, now: int, needs: PlacementNeeds
+    ) -> list[Assigned | PlacementRefused]:
+        refused = self.queue.offer(make_request(ticket, needs), now)
         return [refused] if refused is not None else self.decided(now)
 
 
@@ -98,7 +100,7 @@
     fleet = Fleet(1, 1)
     fleet.open["r0"] = 1
     for ticket in range(400):
-        fleet.ask(ticket, 0, wanting("a", ranks[ticket % 2], aim_ms=60_000, is_retry=True))
+        fleet.ask(ticket, 0, wanting("a", ranks[ticket % 2], objective_ms=60_000, is_retry=True))
     served: Counter[int] = Counter()
     for _ in range(100):
         fleet.open["r0"] -= 1
@@ -111,9 +113,9 @@
     """Guard against dropping a late request that is still wanted, or delaying timely ones."""
     fleet = Fleet(1, 1)
     fleet.open["r0"] = 1
-    fleet.ask(1, 0, wanting("a", aim_ms=100, is_retry=True))
+    fleet.ask(1, 0, wanting("a", objective_ms=100, is_retry=True))
     assert fleet.decided(200) == []
-    fleet.ask(2, 200, wanting("b", aim_ms=100, is_retry=True))
+    fleet.ask(2, 200, wanting("b", objective_ms=100, is_retry=True))
     fleet.open["r0"] -= 1
     assert assigned_tickets(fleet.decided(201)) == [2]
     fleet.open["r0"] -= 1
@@ -135,7 +137,7 @@
     fleet.open["r0"] = 1
     # The queued requests first show for a while how slowly calls are taken.
     for ticket in range(40):
-        fleet.ask(ticket, ticket, wanting(f"c{ticket}", aim_ms=10_000, is_retry=True))
+        fleet.ask(ticket, ticket, wanting(f"c{ticket}", objective_ms=10_000, is_retry=True))
     for now in range(0, 1_000, 50):
         fleet.open["r0"] -= 1
         fleet.decided(now)
@@ -152,7 +154,7 @@
     """Guard against a head of the queue that wants a full replica and blocks all behind it."""
     fleet = Fleet(2, 1)
     fleet.open.update({"r0": 1, "r1": 1})
-    fleet.queue.offer(asked(1, wanting(is_retry=True), frozenset({"r0"})), 0)
+    fleet.queue.offer(make_request(1, wanting(is_retry=True), frozenset({"r0"})), 0)
     fleet.ask(2, 1, wanting(is_retry=True))
     fleet.open["r0"] -= 1
     assert assigned_tickets(fleet.decided(2)) == [2]
@@ -333,8 +335,8 @@
             if queue_at_placer:
                 began_of[ticket] = (began, now)
                 left = LEFT_MS - (now - began)
-                want = PlacementNeeds(team, 0, AIM_MS - 30, left, RETURN_MS if began == now else 0)
-                take(fleet.ask(ticket, now, want), now)
+                needs = PlacementNeeds(team, 0, AIM_MS - 30, left, RETURN_MS if began == now else 0)
+                take(fleet.ask(ticket, now, needs), now)
                 continue
             replica = min(fleet.open, key=lambda free: (fleet.open[free], free))
             fleet.open[replica] += 1
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -358,7 +358,7 @@
 
 
 def test_unresponsive_replica_gets_no_calls() -> None:
-    """Guard against an unresponsive replica that looks idle and attracts all calls."""
+    """Guard against an unresponsive replica that appears idle and attracts all calls."""
     wires = Wires(replicas=4)
     for reporter in ("entry", "e2", "e3"):
         wires.endpoints[FIRST].deliver(reporter, Unanswered("r2"))
@@ -496,6 +496,6 @@
     assert spent[len(spent) // 10] * 1e6 < 100
 
 
-def make_request(number: int, wanting: PlacementNeeds) -> PlaceAsk:
-    times = (wanting.objective_ms, wanting.timeout_ms, wanting.retry_within_ms)
-    return PlaceAsk(number, "lm/0", "", "dc", (), wanting.caller, wanting.rank, *times)
+def make_request(number: int, needs: PlacementNeeds) -> PlaceAsk:
+    times = (needs.objective_ms, needs.timeout_ms, needs.retry_within_ms)
+    return PlaceAsk(number, "lm/0", "", "dc", (), needs.caller, needs.rank, *times)
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -61,14 +61,14 @@
 def test_an_older_configuration_is_never_applied() -> None:
     # Symptom: a route that was removed is served again.
     # Sequence: a newer version arrives from a peer; the store's older answer arrives late.
-    book = RoutingRegistry(CONFIG_KEY, read_configuration)
-    book.on_change(Change(CONFIG_KEY, 7, False, encoded(3)))
-    assert book.apply_if_newer(9, encoded(5), "peer")
-    book.on_change(Change(CONFIG_KEY, 8, False, encoded(4)))
-    assert not book.apply_if_newer(10, encoded(4), "peer")
-    book.on_change(Change(CONFIG_KEY, 11, False, b"{}"))
-    book.on_change(Change(CONFIG_KEY, 12, True))
-    assert book.version() == 5
+    registry = RoutingRegistry(CONFIG_KEY, read_configuration)
+    registry.on_change(Change(CONFIG_KEY, 7, False, encoded(3)))
+    assert registry.apply_if_newer(9, encoded(5), "peer")
+    registry.on_change(Change(CONFIG_KEY, 8, False, encoded(4)))
+    assert not registry.apply_if_newer(10, encoded(4), "peer")
+    registry.on_change(Change(CONFIG_KEY, 11, False, b"{}"))
+    registry.on_change(Change(CONFIG_KEY, 12, True))
+    assert registry.version() == 5
 
 
 def test_a_replica_entry_is_decoded() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -24,13 +24,15 @@
 
 def test_routing_avoids_loaded_and_leaving_replicas() -> None:
     """Guard against calls to a loaded or a leaving replica."""
-    book = LoadTracker()
-    book.on_listed(REPLICAS, leaving={"r2"})
-    book.on_report("r0", Load(30, 0, 32, 7.0, 1_000))
-    book.on_report("r1", Load(0, 0, 32, 5.0, 1_000))
+    load_tracker = LoadTracker()
+    load_tracker.on_listed(REPLICAS, leaving={"r2"})
+    load_tracker.on_report("r0", Load(30, 0, 32, 7.0, 1_000))
+    load_tracker.on_report("r1", Load(0, 0, 32, 5.0, 1_000))
     req = RouteRequest("model", "", "dc1")
     rand = random.Random(1)
-    assert {choose_replica(book, OutlierDetector(), req, rand, 1_000) for _ in range(20)} == {"r1"}
+    assert {
+        choose_replica(load_tracker, OutlierDetector(), req, rand, 1_000) for _ in range(20)
+    } == {"r1"}
 
 
 def test_queue_starts_and_expires_each_ticket_once() -> None:
@@ -61,19 +63,19 @@
 
 def test_batch_yields_to_online_calls() -> None:
     """Guard against batch streams that stay when online calls need their slots."""
-    book, share = LoadTracker(), BatchShare("i1")
-    book.on_listed(REPLICAS, leaving=())
-    book.on_report("r0", Load(0, 0, 32, 5.0, 0))
+    load_tracker, share = LoadTracker(), BatchShare("i1")
+    load_tracker.on_listed(REPLICAS, leaving=())
+    load_tracker.on_report("r0", Load(0, 0, 32, 5.0, 0))
     share.set_upstream("r0", "model")
     share.set_rule("model", BatchRule())
-    opened = max(share.free_streams("r0", book, now) for now in range(0, 5_000, 20))
+    opened = max(share.free_streams("r0", load_tracker, now) for now in range(0, 5_000, 20))
     assert 0 < opened < 32
     for _ in range(opened):
-        book.on_sent("r0", batch=True, now=5_000)
+        load_tracker.on_sent("r0", batch=True, now=5_000)
     for _ in range(16):
-        book.on_sent("r0", batch=False, now=5_001)
-    assert share.free_streams("r0", book, 5_001) == 0
-    assert share.excess_streams("r0", book, 5_001) > 0
+        load_tracker.on_sent("r0", batch=False, now=5_001)
+    assert share.free_streams("r0", load_tracker, 5_001) == 0
+    assert share.excess_streams("r0", load_tracker, 5_001) > 0
 
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=60)
--- a/tests/test_policy_allowances.py
+++ b/tests/test_policy_allowances.py
@@ -141,7 +141,7 @@
     fleet.within_limit = 0
     fleet.crash("keeper-3")
     fleet.run(6_000, demand_at(0.33))
-    # For the seconds until the loss is settled, only the teams of one keeper in twelve are
+    # During the seconds until the loss is confirmed, only the teams of one keeper in twelve are
     # affected.
     assert fleet.within_limit_refused <= fleet.within_limit / 10
 
--- a/tests/test_policy_crash_quarantine.py
+++ b/tests/test_policy_crash_quarantine.py
@@ -24,65 +24,65 @@
 START = 1_000_000
 
 
-def lose(book: CrashTracker, count: int, fingerprint: str = "w", now: int = START) -> None:
+def lose(tracker: CrashTracker, count: int, fingerprint: str = "w", now: int = START) -> None:
     for n in range(count):
-        book.on_replica_lost(fingerprint, f"r{n}", now)
+        tracker.on_replica_lost(fingerprint, f"r{n}", now)
 
 
 @pytest.mark.parametrize("count", range(MAX_LOSSES + 2))
 def test_request_is_quarantined_from_third_loss(count: int) -> None:
     """Guard against quarantining too early, too late, or the wrong request."""
-    book = CrashTracker()
-    lose(book, count)
-    assert book.quarantine_ms("w", START) == (QUARANTINE_MS if count >= MAX_LOSSES else 0)
-    assert book.quarantine_ms("other", START) == 0
+    tracker = CrashTracker()
+    lose(tracker, count)
+    assert tracker.quarantine_ms("w", START) == (QUARANTINE_MS if count >= MAX_LOSSES else 0)
+    assert tracker.quarantine_ms("other", START) == 0
 
 
 @pytest.mark.parametrize("count", range(MAX_LOSSES + 2))
 def test_suspect_is_paused_before_resend(count: int) -> None:
     """Guard against suspects being resent at once, together with the request that ends replicas."""
-    book = CrashTracker()
-    lose(book, count)
-    assert book.suspect_pause_ms("w") == (SUSPECT_PAUSE_MS if count == MAX_LOSSES - 1 else 0)
-    book.on_answered("w")
-    assert book.suspect_pause_ms("w") == (SUSPECT_PAUSE_MS if count == MAX_LOSSES else 0)
+    tracker = CrashTracker()
+    lose(tracker, count)
+    assert tracker.suspect_pause_ms("w") == (SUSPECT_PAUSE_MS if count == MAX_LOSSES - 1 else 0)
+    tracker.on_answered("w")
+    assert tracker.suspect_pause_ms("w") == (SUSPECT_PAUSE_MS if count == MAX_LOSSES else 0)
 
 
 @pytest.mark.parametrize("count", range(MAX_LOSSES, MAX_LOSSES_KEPT))
 def test_recently_answered_request_is_not_quarantined(count: int) -> None:
     """Guard against refusing a frequent request for minutes because it was open beside a crash."""
-    book = CrashTracker()
-    book.record_answer("sound", START - 1)
-    lose(book, count, "sound")
-    lose(book, count, "crash")
+    tracker = CrashTracker()
+    tracker.record_answer("sound", START - 1)
+    lose(tracker, count, "sound")
+    lose(tracker, count, "crash")
     expected = {"crash"} if count < MAX_LOSSES_ANSWERED else {"crash", "sound"}
-    assert book.quarantined(START) == expected
+    assert tracker.quarantined(START) == expected
 
 
 def test_old_answer_does_not_raise_limit() -> None:
-    """Guard against an answer counting as recent for longer than ANSWERED_LATELY_MS."""
-    book = CrashTracker()
-    book.record_answer("w", START - ANSWERED_RECENTLY_MS - 1)
-    lose(book, MAX_LOSSES)
-    assert book.quarantined(START) == {"w"}
+    """Guard against an answer counting as recent for longer than ANSWERED_RECENTLY_MS."""
+    tracker = CrashTracker()
+    tracker.record_answer("w", START - ANSWERED_RECENTLY_MS - 1)
+    lose(tracker, MAX_LOSSES)
+    assert tracker.quarantined(START) == {"w"}
 
 
 def test_recent_answers_are_bounded() -> None:
     """Guard against unbounded memory for answered fingerprints."""
-    book = CrashTracker()
-    book.record_answer("w", START)
+    tracker = CrashTracker()
+    tracker.record_answer("w", START)
     for number in range(MAX_ANSWERED):
-        book.record_answer(f"w{number}", START)
-    lose(book, MAX_LOSSES)
-    assert book.quarantined(START) == {"w"}
+        tracker.record_answer(f"w{number}", START)
+    lose(tracker, MAX_LOSSES)
+    assert tracker.quarantined(START) == {"w"}
 
 
 def test_several_calls_lost_at_one_replica_are_one_loss() -> None:
     """Guard against counting one crash once per open call."""
-    book = CrashTracker()
+    tracker = CrashTracker()
     for _ in range(MAX_LOSSES):
-        book.on_replica_lost("w", "r", START)
-    assert book.lost_replicas("w") == ["r"]
+        tracker.on_replica_lost("w", "r", START)
+    assert tracker.lost_replicas("w") == ["r"]
 
 
 def test_restarted_replica_counts_as_new_loss() -> None:
@@ -91,43 +91,43 @@
     Losses were counted once per engine name, so that further crashes under a known name did not
     count.
     """
-    book = CrashTracker()
+    tracker = CrashTracker()
     for number in range(MAX_LOSSES):
         now = START + number * SAME_LOSS_MS
-        book.on_replica_lost("w", "r", now)
-        book.on_ended("r")
-        book.on_alive("r", now + 1)
-    assert book.quarantine_ms("w", now)
+        tracker.on_replica_lost("w", "r", now)
+        tracker.on_ended("r")
+        tracker.on_alive("r", now + 1)
+    assert tracker.quarantine_ms("w", now)
 
 
 def test_answer_removes_a_loss() -> None:
     """Guard against quarantining a frequent request, which is open wherever a replica ends."""
-    book = CrashTracker()
-    lose(book, MAX_LOSSES - 1)
-    assert book.on_answered("w")
-    lose(book, MAX_LOSSES)
-    assert not book.quarantine_ms("w", START)
+    tracker = CrashTracker()
+    lose(tracker, MAX_LOSSES - 1)
+    assert tracker.on_answered("w")
+    lose(tracker, MAX_LOSSES)
+    assert not tracker.quarantine_ms("w", START)
     for _ in range(MAX_LOSSES):
-        book.on_answered("w")
-    assert book.is_empty()
+        tracker.on_answered("w")
+    assert tracker.is_empty()
 
 
 @pytest.mark.parametrize(("sent", "held"), [(-1, True), (0, False), (1, False)])
 def test_replica_that_answers_later_call_was_not_lost(sent: int, held: bool) -> None:
     """Guard against refusing good requests after reset connections or late answers."""
-    book = CrashTracker()
-    lose(book, MAX_LOSSES)
-    book.on_alive("r0", START + sent)
-    assert bool(book.quarantine_ms("w", START)) is held
+    tracker = CrashTracker()
+    lose(tracker, MAX_LOSSES)
+    tracker.on_alive("r0", START + sent)
+    assert bool(tracker.quarantine_ms("w", START)) is held
 
 
 def test_replica_whose_address_refuses_has_ended() -> None:
     """Guard against an answer of a restarted replica withdrawing a confirmed loss."""
-    book = CrashTracker()
-    lose(book, MAX_LOSSES)
-    book.on_ended("r0")
-    book.on_alive("r0", START + 1)
-    assert book.quarantine_ms("w", START + 1)
+    tracker = CrashTracker()
+    lose(tracker, MAX_LOSSES)
+    tracker.on_ended("r0")
+    tracker.on_alive("r0", START + 1)
+    assert tracker.quarantine_ms("w", START + 1)
 
 
 @pytest.mark.parametrize(
@@ -144,32 +144,32 @@
     listed: list[str], fresh: bool, after_ms: int, held: bool
 ) -> None:
     """Guard against losses that stand although the replica is still listed."""
-    book = CrashTracker()
-    lose(book, MAX_LOSSES)
-    book.on_listed(listed, ())
-    book.sweep(START + after_ms, fresh)
-    assert bool(book.quarantine_ms("w", START + after_ms)) is held
+    tracker = CrashTracker()
+    lose(tracker, MAX_LOSSES)
+    tracker.on_listed(listed, ())
+    tracker.sweep(START + after_ms, fresh)
+    assert bool(tracker.quarantine_ms("w", START + after_ms)) is held
 
 
 def test_leaving_replica_counts_no_loss() -> None:
     """Guard against counting calls that a planned stop cuts off."""
-    book = CrashTracker()
-    book.on_listed(["r0", "r1", "r2"], ["r0", "r1", "r2"])
-    book.on_listed([], [])
-    lose(book, MAX_LOSSES)
-    assert book.is_empty()
+    tracker = CrashTracker()
+    tracker.on_listed(["r0", "r1", "r2"], ["r0", "r1", "r2"])
+    tracker.on_listed([], [])
+    lose(tracker, MAX_LOSSES)
+    assert tracker.is_empty()
 
 
 def test_request_may_be_tried_once_after_quarantine() -> None:
     """Guard against a quarantine that never ends, or that starts from nothing after it."""
-    book = CrashTracker()
-    lose(book, MAX_LOSSES)
+    tracker = CrashTracker()
+    lose(tracker, MAX_LOSSES)
     later = START + QUARANTINE_MS
-    assert not book.quarantine_ms("w", later)
-    book.on_replica_lost("w", "r9", later)
-    assert book.quarantine_ms("w", later) == QUARANTINE_MS
-    book.sweep(later + FORGET_MS, True)
-    assert book.is_empty()
+    assert not tracker.quarantine_ms("w", later)
+    tracker.on_replica_lost("w", "r9", later)
+    assert tracker.quarantine_ms("w", later) == QUARANTINE_MS
+    tracker.sweep(later + FORGET_MS, True)
+    assert tracker.is_empty()
 
 
 @pytest.mark.parametrize(
@@ -184,43 +184,43 @@
 )
 def test_items_are_retried_with_growing_pauses(count: int, pause_ms: int) -> None:
     """Guard against giving up an item too early, or retrying it while its replica restarts."""
-    book = CrashTracker()
-    lose(book, count)
-    assert book.item_pause_ms("w", START) == pause_ms
-    assert book.is_item_exhausted("w") is (count >= MAX_ITEM_LOSSES)
+    tracker = CrashTracker()
+    lose(tracker, count)
+    assert tracker.item_pause_ms("w", START) == pause_ms
+    assert tracker.is_item_exhausted("w") is (count >= MAX_ITEM_LOSSES)
 
 
 def test_reported_losses_count_once() -> None:
     """Guard against counting a loss again that several instances report."""
-    book, other = CrashTracker(), CrashTracker()
-    lose(book, MAX_LOSSES)
-    reported = book.snapshot(START + 10)
+    tracker, other = CrashTracker(), CrashTracker()
+    lose(tracker, MAX_LOSSES)
+    reported = tracker.snapshot(START + 10)
     assert len(other.on_losses_received(reported, START + 20)) == MAX_LOSSES
     assert other.on_losses_received(reported, START + 30) == []
-    assert book.on_losses_received([ReplicaLoss("w", "r0", 0)], START + 40) == []
+    assert tracker.on_losses_received([ReplicaLoss("w", "r0", 0)], START + 40) == []
     assert other.quarantine_ms("w", START + 30) == QUARANTINE_MS - 20
 
 
 def test_recorded_losses_are_bounded() -> None:
     """Guard against unbounded memory for losses, and against unbounded snapshots."""
-    book = CrashTracker()
-    lose(book, MAX_LOSSES_KEPT + 5, "w")
+    tracker = CrashTracker()
+    lose(tracker, MAX_LOSSES_KEPT + 5, "w")
     for number in range(2 * MAX_FINGERPRINTS):
-        book.on_replica_lost(f"w{number}", f"r{number}", START + number)
-    assert len(book.lost_replicas("w")) == MAX_LOSSES_KEPT
-    reported = book.snapshot(START)
+        tracker.on_replica_lost(f"w{number}", f"r{number}", START + number)
+    assert len(tracker.lost_replicas("w")) == MAX_LOSSES_KEPT
+    reported = tracker.snapshot(START)
     assert len(reported) == MAX_SNAPSHOT_LOSSES
     assert [loss.fingerprint for loss in reported[:MAX_LOSSES_KEPT]] == ["w"] * MAX_LOSSES_KEPT
-    known = sum(book.has_losses(f"w{number}") for number in range(2 * MAX_FINGERPRINTS))
+    known = sum(tracker.has_losses(f"w{number}") for number in range(2 * MAX_FINGERPRINTS))
     assert known == MAX_FINGERPRINTS - 1
 
 
 def test_retry_time_is_when_losses_are_confirmed() -> None:
     """Guard against a retry time of the whole quarantine while the losses are unconfirmed."""
-    book = CrashTracker()
-    lose(book, MAX_LOSSES)
-    assert book.retry_after_ms("w", START) == LISTED_ALIVE_MS
-    assert book.retry_after_ms("w", START + LISTED_ALIVE_MS) == QUARANTINE_MS - LISTED_ALIVE_MS
+    tracker = CrashTracker()
+    lose(tracker, MAX_LOSSES)
+    assert tracker.retry_after_ms("w", START) == LISTED_ALIVE_MS
+    assert tracker.retry_after_ms("w", START + LISTED_ALIVE_MS) == QUARANTINE_MS - LISTED_ALIVE_MS
     for number in range(MAX_LOSSES):
-        book.on_ended(f"r{number}")
-    assert book.retry_after_ms("w", START + 1) == QUARANTINE_MS - 1
+        tracker.on_ended(f"r{number}")
+    assert tracker.retry_after_ms("w", START + 1) == QUARANTINE_MS - 1
--- a/tests/test_policy_outliers.py
+++ b/tests/test_policy_outliers.py
@@ -71,8 +71,8 @@
     A replica is down; its ejection ends; many calls are routed in the same millisecond. The end of
     the ejection must not return it to full use.
     """
-    outliers, book = make(5), LoadTracker()
-    book.on_listed(replicas(5), ())
+    outliers, load_tracker = make(5), LoadTracker()
+    load_tracker.on_listed(replicas(5), ())
     fail(outliers, "r0", 4, 0)
     healthy = []
     now = FIRST_EJECTION_MS
@@ -80,7 +80,7 @@
         sent = 0
         for _ in range(50):
             chosen = choose_replica(
-                book, outliers, RouteRequest("model", "", ""), random.Random(1), now
+                load_tracker, outliers, RouteRequest("model", "", ""), random.Random(1), now
             )
             assert chosen is not None
             outliers.on_start(chosen, now)
@@ -139,31 +139,31 @@
     It refuses connections at once, so that it never has a call open; routing goes by open calls,
     and neither replica may be ejected.
     """
-    outliers, book, rand = make(2), LoadTracker(), random.Random(1)
-    book.on_listed(replicas(2), ())
+    outliers, load_tracker, rand = make(2), LoadTracker(), random.Random(1)
+    load_tracker.on_listed(replicas(2), ())
     sent = {"r0": 0, "r1": 0}
     ends: list[int] = []
     for now in range(0, 5_000, 10):
         for _ in [end for end in ends if end == now]:
-            book.on_finished("r1", False, now)
+            load_tracker.on_finished("r1", False, now)
             outliers.on_end("r1", True, 10.0, now)
-        chosen = choose_replica(book, outliers, RouteRequest("model", "", ""), rand, now)
+        chosen = choose_replica(load_tracker, outliers, RouteRequest("model", "", ""), rand, now)
         assert chosen is not None
         sent[chosen] += 1
         if chosen == "r0":
             outliers.on_end("r0", False, None, now)
             continue
-        book.on_sent("r1", False, now)
+        load_tracker.on_sent("r1", False, now)
         ends.append(now + 100)
     assert sent["r0"] <= 0.05 * sent["r1"]
 
 
 def test_non_idempotent_call_is_no_probe() -> None:
     """Guard against losing a call that cannot be retried to a replica that may be broken."""
-    outliers, book = make(3), LoadTracker()
-    book.on_listed(replicas(3), ())
+    outliers, load_tracker = make(3), LoadTracker()
+    load_tracker.on_listed(replicas(3), ())
     fail(outliers, "r0", 4, 0)
     req = RouteRequest("model", "", "", idempotent=False)
     now = FIRST_EJECTION_MS
-    chosen = {choose_replica(book, outliers, req, random.Random(i), now) for i in range(30)}
+    chosen = {choose_replica(load_tracker, outliers, req, random.Random(i), now) for i in range(30)}
     assert chosen == {"r1", "r2"}
--- a/tests/test_policy_reachability.py
+++ b/tests/test_policy_reachability.py
@@ -30,7 +30,7 @@
     """Guard against two keepers that run the same jobs, fill all slots and delay online streams.
 
     The two are partitioned from each other, and both reach the entries. A keeper that a single
-    other instance cannot reach must not be taken for dead.
+    other instance cannot reach must not be considered dead.
     """
     assert reports_of(*unreachable).is_reachable("k2", ENTRIES) is reachable
 
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -1,4 +1,4 @@
-"""Test which failed calls are retried, and what their callers are told."""
+"""Test which failed calls are retried, and what their callers receive."""
 
 import random
 
--- a/tests/test_send_windows.py
+++ b/tests/test_send_windows.py
@@ -1,4 +1,4 @@
-"""Test that a frequent request is told apart from a request that ends its replicas.
+"""Test that a frequent request is distinguished from a request that ends its replicas.
 
 Few replicas run a service; both requests are open at each, all replicas end before the frequent one
 was answered anywhere, and the waiting requests go to the next ones. When both were resent at the
@@ -249,7 +249,7 @@
             entry.replicas = change(entry.replicas)
             entry.list_replicas()
 
-    def held(self, body: bytes) -> list[bool]:
+    def quarantined(self, body: bytes) -> list[bool]:
         fingerprint = request_fingerprint("POST", "", "/a", body)
         return [
             entry.crashes.refusal("r", lambda: fingerprint) is not None for entry in self.entries
@@ -277,8 +277,8 @@
     """Guard against refusing a frequent request for ten minutes because it was never sent alone."""
     for seed in range(3):
         fleet = simulate(seed, entries, replicas, back_ms)
-        assert not any(fleet.held(FREQUENT)), seed
-        assert all(fleet.held(CRASH))
+        assert not any(fleet.quarantined(FREQUENT)), seed
+        assert all(fleet.quarantined(CRASH))
         assert fleet.lost == MAX_LOSSES
         last = fleet.ends[FREQUENT][-LAST:-IN_PROGRESS]
         assert last and all(end.is_ok() for ends in last for end in ends)
--- a/tests/test_site_overload.py
+++ b/tests/test_site_overload.py
@@ -15,7 +15,7 @@
 TOTAL_CALLS: Final = 100
 CALLS_PER_ROUND: Final = 5
 ROUND_GAP_S: Final = 0.025
-# The placer counts at most 2 * SLOTS open calls at a replica (policy/replica_room.py). On a busy
+# The placer counts at most 2 * SLOTS open calls at a replica (policy/replica_limits.py). On a busy
 # machine there are also calls whose end has not been reported to it yet.
 MAX_OPEN: Final = 2 * SLOTS + 3
 # By then about ten calls wait for a free slot.
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -83,7 +83,7 @@
     # Symptom: an object reverts to a value whose write was reported as failed.
     # Sequence: a write is delayed in transit, its answer is lost, a read shows the old
     # version, the write is reported as failed, and then it takes effect.
-    # Cause: the read was taken for proof.
+    # Cause: the read was treated as proof.
     bench.platform.fail(Fault.LOST_DELAYED, "update", delay_ms=60_000)
     version = bench.run(bench.store.create("k", b"old")).unwrap()
     done = bench.run(update_settled(bench.settling, "k", b"id1", version, bench.due()))
--- a/tests/test_upstream_parts.py
+++ b/tests/test_upstream_parts.py
@@ -170,7 +170,7 @@
         return await self.engine_control.send_order(self.replica, order)
 
     async def test_order(self) -> None:
-        """Acceptance, refusal, error status and a malformed answer are told apart."""
+        """Acceptance, refusal, error status and a malformed answer are distinguished."""
         accepted = await self.send_order(with_length(b'{"accepted":true}'))
         equal(accepted, Ok(OrderAnswer(True, 0)))
         refused = await self.send_order(with_length(b'{"accepted":false,"fence":9}', status=409))
