--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -90,7 +90,7 @@
 class SlotShare(BatchShare):
     """Give batch all slots of a replica that this instance's online calls do not use."""
 
-    def limit(self, replica_id: str, load_tracker: LoadTracker, now: int) -> int:
+    def max_streams(self, replica_id: str, load_tracker: LoadTracker, now: int) -> int:
         return max(0, load_tracker.slots(replica_id) - load_tracker.own_calls(replica_id).online)
 
 
