--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -128,8 +128,8 @@
             metrics=self.metrics,
             on_uses_changed=lambda: None,
         )
-        self.lanes = ItemDispatch(self.deps)
-        self.online = OnlineDispatch(self.deps, self.lanes.preempt_for_online)
+        self.item_dispatch = ItemDispatch(self.deps)
+        self.online = OnlineDispatch(self.deps, self.item_dispatch.preempt_for_online)
 
     async def _send(
         self, replica: Replica, call: Call, on_token: OnToken
@@ -198,7 +198,7 @@
         path = CHAT if profile.upstream == "lm" else "/passes"
         due = self.time.clock.wall() + 3_600_000
         call = ItemCall(call_id, "sulina", profile, "POST", path, BODY, due, allowed)
-        return self._started(Deferred.fromCoroutine(self.lanes.run(call)))
+        return self._started(Deferred.fromCoroutine(self.item_dispatch.run(call)))
 
     def _started(self, pending: Deferred[RunResult]) -> Deferred[RunResult]:
         self._open.append(pending)
@@ -215,11 +215,15 @@
             pending.addErrback(lambda _: None)
             pending.cancel()
         self.online.close()
-        self.lanes.close()
+        self.item_dispatch.close()
 
     def is_idle(self) -> bool:
         """Return whether nothing is queued, running or counted as open."""
-        left = self.online.unfinished_count() + self.lanes.unfinished_count() + self.queue.depth()
+        left = (
+            self.online.unfinished_count()
+            + self.item_dispatch.unfinished_count()
+            + self.queue.depth()
+        )
         return left == 0 and self.load_tracker.own_uses() == []
 
 
--- a/tests/jobs_run_world.py
+++ b/tests/jobs_run_world.py
@@ -59,7 +59,7 @@
         self.crashes = CrashWatch(self.time.clock, make_metrics(), lambda: True)
         self.list_replicas()
         self.calls: dict[str, ForwardCall] = {}
-        self.of_team: Any = lambda headers, _team: headers
+        self.with_team: Any = lambda headers, _team: headers
         self.sends = 0
         self.sent: dict[str, Deferred[Any]] = {}
         self.done: list[str] = []
@@ -73,7 +73,7 @@
             crashes=self.crashes,
             send=self._send,
             make_headers=lambda headers, _replica, _left, _last: headers,
-            with_team=lambda headers, team: self.of_team(headers, team),
+            with_team=lambda headers, team: self.with_team(headers, team),
             decode_body=lambda _item: b"",
             request_id=b"X-Request-Id",
             sharing=lambda: ["a"],
@@ -97,7 +97,7 @@
 
     def real_headers(self) -> None:
         """Set the team header as the program does."""
-        self.of_team = with_team
+        self.with_team = with_team
 
     async def _send(
         self, replica: Replica, call: ForwardCall, _taker: Any
--- a/tests/jobs_world.py
+++ b/tests/jobs_world.py
@@ -138,13 +138,13 @@
         self.writers: list[str] = []
         self.settled = True
         self.copies = NOT_REQUESTED
-        self.heard = ReceivedNotifications(lambda: self.writers, list)
+        self.received = ReceivedNotifications(lambda: self.writers, list)
         self.service = JobService(
             JobServiceDeps(
                 self.time.clock,
                 random.Random(1),
                 self.memory.store(),
-                self.heard,
+                self.received,
                 self._keep,
                 is_store_unavailable=lambda: False,
                 is_store_complete=lambda: self.settled,
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -535,7 +535,7 @@
     for _ in range(3):
         for send in world.sends:
             send.token(*["x "] * send.cancelled)
-        world.lanes.preempt_for_online("lm-0")
+        world.item_dispatch.preempt_for_online("lm-0")
     assert sum(send.cancelled for send in world.sends) == 1
 
 
@@ -572,7 +572,7 @@
     assert world.sends[1].call.call_id == "note-2"
     disconnect(items[2])
     assert world.is_idle()
-    assert world.lanes.free_slots("lm") == 1
+    assert world.item_dispatch.free_slots("lm") == 1
 
 
 def test_cancel_of_an_item_being_preempted_is_final() -> None:
@@ -614,10 +614,10 @@
     The slots of ejected replicas, on which nothing is started, were counted as free.
     """
     world = DispatchWorld(lm=3, slots=4)
-    assert world.lanes.free_slots("lm") == 12
+    assert world.item_dispatch.free_slots("lm") == 12
     for _ in range(5):
         world.outliers.on_end("lm-0", False, None, 0)
-    assert world.lanes.free_slots("lm") == 8
+    assert world.item_dispatch.free_slots("lm") == 8
 
 
 def test_many_cancelled_items_finish_without_recursion() -> None:
--- a/tests/test_jobs_notifications.py
+++ b/tests/test_jobs_notifications.py
@@ -28,10 +28,10 @@
         self.live: set[str] = set()
         self.received = ReceivedNotifications(lambda: self.sent, lambda: self.live)
 
-    def word(self, writer: str, lost: bool = False) -> None:
-        word = self.sent[writer].next_notification("job", 1, self.now)
+    def notify(self, writer: str, lost: bool = False) -> None:
+        notification = self.sent[writer].next_notification("job", 1, self.now)
         if not lost:
-            self.received.on_notification(writer, word.number)
+            self.received.on_notification(writer, notification.number)
 
     def heartbeats(self, times: int = 1) -> None:
         for _ in range(times):
@@ -55,13 +55,13 @@
     world.heartbeats(3)
     read_ms = world.now
     for _ in range(50):
-        world.word("a")
+        world.notify("a")
         world.heartbeats()
         assert world.is_read_current(read_ms)
 
 
 def lose_a_notification(world: World) -> None:
-    world.word("a", lost=True)
+    world.notify("a", lost=True)
     world.heartbeats()
 
 
@@ -113,7 +113,7 @@
     lose_a_notification(world)
     world.heartbeats(2)
     assert world.is_read_current(world.now)
-    world.word("a")
+    world.notify("a")
     world.heartbeats()
     assert world.is_read_current(world.now - HEARTBEAT_MS)
 
@@ -166,7 +166,7 @@
     world.has_job("a", "b")
     for number in range(100):
         heartbeat = Heartbeat("a", 1, "serving", 1, notification_count=0)
-        world.heard.on_heartbeat("a", heartbeat, world.time.clock.now())
+        world.received.on_heartbeat("a", heartbeat, world.time.clock.now())
         world.time.jump(HEARTBEAT_MS)
         if number % 3 == 2:
             assert world.begin(world.service.results(JOB, 0, 0)).end().unwrap().results == []
--- a/tests/test_local_job_store.py
+++ b/tests/test_local_job_store.py
@@ -117,13 +117,13 @@
         async def keep_job(job_id: str, value: bytes) -> Copies:
             return await replicate(deps, job_id, value)
 
-        heard = ReceivedNotifications(list, list)
+        received = ReceivedNotifications(list, list)
         return JobService(
             JobServiceDeps(
                 self.time.clock,
                 random.Random(2),
                 self.memory.store(),
-                heard,
+                received,
                 keep_job,
                 is_store_unavailable=lambda: False,
                 is_store_complete=lambda: False,
--- a/tests/test_node_allowances.py
+++ b/tests/test_node_allowances.py
@@ -54,8 +54,8 @@
     return cast(Result[None, Refusal], results[0])
 
 
-def make_reply(what: GrantOutcome, after_ms: int = 0, ask: str = "") -> AllowTell:
-    return AllowTell(1, what.value, after_ms, ask)
+def make_reply(outcome: GrantOutcome, retry_after_ms: int = 0, granter: str = "") -> AllowTell:
+    return AllowTell(1, outcome.value, retry_after_ms, granter)
 
 
 def test_team_without_limit_needs_no_grant() -> None:
@@ -75,7 +75,7 @@
         # A granter with a newer view names another granter.
         (
             {
-                FIRST: make_reply(GrantOutcome.NOT_HERE, ask=THIRD),
+                FIRST: make_reply(GrantOutcome.NOT_HERE, granter=THIRD),
                 THIRD: make_reply(GrantOutcome.GRANTED),
             },
             [FIRST, THIRD],
@@ -83,17 +83,17 @@
         ),
         (
             {
-                FIRST: make_reply(GrantOutcome.NOT_HERE, ask=SECOND),
-                SECOND: make_reply(GrantOutcome.NOT_HERE, ask=FIRST),
+                FIRST: make_reply(GrantOutcome.NOT_HERE, granter=SECOND),
+                SECOND: make_reply(GrantOutcome.NOT_HERE, granter=FIRST),
             },
             [FIRST, SECOND],
             ErrorKind.NOT_GRANTED,
         ),
         (
             {
-                FIRST: make_reply(GrantOutcome.NOT_HERE, ask=THIRD),
-                THIRD: make_reply(GrantOutcome.NOT_HERE, ask=LAST),
-                LAST: make_reply(GrantOutcome.NOT_HERE, ask="k9"),
+                FIRST: make_reply(GrantOutcome.NOT_HERE, granter=THIRD),
+                THIRD: make_reply(GrantOutcome.NOT_HERE, granter=LAST),
+                LAST: make_reply(GrantOutcome.NOT_HERE, granter="k9"),
             },
             [FIRST, THIRD, LAST],
             ErrorKind.NOT_GRANTED,
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -56,9 +56,9 @@
 
 
 def make_heartbeat(
-    name: str, boot: int = 1, state: str = LIVE, unheard: tuple[str, ...] = ()
+    name: str, boot: int = 1, state: str = LIVE, unreachable: tuple[str, ...] = ()
 ) -> Heartbeat:
-    return Heartbeat(name, boot, state, 0, (), 0, unheard)
+    return Heartbeat(name, boot, state, 0, (), 0, unreachable)
 
 
 def at(ms: int) -> Millis:
@@ -155,13 +155,13 @@
         # Sequence: only the connection to the peer became silent.
         # Cause: each direction has its own connection; the sender notices nothing by itself.
         roster = self.roster("b")
-        assert roster.on_heartbeat("b", make_heartbeat("b", unheard=("me",)), at(1000)) == [
+        assert roster.on_heartbeat("b", make_heartbeat("b", unreachable=("me",)), at(1000)) == [
             PeerChange("b", Change.UP)
         ]
-        assert roster.on_heartbeat("b", make_heartbeat("b", unheard=("me",)), at(2000)) == [
+        assert roster.on_heartbeat("b", make_heartbeat("b", unreachable=("me",)), at(2000)) == [
             Redial("b")
         ]
-        assert roster.on_heartbeat("b", make_heartbeat("b", unheard=("me",)), at(2500)) == []
+        assert roster.on_heartbeat("b", make_heartbeat("b", unreachable=("me",)), at(2500)) == []
 
     def test_empty_list_after_outage(self) -> None:
         # Symptom: every instance concludes that it is the only one and takes over all work.
--- a/tests/test_place_queue.py
+++ b/tests/test_place_queue.py
@@ -294,19 +294,19 @@
     weights = {f"t{n}": 1 / (n + 1) ** 1.2 for n in range(84)}
     ticket = 0
 
-    def start(began: int, now: int, replica: str, team: str, asked_ms: int) -> None:
+    def start(began: int, now: int, replica: str, team: str, requested_ms: int) -> None:
         running.append((now + RUN_MS, replica))
         group = "loud" if team == "t0" else "calm"
-        in_time = "in_time" if asked_ms == began else "returned"
-        results_by_group[group]["late" if now - asked_ms > AIM_MS - 30 else in_time] += 1
+        in_time = "in_time" if requested_ms == began else "returned"
+        results_by_group[group]["late" if now - requested_ms > AIM_MS - 30 else in_time] += 1
 
     def take(results: list[Assigned | PlacementRefused], now: int) -> None:
         for result in results:
             team = result.request.needs.caller
-            began, asked_ms = began_of.pop(result.request.ticket)
+            began, requested_ms = began_of.pop(result.request.ticket)
             if isinstance(result, Assigned):
-                start(began, now, result.replica, team, asked_ms)
-            elif began == asked_ms:
+                start(began, now, result.replica, team, requested_ms)
+            elif began == requested_ms:
                 retries.append((now + result.retry_after_ms, began, team))
             else:
                 results_by_group["loud" if team == "t0" else "calm"]["unserved"] += 1
