--- a/tests/jobs_run_world.py
+++ b/tests/jobs_run_world.py
@@ -47,7 +47,7 @@
 
     def __init__(self, *upstreams: str, replicas: int = 1) -> None:
         self.time = fake_clock()
-        self.book = LoadTracker()
+        self.load_tracker = LoadTracker()
         self.outliers = OutlierDetector()
         self.replicas = [
             Replica(f"{name}-{number + 1}", name, "h", 1, "dc")
@@ -59,7 +59,7 @@
         self.crashes = CrashWatch(self.time.clock, make_metrics(), lambda: True)
         self.list_replicas()
         self.calls: dict[str, ForwardCall] = {}
-        self.of_team: Any = lambda headers, _team: headers
+        self.with_team: Any = lambda headers, _team: headers
         self.sends = 0
         self.sent: dict[str, Deferred[Any]] = {}
         self.done: list[str] = []
@@ -68,12 +68,12 @@
             clock=self.time.clock,
             rand=random.Random(1),
             instance_id="a",
-            load_tracker=self.book,
+            load_tracker=self.load_tracker,
             outliers=self.outliers,
             crashes=self.crashes,
             send=self._send,
             make_headers=lambda headers, _replica, _left, _last: headers,
-            with_team=lambda headers, team: self.of_team(headers, team),
+            with_team=lambda headers, team: self.with_team(headers, team),
             decode_body=lambda _item: b"",
             request_id=b"X-Request-Id",
             sharing=lambda: ["a"],
@@ -83,7 +83,9 @@
         self.runs = Runs(deps, lambda job: self.done.append(job.job_id), lambda: None)
 
     def list_replicas(self) -> None:
-        self.book.on_listed(self.replicas, (), {replica.id: SLOTS for replica in self.replicas})
+        self.load_tracker.on_listed(
+            self.replicas, (), {replica.id: SLOTS for replica in self.replicas}
+        )
         self.outliers.on_listed(self.replicas)
         self.crashes.on_listed([replica.id for replica in self.replicas], ())
 
@@ -95,7 +97,7 @@
 
     def real_headers(self) -> None:
         """Set the team header as the program does."""
-        self.of_team = with_team
+        self.with_team = with_team
 
     async def _send(
         self, replica: Replica, call: ForwardCall, _taker: Any
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -56,9 +56,9 @@
 
 
 def make_heartbeat(
-    name: str, boot: int = 1, state: str = LIVE, unheard: tuple[str, ...] = ()
+    name: str, boot: int = 1, state: str = LIVE, unreachable: tuple[str, ...] = ()
 ) -> Heartbeat:
-    return Heartbeat(name, boot, state, 0, (), 0, unheard)
+    return Heartbeat(name, boot, state, 0, (), 0, unreachable)
 
 
 def at(ms: int) -> Millis:
@@ -155,13 +155,13 @@
         # Sequence: only the connection to the peer became silent.
         # Cause: each direction has its own connection; the sender notices nothing by itself.
         roster = self.roster("b")
-        assert roster.on_heartbeat("b", make_heartbeat("b", unheard=("me",)), at(1000)) == [
+        assert roster.on_heartbeat("b", make_heartbeat("b", unreachable=("me",)), at(1000)) == [
             PeerChange("b", Change.UP)
         ]
-        assert roster.on_heartbeat("b", make_heartbeat("b", unheard=("me",)), at(2000)) == [
+        assert roster.on_heartbeat("b", make_heartbeat("b", unreachable=("me",)), at(2000)) == [
             Redial("b")
         ]
-        assert roster.on_heartbeat("b", make_heartbeat("b", unheard=("me",)), at(2500)) == []
+        assert roster.on_heartbeat("b", make_heartbeat("b", unreachable=("me",)), at(2500)) == []
 
     def test_empty_list_after_outage(self) -> None:
         # Symptom: every instance concludes that it is the only one and takes over all work.
@@ -200,7 +200,7 @@
     def test_lagging_list_does_not_move_a_peer_back(self) -> None:
         # Symptom: a peer is dialled again each time the list is read.
         # Sequence: it restarted at another port and sent Hello; the list has the old record.
-        # Cause: the source read last is taken for the newer one.
+        # Cause: the source that was read last is treated as the newer source.
         roster = self.roster("b")
         hello = Hello("b", 2, "127.0.0.1", 9001, "dc-a", "local")
         assert roster.on_hello(hello, at(100)) == [Redial("b")]
