--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -188,10 +188,10 @@
         equal(len(self.server.carriers), 2)
 
     async def test_fresh_call_uses_no_idle_connection(self) -> None:
-        """A call with fresh must open a new connection."""
+        """A call that requires a new connection must open a new connection."""
         await self.leave_idle_connection()
         self.server.answer_with(with_length(complete_body()))
-        await self.reply(stream=False, fresh=True)
+        await self.reply(stream=False, new_connection=True)
         equal(len(self.server.carriers), 2)
 
 
@@ -208,7 +208,8 @@
         self.fake.run_for(CFG.first_byte_ms)
         failure = (await sending).err_value
         equal(
-            (failure.kind, failure.sent, failure.fresh), (FailureKind.TIMED_OUT, Sent.MAYBE, True)
+            (failure.kind, failure.sent, failure.new_connection),
+            (FailureKind.TIMED_OUT, Sent.MAYBE, True),
         )
         await conn.closed
 
